--- a/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
+++ b/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
@@ -24,7 +24,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import tamarindroute.decision.Answer;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Decisions;
@@ -227,8 +228,18 @@
         assertThat(loads).containsExactly(new Load(0.25, 9));
     }
 
+    static List<Arguments> statuses() {
+        return List.of(
+                Arguments.of("NOENT", Result.MISSED),
+                Arguments.of("AGAIN", Result.TURNED_AWAY),
+                Arguments.of("EIO", Result.ERRED),
+                Arguments.of("STALE", Result.EXPIRED),
+                Arguments.of("NOMOD", Result.ERRED),
+                Arguments.of("ack", Result.ERRED));
+    }
+
     @ParameterizedTest
-    @CsvSource({"NOENT, MISSED", "AGAIN, TURNED_AWAY", "EIO, ERRED", "STALE, EXPIRED", "NOMOD, ERRED", "ack, ERRED"})
+    @MethodSource("statuses")
     void everyStatusOfACacheIsDecoded(String status, Result result) throws Exception {
         startRequest();
         respond(status, "-", "");
@@ -236,10 +247,23 @@
         assertReads(client, "*4\r\n$1\r\n7\r\n$4\r\nFAIL\r\n$0\r\n\r\n$0\r\n\r\n");
     }
 
+    static List<Arguments> notes() {
+        return List.of(
+                Arguments.of("hit", Detail.HIT),
+                Arguments.of("filled", Detail.FILLED),
+                Arguments.of("via_origin", Detail.FROM_ORIGIN),
+                Arguments.of("joined", Detail.JOINED),
+                Arguments.of("stale", Detail.OLD),
+                Arguments.of("src_refused", Detail.SOURCE_REFUSED),
+                Arguments.of("src_broke", Detail.SOURCE_FAILED),
+                Arguments.of("src_lacks", Detail.SOURCE_LACKS),
+                Arguments.of("no_slot", Detail.NO_ROOM_FOR_FILL),
+                Arguments.of("origin_failed", Detail.ORIGIN_FAILED),
+                Arguments.of("other", Detail.UNTOLD));
+    }
+
     @ParameterizedTest
-    @CsvSource({"hit, HIT", "filled, FILLED", "via_origin, FROM_ORIGIN", "joined, JOINED", "stale, OLD",
-        "src_refused, SOURCE_REFUSED", "src_broke, SOURCE_FAILED", "src_lacks, SOURCE_LACKS",
-        "no_slot, NO_ROOM_FOR_FILL", "origin_failed, ORIGIN_FAILED", "other, UNTOLD"})
+    @MethodSource("notes")
     void everyNoteOfACacheIsDecoded(String note, Detail detail) throws Exception {
         startRequest();
         respond("EIO", "why=" + note, "");
