--- a/agreement/src/main/java/tamarindroute/agreement/Agreement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Agreement.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-
 import tamarindroute.membership.Member;
 
 /**
@@ -12,46 +11,59 @@
  */
 public interface Agreement {
 
-    /** What became of a proposal. */
-    enum Fate {
-        /** It is agreed; the view's number tells which one has it. */
-        AGREED,
-        /** It was read in its place in the order, and refused by the ledger; nothing has changed. */
-        REFUSED,
-        /** This voter does not lead; nothing has changed. */
-        ELSEWHERE,
-        /** It may be agreed yet or never; what is in the view tells. Proposed again, it changes nothing twice. */
-        UNKNOWN,
-        /** The leader bears no more at once; nothing has changed. */
-        BUSY
-    }
+  /** What became of a proposal. */
+  enum Fate {
+    /** It is agreed; the view's number tells which one has it. */
+    AGREED,
+    /** It was read in its place in the order, and refused by the ledger; nothing has changed. */
+    REFUSED,
+    /** This voter does not lead; nothing has changed. */
+    ELSEWHERE,
+    /**
+     * It may be agreed yet or never; what is in the view tells. Proposed again, it changes nothing
+     * twice.
+     */
+    UNKNOWN,
+    /** The leader bears no more at once; nothing has changed. */
+    BUSY
+  }
 
-    record Outcome(Fate fate, long view, String reason, Optional<Member> leader) {}
+  record Outcome(Fate fate, long view, String reason, Optional<Member> leader) {}
 
-    /** What this voter knows of its group. */
-    record State(boolean leads, Optional<Member> leader, int reached, List<Member> voters, boolean changing,
-            Optional<Duration> noMajoritySince) {}
+  /** What this voter knows of its group. */
+  record State(
+      boolean leads,
+      Optional<Member> leader,
+      int reached,
+      List<Member> voters,
+      boolean changing,
+      Optional<Duration> noMajoritySince) {}
 
-    /** This voter as its store knows it; an empty store made a new one. */
-    Member self();
+  /** This voter as its store knows it; an empty store made a new one. */
+  Member self();
 
-    /** Proposes; calls back once. */
-    void propose(Command command, Consumer<Outcome> outcome);
+  /** Proposes; calls back once. */
+  void propose(Command command, Consumer<Outcome> outcome);
 
-    /** Reads the view as agreed after this call, under most voters' word; calls back once. */
-    void read(Consumer<Optional<View>> view);
+  /** Reads the view as agreed after this call, under most voters' word; calls back once. */
+  void read(Consumer<Optional<View>> view);
 
-    /** The view as this voter has it; it may be old. */
-    View view();
+  /** The view as this voter has it; it may be old. */
+  View view();
 
-    State state();
+  State state();
 
-    /** The number of the lead that this voter knows of, its own or another's; a later one is greater. */
-    long term();
+  /**
+   * The number of the lead that this voter knows of, its own or another's; a later one is greater.
+   */
+  long term();
 
-    /** Takes in a voter, or puts one out; one change at a time. A lost one is put out once its successor is in. */
-    void change(Member voter, boolean in, Consumer<Outcome> outcome);
+  /**
+   * Takes in a voter, or puts one out; one change at a time. A lost one is put out once its
+   * successor is in.
+   */
+  void change(Member voter, boolean in, Consumer<Outcome> outcome);
 
-    /** Ends without a word; the store stays. */
-    void close();
+  /** Ends without a word; the store stays. */
+  void close();
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Chance.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/Chance.java
@@ -7,20 +7,20 @@
 /** The library's chance (how long it waits before it stands for election) from seed and counter. */
 final class Chance extends Random {
 
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    private final long start;
-    private long count;
+  private final long start;
+  private long count;
 
-    Chance(long start) {
-        super(start);
-        this.start = start;
-    }
+  Chance(long start) {
+    super(start);
+    this.start = start;
+  }
 
-    @Override
-    protected int next(int bits) {
-        CRC32 sum = new CRC32();
-        sum.update(ByteBuffer.allocate(16).putLong(start).putLong(count++).flip());
-        return (int) sum.getValue() >>> 32 - bits;
-    }
+  @Override
+  protected int next(int bits) {
+    CRC32 sum = new CRC32();
+    sum.update(ByteBuffer.allocate(16).putLong(start).putLong(count++).flip());
+    return (int) sum.getValue() >>> 32 - bits;
+  }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/OwnerClock.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/OwnerClock.java
@@ -5,35 +5,38 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** The owner's monotonic time in the form the library asks for; the library compares its times to each other only. */
+/**
+ * The owner's monotonic time in the form the library asks for; the library compares its times to
+ * each other only.
+ */
 final class OwnerClock extends Clock {
 
-    /** The library takes 0 for never. */
-    static final long START = 1_000_000L;
+  /** The library takes 0 for never. */
+  static final long START = 1_000_000L;
 
-    private final Owner owner;
+  private final Owner owner;
 
-    OwnerClock(Owner owner) {
-        this.owner = owner;
-    }
+  OwnerClock(Owner owner) {
+    this.owner = owner;
+  }
 
-    @Override
-    public ZoneId getZone() {
-        return ZoneOffset.UTC;
-    }
+  @Override
+  public ZoneId getZone() {
+    return ZoneOffset.UTC;
+  }
 
-    @Override
-    public Clock withZone(ZoneId zone) {
-        return this;
-    }
+  @Override
+  public Clock withZone(ZoneId zone) {
+    return this;
+  }
 
-    @Override
-    public Instant instant() {
-        return Instant.ofEpochMilli(millis());
-    }
+  @Override
+  public Instant instant() {
+    return Instant.ofEpochMilli(millis());
+  }
 
-    @Override
-    public long millis() {
-        return START + owner.now().toMillis();
-    }
+  @Override
+  public long millis() {
+    return START + owner.now().toMillis();
+  }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Post.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/Post.java
@@ -2,13 +2,16 @@
 
 import tamarindroute.membership.Address;
 
-/** Carries messages between voters, and back to whoever asked. A message may be lost, late, doubled, out of order. */
+/**
+ * Carries messages between voters, and back to whoever asked. A message may be lost, late, doubled,
+ * out of order.
+ */
 @FunctionalInterface
 public interface Post {
 
-    /**
-     * At most {@link tamarindroute.agreement.wire.Words#MESSAGE_MOST} bytes; returns at once, and tells nothing
-     * back.
-     */
-    void send(Address to, byte[] message);
+  /**
+   * At most {@link tamarindroute.agreement.wire.Words#MESSAGE_MOST} bytes; returns at once, and
+   * tells nothing back.
+   */
+  void send(Address to, byte[] message);
 }
--- a/agreement/src/test/java/tamarindroute/agreement/FoundingTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/FoundingTest.java
@@ -7,65 +7,65 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.AfterContainer;
-
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
 class FoundingTest {
 
-    private static final List<Address> TOLD = IntStream.range(0, 3).mapToObj(i -> new Address("v" + i, 1)).toList();
+  private static final List<Address> TOLD =
+      IntStream.range(0, 3).mapToObj(i -> new Address("v" + i, 1)).toList();
 
-    private static int groups;
+  private static int groups;
 
-    private record Sent(int to, Founding.Offer offer) {}
+  private record Sent(int to, Founding.Offer offer) {}
 
-    /**
-     * Three voters whose offers are lost, late, doubled and out of order, and that lose their memory at any time: of
-     * all
-     * the groups that ever run, no two have both most of their founders with the memory that they founded with.
-     */
-    @Property(seed = "32", tries = 2_000)
-    void atMostOneGroupEverHasMostOfItsVoters(
-            @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> plays) {
-        List<Founding> voters = new ArrayList<>();
-        IntStream.range(0, 3).forEach(i -> voters.add(begun(i, 1)));
-        List<Sent> sent = new ArrayList<>();
-        Set<List<Member>> ran = new HashSet<>();
-        long birth = 1;
-        for (int play : plays) {
-            int who = play % 3;
-            if (play == 99) {
-                voters.set(who, begun(who, ++birth));
-            } else if (play < 45 || sent.isEmpty()) {
-                sent.add(new Sent((who + 1) % 3, voters.get(who).offer()));
-                sent.add(new Sent((who + 2) % 3, voters.get(who).offer()));
-            } else {
-                Sent one = sent.get(sent.size() - 1 - play * 7 % Math.min(sent.size(), 14));
-                Address from = one.offer().self().address();
-                voters.set(one.to(), voters.get(one.to()).heard(from, one.offer()));
-            }
-            voters.forEach(one -> one.founders().filter(all -> all.contains(one.self())).ifPresent(ran::add));
-            for (List<Member> group : ran) {
-                for (List<Member> other : ran) {
-                    assertThat(group.equals(other) || group.stream().noneMatch(other::contains)).isTrue();
-                }
-            }
+  /**
+   * Three voters whose offers are lost, late, doubled and out of order, and that lose their memory
+   * at any time: of all the groups that ever run, no two have both most of their founders with the
+   * memory that they founded with.
+   */
+  @Property(seed = "32", tries = 2_000)
+  void atMostOneGroupEverHasMostOfItsVoters(
+      @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> plays) {
+    List<Founding> voters = new ArrayList<>();
+    IntStream.range(0, 3).forEach(i -> voters.add(begun(i, 1)));
+    List<Sent> sent = new ArrayList<>();
+    Set<List<Member>> ran = new HashSet<>();
+    long birth = 1;
+    for (int play : plays) {
+      int who = play % 3;
+      if (play == 99) {
+        voters.set(who, begun(who, ++birth));
+      } else if (play < 45 || sent.isEmpty()) {
+        sent.add(new Sent((who + 1) % 3, voters.get(who).offer()));
+        sent.add(new Sent((who + 2) % 3, voters.get(who).offer()));
+      } else {
+        Sent one = sent.get(sent.size() - 1 - play * 7 % Math.min(sent.size(), 14));
+        Address from = one.offer().self().address();
+        voters.set(one.to(), voters.get(one.to()).heard(from, one.offer()));
+      }
+      voters.forEach(
+          one -> one.founders().filter(all -> all.contains(one.self())).ifPresent(ran::add));
+      for (List<Member> group : ran) {
+        for (List<Member> other : ran) {
+          assertThat(group.equals(other) || group.stream().noneMatch(other::contains)).isTrue();
         }
-        groups += ran.size();
+      }
     }
+    groups += ran.size();
+  }
 
-    @AfterContainer
-    static void groupsRan() {
-        assertThat(groups).isGreaterThan(250);
-    }
+  @AfterContainer
+  static void groupsRan() {
+    assertThat(groups).isGreaterThan(250);
+  }
 
-    private static Founding begun(int i, long birth) {
-        return Founding.of(new Member(TOLD.get(i), birth), TOLD, List.of(), false);
-    }
+  private static Founding begun(int i, long birth) {
+    return Founding.of(new Member(TOLD.get(i), birth), TOLD, List.of(), false);
+  }
 }
--- a/cli/src/main/java/tamarindroute/Main.java
+++ b/cli/src/main/java/tamarindroute/Main.java
@@ -13,62 +13,70 @@
 import tamarindroute.start.Start;
 
 /**
- * Where the program starts. The two subcommands of the operators' platform, alone and without options, start past
- * the command line's and the log's libraries, for which 32 MB have no room (docs/architecture.md has the figures);
- * all else goes to the command line, which is known by its name only.
+ * Where the program starts. The two subcommands of the operators' platform, alone and without
+ * options, start past the command line's and the log's libraries, for which 32 MB have no room
+ * (docs/architecture.md has the figures); all else goes to the command line, which is known by its
+ * name only.
  */
 public final class Main {
 
-    private static final String COMMANDS = "tamarindroute.cli.Commands";
+  private static final String COMMANDS = "tamarindroute.cli.Commands";
 
-    private Main() {}
+  private Main() {}
 
-    public static void main(String[] arguments) {
-        String alone = arguments.length == 1 ? arguments[0] : "";
-        switch (alone) {
-            case "serve", "wirehost" -> {
-                Log.form(Log.Form.SMALL);
-                int code = Start.run(alone);
-                if (code != 0) {
-                    System.exit(code);
-                }
-            }
-            default -> more(arguments);
+  public static void main(String[] arguments) {
+    String alone = arguments.length == 1 ? arguments[0] : "";
+    switch (alone) {
+      case "serve", "wirehost" -> {
+        Log.form(Log.Form.SMALL);
+        int code = Start.run(alone);
+        if (code != 0) {
+          System.exit(code);
         }
+      }
+      default -> more(arguments);
     }
+  }
 
-    /** Starts the command line with all libraries; each command ends the process with its own code. */
-    private static void more(String[] arguments) {
-        try {
-            Class.forName(COMMANDS, true, all()).getMethod("main", String[].class).invoke(null, (Object) arguments);
-        } catch (ReflectiveOperationException | IOException | URISyntaxException e) {
-            System.err.println("the libraries in lib/more beside the jar can't be loaded: " + e);
-            System.exit(Start.FAILED);
-        }
+  /**
+   * Starts the command line with all libraries; each command ends the process with its own code.
+   */
+  private static void more(String[] arguments) {
+    try {
+      Class.forName(COMMANDS, true, all())
+          .getMethod("main", String[].class)
+          .invoke(null, (Object) arguments);
+    } catch (ReflectiveOperationException | IOException | URISyntaxException e) {
+      System.err.println("the libraries in lib/more beside the jar can't be loaded: " + e);
+      System.exit(Start.FAILED);
     }
+  }
 
-    /**
-     * What loads the program with all libraries. Those in lib/more are off the jar's own class path: each jar there
-     * costs a gateway memory though nothing of it is used. So the program is loaded anew with them.
-     */
-    private static ClassLoader all() throws IOException, URISyntaxException {
-        try {
-            return Class.forName("picocli.CommandLine").getClassLoader();
-        } catch (ClassNotFoundException e) {
-            // Started from the jar: go on below.
-        }
-        Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        List<URL> all = new ArrayList<>(List.of(jar.toUri().toURL()));
-        for (String folder : new String[] {"lib", "lib/more"}) {
-            try (DirectoryStream<Path> jars = Files.newDirectoryStream(jar.resolveSibling(folder), "*.jar")) {
-                for (Path library : jars) {
-                    all.add(library.toUri().toURL());
-                }
-            }
+  /**
+   * What loads the program with all libraries. Those in lib/more are off the jar's own class path:
+   * each jar there costs a gateway memory though nothing of it is used. So the program is loaded
+   * anew with them.
+   */
+  private static ClassLoader all() throws IOException, URISyntaxException {
+    try {
+      return Class.forName("picocli.CommandLine").getClassLoader();
+    } catch (ClassNotFoundException e) {
+      // Started from the jar: go on below.
+    }
+    Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    List<URL> all = new ArrayList<>(List.of(jar.toUri().toURL()));
+    for (String folder : new String[] {"lib", "lib/more"}) {
+      try (DirectoryStream<Path> jars =
+          Files.newDirectoryStream(jar.resolveSibling(folder), "*.jar")) {
+        for (Path library : jars) {
+          all.add(library.toUri().toURL());
         }
-        // Open as long as the process: the commands' threads load from it.
-        ClassLoader loader = new URLClassLoader(all.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
-        Thread.currentThread().setContextClassLoader(loader);
-        return loader;
+      }
     }
+    // Open as long as the process: the commands' threads load from it.
+    ClassLoader loader =
+        new URLClassLoader(all.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
+    Thread.currentThread().setContextClassLoader(loader);
+    return loader;
+  }
 }
--- a/cli/src/main/java/tamarindroute/cli/Ask.java
+++ b/cli/src/main/java/tamarindroute/cli/Ask.java
@@ -43,178 +43,210 @@
 import tamarindroute.start.Start;
 
 /** Asks one name server one question and prints all that it says. */
-@Command(name = "ask", mixinStandardHelpOptions = true,
-        description = "Ask a name server and print its answer. The exit code is 1 where none came.")
+@Command(
+    name = "ask",
+    mixinStandardHelpOptions = true,
+    description = "Ask a name server and print its answer. The exit code is 1 where none came.")
 final class Ask implements Callable<Integer> {
 
-    /** Memory and descriptors for a single question. */
-    private static final long MEMORY = 64 << 20;
-    private static final int DESCRIPTORS = 256;
-    private static final int COOKIE = 8;
-
-    @Spec
-    private picocli.CommandLine.Model.CommandSpec spec;
-
-    @Parameters(index = "0", paramLabel = "SERVER", description = "address and port, as in 127.0.0.1:5300")
-    private String server;
-
-    @Parameters(index = "1", paramLabel = "NAME")
-    private String name;
-
-    @Parameters(index = "2", paramLabel = "TYPE", defaultValue = "A", description = "A, AAAA, SRV, … (default: A)")
-    private String type;
-
-    @Option(names = "--tcp", description = "ask by TCP; UDP's cut answers are asked again by TCP anyway")
-    private boolean tcp;
-
-    @Option(names = "--subnet", paramLabel = "ADDRESS/BITS", description = "tell this client network (RFC 7871)")
-    private String subnet;
-
-    @Option(names = "--cookie", paramLabel = "HEX", arity = "0..1", fallbackValue = "",
-            description = "send a cookie (RFC 7873): 8 bytes of the client's and, if known, the server's")
-    private String cookie;
-
-    @Option(names = "--no-edns", description = "ask without EDNS")
-    private boolean plain;
-
-    @Option(names = "--size", paramLabel = "BYTES", defaultValue = "1232",
-            description = "the largest datagram taken (default: 1232)")
-    private int size;
-
-    @Option(names = "--within", paramLabel = "MS", defaultValue = "2000",
-            description = "how long to wait (default: 2000)")
-    private int within;
-
-    private Clock clock;
-    private final CompletableFuture<byte[]> answer = new CompletableFuture<>();
-
-    @Override
-    public Integer call() throws IOException {
-        Log.form(Log.Form.SMALL);
-        if (!ServiceSettings.numeric(server)) {
-            throw new ParameterException(spec.commandLine(), "SERVER is no ADDRESS:PORT: " + server);
-        }
-        InetSocketAddress address = ServiceSettings.address(server);
-        Message query = query();
-        clock = new Clock();
-        Datagrams datagrams = new Datagrams(clock);
-        Sockets sockets = new Sockets(clock, new Pool(MEMORY), DESCRIPTORS);
-        long from = System.nanoTime();
-        clock.handOver(() -> {
-            if (tcp) {
-                stream(sockets, address, query);
-            } else {
-                datagrams.ask(address, query.toWire(), new Datagrams.Waiting() {
-                    @Override
-                    public void came(byte[] bytes) {
-                        if (cut(bytes)) {
-                            stream(sockets, address, query);
-                        } else {
-                            answer.complete(bytes);
-                        }
+  /** Memory and descriptors for a single question. */
+  private static final long MEMORY = 64 << 20;
+
+  private static final int DESCRIPTORS = 256;
+  private static final int COOKIE = 8;
+
+  @Spec private picocli.CommandLine.Model.CommandSpec spec;
+
+  @Parameters(
+      index = "0",
+      paramLabel = "SERVER",
+      description = "address and port, as in 127.0.0.1:5300")
+  private String server;
+
+  @Parameters(index = "1", paramLabel = "NAME")
+  private String name;
+
+  @Parameters(
+      index = "2",
+      paramLabel = "TYPE",
+      defaultValue = "A",
+      description = "A, AAAA, SRV, … (default: A)")
+  private String type;
+
+  @Option(
+      names = "--tcp",
+      description = "ask by TCP; UDP's cut answers are asked again by TCP anyway")
+  private boolean tcp;
+
+  @Option(
+      names = "--subnet",
+      paramLabel = "ADDRESS/BITS",
+      description = "tell this client network (RFC 7871)")
+  private String subnet;
+
+  @Option(
+      names = "--cookie",
+      paramLabel = "HEX",
+      arity = "0..1",
+      fallbackValue = "",
+      description = "send a cookie (RFC 7873): 8 bytes of the client's and, if known, the server's")
+  private String cookie;
+
+  @Option(names = "--no-edns", description = "ask without EDNS")
+  private boolean plain;
+
+  @Option(
+      names = "--size",
+      paramLabel = "BYTES",
+      defaultValue = "1232",
+      description = "the largest datagram taken (default: 1232)")
+  private int size;
+
+  @Option(
+      names = "--within",
+      paramLabel = "MS",
+      defaultValue = "2000",
+      description = "how long to wait (default: 2000)")
+  private int within;
+
+  private Clock clock;
+  private final CompletableFuture<byte[]> answer = new CompletableFuture<>();
+
+  @Override
+  public Integer call() throws IOException {
+    Log.form(Log.Form.SMALL);
+    if (!ServiceSettings.numeric(server)) {
+      throw new ParameterException(spec.commandLine(), "SERVER is no ADDRESS:PORT: " + server);
+    }
+    InetSocketAddress address = ServiceSettings.address(server);
+    Message query = query();
+    clock = new Clock();
+    Datagrams datagrams = new Datagrams(clock);
+    Sockets sockets = new Sockets(clock, new Pool(MEMORY), DESCRIPTORS);
+    long from = System.nanoTime();
+    clock.handOver(
+        () -> {
+          if (tcp) {
+            stream(sockets, address, query);
+          } else {
+            datagrams.ask(
+                address,
+                query.toWire(),
+                new Datagrams.Waiting() {
+                  @Override
+                  public void came(byte[] bytes) {
+                    if (cut(bytes)) {
+                      stream(sockets, address, query);
+                    } else {
+                      answer.complete(bytes);
                     }
+                  }
 
-                    @Override
-                    public void ended(Ending ending) {
-                        answer.completeExceptionally(new IOException(ending.toString()));
-                    }
+                  @Override
+                  public void ended(Ending ending) {
+                    answer.completeExceptionally(new IOException(ending.toString()));
+                  }
                 });
-            }
+          }
         });
-        int code = print(query, from);
-        sockets.shutDown();
-        datagrams.shutDown();
-        System.out.flush();
-        // The clock's thread goes on for good.
-        System.exit(code);
-        return code;
+    int code = print(query, from);
+    sockets.shutDown();
+    datagrams.shutDown();
+    System.out.flush();
+    // The clock's thread goes on for good.
+    System.exit(code);
+    return code;
+  }
+
+  private static boolean cut(byte[] bytes) {
+    return bytes.length > 2 && (bytes[2] & 0x02) != 0;
+  }
+
+  private int print(Message query, long from) {
+    try {
+      Message message = new Message(answer.get(within, TimeUnit.MILLISECONDS));
+      if (message.getHeader().getID() != query.getHeader().getID()) {
+        System.err.println("ask: an answer to another query");
+        return Start.FAILED;
+      }
+      System.out.println(message);
+      System.out.println(";; " + (System.nanoTime() - from) / 1000 + " us from " + server);
+      return 0;
+    } catch (TimeoutException e) {
+      System.err.println("ask: no answer within " + within + " ms");
+    } catch (ExecutionException e) {
+      System.err.println("ask: " + e.getCause().getMessage());
+    } catch (InterruptedException | IOException e) {
+      System.err.println("ask: " + e.getMessage());
     }
+    return Start.FAILED;
+  }
 
-    private static boolean cut(byte[] bytes) {
-        return bytes.length > 2 && (bytes[2] & 0x02) != 0;
+  private Message query() {
+    int number = Type.value(type);
+    if (number < 0) {
+      throw new ParameterException(spec.commandLine(), "no such type: " + type);
     }
-
-    private int print(Message query, long from) {
-        try {
-            Message message = new Message(answer.get(within, TimeUnit.MILLISECONDS));
-            if (message.getHeader().getID() != query.getHeader().getID()) {
-                System.err.println("ask: an answer to another query");
-                return Start.FAILED;
-            }
-            System.out.println(message);
-            System.out.println(";; " + (System.nanoTime() - from) / 1000 + " us from " + server);
-            return 0;
-        } catch (TimeoutException e) {
-            System.err.println("ask: no answer within " + within + " ms");
-        } catch (ExecutionException e) {
-            System.err.println("ask: " + e.getCause().getMessage());
-        } catch (InterruptedException | IOException e) {
-            System.err.println("ask: " + e.getMessage());
+    try {
+      Message message = new Message(new SecureRandom().nextInt(1 << 16));
+      message.getHeader().setFlag(Flags.RD);
+      message.addRecord(
+          Record.newRecord(Forwarder.name(name), number, DClass.IN), Section.QUESTION);
+      List<EDNSOption> options = new ArrayList<>();
+      if (subnet != null) {
+        Subnet network = Subnet.parse(subnet);
+        options.add(new ClientSubnetOption(network.bits(), network.address()));
+      }
+      if (cookie != null) {
+        byte[] bytes = HexFormat.of().parseHex(cookie);
+        byte[] client = new byte[COOKIE];
+        if (bytes.length == 0) {
+          new SecureRandom().nextBytes(client);
+        } else {
+          System.arraycopy(bytes, 0, client, 0, COOKIE);
         }
-        return Start.FAILED;
+        options.add(
+            bytes.length <= COOKIE
+                ? new CookieOption(client)
+                : new CookieOption(
+                    client, java.util.Arrays.copyOfRange(bytes, COOKIE, bytes.length)));
+      }
+      if (!plain) {
+        message.addRecord(new OPTRecord(size, 0, 0, 0, options), Section.ADDITIONAL);
+      }
+      return message;
+    } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
+      throw new ParameterException(spec.commandLine(), e.getMessage());
     }
+  }
 
-    private Message query() {
-        int number = Type.value(type);
-        if (number < 0) {
-            throw new ParameterException(spec.commandLine(), "no such type: " + type);
-        }
+  private void stream(Sockets sockets, InetSocketAddress address, Message query) {
+    new Peer() {
+      private final Frames frames = new Frames(Message.MAXLENGTH);
+      private final Connection connection = sockets.connect(address, this);
+
+      @Override
+      public void opened() {
+        connection.write(Frames.frame(query.toWire()));
+      }
+
+      @Override
+      public void received(ByteBuffer bytes) {
         try {
-            Message message = new Message(new SecureRandom().nextInt(1 << 16));
-            message.getHeader().setFlag(Flags.RD);
-            message.addRecord(Record.newRecord(Forwarder.name(name), number, DClass.IN), Section.QUESTION);
-            List<EDNSOption> options = new ArrayList<>();
-            if (subnet != null) {
-                Subnet network = Subnet.parse(subnet);
-                options.add(new ClientSubnetOption(network.bits(), network.address()));
-            }
-            if (cookie != null) {
-                byte[] bytes = HexFormat.of().parseHex(cookie);
-                byte[] client = new byte[COOKIE];
-                if (bytes.length == 0) {
-                    new SecureRandom().nextBytes(client);
-                } else {
-                    System.arraycopy(bytes, 0, client, 0, COOKIE);
-                }
-                options.add(bytes.length <= COOKIE ? new CookieOption(client)
-                        : new CookieOption(client, java.util.Arrays.copyOfRange(bytes, COOKIE, bytes.length)));
-            }
-            if (!plain) {
-                message.addRecord(new OPTRecord(size, 0, 0, 0, options), Section.ADDITIONAL);
-            }
-            return message;
-        } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new ParameterException(spec.commandLine(), e.getMessage());
+          byte[] whole = frames.next(bytes);
+          if (whole != null) {
+            answer.complete(whole);
+          }
+        } catch (MalformedException e) {
+          answer.completeExceptionally(e);
         }
-    }
-
-    private void stream(Sockets sockets, InetSocketAddress address, Message query) {
-        new Peer() {
-            private final Frames frames = new Frames(Message.MAXLENGTH);
-            private final Connection connection = sockets.connect(address, this);
-
-            @Override
-            public void opened() {
-                connection.write(Frames.frame(query.toWire()));
-            }
-
-            @Override
-            public void received(ByteBuffer bytes) {
-                try {
-                    byte[] whole = frames.next(bytes);
-                    if (whole != null) {
-                        answer.complete(whole);
-                    }
-                } catch (MalformedException e) {
-                    answer.completeExceptionally(e);
-                }
-                bytes.position(bytes.limit());
-            }
-
-            @Override
-            public void ended(Ending ending) {
-                answer.completeExceptionally(new IOException(ending.toString()));
-            }
-        };
-    }
+        bytes.position(bytes.limit());
+      }
+
+      @Override
+      public void ended(Ending ending) {
+        answer.completeExceptionally(new IOException(ending.toString()));
+      }
+    };
+  }
 }
--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -14,120 +14,255 @@
 /** Which package may know which: the rules that each package's opening paragraph tells. */
 class ArchitectureTest {
 
-    private static final JavaClasses PROGRAM = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
-            .withImportOption(location -> !location.contains("-tests.jar")).importPackages("tamarindroute");
-    private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
+  private static final JavaClasses PROGRAM =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .withImportOption(location -> !location.contains("-tests.jar"))
+          .importPackages("tamarindroute");
+  private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
 
-    /** Each package a slice of its own, those above and below another among them. */
-    private static ArchRule noCircles(String root) {
-        return slices().matching("(" + root + "..)").should().beFreeOfCycles();
-    }
+  /** Each package a slice of its own, those above and below another among them. */
+  private static ArchRule noCircles(String root) {
+    return slices().matching("(" + root + "..)").should().beFreeOfCycles();
+  }
 
-    @Test
-    void noPackagesKnowEachOtherInACircle() {
-        noCircles("tamarindroute").check(PROGRAM);
-    }
+  @Test
+  void noPackagesKnowEachOtherInACircle() {
+    noCircles("tamarindroute").check(PROGRAM);
+  }
 
-    /** The rule must see the first class's package too, and must be able to fail: a library shows it. */
-    @Test
-    void aCircleWouldBeSeen() {
-        assertThat(PROGRAM.contain(Main.class)).isTrue();
-        JavaClasses library = new ClassFileImporter().importPackages("ch.qos.logback.classic");
-        assertThat(noCircles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
-    }
+  /**
+   * The rule must see the first class's package too, and must be able to fail: a library shows it.
+   */
+  @Test
+  void aCircleWouldBeSeen() {
+    assertThat(PROGRAM.contain(Main.class)).isTrue();
+    JavaClasses library = new ClassFileImporter().importPackages("ch.qos.logback.classic");
+    assertThat(noCircles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
+  }
 
-    @Test
-    void theModuleAndItsInterfaceAreFreeOfIo() {
-        noClasses().that().resideInAnyPackage("tamarindroute.decision", "tamarindroute.policy")
-                .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..",
-                        "java.nio.file..", "java.util.concurrent..", "org..", "com..", "tamarindroute.net..",
-                        "tamarindroute.host..", "tamarindroute.log..", "tamarindroute.protocol..")
-                .check(PROGRAM);
-    }
+  @Test
+  void theModuleAndItsInterfaceAreFreeOfIo() {
+    noClasses()
+        .that()
+        .resideInAnyPackage("tamarindroute.decision", "tamarindroute.policy")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.io..",
+            "java.net..",
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.util.concurrent..",
+            "org..",
+            "com..",
+            "tamarindroute.net..",
+            "tamarindroute.host..",
+            "tamarindroute.log..",
+            "tamarindroute.protocol..")
+        .check(PROGRAM);
+  }
 
-    @Test
-    void whatDecidesForNamesHasNoSocketsFilesThreadsOrClocks() {
-        noClasses().that().resideInAPackage("tamarindroute.dns").should().dependOnClassesThat()
-                .resideInAnyPackage("java.nio.channels..", "java.nio.file..", "java.util.concurrent..",
-                        "org.apache.mina..", "tamarindroute.net..", "tamarindroute.host..", "tamarindroute.resolver..")
-                .check(PROGRAM);
-        noClasses().that().resideInAPackage("tamarindroute.dns").should()
-                .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-                .orShould().callMethod(java.time.Instant.class, "now").check(PROGRAM);
-    }
+  @Test
+  void whatDecidesForNamesHasNoSocketsFilesThreadsOrClocks() {
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.dns")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.util.concurrent..",
+            "org.apache.mina..",
+            "tamarindroute.net..",
+            "tamarindroute.host..",
+            "tamarindroute.resolver..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.dns")
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .orShould()
+        .callMethod(java.time.Instant.class, "now")
+        .check(PROGRAM);
+  }
 
-    @Test
-    void electionsHaveNoSocketsFilesThreadsOrClocks() {
-        noClasses().that().resideInAPackage("tamarindroute.vrrp").should().dependOnClassesThat()
-                .resideInAnyPackage("java.nio.channels..", "java.nio.file..", "java.util.concurrent..",
-                        "org.apache.mina..", "tamarindroute.net..", "tamarindroute.host..", "tamarindroute.log..")
-                .check(PROGRAM);
-        noClasses().that().resideInAPackage("tamarindroute.vrrp").should()
-                .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-                .check(PROGRAM);
-    }
+  @Test
+  void electionsHaveNoSocketsFilesThreadsOrClocks() {
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.vrrp")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.util.concurrent..",
+            "org.apache.mina..",
+            "tamarindroute.net..",
+            "tamarindroute.host..",
+            "tamarindroute.log..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.vrrp")
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(PROGRAM);
+  }
 
-    @Test
-    void onlyTheForwarderSendsQuestions() {
-        noClasses().that().resideInAPackage("tamarindroute.resolver").and().doNotHaveSimpleName("Forwarder")
-                .and().haveNameNotMatching(".*Forwarder\\$.*").should().dependOnClassesThat()
-                .resideInAnyPackage("tamarindroute.net..", "org.apache.mina..", "java.util.concurrent..")
-                .check(PROGRAM);
-    }
+  @Test
+  void onlyTheForwarderSendsQuestions() {
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.resolver")
+        .and()
+        .doNotHaveSimpleName("Forwarder")
+        .and()
+        .haveNameNotMatching(".*Forwarder\\$.*")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("tamarindroute.net..", "org.apache.mina..", "java.util.concurrent..")
+        .check(PROGRAM);
+  }
 
-    @Test
-    void frontsDoNotKnowEachOther() {
-        for (String front : FRONTS) {
-            for (String other : FRONTS) {
-                if (!front.equals(other)) {
-                    noClasses().that().resideInAPackage("tamarindroute." + front).should().dependOnClassesThat()
-                            .resideInAPackage("tamarindroute." + other).check(PROGRAM);
-                }
-            }
-            noClasses().that().resideInAnyPackage("tamarindroute.host", "tamarindroute.net", "tamarindroute.protocol",
-                    "tamarindroute.decision", "tamarindroute.policy", "tamarindroute.settings", "tamarindroute.log",
-                    "tamarindroute.dns", "tamarindroute.resolver", "tamarindroute.vrrp", "tamarindroute.standby")
-                    .should().dependOnClassesThat().resideInAPackage("tamarindroute." + front).check(PROGRAM);
+  @Test
+  void frontsDoNotKnowEachOther() {
+    for (String front : FRONTS) {
+      for (String other : FRONTS) {
+        if (!front.equals(other)) {
+          noClasses()
+              .that()
+              .resideInAPackage("tamarindroute." + front)
+              .should()
+              .dependOnClassesThat()
+              .resideInAPackage("tamarindroute." + other)
+              .check(PROGRAM);
         }
+      }
+      noClasses()
+          .that()
+          .resideInAnyPackage(
+              "tamarindroute.host",
+              "tamarindroute.net",
+              "tamarindroute.protocol",
+              "tamarindroute.decision",
+              "tamarindroute.policy",
+              "tamarindroute.settings",
+              "tamarindroute.log",
+              "tamarindroute.dns",
+              "tamarindroute.resolver",
+              "tamarindroute.vrrp",
+              "tamarindroute.standby")
+          .should()
+          .dependOnClassesThat()
+          .resideInAPackage("tamarindroute." + front)
+          .check(PROGRAM);
     }
+  }
 
-    /** Each such library costs a gateway of 32 MB memory it does not have; they are off its class path. */
-    @Test
-    void theGatewayUsesNoneOfTheOtherCommandsLibraries() {
-        noClasses().that().resideInAnyPackage("tamarindroute.gateway", "tamarindroute.host", "tamarindroute.net",
-                "tamarindroute.protocol", "tamarindroute.decision", "tamarindroute.settings", "tamarindroute.wirehost",
-                "tamarindroute.policy", "tamarindroute.start").or().haveSimpleName("Main")
-                .or().haveSimpleName("Log").or().haveSimpleName("Small")
-                .should().dependOnClassesThat()
-                .resideInAnyPackage("picocli..", "ch.qos.logback..", "org.xbill..").check(PROGRAM);
-    }
+  /**
+   * Each such library costs a gateway of 32 MB memory it does not have; they are off its class
+   * path.
+   */
+  @Test
+  void theGatewayUsesNoneOfTheOtherCommandsLibraries() {
+    noClasses()
+        .that()
+        .resideInAnyPackage(
+            "tamarindroute.gateway",
+            "tamarindroute.host",
+            "tamarindroute.net",
+            "tamarindroute.protocol",
+            "tamarindroute.decision",
+            "tamarindroute.settings",
+            "tamarindroute.wirehost",
+            "tamarindroute.policy",
+            "tamarindroute.start")
+        .or()
+        .haveSimpleName("Main")
+        .or()
+        .haveSimpleName("Log")
+        .or()
+        .haveSimpleName("Small")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("picocli..", "ch.qos.logback..", "org.xbill..")
+        .check(PROGRAM);
+  }
 
-    @Test
-    void onlyTheLogPackageKnowsWhoWritesLines() {
-        classes().that().resideOutsideOfPackage("tamarindroute.log").should().onlyDependOnClassesThat()
-                .resideOutsideOfPackages("org.slf4j..", "ch.qos.logback..").check(PROGRAM);
-    }
+  @Test
+  void onlyTheLogPackageKnowsWhoWritesLines() {
+    classes()
+        .that()
+        .resideOutsideOfPackage("tamarindroute.log")
+        .should()
+        .onlyDependOnClassesThat()
+        .resideOutsideOfPackages("org.slf4j..", "ch.qos.logback..")
+        .check(PROGRAM);
+  }
 
-    /** Members live beside a gateway, which knows nothing of them; only their wire forms know their library. */
-    @Test
-    void membersAreKnownToTheCommandLineAlone() {
-        noClasses().that().resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.cli..").should()
-                .dependOnClassesThat().resideInAPackage("tamarindroute.members..").check(PROGRAM);
-        noClasses().that().resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.agreement..").should()
-                .dependOnClassesThat().resideInAnyPackage("tamarindroute.agreement..", "com.google.protobuf..",
-                        "io.microraft..")
-                .check(PROGRAM);
-        noClasses().that().resideOutsideOfPackage("tamarindroute.agreement.raft").should().dependOnClassesThat()
-                .resideInAPackage("io.microraft..").check(PROGRAM);
-        noClasses().that().resideInAPackage("tamarindroute.members.agreed").should().dependOnClassesThat()
-                .resideInAnyPackage("com.google.protobuf..", "tamarindroute.agreement.proto..", "io.microraft..")
-                .check(PROGRAM);
-        noClasses().that().resideInAPackage("tamarindroute.members").should().dependOnClassesThat()
-                .resideInAnyPackage("com.google.protobuf..", "tamarindroute.members.wire.form..").check(PROGRAM);
-        noClasses().that().resideInAnyPackage("tamarindroute.membership..", "tamarindroute.members.wire..").should()
-                .dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.file..", "java.util.concurrent..",
-                        "org.apache.mina..", "tamarindroute.host..", "tamarindroute.log..", "tamarindroute.net..")
-                .check(PROGRAM);
-    }
+  /**
+   * Members live beside a gateway, which knows nothing of them; only their wire forms know their
+   * library.
+   */
+  @Test
+  void membersAreKnownToTheCommandLineAlone() {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.cli..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAPackage("tamarindroute.members..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.agreement..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("tamarindroute.agreement..", "com.google.protobuf..", "io.microraft..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideOutsideOfPackage("tamarindroute.agreement.raft")
+        .should()
+        .dependOnClassesThat()
+        .resideInAPackage("io.microraft..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.members.agreed")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "com.google.protobuf..", "tamarindroute.agreement.proto..", "io.microraft..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideInAPackage("tamarindroute.members")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("com.google.protobuf..", "tamarindroute.members.wire.form..")
+        .check(PROGRAM);
+    noClasses()
+        .that()
+        .resideInAnyPackage("tamarindroute.membership..", "tamarindroute.members.wire..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.net..",
+            "java.nio.file..",
+            "java.util.concurrent..",
+            "org.apache.mina..",
+            "tamarindroute.host..",
+            "tamarindroute.log..",
+            "tamarindroute.net..")
+        .check(PROGRAM);
+  }
 }
--- a/cli/src/test/java/tamarindroute/cli/CommandsIT.java
+++ b/cli/src/test/java/tamarindroute/cli/CommandsIT.java
@@ -12,29 +12,34 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command line as a user has it: from the jar, with its exit codes. Each must end by itself. */
+/**
+ * The command line as a user has it: from the jar, with its exit codes. Each must end by itself.
+ */
 @Timeout(60)
 class CommandsIT {
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private String output;
+  private String output;
 
-    private int run(String... words) throws Exception {
-        List<String> command = new ArrayList<>(List.of("java", "-jar", "target/tamarindroute.jar"));
-        command.addAll(List.of(words));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("out").toFile());
-        builder.environment().remove("EDGE_CONFIG");
-        Process process = builder.start();
-        assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it ends by itself").isTrue();
-        output = Files.readString(folder.resolve("out"));
-        return process.exitValue();
-    }
+  private int run(String... words) throws Exception {
+    List<String> command = new ArrayList<>(List.of("java", "-jar", "target/tamarindroute.jar"));
+    command.addAll(List.of(words));
+    ProcessBuilder builder =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(folder.resolve("out").toFile());
+    builder.environment().remove("EDGE_CONFIG");
+    Process process = builder.start();
+    assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it ends by itself").isTrue();
+    output = Files.readString(folder.resolve("out"));
+    return process.exitValue();
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
         "                            | 2 | a subcommand is missing",
         "nonsense                    | 2 | nonsense",
         "serve                       | 3 | EDGE_CONFIG names no configuration file",
@@ -49,10 +54,11 @@
         "dns none.xml                | 3 | none.xml",
         "ask 127.0.0.1 a.example     | 2 | ADDRESS:PORT",
         "ask 127.0.0.1:9 a. NOTYPE   | 2 | NOTYPE",
-        "ask 127.0.0.1:9 a.example   | 1 | ask"})
-    void eachEndsWithItsCodeAndSaysWhy(String words, int code, String said) throws Exception {
-        assertThat(run(words == null ? new String[0] : words.split(" "))).isEqualTo(code);
-        assertThat(output).contains(said);
-        assertThat(output).doesNotContain("\tat ").doesNotContain("SLF4J");
-    }
+        "ask 127.0.0.1:9 a.example   | 1 | ask"
+      })
+  void eachEndsWithItsCodeAndSaysWhy(String words, int code, String said) throws Exception {
+    assertThat(run(words == null ? new String[0] : words.split(" "))).isEqualTo(code);
+    assertThat(output).contains(said);
+    assertThat(output).doesNotContain("\tat ").doesNotContain("SLF4J");
+  }
 }
--- a/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
+++ b/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
@@ -17,96 +17,115 @@
 import tamarindroute.example.ToyServer;
 
 /**
- * Gateways of the program that know each other, for one test: their addresses, configurations and logs, and a key of
- * their own, so that those of tests side by side never take each other's datagrams.
+ * Gateways of the program that know each other, for one test: their addresses, configurations and
+ * logs, and a key of their own, so that those of tests side by side never take each other's
+ * datagrams.
  */
 final class MemberProcesses implements AutoCloseable {
 
-    private static final int KEY_BYTES = 32;
-    private static final long LOG_WAIT_SECONDS = 50;
-    private static final long LOG_LOOK_MILLIS = 50;
-
-    /** Listens for the gateways' feeds. */
-    final ToyServer.Feed feed = new ToyServer.Feed(0);
-    /** The members' addresses, by place. */
-    final List<String> names = new ArrayList<>();
-    /** All processes, in the order of their starts. */
-    final List<Process> started = new ArrayList<>();
-    private final Path folder;
-
-    /** Writes the key and each gateway's configuration, PLACE.json; the members' settings are the test's. */
-    MemberProcesses(Path folder, int count) throws IOException {
-        this.folder = folder;
-        byte[] key = new byte[KEY_BYTES];
-        new SecureRandom().nextBytes(key);
-        Files.writeString(folder.resolve("members.key"), HexFormat.of().formatHex(key));
-        List<DatagramSocket> held = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            held.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-            names.add("127.0.0.1:" + held.get(i).getLocalPort());
-        }
-        held.forEach(DatagramSocket::close);
-        for (int i = 0; i < count; i++) {
-            // The system chooses the port for clients: none come.
-            Files.writeString(folder.resolve(i + ".json"), Files.readString(Path.of("example/config.json"))
-                    .replace("127.0.0.1:7000", "127.0.0.1:0").replace("127.0.0.1:7001", "127.0.0.1:" + feed.port()));
-        }
-    }
+  private static final int KEY_BYTES = 32;
+  private static final long LOG_WAIT_SECONDS = 50;
+  private static final long LOG_LOOK_MILLIS = 50;
 
-    /** Starts a member by its settings, PLACE.xml. */
-    Process member(int place, String log, String... options) throws IOException {
-        List<String> words = new ArrayList<>(List.of(options));
-        words.addAll(List.of("-jar", "target/tamarindroute.jar", "serve", "--log", "small", "--members",
-                folder.resolve(place + ".xml").toString()));
-        return start(place, log, words);
-    }
+  /** Listens for the gateways' feeds. */
+  final ToyServer.Feed feed = new ToyServer.Feed(0);
 
-    /** Starts the Java machine with these words after its own options. */
-    Process start(int place, String log, List<String> words) throws IOException {
-        List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx64m"));
-        command.addAll(words);
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(folder.resolve(log).toFile());
-        builder.environment().put("EDGE_CONFIG", folder.resolve(place + ".json").toString());
-        Process process = builder.start();
-        started.add(process);
-        return process;
-    }
+  /** The members' addresses, by place. */
+  final List<String> names = new ArrayList<>();
 
-    String read(String log) throws IOException {
-        return Files.readString(folder.resolve(log));
-    }
+  /** All processes, in the order of their starts. */
+  final List<Process> started = new ArrayList<>();
 
-    int length(String log) throws IOException {
-        return read(log).length();
-    }
+  private final Path folder;
 
-    /** The line's first match in a log, once it is there. */
-    Matcher logged(String log, String line) throws IOException, InterruptedException {
-        return logged(log, 0, line);
+  /**
+   * Writes the key and each gateway's configuration, PLACE.json; the members' settings are the
+   * test's.
+   */
+  MemberProcesses(Path folder, int count) throws IOException {
+    this.folder = folder;
+    byte[] key = new byte[KEY_BYTES];
+    new SecureRandom().nextBytes(key);
+    Files.writeString(folder.resolve("members.key"), HexFormat.of().formatHex(key));
+    List<DatagramSocket> held = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      held.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+      names.add("127.0.0.1:" + held.get(i).getLocalPort());
+    }
+    held.forEach(DatagramSocket::close);
+    for (int i = 0; i < count; i++) {
+      // The system chooses the port for clients: none come.
+      Files.writeString(
+          folder.resolve(i + ".json"),
+          Files.readString(Path.of("example/config.json"))
+              .replace("127.0.0.1:7000", "127.0.0.1:0")
+              .replace("127.0.0.1:7001", "127.0.0.1:" + feed.port()));
     }
+  }
+
+  /** Starts a member by its settings, PLACE.xml. */
+  Process member(int place, String log, String... options) throws IOException {
+    List<String> words = new ArrayList<>(List.of(options));
+    words.addAll(
+        List.of(
+            "-jar",
+            "target/tamarindroute.jar",
+            "serve",
+            "--log",
+            "small",
+            "--members",
+            folder.resolve(place + ".xml").toString()));
+    return start(place, log, words);
+  }
+
+  /** Starts the Java machine with these words after its own options. */
+  Process start(int place, String log, List<String> words) throws IOException {
+    List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx64m"));
+    command.addAll(words);
+    ProcessBuilder builder =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(folder.resolve(log).toFile());
+    builder.environment().put("EDGE_CONFIG", folder.resolve(place + ".json").toString());
+    Process process = builder.start();
+    started.add(process);
+    return process;
+  }
+
+  String read(String log) throws IOException {
+    return Files.readString(folder.resolve(log));
+  }
+
+  int length(String log) throws IOException {
+    return read(log).length();
+  }
+
+  /** The line's first match in a log, once it is there. */
+  Matcher logged(String log, String line) throws IOException, InterruptedException {
+    return logged(log, 0, line);
+  }
 
-    /** The line's first match in a log past this place, once it is there. */
-    Matcher logged(String log, int past, String line) throws IOException, InterruptedException {
-        Pattern pattern = Pattern.compile(line);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOG_WAIT_SECONDS);
-        while (true) {
-            String text = read(log);
-            Matcher matcher = pattern.matcher(text);
-            if (matcher.find(Math.min(past, text.length()))) {
-                return matcher;
-            }
-            assertThat(System.nanoTime()).as(line + " in " + log + ":\n" + text).isLessThan(end);
-            TimeUnit.MILLISECONDS.sleep(LOG_LOOK_MILLIS);
-        }
+  /** The line's first match in a log past this place, once it is there. */
+  Matcher logged(String log, int past, String line) throws IOException, InterruptedException {
+    Pattern pattern = Pattern.compile(line);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOG_WAIT_SECONDS);
+    while (true) {
+      String text = read(log);
+      Matcher matcher = pattern.matcher(text);
+      if (matcher.find(Math.min(past, text.length()))) {
+        return matcher;
+      }
+      assertThat(System.nanoTime()).as(line + " in " + log + ":\n" + text).isLessThan(end);
+      TimeUnit.MILLISECONDS.sleep(LOG_LOOK_MILLIS);
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        for (Process process : started) {
-            process.destroyForcibly();
-            process.onExit().join();
-        }
-        feed.close();
+  @Override
+  public void close() throws IOException {
+    for (Process process : started) {
+      process.destroyForcibly();
+      process.onExit().join();
     }
+    feed.close();
+  }
 }
--- a/cli/src/test/java/tamarindroute/gateway/GatewayRig.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayRig.java
@@ -23,164 +23,181 @@
 import tamarindroute.example.ToyServer.Mode;
 
 /**
- * The program, started as the deployment file says, between toy caches, a toy feed and clients on sockets. It owns
- * what it starts and ends it; it must never hold what only one test needs.
+ * The program, started as the deployment file says, between toy caches, a toy feed and clients on
+ * sockets. It owns what it starts and ends it; it must never hold what only one test needs.
  */
 abstract class GatewayRig {
 
-    static final String EDGE = "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"%s\","
-            + "\"addr\":\"127.0.0.1:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"%s\",\"weight\":40,"
-            + "\"started_ms\":0}]}}";
-
-    @TempDir
-    Path folder;
-
-    ToyServer.Feed feed;
-    final List<ToyServer.Cache> caches = new ArrayList<>();
-    ToyServer.Cache first;
-    ToyServer.Cache second;
-    ToyServer.Cache parent;
-    InetSocketAddress address;
-    Process gateway;
-    int objects;
-    int descriptors = 1024;
-    /** Where programs are looked for; null for the same as here. */
-    String path;
-
-    @BeforeEach
-    void start() throws Exception {
-        feed = new ToyServer.Feed(0);
-        for (int i = 0; i < 4; i++) {
-            caches.add(new ToyServer.Cache(0));
+  static final String EDGE =
+      "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"%s\","
+          + "\"addr\":\"127.0.0.1:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"%s\",\"weight\":40,"
+          + "\"started_ms\":0}]}}";
+
+  @TempDir Path folder;
+
+  ToyServer.Feed feed;
+  final List<ToyServer.Cache> caches = new ArrayList<>();
+  ToyServer.Cache first;
+  ToyServer.Cache second;
+  ToyServer.Cache parent;
+  InetSocketAddress address;
+  Process gateway;
+  int objects;
+  int descriptors = 1024;
+
+  /** Where programs are looked for; null for the same as here. */
+  String path;
+
+  @BeforeEach
+  void start() throws Exception {
+    feed = new ToyServer.Feed(0);
+    for (int i = 0; i < 4; i++) {
+      caches.add(new ToyServer.Cache(0));
+    }
+    first = caches.get(0);
+    second = caches.get(1);
+    parent = caches.get(2);
+    try (ServerSocket free = new ServerSocket(0)) {
+      address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+    }
+    String config =
+        Files.readString(Path.of("example/config.json"))
+            .replace("127.0.0.1:7000", "127.0.0.1:" + address.getPort())
+            .replace("127.0.0.1:7001", "127.0.0.1:" + feed.port());
+    for (int i = 0; i < 4; i++) {
+      config = config.replace("127.0.0.1:701" + (i + 1), "127.0.0.1:" + caches.get(i).port());
+    }
+    Files.writeString(folder.resolve("config.json"), config);
+    launch();
+  }
+
+  void launch() throws Exception {
+    gateway = program(folder.resolve("config.json").toString());
+    green();
+  }
+
+  /** Waits until the gateway takes clients. */
+  void green() throws Exception {
+    try (ToyServer.Client front = waitForDoor()) {
+      for (int tag = 1; ; tag++) {
+        front.send("RPC.HEALTH", tag, "");
+        if (word(front.read()).equals("GREEN")) {
+          return;
         }
-        first = caches.get(0);
-        second = caches.get(1);
-        parent = caches.get(2);
-        try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
-        }
-        String config = Files.readString(Path.of("example/config.json"))
-                .replace("127.0.0.1:7000", "127.0.0.1:" + address.getPort())
-                .replace("127.0.0.1:7001", "127.0.0.1:" + feed.port());
-        for (int i = 0; i < 4; i++) {
-            config = config.replace("127.0.0.1:701" + (i + 1), "127.0.0.1:" + caches.get(i).port());
-        }
-        Files.writeString(folder.resolve("config.json"), config);
-        launch();
-    }
-
-    void launch() throws Exception {
-        gateway = program(folder.resolve("config.json").toString());
-        green();
-    }
-
-    /** Waits until the gateway takes clients. */
-    void green() throws Exception {
-        try (ToyServer.Client front = waitForDoor()) {
-            for (int tag = 1;; tag++) {
-                front.send("RPC.HEALTH", tag, "");
-                if (word(front.read()).equals("GREEN")) {
-                    return;
-                }
-                TimeUnit.MILLISECONDS.sleep(20);
-            }
-        }
-    }
-
-    Process program(String config) throws IOException {
-        Matcher run = Pattern.compile("(?m)^run = \"(.*)\" *#")
-                .matcher(Files.readString(Path.of("deploy/balancer.toml")));
-        assertThat(run.find()).isTrue();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + "; " + run.group(1));
-        builder.environment().put("EDGE_CONFIG", config);
-        if (path != null) {
-            builder.environment().put("PATH", path);
-        }
-        builder.redirectOutput(folder.resolve("out.log").toFile()).redirectError(folder.resolve("err.log").toFile());
-        return builder.start();
-    }
-
-    ToyServer.Client waitForDoor() throws Exception {
-        while (true) {
-            assertThat(gateway.isAlive()).isTrue();
-            try {
-                return client();
-            } catch (SocketException e) {
-                TimeUnit.MILLISECONDS.sleep(20);
-            }
-        }
-    }
-
-    @AfterEach
-    void stop() throws Exception {
-        gateway.destroyForcibly().waitFor();
-        feed.close();
-        for (ToyServer.Cache cache : caches) {
-            cache.close();
-        }
-    }
-
-    ToyServer.Client client() throws IOException {
-        return new ToyServer.Client(address);
-    }
-
-    String fields(String object, int budget) {
-        return "rid=" + id(Integer.toHexString(0x1000 + ++objects)) + ",budget=" + budget + ",obj=" + id(object)
-                + ",piece=0,lot=17,mem=1";
-    }
-
-    static String word(List<byte[]> answer) {
-        return new String(answer.get(1), StandardCharsets.UTF_8);
-    }
-
-    static String tag(List<byte[]> answer) {
-        return new String(answer.get(0), StandardCharsets.UTF_8);
-    }
-
-    List<byte[]> ask(ToyServer.Client client, String tag, String object) throws IOException {
-        client.call(tag, "clip", fields(object, 2000), "");
-        return client.read();
-    }
-
-    /** The next command at a cache that starts so; others are passed over. */
-    static String next(BlockingQueue<String> seen, String start) throws InterruptedException {
-        while (true) {
-            String command = seen.poll(10, TimeUnit.SECONDS);
-            assertThat(command).as("a command that starts with " + start).isNotNull();
-            if (command.startsWith(start)) {
-                return command;
-            }
-        }
-    }
-
-    void mode(Mode mode) {
-        first.mode = mode;
-        second.mode = mode;
-    }
-
-    void hangUp() throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", String.valueOf(gateway.pid())).start().waitFor()).isZero();
-    }
-
-    String logged(String text) throws Exception {
-        for (int i = 0; i < 500 && !Files.readString(folder.resolve("out.log")).contains(text); i++) {
-            TimeUnit.MILLISECONDS.sleep(20);
-        }
-        assertThat(Files.readString(folder.resolve("out.log"))).contains(text);
-        return text;
-    }
-
-    long ofStatus(String name) throws IOException {
-        return Files.readAllLines(Path.of("/proc/" + gateway.pid() + "/status")).stream()
-                .filter(line -> line.startsWith(name)).mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
-                .findFirst().orElseThrow();
-    }
-
-    void restartWithTheLeast() throws Exception {
-        gateway.destroyForcibly().waitFor();
-        Path config = folder.resolve("config.json");
-        Files.writeString(config, Files.readString(config).replace("\"memory_mb\": 192", "\"memory_mb\": 32")
-                .replace("\"sockets\": 1024", "\"sockets\": " + descriptors));
-        launch();
-    }
+        TimeUnit.MILLISECONDS.sleep(20);
+      }
+    }
+  }
+
+  Process program(String config) throws IOException {
+    Matcher run =
+        Pattern.compile("(?m)^run = \"(.*)\" *#")
+            .matcher(Files.readString(Path.of("deploy/balancer.toml")));
+    assertThat(run.find()).isTrue();
+    ProcessBuilder builder =
+        new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + "; " + run.group(1));
+    builder.environment().put("EDGE_CONFIG", config);
+    if (path != null) {
+      builder.environment().put("PATH", path);
+    }
+    builder
+        .redirectOutput(folder.resolve("out.log").toFile())
+        .redirectError(folder.resolve("err.log").toFile());
+    return builder.start();
+  }
+
+  ToyServer.Client waitForDoor() throws Exception {
+    while (true) {
+      assertThat(gateway.isAlive()).isTrue();
+      try {
+        return client();
+      } catch (SocketException e) {
+        TimeUnit.MILLISECONDS.sleep(20);
+      }
+    }
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    gateway.destroyForcibly().waitFor();
+    feed.close();
+    for (ToyServer.Cache cache : caches) {
+      cache.close();
+    }
+  }
+
+  ToyServer.Client client() throws IOException {
+    return new ToyServer.Client(address);
+  }
+
+  String fields(String object, int budget) {
+    return "rid="
+        + id(Integer.toHexString(0x1000 + ++objects))
+        + ",budget="
+        + budget
+        + ",obj="
+        + id(object)
+        + ",piece=0,lot=17,mem=1";
+  }
+
+  static String word(List<byte[]> answer) {
+    return new String(answer.get(1), StandardCharsets.UTF_8);
+  }
+
+  static String tag(List<byte[]> answer) {
+    return new String(answer.get(0), StandardCharsets.UTF_8);
+  }
+
+  List<byte[]> ask(ToyServer.Client client, String tag, String object) throws IOException {
+    client.call(tag, "clip", fields(object, 2000), "");
+    return client.read();
+  }
+
+  /** The next command at a cache that starts so; others are passed over. */
+  static String next(BlockingQueue<String> seen, String start) throws InterruptedException {
+    while (true) {
+      String command = seen.poll(10, TimeUnit.SECONDS);
+      assertThat(command).as("a command that starts with " + start).isNotNull();
+      if (command.startsWith(start)) {
+        return command;
+      }
+    }
+  }
+
+  void mode(Mode mode) {
+    first.mode = mode;
+    second.mode = mode;
+  }
+
+  void hangUp() throws Exception {
+    assertThat(new ProcessBuilder("kill", "-HUP", String.valueOf(gateway.pid())).start().waitFor())
+        .isZero();
+  }
+
+  String logged(String text) throws Exception {
+    for (int i = 0; i < 500 && !Files.readString(folder.resolve("out.log")).contains(text); i++) {
+      TimeUnit.MILLISECONDS.sleep(20);
+    }
+    assertThat(Files.readString(folder.resolve("out.log"))).contains(text);
+    return text;
+  }
+
+  long ofStatus(String name) throws IOException {
+    return Files.readAllLines(Path.of("/proc/" + gateway.pid() + "/status")).stream()
+        .filter(line -> line.startsWith(name))
+        .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
+        .findFirst()
+        .orElseThrow();
+  }
+
+  void restartWithTheLeast() throws Exception {
+    gateway.destroyForcibly().waitFor();
+    Path config = folder.resolve("config.json");
+    Files.writeString(
+        config,
+        Files.readString(config)
+            .replace("\"memory_mb\": 192", "\"memory_mb\": 32")
+            .replace("\"sockets\": 1024", "\"sockets\": " + descriptors));
+    launch();
+  }
 }
--- a/cli/src/test/java/tamarindroute/gateway/OddSettingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/OddSettingsIT.java
@@ -16,47 +16,64 @@
 @Timeout(60)
 class OddSettingsIT extends GatewayRig {
 
-    private String with(String old, String now) throws Exception {
-        String text = Files.readString(folder.resolve("config.json"));
-        assertThat(text).contains(old);
-        return text.replace(old, now);
-    }
+  private String with(String old, String now) throws Exception {
+    String text = Files.readString(folder.resolve("config.json"));
+    assertThat(text).contains(old);
+    return text.replace(old, now);
+  }
 
-    private String logs() throws Exception {
-        return Files.readString(folder.resolve("err.log")) + Files.readString(folder.resolve("out.log"));
-    }
+  private String logs() throws Exception {
+    return Files.readString(folder.resolve("err.log"))
+        + Files.readString(folder.resolve("out.log"));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"Zone\": 1 | \"Zone\": -1 | settings: Zone is -1",
-        "\"HubOf\": [0, 0] | \"HubOf\": [-1, -1] | HubOf is -1", "\"feed\": \"127 | \"feed\": \"x.127 | feed is x.127"})
-    void whatCannotBeUsedEndsTheStartWithOneLineThatNamesIt(String old, String now, String told) throws Exception {
-        Path config = Files.writeString(folder.resolve("bad.json"), with(old, now));
-        gateway.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-        gateway = program(config.toString());
-        assertThat(gateway.waitFor(10, TimeUnit.SECONDS)).isTrue();
-        assertThat(gateway.exitValue()).isEqualTo(3);
-        assertThat(Files.readAllLines(folder.resolve("err.log"))).hasSize(1).first().asString()
-                .startsWith("serve: malformed settings: ").contains(told);
-    }
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "\"Zone\": 1 | \"Zone\": -1 | settings: Zone is -1",
+        "\"HubOf\": [0, 0] | \"HubOf\": [-1, -1] | HubOf is -1",
+        "\"feed\": \"127 | \"feed\": \"x.127 | feed is x.127"
+      })
+  void whatCannotBeUsedEndsTheStartWithOneLineThatNamesIt(String old, String now, String told)
+      throws Exception {
+    Path config = Files.writeString(folder.resolve("bad.json"), with(old, now));
+    gateway.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+    gateway = program(config.toString());
+    assertThat(gateway.waitFor(10, TimeUnit.SECONDS)).isTrue();
+    assertThat(gateway.exitValue()).isEqualTo(3);
+    assertThat(Files.readAllLines(folder.resolve("err.log")))
+        .hasSize(1)
+        .first()
+        .asString()
+        .startsWith("serve: malformed settings: ")
+        .contains(told);
+  }
 
-    /** Odd entries beside a good one, a class of an unknown effect, a name with a blank and one that is a field's. */
-    @Test
-    void whatIsOddButUsableIsServed() throws Exception {
-        String odd = with("\"servers\": [", "\"servers\": [7, {\"id\": \"s-9\"},")
-                .replaceFirst("\"weight\": 40", "\"weight\": -40")
-                .replace("\"Name\": \"clip\"", "\"Name\": \"a clip\"")
-                .replace("\"Name\": \"once\"", "\"Name\": \"rid\"")
-                .replace("\"side_effect\"", "\"later\"");
-        gateway.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-        Files.writeString(folder.resolve("config.json"), odd);
-        launch();
-        try (ToyServer.Client client = client()) {
-            for (String profile : List.of("a clip", "rid")) {
-                client.call("1", profile, fields("5", 2000), "");
-                assertThat(word(client.read())).as(profile + "\n" + logs()).isEqualTo("ACK");
-            }
-        }
-        assertThat(logs())
-                .contains("config-odd").contains("Semantics is later").doesNotContain("defect");
+  /**
+   * Odd entries beside a good one, a class of an unknown effect, a name with a blank and one that
+   * is a field's.
+   */
+  @Test
+  void whatIsOddButUsableIsServed() throws Exception {
+    String odd =
+        with("\"servers\": [", "\"servers\": [7, {\"id\": \"s-9\"},")
+            .replaceFirst("\"weight\": 40", "\"weight\": -40")
+            .replace("\"Name\": \"clip\"", "\"Name\": \"a clip\"")
+            .replace("\"Name\": \"once\"", "\"Name\": \"rid\"")
+            .replace("\"side_effect\"", "\"later\"");
+    gateway.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+    Files.writeString(folder.resolve("config.json"), odd);
+    launch();
+    try (ToyServer.Client client = client()) {
+      for (String profile : List.of("a clip", "rid")) {
+        client.call("1", profile, fields("5", 2000), "");
+        assertThat(word(client.read())).as(profile + "\n" + logs()).isEqualTo("ACK");
+      }
     }
+    assertThat(logs())
+        .contains("config-odd")
+        .contains("Semantics is later")
+        .doesNotContain("defect");
+  }
 }
--- a/cli/src/test/java/tamarindroute/gateway/ScarceDescriptorsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ScarceDescriptorsIT.java
@@ -16,95 +16,108 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tamarindroute.example.ToyServer;
 
-/** Few descriptors, and clients that take all they can get: the feed, the door and the caches still have theirs. */
+/**
+ * Few descriptors, and clients that take all they can get: the feed, the door and the caches still
+ * have theirs.
+ */
 @Timeout(60)
 class ScarceDescriptorsIT extends GatewayRig {
 
-    /** So many looks in a row, 10 ms apart, with no more open than the shares: the crowd has passed the door. */
-    private static final int CALM = 10;
+  /**
+   * So many looks in a row, 10 ms apart, with no more open than the shares: the crowd has passed
+   * the door.
+   */
+  private static final int CALM = 10;
 
-    private long open() throws IOException {
-        try (Stream<Path> all = Files.list(Path.of("/proc/" + gateway.pid() + "/fd"))) {
-            return all.count();
-        }
+  private long open() throws IOException {
+    try (Stream<Path> all = Files.list(Path.of("/proc/" + gateway.pid() + "/fd"))) {
+      return all.count();
     }
+  }
 
-    /** Idle clients fill the door while discovery is down; a drain told at its return is known, clients are served. */
-    @ParameterizedTest
-    @ValueSource(ints = {256, 128})
-    void idleClientsLeaveTheFeedTheDoorAndTheCachesTheirs(int limit) throws Exception {
-        descriptors = limit;
-        restartWithTheLeast();
-        long atRest = open();
-        // What is not the program's own 64 is shared by both sides.
-        int side = (limit - 64) / 2;
-        List<Socket> idle = new ArrayList<>();
-        long most = 0;
-        int port = feed.port();
-        feed.close();
-        logged("feed-lost");
-        try {
-            for (int i = 0; i < 2 * limit; i++) {
-                Socket one = new Socket();
-                idle.add(one);
-                one.connect(address, 2000);
-                most = Math.max(most, open());
-            }
-            // A client that comes in the midst of such a crowd may find the door shut.
-            for (int i = 0, calm = 0; i < 500 && calm < CALM; i++) {
-                calm = open() > atRest + side ? 0 : calm + 1;
-                TimeUnit.MILLISECONDS.sleep(10);
-            }
-            assertThat(open()).isBetween((long) side, atRest + side);
-            try (ToyServer.Client client = client()) {
-                for (int tag = 1; tag <= 10; tag++) {
-                    assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
-                }
-            }
-            feed = new ToyServer.Feed(port);
-            next(feed.asked, "GET /v1/events?SUB=");
-            feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
-            next(feed.asked, "GET /v1/events?SUB=2");
-            first.seen.clear();
-            try (ToyServer.Client client = client()) {
-                for (int tag = 1; tag <= 10; tag++) {
-                    assertThat(word(ask(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
-                }
-            }
-            assertThat(first.seen).isEmpty();
-            assertThat(most).isLessThan(limit);
-            assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("Too many open files", "defect");
-        } finally {
-            for (Socket one : idle) {
-                one.close();
-            }
+  /**
+   * Idle clients fill the door while discovery is down; a drain told at its return is known,
+   * clients are served.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {256, 128})
+  void idleClientsLeaveTheFeedTheDoorAndTheCachesTheirs(int limit) throws Exception {
+    descriptors = limit;
+    restartWithTheLeast();
+    long atRest = open();
+    // What is not the program's own 64 is shared by both sides.
+    int side = (limit - 64) / 2;
+    List<Socket> idle = new ArrayList<>();
+    long most = 0;
+    int port = feed.port();
+    feed.close();
+    logged("feed-lost");
+    try {
+      for (int i = 0; i < 2 * limit; i++) {
+        Socket one = new Socket();
+        idle.add(one);
+        one.connect(address, 2000);
+        most = Math.max(most, open());
+      }
+      // A client that comes in the midst of such a crowd may find the door shut.
+      for (int i = 0, calm = 0; i < 500 && calm < CALM; i++) {
+        calm = open() > atRest + side ? 0 : calm + 1;
+        TimeUnit.MILLISECONDS.sleep(10);
+      }
+      assertThat(open()).isBetween((long) side, atRest + side);
+      try (ToyServer.Client client = client()) {
+        for (int tag = 1; tag <= 10; tag++) {
+          assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
+        }
+      }
+      feed = new ToyServer.Feed(port);
+      next(feed.asked, "GET /v1/events?SUB=");
+      feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
+      next(feed.asked, "GET /v1/events?SUB=2");
+      first.seen.clear();
+      try (ToyServer.Client client = client()) {
+        for (int tag = 1; tag <= 10; tag++) {
+          assertThat(word(ask(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
         }
+      }
+      assertThat(first.seen).isEmpty();
+      assertThat(most).isLessThan(limit);
+      assertThat(Files.readString(folder.resolve("out.log")))
+          .doesNotContain("Too many open files", "defect");
+    } finally {
+      for (Socket one : idle) {
+        one.close();
+      }
     }
+  }
 
-    /** A limit of the machine's that is lower than the one told: what cannot be taken in waits, and nothing ends. */
-    @Test
-    void aDoorWithoutDescriptorsOpensAgainWhenThereAreSome() throws Exception {
-        int limit = 60;
-        gateway.destroyForcibly().waitFor();
-        descriptors = limit;
-        launch();
-        List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < 2 * limit; i++) {
-            Socket one = new Socket();
-            idle.add(one);
-            one.connect(address, 2000);
-        }
-        for (int i = 0; i < 200 && open() < limit - 1; i++) {
-            TimeUnit.MILLISECONDS.sleep(10);
-        }
-        assertThat(open()).as("none is left").isGreaterThanOrEqualTo(limit - 1);
-        for (Socket one : idle) {
-            one.close();
-        }
-        try (ToyServer.Client client = client()) {
-            for (int tag = 1; tag <= 10; tag++) {
-                assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
-            }
-        }
+  /**
+   * A limit of the machine's that is lower than the one told: what cannot be taken in waits, and
+   * nothing ends.
+   */
+  @Test
+  void aDoorWithoutDescriptorsOpensAgainWhenThereAreSome() throws Exception {
+    int limit = 60;
+    gateway.destroyForcibly().waitFor();
+    descriptors = limit;
+    launch();
+    List<Socket> idle = new ArrayList<>();
+    for (int i = 0; i < 2 * limit; i++) {
+      Socket one = new Socket();
+      idle.add(one);
+      one.connect(address, 2000);
+    }
+    for (int i = 0; i < 200 && open() < limit - 1; i++) {
+      TimeUnit.MILLISECONDS.sleep(10);
+    }
+    assertThat(open()).as("none is left").isGreaterThanOrEqualTo(limit - 1);
+    for (Socket one : idle) {
+      one.close();
+    }
+    try (ToyServer.Client client = client()) {
+      for (int tag = 1; tag <= 10; tag++) {
+        assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
+      }
     }
+  }
 }
--- a/decision/src/main/java/tamarindroute/decision/Decisions.java
+++ b/decision/src/main/java/tamarindroute/decision/Decisions.java
@@ -4,41 +4,56 @@
 import java.util.List;
 
 /**
- * What a front asks of its decision module, and what it tells it. All times are spans since the instance's
- * start. A gateway notes each trip it sends in the view, with its time, and each outcome in the trip,
- * before it asks on.
+ * What a front asks of its decision module, and what it tells it. All times are spans since the
+ * instance's start. A gateway notes each trip it sends in the view, with its time, and each outcome
+ * in the trip, before it asks on.
  */
 public interface Decisions {
 
-    /** Where to send this view, or not yet, or never. Asked at its arrival and when a wait is over. */
-    Answer place(View view, Duration now);
+  /**
+   * Where to send this view, or not yet, or never. Asked at its arrival and when a wait is over.
+   */
+  Answer place(View view, Duration now);
 
-    /** What follows after this trip's outcome; when the view is over, the answer can only be a recall. */
-    Answer after(View view, Trip trip, Duration now);
+  /**
+   * What follows after this trip's outcome; when the view is over, the answer can only be a recall.
+   */
+  Answer after(View view, Trip trip, Duration now);
 
-    /** Whether a trip that had to wait for its connection may be begun now; if not, its outcome is NOT_SENT. */
-    boolean mayStillGo(View view, Trip trip, Duration now);
+  /**
+   * Whether a trip that had to wait for its connection may be begun now; if not, its outcome is
+   * NOT_SENT.
+   */
+  boolean mayStillGo(View view, Trip trip, Duration now);
 
-    /** How long to wait before asking for a place again; null if only an outcome matters. */
-    Duration patience(View view, Duration now);
+  /** How long to wait before asking for a place again; null if only an outcome matters. */
+  Duration patience(View view, Duration now);
 
-    /** The caches on the list as it is now, the gone among them, ordered by their marks. */
-    void listed(List<Cache> caches, Duration now);
+  /** The caches on the list as it is now, the gone among them, ordered by their marks. */
+  void listed(List<Cache> caches, Duration now);
 
-    void purged(Purge purge, Duration now);
+  void purged(Purge purge, Duration now);
 
-    void loaded(Cache cache, Load load, Duration now);
+  void loaded(Cache cache, Load load, Duration now);
 
-    /** Until then this instance's part of what each cold cache of the tier bears is this one, from 0 to 1, in place of
-     *  its even share; past it the even share again, by itself. A later word replaces it. Names keep the even share. */
-    void dealt(Cache.Tier tier, double part, Duration until, Duration now);
+  /**
+   * Until then this instance's part of what each cold cache of the tier bears is this one, from 0
+   * to 1, in place of its even share; past it the even share again, by itself. A later word
+   * replaces it. Names keep the even share.
+   */
+  void dealt(Cache.Tier tier, double part, Duration until, Duration now);
 
-    /** What is held of a cache; null for one that the list does not name. For fronts that carry no views. */
-    Regard regard(Cache cache, Duration now);
+  /**
+   * What is held of a cache; null for one that the list does not name. For fronts that carry no
+   * views.
+   */
+  Regard regard(Cache cache, Duration now);
 
-    /** The location's edges as the ordinary path ranks them for an object: its hashed home first. */
-    List<Cache> homes(long object);
+  /** The location's edges as the ordinary path ranks them for an object: its hashed home first. */
+  List<Cache> homes(long object);
 
-    /** How a probe of a cache came back, where that speaks for or against the cache and nothing else. */
-    void probed(Cache cache, Outcome.Result result, Duration now);
+  /**
+   * How a probe of a cache came back, where that speaks for or against the cache and nothing else.
+   */
+  void probed(Cache cache, Outcome.Result result, Duration now);
 }
--- a/decision/src/main/java/tamarindroute/decision/Load.java
+++ b/decision/src/main/java/tamarindroute/decision/Load.java
@@ -8,8 +8,8 @@
  */
 public record Load(double busy, double outstanding) {
 
-    /** Whether it tells anything that is read. */
-    public boolean told() {
-        return !Double.isNaN(busy) || !Double.isNaN(outstanding);
-    }
+  /** Whether it tells anything that is read. */
+  public boolean told() {
+    return !Double.isNaN(busy) || !Double.isNaN(outstanding);
+  }
 }
--- a/decision/src/main/java/tamarindroute/numeric/Hashing.java
+++ b/decision/src/main/java/tamarindroute/numeric/Hashing.java
@@ -6,29 +6,31 @@
 /** Hashes for placement, and draws that repeat with their seed. */
 public final class Hashing {
 
-    private static final double DRAWS = 0x1p32;
-    private static final double FRACTIONS = 0x1p53;
-    private static final int FRACTION_SHIFT = 11;
+  private static final double DRAWS = 0x1p32;
+  private static final double FRACTIONS = 0x1p53;
+  private static final int FRACTION_SHIFT = 11;
 
-    private Hashing() {}
+  private Hashing() {}
 
-    /** The final mixing of SplitMix64: the result looks random though inputs may be near each other. */
-    public static long mix(long input) {
-        long mixed = input + 0x9e3779b97f4a7c15L;
-        mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
-        mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
-        return mixed ^ (mixed >>> 31);
-    }
+  /**
+   * The final mixing of SplitMix64: the result looks random though inputs may be near each other.
+   */
+  public static long mix(long input) {
+    long mixed = input + 0x9e3779b97f4a7c15L;
+    mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
+    mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
+    return mixed ^ (mixed >>> 31);
+  }
 
-    /** The hash as a fraction between 0 and 1, neither of them included. */
-    public static double fraction(long hash) {
-        return ((hash >>> FRACTION_SHIFT) + 0.5) / FRACTIONS;
-    }
+  /** The hash as a fraction between 0 and 1, neither of them included. */
+  public static double fraction(long hash) {
+    return ((hash >>> FRACTION_SHIFT) + 0.5) / FRACTIONS;
+  }
 
-    /** The draw of this number under this seed, between 0 and 1. */
-    public static double draw(long seed, long number) {
-        CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(number).flip());
-        return (crc.getValue() + 0.5) / DRAWS;
-    }
+  /** The draw of this number under this seed, between 0 and 1. */
+  public static double draw(long seed, long number) {
+    CRC32 crc = new CRC32();
+    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(number).flip());
+    return (crc.getValue() + 0.5) / DRAWS;
+  }
 }
--- a/members/src/test/java/tamarindroute/members/MembersSettingsTest.java
+++ b/members/src/test/java/tamarindroute/members/MembersSettingsTest.java
@@ -18,80 +18,103 @@
 /** Settings files, sound and not. */
 class MembersSettingsTest {
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private String sound;
+  private String sound;
 
-    @BeforeEach
-    void example() throws IOException {
-        sound = Files.readString(Path.of("deploy/members.xml"));
-        Files.writeString(folder.resolve("members.key"), "0123456789abcdef".repeat(4) + "\n");
-    }
+  @BeforeEach
+  void example() throws IOException {
+    sound = Files.readString(Path.of("deploy/members.xml"));
+    Files.writeString(folder.resolve("members.key"), "0123456789abcdef".repeat(4) + "\n");
+  }
 
-    private Path file(String text) throws IOException {
-        return Files.writeString(folder.resolve("members.xml"), text);
-    }
+  private Path file(String text) throws IOException {
+    return Files.writeString(folder.resolve("members.xml"), text);
+  }
 
-    private List<String> faults(String text) throws IOException {
-        Path file = file(text);
-        UnusableException e = catchThrowableOfType(UnusableException.class, () -> MembersSettings.read(file));
-        assertThat(e).as("refused").isNotNull();
-        return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
-    }
+  private List<String> faults(String text) throws IOException {
+    Path file = file(text);
+    UnusableException e =
+        catchThrowableOfType(UnusableException.class, () -> MembersSettings.read(file));
+    assertThat(e).as("refused").isNotNull();
+    return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
+  }
 
-    @Test
-    void theExampleIsSound() throws IOException {
-        MembersSettings settings = MembersSettings.read(file(sound));
-        assertThat(settings.name()).isEqualTo(new Address("127.0.0.1", 9001));
-        assertThat(settings.seeds()).containsExactly(new Address("127.0.0.1", 9002), new Address("127.0.0.1", 9003));
-        assertThat(settings.state()).isEqualTo(folder.resolve("members.birth"));
-        assertThat(settings.membership().period()).isEqualTo(Duration.ofSeconds(1));
-    }
+  @Test
+  void theExampleIsSound() throws IOException {
+    MembersSettings settings = MembersSettings.read(file(sound));
+    assertThat(settings.name()).isEqualTo(new Address("127.0.0.1", 9001));
+    assertThat(settings.seeds())
+        .containsExactly(new Address("127.0.0.1", 9002), new Address("127.0.0.1", 9003));
+    assertThat(settings.state()).isEqualTo(folder.resolve("members.birth"));
+    assertThat(settings.membership().period()).isEqualTo(Duration.ofSeconds(1));
+  }
 
-    @Test
-    void waysKeysAndTimesAreBound() throws IOException {
-        MembersSettings settings = MembersSettings.read(file(sound.replace("probe=\"PT1S\" pause=\"PT3S\"",
-                "probe=\"PT0.2S\" pause=\"PT2S\"").replace("<timing",
+  @Test
+  void waysKeysAndTimesAreBound() throws IOException {
+    MembersSettings settings =
+        MembersSettings.read(
+            file(
+                sound
+                    .replace("probe=\"PT1S\" pause=\"PT3S\"", "probe=\"PT0.2S\" pause=\"PT2S\"")
+                    .replace(
+                        "<timing",
                         "<voter address=\"[::1]:9003\"/><way to=\"127.0.0.1:9002\" by=\"127.0.0.1:19002\"/><timing")));
-        assertThat(settings.ways()).containsEntry(new Address("127.0.0.1", 9002),
-                new InetSocketAddress("127.0.0.1", 19002));
-        assertThat(settings.voters()).containsExactly(new Address("0:0:0:0:0:0:0:1", 9003));
-        assertThat(settings.membership().timeout()).isEqualTo(Duration.ofMillis(25));
-        assertThat(settings.membership().pause()).isEqualTo(Duration.ofSeconds(2));
-    }
+    assertThat(settings.ways())
+        .containsEntry(new Address("127.0.0.1", 9002), new InetSocketAddress("127.0.0.1", 19002));
+    assertThat(settings.voters()).containsExactly(new Address("0:0:0:0:0:0:0:1", 9003));
+    assertThat(settings.membership().timeout()).isEqualTo(Duration.ofMillis(25));
+    assertThat(settings.membership().pause()).isEqualTo(Duration.ofSeconds(2));
+  }
 
-    @Test
-    void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
-        assertThat(faults(sound.replace("PT3S", "3").replace("<seed address=\"127.0.0.1:9002\"/>", "<sed/>")))
-                .hasSize(3).allMatch(fault -> fault.matches("(?s)\\d+:\\d+: .*"))
-                .anyMatch(fault -> fault.startsWith("8:9: ")).anyMatch(fault -> fault.startsWith("10:35: "));
-        Files.writeString(folder.resolve("members.key"), "0123456789abcdef");
-        assertThat(faults(sound.replace("name=\"127.0.0.1:9001\"", "").replace("listen=\"127.0.0.1:9001\"",
-                "listen=\"0.0.0.0:9001\"").replace("address=\"127.0.0.1:9002\"", "address=\"127.0.0.1:99999\"")
-                .replace("pause=\"PT3S\"", "pause=\"PT0.1S\"").replace("<timing",
+  @Test
+  void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
+    assertThat(
+            faults(
+                sound.replace("PT3S", "3").replace("<seed address=\"127.0.0.1:9002\"/>", "<sed/>")))
+        .hasSize(3)
+        .allMatch(fault -> fault.matches("(?s)\\d+:\\d+: .*"))
+        .anyMatch(fault -> fault.startsWith("8:9: "))
+        .anyMatch(fault -> fault.startsWith("10:35: "));
+    Files.writeString(folder.resolve("members.key"), "0123456789abcdef");
+    assertThat(
+            faults(
+                sound
+                    .replace("name=\"127.0.0.1:9001\"", "")
+                    .replace("listen=\"127.0.0.1:9001\"", "listen=\"0.0.0.0:9001\"")
+                    .replace("address=\"127.0.0.1:9002\"", "address=\"127.0.0.1:99999\"")
+                    .replace("pause=\"PT3S\"", "pause=\"PT0.1S\"")
+                    .replace(
+                        "<timing",
                         "<way to=\"1.2.3.4:5\" by=\"1.2.3.4:6\"/><way to=\"1.2.3.4:5\" by=\"1.2.3.4:7\"/><timing")))
-                .hasSize(5).anyMatch(fault -> fault.contains("a name is needed"))
-                .anyMatch(fault -> fault.contains("hexadecimal")).anyMatch(fault -> fault.contains("99999"))
-                .anyMatch(fault -> fault.contains("a second way")).anyMatch(fault -> fault.contains("pause: a period"));
-    }
+        .hasSize(5)
+        .anyMatch(fault -> fault.contains("a name is needed"))
+        .anyMatch(fault -> fault.contains("hexadecimal"))
+        .anyMatch(fault -> fault.contains("99999"))
+        .anyMatch(fault -> fault.contains("a second way"))
+        .anyMatch(fault -> fault.contains("pause: a period"));
+  }
 
-    @Test
-    void aBirthIsPastTheLastOneKeptThoughTheClockWentBack() throws IOException {
-        Path kept = folder.resolve("birth");
-        assertThat(new Birth(kept).propose(5_000)).isEqualTo(5_000);
-        new Birth(kept).keep(5_000);
-        assertThat(new Birth(kept).propose(4_000)).isEqualTo(5_001);
-        assertThat(new Birth(kept).propose(6_000)).isEqualTo(6_000);
-        Files.writeString(kept, "no birth");
-        assertThat(new Birth(kept).propose(4_000)).isEqualTo(4_000);
-    }
+  @Test
+  void aBirthIsPastTheLastOneKeptThoughTheClockWentBack() throws IOException {
+    Path kept = folder.resolve("birth");
+    assertThat(new Birth(kept).propose(5_000)).isEqualTo(5_000);
+    new Birth(kept).keep(5_000);
+    assertThat(new Birth(kept).propose(4_000)).isEqualTo(5_001);
+    assertThat(new Birth(kept).propose(6_000)).isEqualTo(6_000);
+    Files.writeString(kept, "no birth");
+    assertThat(new Birth(kept).propose(4_000)).isEqualTo(4_000);
+  }
 
-    @Test
-    void aVoterKeepsWhatItAgreesBesideItsStateFile() throws IOException {
-        String votes = sound.replace("<timing", "<voter address=\"127.0.0.1:9001\"/><timing");
-        assertThat(MembersSettings.read(file(votes)).store()).isEqualTo(folder.resolve("members.birth.agreed"));
-        assertThat(faults(votes.replace(" state=\"members.birth\"", ""))).singleElement().asString()
-                .startsWith("3:").contains("a voter needs a state file");
-    }
+  @Test
+  void aVoterKeepsWhatItAgreesBesideItsStateFile() throws IOException {
+    String votes = sound.replace("<timing", "<voter address=\"127.0.0.1:9001\"/><timing");
+    assertThat(MembersSettings.read(file(votes)).store())
+        .isEqualTo(folder.resolve("members.birth.agreed"));
+    assertThat(faults(votes.replace(" state=\"members.birth\"", "")))
+        .singleElement()
+        .asString()
+        .startsWith("3:")
+        .contains("a voter needs a state file");
+  }
 }
--- a/members/src/test/java/tamarindroute/members/shares/LeadingTest.java
+++ b/members/src/test/java/tamarindroute/members/shares/LeadingTest.java
@@ -11,82 +11,91 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Leads of voters that come and go at any pace: proofs are late, the word that one leads is old, and no two overlap. */
+/**
+ * Leads of voters that come and go at any pace: proofs are late, the word that one leads is old,
+ * and no two overlap.
+ */
 class LeadingTest {
 
-    /** Takes no word; the tests read what is proven. */
-    private static final class Nobody implements Lead {
-        @Override
-        public void leads(long number, Duration until) {}
+  /** Takes no word; the tests read what is proven. */
+  private static final class Nobody implements Lead {
+    @Override
+    public void leads(long number, Duration until) {}
 
-        @Override
-        public void leadsNoMore() {}
+    @Override
+    public void leadsNoMore() {}
 
-        @Override
-        public void leader(Member who) {}
+    @Override
+    public void leader(Member who) {}
 
-        @Override
-        public void heard(Member who) {}
+    @Override
+    public void heard(Member who) {}
 
-        @Override
-        public void gone(Address place, boolean agreed) {}
-    }
+    @Override
+    public void gone(Address place, boolean agreed) {}
+  }
 
-    private record Span(int who, long from, long until) {}
+  private record Span(int who, long from, long until) {}
 
-    private static Duration ms(long millis) {
-        return Duration.ofMillis(millis);
-    }
+  private static Duration ms(long millis) {
+    return Duration.ofMillis(millis);
+  }
 
-    /** In each term one of three leads; a reading asked for while it does is answered up to 4 s later. */
-    private static List<Span> play(int seed, long wait) {
-        Random random = new Random(seed);
-        List<Leading> voters = new ArrayList<>();
-        for (int i = 0; i < 3; i++) {
-            voters.add(new Leading(new Nobody()));
-        }
-        List<Span> spans = new ArrayList<>();
-        long now = 0;
-        for (long term = 1; term < 60; term++) {
-            int who = random.nextInt(3);
-            long end = now + 1 + random.nextInt(random.nextBoolean() ? 2_000 : 12_000);
-            while (now < end) {
-                // Asked for before or in its term, proven in it, and answered perhaps after others led.
-                long sent = now - random.nextInt(300);
-                long answered = now + (random.nextInt(10) == 0 ? random.nextInt(4_000) : random.nextInt(50));
-                Optional<Duration> until = voters.get(who).proven(term, ms(sent + wait), ms(answered));
-                if (until.isPresent() && until.get().toMillis() - wait > answered) {
-                    spans.add(new Span(who, answered, until.get().toMillis() - wait));
-                }
-                now += 1 + random.nextInt(1_500);
-            }
+  /**
+   * In each term one of three leads; a reading asked for while it does is answered up to 4 s later.
+   */
+  private static List<Span> play(int seed, long wait) {
+    Random random = new Random(seed);
+    List<Leading> voters = new ArrayList<>();
+    for (int i = 0; i < 3; i++) {
+      voters.add(new Leading(new Nobody()));
+    }
+    List<Span> spans = new ArrayList<>();
+    long now = 0;
+    for (long term = 1; term < 60; term++) {
+      int who = random.nextInt(3);
+      long end = now + 1 + random.nextInt(random.nextBoolean() ? 2_000 : 12_000);
+      while (now < end) {
+        // Asked for before or in its term, proven in it, and answered perhaps after others led.
+        long sent = now - random.nextInt(300);
+        long answered =
+            now + (random.nextInt(10) == 0 ? random.nextInt(4_000) : random.nextInt(50));
+        Optional<Duration> until = voters.get(who).proven(term, ms(sent + wait), ms(answered));
+        if (until.isPresent() && until.get().toMillis() - wait > answered) {
+          spans.add(new Span(who, answered, until.get().toMillis() - wait));
         }
-        return spans;
+        now += 1 + random.nextInt(1_500);
+      }
     }
+    return spans;
+  }
 
-    private static boolean overlap(List<Span> spans) {
-        return spans.stream()
-                .anyMatch(a -> spans.stream().anyMatch(b -> a.who != b.who && a.from < b.until && b.from < a.until));
-    }
+  private static boolean overlap(List<Span> spans) {
+    return spans.stream()
+        .anyMatch(
+            a ->
+                spans.stream()
+                    .anyMatch(b -> a.who != b.who && a.from < b.until && b.from < a.until));
+  }
 
-    @Test
-    void noTwoLeadAtOnceAndWhoStaysDoesLead() {
-        int led = 0;
-        for (int seed = 0; seed < 200; seed++) {
-            List<Span> spans = play(seed, 0);
-            assertThat(overlap(spans)).as("seed %s", seed).isFalse();
-            led += spans.size();
-        }
-        assertThat(led).isGreaterThan(1_000);
+  @Test
+  void noTwoLeadAtOnceAndWhoStaysDoesLead() {
+    int led = 0;
+    for (int seed = 0; seed < 200; seed++) {
+      List<Span> spans = play(seed, 0);
+      assertThat(overlap(spans)).as("seed %s", seed).isFalse();
+      led += spans.size();
     }
+    assertThat(led).isGreaterThan(1_000);
+  }
 
-    /** The check finds two that lead at once where one does not wait for the other's time. */
-    @Test
-    void withoutTheWaitTwoLeadAtOnce() {
-        boolean found = false;
-        for (int seed = 0; seed < 200; seed++) {
-            found |= overlap(play(seed, Leading.LENGTH.toMillis() + 100));
-        }
-        assertThat(found).isTrue();
+  /** The check finds two that lead at once where one does not wait for the other's time. */
+  @Test
+  void withoutTheWaitTwoLeadAtOnce() {
+    boolean found = false;
+    for (int seed = 0; seed < 200; seed++) {
+      found |= overlap(play(seed, Leading.LENGTH.toMillis() + 100));
     }
+    assertThat(found).isTrue();
+  }
 }
--- a/membership/src/main/java/tamarindroute/membership/Draws.java
+++ b/membership/src/main/java/tamarindroute/membership/Draws.java
@@ -3,50 +3,57 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** Owns chance: draws from a seed and a counter, so that a play can be played again. It must never read a clock. */
+/**
+ * Owns chance: draws from a seed and a counter, so that a play can be played again. It must never
+ * read a clock.
+ */
 final class Draws {
 
-    private final long seed;
-    private long count;
+  private final long seed;
+  private long count;
 
-    /** A seed of 0 draws nothing: always the first; for exploring every way that is left. */
-    Draws(long seed) {
-        this.seed = seed;
-    }
-
-    Draws copy() {
-        Draws copy = new Draws(seed);
-        copy.count = count;
-        return copy;
-    }
+  /** A seed of 0 draws nothing: always the first; for exploring every way that is left. */
+  Draws(long seed) {
+    this.seed = seed;
+  }
 
-    static long seedOf(Member member) {
-        return hash(member) | 1;
-    }
+  Draws copy() {
+    Draws copy = new Draws(seed);
+    copy.count = count;
+    return copy;
+  }
 
-    int below(int bound) {
-        if (bound <= 1 || seed == 0) {
-            return 0;
-        }
-        count++;
-        return (int) Long.remainderUnsigned(mixed(seed, count), bound);
-    }
-
-    static long hash(Member member) {
-        CRC32 crc = new CRC32();
-        byte[] host = member.address().host().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        crc.update(host);
-        crc.update(ByteBuffer.allocate(12).putInt(member.address().port()).putLong(member.birth()).flip());
-        return crc.getValue();
-    }
+  static long seedOf(Member member) {
+    return hash(member) | 1;
+  }
 
-    /** CRC-32 is linear: neighbours' draws would go in step, so its value is spread as SplitMix64 does. */
-    static long mixed(long one, long other) {
-        CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(16).putLong(one).putLong(other).flip());
-        long mixed = one + (crc.getValue() + 1) * 0x9E3779B97F4A7C15L;
-        mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
-        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
-        return mixed ^ mixed >>> 31;
+  int below(int bound) {
+    if (bound <= 1 || seed == 0) {
+      return 0;
     }
+    count++;
+    return (int) Long.remainderUnsigned(mixed(seed, count), bound);
+  }
+
+  static long hash(Member member) {
+    CRC32 crc = new CRC32();
+    byte[] host = member.address().host().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+    crc.update(host);
+    crc.update(
+        ByteBuffer.allocate(12).putInt(member.address().port()).putLong(member.birth()).flip());
+    return crc.getValue();
+  }
+
+  /**
+   * CRC-32 is linear: neighbours' draws would go in step, so its value is spread as SplitMix64
+   * does.
+   */
+  static long mixed(long one, long other) {
+    CRC32 crc = new CRC32();
+    crc.update(ByteBuffer.allocate(16).putLong(one).putLong(other).flip());
+    long mixed = one + (crc.getValue() + 1) * 0x9E3779B97F4A7C15L;
+    mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
+    mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
+    return mixed ^ mixed >>> 31;
+  }
 }
--- a/membership/src/main/java/tamarindroute/membership/Member.java
+++ b/membership/src/main/java/tamarindroute/membership/Member.java
@@ -1,13 +1,13 @@
 package tamarindroute.membership;
 
 /**
- * One life of a process at an address. A later life has a greater birth; it is proposed by whoever starts and raised
- * past any that others remember there, so that no clock has to be right.
+ * One life of a process at an address. A later life has a greater birth; it is proposed by whoever
+ * starts and raised past any that others remember there, so that no clock has to be right.
  */
 public record Member(Address address, long birth) {
 
-    @Override
-    public String toString() {
-        return address + "#" + birth;
-    }
+  @Override
+  public String toString() {
+    return address + "#" + birth;
+  }
 }
--- a/membership/src/test/java/tamarindroute/membership/ScheduleTest.java
+++ b/membership/src/test/java/tamarindroute/membership/ScheduleTest.java
@@ -12,19 +12,23 @@
 /** Every schedule, with two seeds each. */
 class ScheduleTest {
 
-    static Stream<String> schedules() throws java.io.IOException {
-        try (Stream<Path> files = Files.list(Path.of("membership/src/test/resources/schedules"))) {
-            return files.map(file -> file.getFileName().toString().replace(".txt", "")).sorted().toList().stream();
-        }
+  static Stream<String> schedules() throws java.io.IOException {
+    try (Stream<Path> files = Files.list(Path.of("membership/src/test/resources/schedules"))) {
+      return files
+          .map(file -> file.getFileName().toString().replace(".txt", ""))
+          .sorted()
+          .toList()
+          .stream();
     }
+  }
 
-    @ParameterizedTest
-    @MethodSource("schedules")
-    void holds(String name) {
-        for (long seed : List.of(1L, 2L)) {
-            Schedule.Outcome outcome = new Schedule(name).play(seed, machine -> machine);
-            assertThat(outcome.unmet()).as("%s, seed %d", name, seed).isEmpty();
-            assertThat(outcome.checker().breaches).as("%s, seed %d", name, seed).isEmpty();
-        }
+  @ParameterizedTest
+  @MethodSource("schedules")
+  void holds(String name) {
+    for (long seed : List.of(1L, 2L)) {
+      Schedule.Outcome outcome = new Schedule(name).play(seed, machine -> machine);
+      assertThat(outcome.unmet()).as("%s, seed %d", name, seed).isEmpty();
+      assertThat(outcome.checker().breaches).as("%s, seed %d", name, seed).isEmpty();
     }
+  }
 }
--- a/net/src/main/java/tamarindroute/log/LibraryLines.java
+++ b/net/src/main/java/tamarindroute/log/LibraryLines.java
@@ -7,12 +7,13 @@
 /** The guard for what libraries write through logback: one line a second of each logger's. */
 public final class LibraryLines extends Filter<ILoggingEvent> {
 
-    private final Guard guard = new Guard();
+  private final Guard guard = new Guard();
 
-    @Override
-    public FilterReply decide(ILoggingEvent event) {
-        return event.getLoggerName().equals(Log.NAME)
-                || guard.pass(event.getLoggerName(), event.getTimeStamp()) >= 0
-                        ? FilterReply.NEUTRAL : FilterReply.DENY;
-    }
+  @Override
+  public FilterReply decide(ILoggingEvent event) {
+    return event.getLoggerName().equals(Log.NAME)
+            || guard.pass(event.getLoggerName(), event.getTimeStamp()) >= 0
+        ? FilterReply.NEUTRAL
+        : FilterReply.DENY;
+  }
 }
--- a/net/src/main/java/tamarindroute/net/Peer.java
+++ b/net/src/main/java/tamarindroute/net/Peer.java
@@ -4,30 +4,34 @@
 import java.time.Duration;
 
 /**
- * What is behind a connection, called on the owner's thread only. It must never block, nor keep the bytes given.
+ * What is behind a connection, called on the owner's thread only. It must never block, nor keep the
+ * bytes given.
  */
 public interface Peer {
 
-    /** The connection is up. */
-    default void opened() {}
+  /** The connection is up. */
+  default void opened() {}
 
-    /** Bytes came; all are used up, unless the connection is paused meanwhile. */
-    void received(ByteBuffer bytes);
+  /** Bytes came; all are used up, unless the connection is paused meanwhile. */
+  void received(ByteBuffer bytes);
 
-    /** Nothing has come for the time that a client's connection may be idle. */
-    default void idle() {}
+  /** Nothing has come for the time that a client's connection may be idle. */
+  default void idle() {}
 
-    /** Since when it is of no use, so that it may be let go for another client; null while it is of use. */
-    default Duration uselessSince() {
-        return null;
-    }
+  /**
+   * Since when it is of no use, so that it may be let go for another client; null while it is of
+   * use.
+   */
+  default Duration uselessSince() {
+    return null;
+  }
 
-    /** The other side sends no more; it may still read, or be gone. */
-    default void inputClosed() {}
+  /** The other side sends no more; it may still read, or be gone. */
+  default void inputClosed() {}
 
-    /** Nobody comes any more: it goes as soon as nothing is owed on it. */
-    default void doorShut() {}
+  /** Nobody comes any more: it goes as soon as nothing is owed on it. */
+  default void doorShut() {}
 
-    /** The connection is over, once and finally. */
-    void ended(Ending ending);
+  /** The connection is over, once and finally. */
+  void ended(Ending ending);
 }
--- a/net/src/main/java/tamarindroute/net/Timers.java
+++ b/net/src/main/java/tamarindroute/net/Timers.java
@@ -5,12 +5,12 @@
 /** The owner's thread, its clock and its timers. */
 public interface Timers {
 
-    /** The time since the gateway's start; on any thread. */
-    Duration now();
+  /** The time since the gateway's start; on any thread. */
+  Duration now();
 
-    /** Does it soon on the owner's thread; on any thread. */
-    void handOver(Runnable task);
+  /** Does it soon on the owner's thread; on any thread. */
+  void handOver(Runnable task);
 
-    /** Does it later; run what is returned to call it off. Both on the owner's thread only. */
-    Runnable after(Duration span, Runnable task);
+  /** Does it later; run what is returned to call it off. Both on the owner's thread only. */
+  Runnable after(Duration span, Runnable task);
 }
--- a/net/src/main/java/tamarindroute/protocol/MalformedException.java
+++ b/net/src/main/java/tamarindroute/protocol/MalformedException.java
@@ -5,9 +5,9 @@
 /** The bytes read are not of the protocol; the message says in a few words why. */
 public final class MalformedException extends IOException {
 
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public MalformedException(String message) {
-        super(message);
-    }
+  public MalformedException(String message) {
+    super(message);
+  }
 }
--- a/net/src/main/java/tamarindroute/protocol/RespWriter.java
+++ b/net/src/main/java/tamarindroute/protocol/RespWriter.java
@@ -4,40 +4,43 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Owns the writing of RESP arrays of bulk strings: whole frames, and the opening and closing round a body that is
- * sent apart. It must never touch a socket or a body.
+ * Owns the writing of RESP arrays of bulk strings: whole frames, and the opening and closing round
+ * a body that is sent apart. It must never touch a socket or a body.
  */
 public final class RespWriter {
 
-    private static final byte[] CRLF = {'\r', '\n'};
-
-    private RespWriter() {}
-
-    /** A frame of words alone. */
-    public static byte[] frame(String... words) {
-        return write(words, -1);
-    }
-
-    /** A frame of words and a body, up to the body's first byte. */
-    public static ByteBuffer opening(int bodyLength, String... words) {
-        return ByteBuffer.wrap(write(words, bodyLength));
+  private static final byte[] CRLF = {'\r', '\n'};
+
+  private RespWriter() {}
+
+  /** A frame of words alone. */
+  public static byte[] frame(String... words) {
+    return write(words, -1);
+  }
+
+  /** A frame of words and a body, up to the body's first byte. */
+  public static ByteBuffer opening(int bodyLength, String... words) {
+    return ByteBuffer.wrap(write(words, bodyLength));
+  }
+
+  /** What follows a body. */
+  public static ByteBuffer closing() {
+    return ByteBuffer.wrap(CRLF);
+  }
+
+  private static byte[] write(String[] words, int bodyLength) {
+    StringBuilder text = new StringBuilder(64);
+    text.append('*').append(words.length + (bodyLength < 0 ? 0 : 1)).append("\r\n");
+    for (String word : words) {
+      text.append('$')
+          .append(word.getBytes(StandardCharsets.UTF_8).length)
+          .append("\r\n")
+          .append(word)
+          .append("\r\n");
     }
-
-    /** What follows a body. */
-    public static ByteBuffer closing() {
-        return ByteBuffer.wrap(CRLF);
-    }
-
-    private static byte[] write(String[] words, int bodyLength) {
-        StringBuilder text = new StringBuilder(64);
-        text.append('*').append(words.length + (bodyLength < 0 ? 0 : 1)).append("\r\n");
-        for (String word : words) {
-            text.append('$').append(word.getBytes(StandardCharsets.UTF_8).length).append("\r\n").append(word)
-                    .append("\r\n");
-        }
-        if (bodyLength >= 0) {
-            text.append('$').append(bodyLength).append("\r\n");
-        }
-        return text.toString().getBytes(StandardCharsets.UTF_8);
+    if (bodyLength >= 0) {
+      text.append('$').append(bodyLength).append("\r\n");
     }
+    return text.toString().getBytes(StandardCharsets.UTF_8);
+  }
 }
--- a/net/src/test/java/tamarindroute/net/OneThread.java
+++ b/net/src/test/java/tamarindroute/net/OneThread.java
@@ -5,28 +5,31 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** An owner's thread for tests: what is handed over and what is due runs on one thread. It must never outlive its test. */
+/**
+ * An owner's thread for tests: what is handed over and what is due runs on one thread. It must
+ * never outlive its test.
+ */
 class OneThread implements Timers {
 
-    final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
+  final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
 
-    @Override
-    public Duration now() {
-        return Duration.ofNanos(System.nanoTime());
-    }
+  @Override
+  public Duration now() {
+    return Duration.ofNanos(System.nanoTime());
+  }
 
-    @Override
-    public void handOver(Runnable task) {
-        thread.execute(task);
-    }
+  @Override
+  public void handOver(Runnable task) {
+    thread.execute(task);
+  }
 
-    @Override
-    public Runnable after(Duration span, Runnable task) {
-        var timer = thread.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
-        return () -> timer.cancel(false);
-    }
+  @Override
+  public Runnable after(Duration span, Runnable task) {
+    var timer = thread.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
+    return () -> timer.cancel(false);
+  }
 
-    void end() {
-        thread.shutdownNow();
-    }
+  void end() {
+    thread.shutdownNow();
+  }
 }
--- a/net/src/test/java/tamarindroute/protocol/ProtocolTest.java
+++ b/net/src/test/java/tamarindroute/protocol/ProtocolTest.java
@@ -11,109 +11,144 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The parsers, fed whole, in pieces of every size, pipelined, and with what is not of the protocol. */
+/**
+ * The parsers, fed whole, in pieces of every size, pipelined, and with what is not of the protocol.
+ */
 class ProtocolTest {
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.ISO_8859_1);
-    }
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.ISO_8859_1);
+  }
 
-    /** What a reader of two words and a body makes of the bytes, fed in pieces of this size. */
-    private static List<String> frames(byte[] all, int piece) throws MalformedException {
-        RespReader reader = new RespReader(2, 20, 30);
-        List<String> read = new ArrayList<>();
-        StringBuilder body = new StringBuilder();
-        for (int at = 0; at < all.length; at += piece) {
-            ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
-            for (RespReader.Step step = reader.next(in); step != RespReader.Step.MORE; step = reader.next(in)) {
-                switch (step) {
-                    case BODY -> body.append(StandardCharsets.ISO_8859_1.decode(reader.body()));
-                    case END -> {
-                        read.add(reader.words() + "/" + reader.bodyLength() + "/" + body);
-                        body.setLength(0);
-                    }
-                    default -> assertThat(step).isEqualTo(RespReader.Step.HEAD);
-                }
-            }
-            assertThat(in.hasRemaining()).isFalse();
+  /** What a reader of two words and a body makes of the bytes, fed in pieces of this size. */
+  private static List<String> frames(byte[] all, int piece) throws MalformedException {
+    RespReader reader = new RespReader(2, 20, 30);
+    List<String> read = new ArrayList<>();
+    StringBuilder body = new StringBuilder();
+    for (int at = 0; at < all.length; at += piece) {
+      ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
+      for (RespReader.Step step = reader.next(in);
+          step != RespReader.Step.MORE;
+          step = reader.next(in)) {
+        switch (step) {
+          case BODY -> body.append(StandardCharsets.ISO_8859_1.decode(reader.body()));
+          case END -> {
+            read.add(reader.words() + "/" + reader.bodyLength() + "/" + body);
+            body.setLength(0);
+          }
+          default -> assertThat(step).isEqualTo(RespReader.Step.HEAD);
         }
-        assertThat(reader.atRest()).isTrue();
-        return read;
+      }
+      assertThat(in.hasRemaining()).isFalse();
     }
+    assertThat(reader.atRest()).isTrue();
+    return read;
+  }
 
-    @ParameterizedTest
-    @ValueSource(ints = {1, 2, 3, 7, 16, 1000})
-    void framesAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
-        String opening = StandardCharsets.ISO_8859_1.decode(RespWriter.opening(5, "7", "ACK")).toString();
-        String all = new String(RespWriter.frame("RPC.CANCEL", "7"), StandardCharsets.ISO_8859_1)
-                + opening + "a\r\n*0\r\n" + "*1\r\n$1\r\nx\r\n" + "*3\r\n$0\r\n\r\n$1\r\n1\r\n$0\r\n\r\n";
-        assertThat(frames(bytes(all), piece)).containsExactly(
-                "[RPC.CANCEL, 7]/0/", "[7, ACK]/5/a\r\n*0", "[x]/0/", "[, 1]/0/");
-    }
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2, 3, 7, 16, 1000})
+  void framesAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
+    String opening =
+        StandardCharsets.ISO_8859_1.decode(RespWriter.opening(5, "7", "ACK")).toString();
+    String all =
+        new String(RespWriter.frame("RPC.CANCEL", "7"), StandardCharsets.ISO_8859_1)
+            + opening
+            + "a\r\n*0\r\n"
+            + "*1\r\n$1\r\nx\r\n"
+            + "*3\r\n$0\r\n\r\n$1\r\n1\r\n$0\r\n\r\n";
+    assertThat(frames(bytes(all), piece))
+        .containsExactly("[RPC.CANCEL, 7]/0/", "[7, ACK]/5/a\r\n*0", "[x]/0/", "[, 1]/0/");
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"x", "*\r\n", "*0\r\n", "*4\r\n", "*-1\r\n", "*1\n", "*1\rx", "*1\r\n*", "*1\r\n$21\r\n",
-        "*1\r\n$2\r\nabc", "*3\r\n$1\r\na\r\n$1\r\nb\r\n$31\r\n", "*00000000001\r\n", "*1\r\n$ 1\r\n", "*1\r\n$-1\r\n"})
-    void whatIsNoFrameIsMalformed(String text) {
-        assertThatThrownBy(() -> frames(bytes(text), 1)).isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> frames(bytes(text), 100)).isInstanceOf(MalformedException.class);
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "x",
+        "*\r\n",
+        "*0\r\n",
+        "*4\r\n",
+        "*-1\r\n",
+        "*1\n",
+        "*1\rx",
+        "*1\r\n*",
+        "*1\r\n$21\r\n",
+        "*1\r\n$2\r\nabc",
+        "*3\r\n$1\r\na\r\n$1\r\nb\r\n$31\r\n",
+        "*00000000001\r\n",
+        "*1\r\n$ 1\r\n",
+        "*1\r\n$-1\r\n"
+      })
+  void whatIsNoFrameIsMalformed(String text) {
+    assertThatThrownBy(() -> frames(bytes(text), 1)).isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> frames(bytes(text), 100)).isInstanceOf(MalformedException.class);
+  }
 
-    @Test
-    void fieldsAreReadAsWritten() throws MalformedException {
-        Fields fields = Fields.read("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
-        assertThat(fields.text("rep")).isEqualTo("inflight:7;util:0.61");
-        assertThat(fields.number("first", 0, 9)).isEqualTo(2.5);
-        assertThat(fields.number("absent", 9, 9)).isEqualTo(9);
-        assertThat(fields.text("empty")).isEmpty();
-        assertThat(fields.write("-")).isEqualTo("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
-        assertThat(Fields.read("-").write("-")).isEqualTo("-");
-        assertThat(new Fields().with("a", 1).with("b", null).write("")).isEqualTo("a=1");
-        for (String bad : List.of("a", "=1", "a=1,,b=2", ",")) {
-            assertThatThrownBy(() -> Fields.read(bad)).as(bad).isInstanceOf(MalformedException.class);
-        }
-        for (String bad : List.of("a=x", "a=", "a=-1", "a=NaN", "a=1e999", "a=11", "a=0x1p1", "a=3d", "a= 3",
-                "a=1,a=1")) {
-            assertThatThrownBy(() -> Fields.read(bad).number("a", 0, 10)).as(bad)
-                    .isInstanceOf(MalformedException.class);
-        }
+  @Test
+  void fieldsAreReadAsWritten() throws MalformedException {
+    Fields fields = Fields.read("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
+    assertThat(fields.text("rep")).isEqualTo("inflight:7;util:0.61");
+    assertThat(fields.number("first", 0, 9)).isEqualTo(2.5);
+    assertThat(fields.number("absent", 9, 9)).isEqualTo(9);
+    assertThat(fields.text("empty")).isEmpty();
+    assertThat(fields.write("-")).isEqualTo("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
+    assertThat(Fields.read("-").write("-")).isEqualTo("-");
+    assertThat(new Fields().with("a", 1).with("b", null).write("")).isEqualTo("a=1");
+    for (String bad : List.of("a", "=1", "a=1,,b=2", ",")) {
+      assertThatThrownBy(() -> Fields.read(bad)).as(bad).isInstanceOf(MalformedException.class);
+    }
+    for (String bad :
+        List.of(
+            "a=x", "a=", "a=-1", "a=NaN", "a=1e999", "a=11", "a=0x1p1", "a=3d", "a= 3",
+            "a=1,a=1")) {
+      assertThatThrownBy(() -> Fields.read(bad).number("a", 0, 10))
+          .as(bad)
+          .isInstanceOf(MalformedException.class);
     }
+  }
 
-    private static List<String> answers(String text, int piece) throws MalformedException {
-        HttpReader reader = new HttpReader(20);
-        List<String> read = new ArrayList<>();
-        byte[] all = bytes(text);
-        for (int at = 0; at < all.length; at += piece) {
-            ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
-            while (in.hasRemaining()) {
-                if (reader.read(in)) {
-                    read.add(reader.status() + " " + reader.body() + (reader.closing() ? " closing" : ""));
-                }
-            }
+  private static List<String> answers(String text, int piece) throws MalformedException {
+    HttpReader reader = new HttpReader(20);
+    List<String> read = new ArrayList<>();
+    byte[] all = bytes(text);
+    for (int at = 0; at < all.length; at += piece) {
+      ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
+      while (in.hasRemaining()) {
+        if (reader.read(in)) {
+          read.add(reader.status() + " " + reader.body() + (reader.closing() ? " closing" : ""));
         }
-        return read;
+      }
     }
+    return read;
+  }
 
-    @ParameterizedTest
-    @ValueSource(ints = {1, 2, 5, 1000})
-    void httpAnswersAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
-        String all = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-                + "HTTP/1.1 503 Busy\r\nconnection: close\r\nContent-Length:0\r\n\r\n"
-                + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\n\r\n\r\n0\r\nT: 1\r\n\r\n"
-                + "HTTP/1.0 200 OK\nContent-Length: 1\n\nz";
-        assertThat(answers(all, piece)).containsExactly("200 hello", "503  closing", "200 abc\r\n", "200 z closing");
-    }
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2, 5, 1000})
+  void httpAnswersAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
+    String all =
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+            + "HTTP/1.1 503 Busy\r\nconnection: close\r\nContent-Length:0\r\n\r\n"
+            + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\n\r\n\r\n0\r\nT: 1\r\n\r\n"
+            + "HTTP/1.0 200 OK\nContent-Length: 1\n\nz";
+    assertThat(answers(all, piece))
+        .containsExactly("200 hello", "503  closing", "200 abc\r\n", "200 z closing");
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"SSH-2.0\r\n", "HTTP/1.1 abc\r\n", "HTTP/1.1 200 OK\r\nnothing\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 21\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "SSH-2.0\r\n",
+        "HTTP/1.1 abc\r\n",
+        "HTTP/1.1 200 OK\r\nnothing\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 21\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"})
-    void whatIsNoHttpAnswerIsMalformed(String text) {
-        assertThatThrownBy(() -> answers(text, 1)).isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\nX: " + "y".repeat(5000), 1000))
-                .isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(200), 1000))
-                .isInstanceOf(MalformedException.class);
-    }
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"
+      })
+  void whatIsNoHttpAnswerIsMalformed(String text) {
+    assertThatThrownBy(() -> answers(text, 1)).isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\nX: " + "y".repeat(5000), 1000))
+        .isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(200), 1000))
+        .isInstanceOf(MalformedException.class);
+  }
 }
--- a/policy/src/main/java/tamarindroute/policy/package-info.java
+++ b/policy/src/main/java/tamarindroute/policy/package-info.java
@@ -1,2 +1,5 @@
-/** Owns the decisions on views, all of them. It must never do I/O, start threads, read clocks or know a front. */
+/**
+ * Owns the decisions on views, all of them. It must never do I/O, start threads, read clocks or
+ * know a front.
+ */
 package tamarindroute.policy;
--- a/policy/src/test/java/tamarindroute/policy/CapacityPlan.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityPlan.java
@@ -3,71 +3,87 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What a play of {@link CapacityWorld} is made of: its sizes, what its gateways are told, and what happens when. */
+/**
+ * What a play of {@link CapacityWorld} is made of: its sizes, what its gateways are told, and what
+ * happens when.
+ */
 final class CapacityPlan {
 
-    /** What the weights in the list tell of the true capacities. */
-    enum Told {
-        TRUE, OFF, TENFOLD, TENTH, LIVE
-    }
+  /** What the weights in the list tell of the true capacities. */
+  enum Told {
+    TRUE,
+    OFF,
+    TENFOLD,
+    TENTH,
+    LIVE
+  }
 
-    /** Which outcomes tell where an answer came from: all, those of hits and fills, or none. */
-    enum Says {
-        ALL, HIT, OFF
-    }
+  /** Which outcomes tell where an answer came from: all, those of hits and fills, or none. */
+  enum Says {
+    ALL,
+    HIT,
+    OFF
+  }
 
-    final int gateways;
-    /** The work asked for, as a share of the edges' capacity. */
-    final double load;
-    /** The true capacities of the edges, in transfers at full pace. */
-    final double[] edges;
-    final TreeMap<Double, Consumer<CapacityWorld>> events = new TreeMap<>();
-    double seconds = 40;
-    long seed = 1;
-    Told told = Told.TRUE;
-    Says says = Says.ALL;
-    boolean sizes = true, reports = true, link = true;
-    /** Whether some gateways have many more clients than others. */
-    boolean uneven;
-    boolean secondCopies, direct;
-    /** Whether a second run must be known again by caches of the first one's cell. */
-    boolean token;
-    /** The share of attempts that fail at their edge. */
-    double failing;
-
-    CapacityPlan(int gateways, double load, double... edges) {
-        this.gateways = gateways;
-        this.load = load;
-        this.edges = edges;
-    }
+  final int gateways;
 
-    /** Events at one time happen in the order in which they were planned. */
-    CapacityPlan at(double seconds, Consumer<CapacityWorld> what) {
-        events.merge(seconds, what, Consumer::andThen);
-        return this;
-    }
+  /** The work asked for, as a share of the edges' capacity. */
+  final double load;
 
-    /** One of the named options: a value of Told, or what else is left untold. */
-    CapacityPlan telling(String option) {
-        switch (option) {
-            case "no-sizes" -> sizes = false;
-            case "no-reports" -> reports = false;
-            case "no-details" -> says = Says.OFF;
-            case "hit-details" -> says = Says.HIT;
-            case "no-link" -> link = false;
-            case "nothing" -> {
-                told = Told.OFF;
-                says = Says.OFF;
-                sizes = reports = link = false;
-            }
-            default -> told = Told.valueOf(option);
-        }
-        return this;
-    }
+  /** The true capacities of the edges, in transfers at full pace. */
+  final double[] edges;
+
+  final TreeMap<Double, Consumer<CapacityWorld>> events = new TreeMap<>();
+  double seconds = 40;
+  long seed = 1;
+  Told told = Told.TRUE;
+  Says says = Says.ALL;
+  boolean sizes = true, reports = true, link = true;
+
+  /** Whether some gateways have many more clients than others. */
+  boolean uneven;
 
-    CapacityWorld play() {
-        CapacityWorld world = new CapacityWorld(this);
-        world.play();
-        return world;
+  boolean secondCopies, direct;
+
+  /** Whether a second run must be known again by caches of the first one's cell. */
+  boolean token;
+
+  /** The share of attempts that fail at their edge. */
+  double failing;
+
+  CapacityPlan(int gateways, double load, double... edges) {
+    this.gateways = gateways;
+    this.load = load;
+    this.edges = edges;
+  }
+
+  /** Events at one time happen in the order in which they were planned. */
+  CapacityPlan at(double seconds, Consumer<CapacityWorld> what) {
+    events.merge(seconds, what, Consumer::andThen);
+    return this;
+  }
+
+  /** One of the named options: a value of Told, or what else is left untold. */
+  CapacityPlan telling(String option) {
+    switch (option) {
+      case "no-sizes" -> sizes = false;
+      case "no-reports" -> reports = false;
+      case "no-details" -> says = Says.OFF;
+      case "hit-details" -> says = Says.HIT;
+      case "no-link" -> link = false;
+      case "nothing" -> {
+        told = Told.OFF;
+        says = Says.OFF;
+        sizes = reports = link = false;
+      }
+      default -> told = Told.valueOf(option);
     }
+    return this;
+  }
+
+  CapacityWorld play() {
+    CapacityWorld world = new CapacityWorld(this);
+    world.play();
+    return world;
+  }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdFleetTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdFleetTest.java
@@ -24,273 +24,354 @@
 import tamarindroute.decision.View;
 
 /**
- * The sum of what a whole fleet sends to cold caches, each gateway a module of its own with its own seed and uneven traffic.
- * A cold cache that may have N requests of mean work in the settings' time has to get less than N + 2 x root of N + 2, in
- * every window of that length, from the gateways that were told of its start.
+ * The sum of what a whole fleet sends to cold caches, each gateway a module of its own with its own
+ * seed and uneven traffic. A cold cache that may have N requests of mean work in the settings' time
+ * has to get less than N + 2 x root of N + 2, in every window of that length, from the gateways
+ * that were told of its start.
  */
 class ColdFleetTest {
 
-    private static final double WINDOW = 2;
-    private static final double UP = 20;
-    private static final Settings.ColdStart EDGE = new Settings.ColdStart(0.2, at(17), 3, at(WINDOW));
-    private static final Settings.ColdStart PARENT = new Settings.ColdStart(0.064, at(22), 2, at(WINDOW));
+  private static final double WINDOW = 2;
+  private static final double UP = 20;
+  private static final Settings.ColdStart EDGE = new Settings.ColdStart(0.2, at(17), 3, at(WINDOW));
+  private static final Settings.ColdStart PARENT =
+      new Settings.ColdStart(0.064, at(22), 2, at(WINDOW));
 
-    private Profile profile;
-    private final Map<Long, Deque<Double>> reached = new HashMap<>();
-    private final Map<Long, Double> worst = new HashMap<>();
-    private final Map<Long, Integer> had = new HashMap<>();
-    /** What a third of the gateways hold, which are told late, stands in caches of their own. */
-    private final List<Cache> list = new ArrayList<>(), late = new ArrayList<>();
-    private final List<Brain> fleet = new ArrayList<>();
-    private Random dice;
-    private double[] upTo;
-    private double sigma, mean = 0.1;
-    /** The share of trips that fail there, and of those that never leave. */
-    private double failing, unsent;
-    private long objects;
-    private boolean hot;
+  private Profile profile;
+  private final Map<Long, Deque<Double>> reached = new HashMap<>();
+  private final Map<Long, Double> worst = new HashMap<>();
+  private final Map<Long, Integer> had = new HashMap<>();
 
-    private static Duration at(double seconds) {
-        return Duration.ofNanos(Math.round(seconds * 1e9));
-    }
+  /** What a third of the gateways hold, which are told late, stands in caches of their own. */
+  private final List<Cache> list = new ArrayList<>(), late = new ArrayList<>();
 
-    private Cache cache(long mark, Cache.Tier tier, double weight) {
-        for (List<Cache> of : List.of(late, list)) {
-            Cache cache = new Cache(mark);
-            cache.tier = tier;
-            cache.weight = weight;
-            of.add(cache);
-        }
-        return list.get(list.size() - 1);
-    }
+  private final List<Brain> fleet = new ArrayList<>();
+  private Random dice;
+  private double[] upTo;
+  private double sigma, mean = 0.1;
+
+  /** The share of trips that fail there, and of those that never leave. */
+  private double failing, unsent;
 
-    private double weight(Settings.ColdStart start, double most) {
-        return most * mean / (start.multiple() * WINDOW);
+  private long objects;
+  private boolean hot;
+
+  private static Duration at(double seconds) {
+    return Duration.ofNanos(Math.round(seconds * 1e9));
+  }
+
+  private Cache cache(long mark, Cache.Tier tier, double weight) {
+    for (List<Cache> of : List.of(late, list)) {
+      Cache cache = new Cache(mark);
+      cache.tier = tier;
+      cache.weight = weight;
+      of.add(cache);
     }
+    return list.get(list.size() - 1);
+  }
 
-    /** Where a cache bears few requests, they are long ones: a link is some transfers wide. */
-    private void fleet(int size, double most, int seed) {
-        mean = Math.min(0.9, Math.max(0.1, 30 / most));
-        // The mean sending time is known from the start, as the modules start from the agreed time.
-        profile = new Profile(Profile.Repeat.REISSUABLE, Profile.Group.ALL, Duration.ZERO, at(mean), 20, true,
-                Duration.ZERO);
-        dice = new Random(seed);
-        for (int i = 0; i < size; i++) {
-            fleet.add(new Brain(new Settings(dice.nextLong(), 0, size, size, List.of(0), 1000, 0, false, true,
-                    true, false,
-                    true, null, 8, EDGE, PARENT, Duration.ofSeconds(6), Settings.Weights.ROUGH)));
-        }
-        upTo = new double[size];
-        double sum = 0;
-        for (int i = 0; i < size; i++) {
-            sum += Math.exp(1.2 * dice.nextGaussian());
-            upTo[i] = sum;
-        }
+  private double weight(Settings.ColdStart start, double most) {
+    return most * mean / (start.multiple() * WINDOW);
+  }
+
+  /** Where a cache bears few requests, they are long ones: a link is some transfers wide. */
+  private void fleet(int size, double most, int seed) {
+    mean = Math.min(0.9, Math.max(0.1, 30 / most));
+    // The mean sending time is known from the start, as the modules start from the agreed time.
+    profile =
+        new Profile(
+            Profile.Repeat.REISSUABLE,
+            Profile.Group.ALL,
+            Duration.ZERO,
+            at(mean),
+            20,
+            true,
+            Duration.ZERO);
+    dice = new Random(seed);
+    for (int i = 0; i < size; i++) {
+      fleet.add(
+          new Brain(
+              new Settings(
+                  dice.nextLong(),
+                  0,
+                  size,
+                  size,
+                  List.of(0),
+                  1000,
+                  0,
+                  false,
+                  true,
+                  true,
+                  false,
+                  true,
+                  null,
+                  8,
+                  EDGE,
+                  PARENT,
+                  Duration.ofSeconds(6),
+                  Settings.Weights.ROUGH)));
+    }
+    upTo = new double[size];
+    double sum = 0;
+    for (int i = 0; i < size; i++) {
+      sum += Math.exp(1.2 * dice.nextGaussian());
+      upTo[i] = sum;
     }
+  }
 
-    private int some() {
-        double drawn = dice.nextDouble() * upTo[upTo.length - 1];
-        int i = 0;
-        while (upTo[i] < drawn) {
-            i++;
-        }
-        return i;
+  private int some() {
+    double drawn = dice.nextDouble() * upTo[upTo.length - 1];
+    int i = 0;
+    while (upTo[i] < drawn) {
+      i++;
     }
+    return i;
+  }
 
-    private void tell(double now) {
-        for (int i = 0; i < fleet.size(); i++) {
-            fleet.get(i).listed(i % 3 == 2 ? late : list, at(now));
-        }
+  private void tell(double now) {
+    for (int i = 0; i < fleet.size(); i++) {
+      fleet.get(i).listed(i % 3 == 2 ? late : list, at(now));
     }
+  }
 
-    private void start(double now, List<Cache> where, long... marks) {
-        for (long mark : marks) {
-            where.stream().filter(cache -> cache.mark == mark).forEach(cache -> cache.upSince = at(now));
-        }
+  private void start(double now, List<Cache> where, long... marks) {
+    for (long mark : marks) {
+      where.stream().filter(cache -> cache.mark == mark).forEach(cache -> cache.upSince = at(now));
     }
+  }
 
-    /** Each module learns its classes' mean sending time on warm caches, before anything starts cold. */
-    private void learn() {
-        tell(0);
-        for (Brain brain : fleet) {
-            for (int i = 0; i < 150; i++) {
-                view(brain, 1 + 0.05 * i);
-            }
-        }
-        had.clear();
-        reached.clear();
+  /**
+   * Each module learns its classes' mean sending time on warm caches, before anything starts cold.
+   */
+  private void learn() {
+    tell(0);
+    for (Brain brain : fleet) {
+      for (int i = 0; i < 150; i++) {
+        view(brain, 1 + 0.05 * i);
+      }
     }
+    had.clear();
+    reached.clear();
+  }
 
-    private void view(Brain brain, double now) {
-        double size = mean * Math.exp(sigma * dice.nextGaussian() - sigma * sigma / 2);
-        long object = hot && dice.nextInt(4) > 0 ? dice.nextInt(3) : 1000 + ++objects;
-        View view = new View(profile, object, 0, 1, 1000 * size, at(now), at(now + 9));
-        list.stream().filter(cache -> cache.tier == Cache.Tier.EDGE)
-                .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
-        late.stream().filter(cache -> cache.tier == Cache.Tier.EDGE)
-                .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
-        Answer answer = brain.place(view, at(now));
-        while (answer instanceof Trip trip) {
-            view.trips.add(trip);
-            trip.sent = at(now);
-            boolean look = trip.source == trip.cache;
-            double luck = dice.nextDouble();
-            boolean left = luck >= unsent;
-            Result result = !left ? Result.NOT_SENT : luck < unsent + failing ? Result.ERRED
-                    : look && object >= 1000 ? Result.MISSED : Result.HONOURED;
-            boolean hit = look || object < 1000 && luck > 0.9;
-            trip.outcome = new Outcome(result, result == Result.HONOURED ? hit ? Detail.HIT : Detail.FILLED
-                    : Detail.UNTOLD, at(mean + 0.01), hit ? null : at(0.03), result == Result.HONOURED);
-            if (left) {
-                arrived(trip.cache, now);
-                if (!look && !hit) {
-                    arrived(trip.source, now);
-                }
-            }
-            answer = brain.after(view, trip, at(now));
+  private void view(Brain brain, double now) {
+    double size = mean * Math.exp(sigma * dice.nextGaussian() - sigma * sigma / 2);
+    long object = hot && dice.nextInt(4) > 0 ? dice.nextInt(3) : 1000 + ++objects;
+    View view = new View(profile, object, 0, 1, 1000 * size, at(now), at(now + 9));
+    list.stream()
+        .filter(cache -> cache.tier == Cache.Tier.EDGE)
+        .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
+    late.stream()
+        .filter(cache -> cache.tier == Cache.Tier.EDGE)
+        .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
+    Answer answer = brain.place(view, at(now));
+    while (answer instanceof Trip trip) {
+      view.trips.add(trip);
+      trip.sent = at(now);
+      boolean look = trip.source == trip.cache;
+      double luck = dice.nextDouble();
+      boolean left = luck >= unsent;
+      Result result =
+          !left
+              ? Result.NOT_SENT
+              : luck < unsent + failing
+                  ? Result.ERRED
+                  : look && object >= 1000 ? Result.MISSED : Result.HONOURED;
+      boolean hit = look || object < 1000 && luck > 0.9;
+      trip.outcome =
+          new Outcome(
+              result,
+              result == Result.HONOURED ? hit ? Detail.HIT : Detail.FILLED : Detail.UNTOLD,
+              at(mean + 0.01),
+              hit ? null : at(0.03),
+              result == Result.HONOURED);
+      if (left) {
+        arrived(trip.cache, now);
+        if (!look && !hit) {
+          arrived(trip.source, now);
         }
+      }
+      answer = brain.after(view, trip, at(now));
     }
+  }
 
-    private void arrived(Cache cache, double now) {
-        if (cache.upSince == null || cache.tier == Cache.Tier.ORIGIN) {
-            return;
-        }
-        Settings.ColdStart start = cache.tier == Cache.Tier.EDGE ? EDGE : PARENT;
-        double up = cache.upSince.toNanos() * 1e-9, warm = start.warmAfter().toSeconds();
-        if (now > up + warm) {
-            return;
-        }
-        Deque<Double> times = reached.computeIfAbsent(cache.mark, c -> new ArrayDeque<>());
-        times.add(now);
-        while (times.peek() <= Math.max(up, now - WINDOW)) {
-            times.remove();
-        }
-        double age = (Math.max(0, now - WINDOW - up) + now - up) / 2;
-        double n = start.multiple() * WINDOW * cache.weight / mean * (start.from() + (1 - start.from()) * age
-                / warm);
-        worst.merge(cache.mark, times.size() / (n + 2 * Math.sqrt(n) + 2), Math::max);
-        had.merge(cache.mark, 1, Integer::sum);
+  private void arrived(Cache cache, double now) {
+    if (cache.upSince == null || cache.tier == Cache.Tier.ORIGIN) {
+      return;
     }
+    Settings.ColdStart start = cache.tier == Cache.Tier.EDGE ? EDGE : PARENT;
+    double up = cache.upSince.toNanos() * 1e-9, warm = start.warmAfter().toSeconds();
+    if (now > up + warm) {
+      return;
+    }
+    Deque<Double> times = reached.computeIfAbsent(cache.mark, c -> new ArrayDeque<>());
+    times.add(now);
+    while (times.peek() <= Math.max(up, now - WINDOW)) {
+      times.remove();
+    }
+    double age = (Math.max(0, now - WINDOW - up) + now - up) / 2;
+    double n =
+        start.multiple()
+            * WINDOW
+            * cache.weight
+            / mean
+            * (start.from() + (1 - start.from()) * age / warm);
+    worst.merge(cache.mark, times.size() / (n + 2 * Math.sqrt(n) + 2), Math::max);
+    had.merge(cache.mark, 1, Integer::sum);
+  }
 
-    private void demand(double from, double to, double perSecond) {
-        for (double now = from - Math.log(dice.nextDouble()) / perSecond; now < to; now -= Math.log(dice
-                .nextDouble()) / perSecond) {
-            view(fleet.get(some()), now);
-        }
+  private void demand(double from, double to, double perSecond) {
+    for (double now = from - Math.log(dice.nextDouble()) / perSecond;
+        now < to;
+        now -= Math.log(dice.nextDouble()) / perSecond) {
+      view(fleet.get(some()), now);
     }
+  }
 
-    private void check(String what) {
-        assertThat(worst).as("what anything reached").isNotEmpty();
-        worst.forEach((mark, most) -> {
-            assertThat(most).as(what + " at " + mark).isLessThan(1);
+  private void check(String what) {
+    assertThat(worst).as("what anything reached").isNotEmpty();
+    worst.forEach(
+        (mark, most) -> {
+          assertThat(most).as(what + " at " + mark).isLessThan(1);
         });
-    }
+  }
 
-    @ParameterizedTest
-    @CsvSource({"4, 60, 0, 1", "4, 1200, 0, 1", "4, 1200, 1.2, 1", "30, 60, 0, 1", "30, 60, 1.2, 1",
-        "30, 1200, 0, 1",
-        "120, 60, 0, 1", "120, 200, 1.2, 1", "120, 1200, 0, 1", "30, 20, 0, 2", "120, 20, 0, 3",
-        "30, 400, 0, 1"})
-    void steady(int size, double most, double sigma, int seed) {
-        this.sigma = sigma;
-        fleet(size, most, seed);
-        cache(1, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(7, Cache.Tier.ORIGIN, 50);
-        learn();
-        start(UP, list, 1);
-        start(UP, late, 1);
-        tell(UP);
-        demand(UP, UP + 17, 1.5 * most / WINDOW);
-        check("steady " + most + " s" + sigma);
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "4, 60, 0, 1",
+    "4, 1200, 0, 1",
+    "4, 1200, 1.2, 1",
+    "30, 60, 0, 1",
+    "30, 60, 1.2, 1",
+    "30, 1200, 0, 1",
+    "120, 60, 0, 1",
+    "120, 200, 1.2, 1",
+    "120, 1200, 0, 1",
+    "30, 20, 0, 2",
+    "120, 20, 0, 3",
+    "30, 400, 0, 1"
+  })
+  void steady(int size, double most, double sigma, int seed) {
+    this.sigma = sigma;
+    fleet(size, most, seed);
+    cache(1, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(7, Cache.Tier.ORIGIN, 50);
+    learn();
+    start(UP, list, 1);
+    start(UP, late, 1);
+    tell(UP);
+    demand(UP, UP + 17, 1.5 * most / WINDOW);
+    check("steady " + most + " s" + sigma);
+  }
 
-    @ParameterizedTest
-    @CsvSource({"4, 60, 0, 1", "4, 1200, 0, 1", "4, 1200, 1.2, 1", "30, 60, 0, 1", "30, 60, 1.2, 1",
-        "30, 1200, 0, 1",
-        "120, 60, 0, 1", "120, 200, 1.2, 1", "120, 1200, 0, 1", "30, 20, 0, 2", "120, 20, 0, 3",
-        "30, 400, 0, 1"})
-    void bursts(int size, double most, double sigma, int seed) {
-        this.sigma = sigma;
-        fleet(size, most, seed);
-        cache(1, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(7, Cache.Tier.ORIGIN, 50);
-        learn();
-        start(UP, list, 1);
-        start(UP, late, 1);
-        tell(UP);
-        for (double t = 2; t < 17; t += 4) {
-            demand(UP + t, UP + t + 2.2, 5 * most / WINDOW);
-        }
-        check("bursts " + most + " s" + sigma);
+  @ParameterizedTest
+  @CsvSource({
+    "4, 60, 0, 1",
+    "4, 1200, 0, 1",
+    "4, 1200, 1.2, 1",
+    "30, 60, 0, 1",
+    "30, 60, 1.2, 1",
+    "30, 1200, 0, 1",
+    "120, 60, 0, 1",
+    "120, 200, 1.2, 1",
+    "120, 1200, 0, 1",
+    "30, 20, 0, 2",
+    "120, 20, 0, 3",
+    "30, 400, 0, 1"
+  })
+  void bursts(int size, double most, double sigma, int seed) {
+    this.sigma = sigma;
+    fleet(size, most, seed);
+    cache(1, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(7, Cache.Tier.ORIGIN, 50);
+    learn();
+    start(UP, list, 1);
+    start(UP, late, 1);
+    tell(UP);
+    for (double t = 2; t < 17; t += 4) {
+      demand(UP + t, UP + t + 2.2, 5 * most / WINDOW);
     }
+    check("bursts " + most + " s" + sigma);
+  }
 
-    @ParameterizedTest
-    @CsvSource({"4, 20, 1", "30, 20, 1", "120, 20, 1", "4, 900, 1", "30, 900, 1", "120, 900, 1"})
-    void parent(int size, double most, int seed) {
-        fleet(size, most, seed);
-        cache(1, Cache.Tier.EDGE, most);
-        cache(2, Cache.Tier.EDGE, most);
-        cache(3, Cache.Tier.PARENT, weight(PARENT, most));
-        cache(7, Cache.Tier.ORIGIN, 50);
-        learn();
-        start(UP, list, 3);
-        start(UP, late, 3);
-        tell(UP);
-        demand(UP, UP + 10, 1.5 * most / WINDOW);
-        demand(UP + 13, UP + 22, 4 * most / WINDOW);
-        check("parent " + most);
-    }
+  @ParameterizedTest
+  @CsvSource({"4, 20, 1", "30, 20, 1", "120, 20, 1", "4, 900, 1", "30, 900, 1", "120, 900, 1"})
+  void parent(int size, double most, int seed) {
+    fleet(size, most, seed);
+    cache(1, Cache.Tier.EDGE, most);
+    cache(2, Cache.Tier.EDGE, most);
+    cache(3, Cache.Tier.PARENT, weight(PARENT, most));
+    cache(7, Cache.Tier.ORIGIN, 50);
+    learn();
+    start(UP, list, 3);
+    start(UP, late, 3);
+    tell(UP);
+    demand(UP, UP + 10, 1.5 * most / WINDOW);
+    demand(UP + 13, UP + 22, 4 * most / WINDOW);
+    check("parent " + most);
+  }
 
-    /** Hot objects, failures, trips that never leave, a third told late, several cold at once, a restart in between. */
-    @ParameterizedTest
-    @CsvSource({"4, 12, 1", "30, 12, 1", "120, 12, 1", "4, 600, 1", "30, 600, 1", "120, 600, 1", "30, 12, 2",
-        "30, 60, 3"})
-    void rough(int size, double most, int seed) {
-        sigma = 0.8;
-        hot = true;
-        fleet(size, most, seed);
-        cache(1, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(2, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(4, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(3, Cache.Tier.PARENT, weight(PARENT, most));
-        cache(7, Cache.Tier.ORIGIN, 50);
-        learn();
-        failing = 0.05;
-        unsent = 0.1;
-        start(UP, list, 1, 2, 3);
-        tell(UP);
-        demand(UP, UP + 2, 3 * most / WINDOW);
-        start(UP, late, 1, 2, 3);
-        tell(UP + 2);
-        demand(UP + 2, UP + 6, 3 * most / WINDOW);
-        failing = 0.4;
-        demand(UP + 6, UP + 9, 3 * most / WINDOW);
-        failing = 0.05;
-        start(UP + 9, list, 1);
-        start(UP + 9, late, 1);
-        tell(UP + 9);
-        demand(UP + 9, UP + 20, 3 * most / WINDOW);
-        check("rough " + most);
-    }
+  /**
+   * Hot objects, failures, trips that never leave, a third told late, several cold at once, a
+   * restart in between.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "4, 12, 1",
+    "30, 12, 1",
+    "120, 12, 1",
+    "4, 600, 1",
+    "30, 600, 1",
+    "120, 600, 1",
+    "30, 12, 2",
+    "30, 60, 3"
+  })
+  void rough(int size, double most, int seed) {
+    sigma = 0.8;
+    hot = true;
+    fleet(size, most, seed);
+    cache(1, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(2, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(4, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(3, Cache.Tier.PARENT, weight(PARENT, most));
+    cache(7, Cache.Tier.ORIGIN, 50);
+    learn();
+    failing = 0.05;
+    unsent = 0.1;
+    start(UP, list, 1, 2, 3);
+    tell(UP);
+    demand(UP, UP + 2, 3 * most / WINDOW);
+    start(UP, late, 1, 2, 3);
+    tell(UP + 2);
+    demand(UP + 2, UP + 6, 3 * most / WINDOW);
+    failing = 0.4;
+    demand(UP + 6, UP + 9, 3 * most / WINDOW);
+    failing = 0.05;
+    start(UP + 9, list, 1);
+    start(UP + 9, late, 1);
+    tell(UP + 9);
+    demand(UP + 9, UP + 20, 3 * most / WINDOW);
+    check("rough " + most);
+  }
 
-    /** A gateway's fifth that is dealt the others' parts, back and forth, and bursts beyond. */
-    @ParameterizedTest
-    @CsvSource({"10, 20, 1", "30, 20, 1", "30, 1200, 1"})
-    void dealt(int size, double most, int seed) {
-        fleet(size, most, seed);
-        cache(1, Cache.Tier.EDGE, weight(EDGE, most));
-        cache(7, Cache.Tier.ORIGIN, 50);
-        learn();
-        start(UP, list, 1);
-        start(UP, late, 1);
-        tell(UP);
-        for (int t = 0; t < 16; t += 2) {
-            for (int i = 0; i < size; i++) {
-                double part = i % 5 == t / 2 % 5 ? 4.0 / size : 0.25 / size;
-                fleet.get(i).dealt(Cache.Tier.EDGE, part, at(UP + t + 2), at(UP + t));
-            }
-            demand(UP + t, UP + t + 2, 3 * most / WINDOW);
-        }
-        check("dealt " + most);
+  /** A gateway's fifth that is dealt the others' parts, back and forth, and bursts beyond. */
+  @ParameterizedTest
+  @CsvSource({"10, 20, 1", "30, 20, 1", "30, 1200, 1"})
+  void dealt(int size, double most, int seed) {
+    fleet(size, most, seed);
+    cache(1, Cache.Tier.EDGE, weight(EDGE, most));
+    cache(7, Cache.Tier.ORIGIN, 50);
+    learn();
+    start(UP, list, 1);
+    start(UP, late, 1);
+    tell(UP);
+    for (int t = 0; t < 16; t += 2) {
+      for (int i = 0; i < size; i++) {
+        double part = i % 5 == t / 2 % 5 ? 4.0 / size : 0.25 / size;
+        fleet.get(i).dealt(Cache.Tier.EDGE, part, at(UP + t + 2), at(UP + t));
+      }
+      demand(UP + t, UP + t + 2, 3 * most / WINDOW);
     }
+    check("dealt " + most);
+  }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdShareTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdShareTest.java
@@ -17,179 +17,225 @@
 import tamarindroute.decision.View;
 
 /**
- * What a cold cache bears, over all gateways: each with a module of its own, none knows of another. The cases are those in
- * which a gateway's part is far less than one view.
+ * What a cold cache bears, over all gateways: each with a module of its own, none knows of another.
+ * The cases are those in which a gateway's part is far less than one view.
  */
 class ColdShareTest {
 
-    private static final double FROM = 0.2;
-    private static final double WARM = 20;
-    private static final double MULTIPLE = 3;
-    private static final double WINDOW = 2;
-    private static final double WEIGHT = 6;
-    /** A view's sending time, which is also the profile's mean from the start: the agreed time. */
-    private static final double WORK = 0.3;
-    private static final double STEP = 0.05;
-
-    private final Profile profile = new Profile(Profile.Repeat.REISSUABLE, Profile.Group.ALL, Duration.ZERO,
-            Duration.ofMillis(300), 2, true, Duration.ZERO);
-    private final Cache cold = cache(1, Cache.Tier.EDGE);
-    private final Cache parent = cache(3, Cache.Tier.PARENT);
-    private final List<Brain> fleet = new ArrayList<>();
-    private int objects;
-
-    private static Cache cache(long mark, Cache.Tier tier) {
-        Cache cache = new Cache(mark);
-        cache.tier = tier;
-        cache.weight = WEIGHT;
-        return cache;
+  private static final double FROM = 0.2;
+  private static final double WARM = 20;
+  private static final double MULTIPLE = 3;
+  private static final double WINDOW = 2;
+  private static final double WEIGHT = 6;
+
+  /** A view's sending time, which is also the profile's mean from the start: the agreed time. */
+  private static final double WORK = 0.3;
+
+  private static final double STEP = 0.05;
+
+  private final Profile profile =
+      new Profile(
+          Profile.Repeat.REISSUABLE,
+          Profile.Group.ALL,
+          Duration.ZERO,
+          Duration.ofMillis(300),
+          2,
+          true,
+          Duration.ZERO);
+  private final Cache cold = cache(1, Cache.Tier.EDGE);
+  private final Cache parent = cache(3, Cache.Tier.PARENT);
+  private final List<Brain> fleet = new ArrayList<>();
+  private int objects;
+
+  private static Cache cache(long mark, Cache.Tier tier) {
+    Cache cache = new Cache(mark);
+    cache.tier = tier;
+    cache.weight = WEIGHT;
+    return cache;
+  }
+
+  private static Duration at(double seconds) {
+    return Duration.ofNanos((long) (seconds * 1e9));
+  }
+
+  private void fleet(int size) {
+    Settings.ColdStart start = new Settings.ColdStart(FROM, at(WARM), MULTIPLE, at(WINDOW));
+    cold.upSince = at(10);
+    for (int i = 0; i < size; i++) {
+      Brain brain =
+          new Brain(
+              new Settings(
+                  4711 + i,
+                  0,
+                  size,
+                  size,
+                  List.of(0),
+                  1000,
+                  0,
+                  false,
+                  false,
+                  true,
+                  false,
+                  true,
+                  null,
+                  8,
+                  start,
+                  start,
+                  Duration.ofSeconds(6),
+                  Settings.Weights.ROUGH));
+      brain.listed(List.of(cold, parent), at(10));
+      fleet.add(brain);
     }
+  }
 
-    private static Duration at(double seconds) {
-        return Duration.ofNanos((long) (seconds * 1e9));
+  /** A view that takes its whole way; whether the cold cache had it. */
+  private boolean view(Brain brain, double now) {
+    View view = new View(profile, ++objects, 0, 1, WORK * 1000, at(now), at(now + 3));
+    if (!(brain.place(view, at(now)) instanceof Trip trip) || trip.cache != cold) {
+      return false;
     }
-
-    private void fleet(int size) {
-        Settings.ColdStart start = new Settings.ColdStart(FROM, at(WARM), MULTIPLE, at(WINDOW));
-        cold.upSince = at(10);
-        for (int i = 0; i < size; i++) {
-            Brain brain = new Brain(new Settings(4711 + i, 0, size, size, List.of(0), 1000, 0, false, false,
-                    true, false,
-                    true, null, 8, start, start, Duration.ofSeconds(6), Settings.Weights.ROUGH));
-            brain.listed(List.of(cold, parent), at(10));
-            fleet.add(brain);
-        }
+    view.trips.add(trip);
+    trip.sent = at(now);
+    trip.outcome =
+        new Outcome(Outcome.Result.HONOURED, Outcome.Detail.FILLED, at(WORK), null, true);
+    brain.after(view, trip, at(now + 0.001));
+    return true;
+  }
+
+  private static double bearable(double age) {
+    return MULTIPLE * Math.min(1, FROM + (1 - FROM) * age / WARM) * WEIGHT * WINDOW;
+  }
+
+  /** Idle until now, all gateways want the cold cache at one moment: a zone's loss does that. */
+  @ParameterizedTest
+  @CsvSource({"100, 5", "100, 15", "300, 5", "300, 15", "1000, 10"})
+  void gatewaysThatWereIdleDoNotComeTogether(int size, double age) {
+    fleet(size);
+    long had = fleet.stream().filter(brain -> view(brain, 10 + age)).count();
+    assertThat(had * WORK).isLessThan(bearable(age));
+  }
+
+  /**
+   * Under steady demand no window holds more than the cache bears, and the cache does not starve
+   * either.
+   */
+  @ParameterizedTest
+  @CsvSource({"4", "20", "100", "400"})
+  void anyWindowKeepsToWhatItBearsAndItIsNotStarved(int size) {
+    fleet(size);
+    double step = 0.05;
+    List<Integer> each = new ArrayList<>();
+    for (double age = 0; age < 15; age += step) {
+      int had = 0;
+      // Twice what it bears warm, from gateways in turn.
+      int wanted = (int) Math.ceil(2 * MULTIPLE * WEIGHT * step / WORK);
+      for (int i = 0; i < wanted; i++) {
+        had += view(fleet.get((objects * 7) % size), 10 + age) ? 1 : 0;
+      }
+      each.add(had);
     }
-
-    /** A view that takes its whole way; whether the cold cache had it. */
-    private boolean view(Brain brain, double now) {
-        View view = new View(profile, ++objects, 0, 1, WORK * 1000, at(now), at(now + 3));
-        if (!(brain.place(view, at(now)) instanceof Trip trip) || trip.cache != cold) {
-            return false;
-        }
-        view.trips.add(trip);
-        trip.sent = at(now);
-        trip.outcome = new Outcome(Outcome.Result.HONOURED, Outcome.Detail.FILLED, at(WORK), null, true);
-        brain.after(view, trip, at(now + 0.001));
-        return true;
+    int width = (int) (WINDOW / step);
+    double all = 0;
+    for (int end = width; end <= each.size(); end++) {
+      double inWindow = WORK * each.subList(end - width, end).stream().mapToInt(n -> n).sum();
+      assertThat(inWindow)
+          .as("to the age of %s", end * step)
+          .isLessThan(1.1 * bearable(end * step));
     }
-
-    private static double bearable(double age) {
-        return MULTIPLE * Math.min(1, FROM + (1 - FROM) * age / WARM) * WEIGHT * WINDOW;
+    for (int had : each) {
+      all += had * WORK;
     }
-
-    /** Idle until now, all gateways want the cold cache at one moment: a zone's loss does that. */
-    @ParameterizedTest
-    @CsvSource({"100, 5", "100, 15", "300, 5", "300, 15", "1000, 10"})
-    void gatewaysThatWereIdleDoNotComeTogether(int size, double age) {
-        fleet(size);
-        long had = fleet.stream().filter(brain -> view(brain, 10 + age)).count();
-        assertThat(had * WORK).isLessThan(bearable(age));
+    double borne = MULTIPLE * WEIGHT * 15 * (FROM + (1 - FROM) * 15 / WARM / 2);
+    assertThat(all / borne).isBetween(0.2, 0.95);
+  }
+
+  /**
+   * What reached the cold cache in each step of 50 ms, from an age to another: twice what it bears
+   * warm is wanted.
+   */
+  private List<Double> steady(List<Brain> wanting, double from, double to) {
+    List<Double> each = new ArrayList<>();
+    for (double age = from; age < to; age += STEP) {
+      double had = 0;
+      for (int i = 0; i < Math.ceil(2 * MULTIPLE * WEIGHT * STEP / WORK); i++) {
+        had += view(wanting.get((objects * 7) % wanting.size()), 10 + age) ? WORK : 0;
+      }
+      each.add(had);
     }
-
-    /** Under steady demand no window holds more than the cache bears, and the cache does not starve either. */
-    @ParameterizedTest
-    @CsvSource({"4", "20", "100", "400"})
-    void anyWindowKeepsToWhatItBearsAndItIsNotStarved(int size) {
-        fleet(size);
-        double step = 0.05;
-        List<Integer> each = new ArrayList<>();
-        for (double age = 0; age < 15; age += step) {
-            int had = 0;
-            // Twice what it bears warm, from gateways in turn.
-            int wanted = (int) Math.ceil(2 * MULTIPLE * WEIGHT * step / WORK);
-            for (int i = 0; i < wanted; i++) {
-                had += view(fleet.get((objects * 7) % size), 10 + age) ? 1 : 0;
-            }
-            each.add(had);
-        }
-        int width = (int) (WINDOW / step);
-        double all = 0;
-        for (int end = width; end <= each.size(); end++) {
-            double inWindow = WORK * each.subList(end - width, end).stream().mapToInt(n -> n).sum();
-            assertThat(inWindow).as("to the age of %s", end * step).isLessThan(1.1 * bearable(end * step));
-        }
-        for (int had : each) {
-            all += had * WORK;
-        }
-        double borne = MULTIPLE * WEIGHT * 15 * (FROM + (1 - FROM) * 15 / WARM / 2);
-        assertThat(all / borne).isBetween(0.2, 0.95);
+    return each;
+  }
+
+  private static double sum(List<Double> each) {
+    return each.stream().mapToDouble(had -> had).sum();
+  }
+
+  /** What a cache bears from an age to another, all gateways together. */
+  private static double borne(double from, double to) {
+    return MULTIPLE * WEIGHT * (to - from) * (FROM + (1 - FROM) * (from + to) / 2 / WARM);
+  }
+
+  private static void deal(List<Brain> to, double part, double age, double until) {
+    to.forEach(brain -> brain.dealt(Cache.Tier.EDGE, part, at(10 + until), at(10 + age)));
+  }
+
+  /**
+   * Seven of ten are dead: those left were dealt what the dead held, for 6 s, and have their even
+   * share again after.
+   */
+  @Test
+  void whatTheDeadHeldIsUsedAndNoWindowHoldsMoreThanItBears() {
+    fleet(10);
+    List<Brain> left = fleet.subList(0, 3);
+    List<Double> each = steady(left, 0, 4);
+    assertThat(sum(each) / borne(0, 4)).as("with even shares").isBetween(0.15, 0.22);
+    deal(left, 1 / 3.0, 4, 10);
+    List<Double> dealt = steady(left, 4, 10);
+    assertThat(sum(dealt) / borne(4, 10)).as("with what the dead held").isBetween(0.62, 0.72);
+    List<Double> after = steady(left, 10, 16);
+    assertThat(sum(after) / borne(10, 16)).as("after the lease").isBetween(0.18, 0.22);
+    each.addAll(dealt);
+    each.addAll(after);
+    int width = (int) (WINDOW / STEP);
+    for (int end = width; end <= each.size(); end++) {
+      assertThat(sum(each.subList(end - width, end)))
+          .as("to the age of %s", end * STEP)
+          .isLessThan(1.1 * bearable(end * STEP));
     }
-
-    /** What reached the cold cache in each step of 50 ms, from an age to another: twice what it bears warm is wanted. */
-    private List<Double> steady(List<Brain> wanting, double from, double to) {
-        List<Double> each = new ArrayList<>();
-        for (double age = from; age < to; age += STEP) {
-            double had = 0;
-            for (int i = 0; i < Math.ceil(2 * MULTIPLE * WEIGHT * STEP / WORK); i++) {
-                had += view(wanting.get((objects * 7) % wanting.size()), 10 + age) ? WORK : 0;
-            }
-            each.add(had);
-        }
-        return each;
-    }
-
-    private static double sum(List<Double> each) {
-        return each.stream().mapToDouble(had -> had).sum();
+  }
+
+  /**
+   * Parts that go from one to the next do not bring savings with them: each would spend them anew
+   * in one window.
+   */
+  @Test
+  void savingsDoNotFollowAPartFromOneToTheNext() {
+    fleet(10);
+    double had = 0;
+    for (int i = 0; i < 10; i++) {
+      double age = 12 + 0.1 * i;
+      deal(fleet, 0.01, age, 20);
+      deal(fleet.subList(i, i + 1), 0.91, age, 20);
+      for (int n = 0; n < 60; n++) {
+        had += view(fleet.get(i), 10 + age + 0.099) ? WORK : 0;
+      }
     }
-
-    /** What a cache bears from an age to another, all gateways together. */
-    private static double borne(double from, double to) {
-        return MULTIPLE * WEIGHT * (to - from) * (FROM + (1 - FROM) * (from + to) / 2 / WARM);
-    }
-
-    private static void deal(List<Brain> to, double part, double age, double until) {
-        to.forEach(brain -> brain.dealt(Cache.Tier.EDGE, part, at(10 + until), at(10 + age)));
-    }
-
-    /** Seven of ten are dead: those left were dealt what the dead held, for 6 s, and have their even share again after. */
-    @Test
-    void whatTheDeadHeldIsUsedAndNoWindowHoldsMoreThanItBears() {
-        fleet(10);
-        List<Brain> left = fleet.subList(0, 3);
-        List<Double> each = steady(left, 0, 4);
-        assertThat(sum(each) / borne(0, 4)).as("with even shares").isBetween(0.15, 0.22);
-        deal(left, 1 / 3.0, 4, 10);
-        List<Double> dealt = steady(left, 4, 10);
-        assertThat(sum(dealt) / borne(4, 10)).as("with what the dead held").isBetween(0.62, 0.72);
-        List<Double> after = steady(left, 10, 16);
-        assertThat(sum(after) / borne(10, 16)).as("after the lease").isBetween(0.18, 0.22);
-        each.addAll(dealt);
-        each.addAll(after);
-        int width = (int) (WINDOW / STEP);
-        for (int end = width; end <= each.size(); end++) {
-            assertThat(sum(each.subList(end - width, end))).as("to the age of %s", end * STEP)
-                    .isLessThan(1.1 * bearable(end * STEP));
-        }
-    }
-
-    /** Parts that go from one to the next do not bring savings with them: each would spend them anew in one window. */
-    @Test
-    void savingsDoNotFollowAPartFromOneToTheNext() {
-        fleet(10);
-        double had = 0;
-        for (int i = 0; i < 10; i++) {
-            double age = 12 + 0.1 * i;
-            deal(fleet, 0.01, age, 20);
-            deal(fleet.subList(i, i + 1), 0.91, age, 20);
-            for (int n = 0; n < 60; n++) {
-                had += view(fleet.get(i), 10 + age + 0.099) ? WORK : 0;
-            }
-        }
-        assertThat(had).isBetween(0.1 * bearable(12), 0.5 * bearable(13));
-    }
-
-    /** Idle through a lease and past its end, a gateway has the savings of its even share, and names never had more. */
-    @Test
-    void savingsAreCutWhenALeaseHasEnded() {
-        fleet(10);
-        deal(fleet, 0.9, 4, 10);
-        double even = fleet.get(0).regard(cold, at(20)).bears();
-        assertThat(even).isCloseTo(0.07 * bearable(10) / WINDOW, Offset.offset(1e-9));
-        double had = 0;
-        for (int n = 0; n < 60; n++) {
-            had += view(fleet.get(0), 10 + 10) ? WORK : 0;
-        }
-        assertThat(had).isLessThan(0.05 * bearable(10));
+    assertThat(had).isBetween(0.1 * bearable(12), 0.5 * bearable(13));
+  }
+
+  /**
+   * Idle through a lease and past its end, a gateway has the savings of its even share, and names
+   * never had more.
+   */
+  @Test
+  void savingsAreCutWhenALeaseHasEnded() {
+    fleet(10);
+    deal(fleet, 0.9, 4, 10);
+    double even = fleet.get(0).regard(cold, at(20)).bears();
+    assertThat(even).isCloseTo(0.07 * bearable(10) / WINDOW, Offset.offset(1e-9));
+    double had = 0;
+    for (int n = 0; n < 60; n++) {
+      had += view(fleet.get(0), 10 + 10) ? WORK : 0;
     }
+    assertThat(had).isLessThan(0.05 * bearable(10));
+  }
 }
--- a/rig/src/test/java/tamarindroute/rig/play/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/play/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns the playing of a schedule: the processes that it starts and ends, the stand-ins round them, the clients. It signals
- * only processes that it started, by their id. It must never judge what came of it.
+ * Owns the playing of a schedule: the processes that it starts and ends, the stand-ins round them,
+ * the clients. It signals only processes that it started, by their id. It must never judge what
+ * came of it.
  */
 package tamarindroute.rig.play;
--- a/rig/src/test/java/tamarindroute/rig/proxy/ProxiesTest.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxiesTest.java
@@ -22,181 +22,197 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the proxies do to datagrams and to streams, either way, and that they do it again with the same seed. */
+/**
+ * What the proxies do to datagrams and to streams, either way, and that they do it again with the
+ * same seed.
+ */
 @Timeout(20)
 class ProxiesTest {
 
-    private static final InetAddress HOME = InetAddress.getLoopbackAddress();
-
-    private Proxies proxies;
-    private DatagramSocket sender;
-    private DatagramSocket receiver;
-    private int port;
-
-    @BeforeEach
-    void open() throws IOException {
-        sender = new DatagramSocket(0, HOME);
-        receiver = new DatagramSocket(0, HOME);
-        receiver.setSoTimeout(400);
-        sender.setSoTimeout(400);
-        fresh();
-    }
-
-    private void fresh() throws IOException {
-        proxies = new Proxies(5);
-        port = proxies.open("a", "b", (InetSocketAddress) receiver.getLocalSocketAddress());
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        proxies.close();
-        sender.close();
-        receiver.close();
-    }
-
-    private void fault(String from, String to, UnaryOperator<Fault> change) {
-        proxies.fault(from, to, change);
-    }
-
-    private static int next(DatagramSocket socket) throws IOException {
-        DatagramPacket packet = new DatagramPacket(new byte[8], 8);
-        socket.receive(packet);
-        return (packet.getData()[0] & 0xff) << 8 | packet.getData()[1] & 0xff;
-    }
-
-    private void send(int number) throws IOException {
-        sender.send(new DatagramPacket(new byte[] {(byte) (number >> 8), (byte) number}, 2, HOME, port));
-    }
-
-    /** Sends so many, a little apart, and says which came, in their order. */
-    private List<Integer> pass(int count) throws Exception {
-        List<Integer> came = new ArrayList<>();
-        Thread reader = new Thread(() -> {
-            try {
+  private static final InetAddress HOME = InetAddress.getLoopbackAddress();
+
+  private Proxies proxies;
+  private DatagramSocket sender;
+  private DatagramSocket receiver;
+  private int port;
+
+  @BeforeEach
+  void open() throws IOException {
+    sender = new DatagramSocket(0, HOME);
+    receiver = new DatagramSocket(0, HOME);
+    receiver.setSoTimeout(400);
+    sender.setSoTimeout(400);
+    fresh();
+  }
+
+  private void fresh() throws IOException {
+    proxies = new Proxies(5);
+    port = proxies.open("a", "b", (InetSocketAddress) receiver.getLocalSocketAddress());
+  }
+
+  @AfterEach
+  void close() throws IOException {
+    proxies.close();
+    sender.close();
+    receiver.close();
+  }
+
+  private void fault(String from, String to, UnaryOperator<Fault> change) {
+    proxies.fault(from, to, change);
+  }
+
+  private static int next(DatagramSocket socket) throws IOException {
+    DatagramPacket packet = new DatagramPacket(new byte[8], 8);
+    socket.receive(packet);
+    return (packet.getData()[0] & 0xff) << 8 | packet.getData()[1] & 0xff;
+  }
+
+  private void send(int number) throws IOException {
+    sender.send(
+        new DatagramPacket(new byte[] {(byte) (number >> 8), (byte) number}, 2, HOME, port));
+  }
+
+  /** Sends so many, a little apart, and says which came, in their order. */
+  private List<Integer> pass(int count) throws Exception {
+    List<Integer> came = new ArrayList<>();
+    Thread reader =
+        new Thread(
+            () -> {
+              try {
                 while (true) {
-                    came.add(next(receiver));
+                  came.add(next(receiver));
                 }
-            } catch (IOException e) {
+              } catch (IOException e) {
                 // Nothing more came.
-            }
-        });
-        reader.start();
-        for (int i = 0; i < count; i++) {
-            send(i);
-            if (i % 50 == 49) {
-                Thread.sleep(5);
-            }
+              }
+            });
+    reader.start();
+    for (int i = 0; i < count; i++) {
+      send(i);
+      if (i % 50 == 49) {
+        Thread.sleep(5);
+      }
+    }
+    reader.join();
+    return came;
+  }
+
+  @Test
+  void theSameSeedLosesAndDoublesTheSameDatagrams() throws Exception {
+    UnaryOperator<Fault> change = fault -> fault.withLoss(0.2).withDoubled(0.1);
+    fault("a", "b", change);
+    List<Integer> first = pass(1000);
+    proxies.close();
+    fresh();
+    fault("a", "b", change);
+    assertThat(pass(1000)).isEqualTo(first);
+    assertThat(first.stream().distinct().count()).isBetween(740L, 860L);
+    assertThat(first.size() - first.stream().distinct().count()).isBetween(50L, 115L);
+  }
+
+  @Test
+  void delaysAreKeptAndJitterReorders() throws Exception {
+    fault("a", "b", fault -> fault.withDelay(Duration.ofMillis(100), Duration.ZERO));
+    long start = System.nanoTime();
+    send(1);
+    assertThat(next(receiver)).isEqualTo(1);
+    assertThat(Duration.ofNanos(System.nanoTime() - start))
+        .isBetween(Duration.ofMillis(100), Duration.ofMillis(390));
+    fault("a", "b", fault -> fault.withDelay(Duration.ZERO, Duration.ofMillis(50)));
+    List<Integer> came = pass(100);
+    assertThat(came)
+        .isNotEqualTo(IntStream.range(0, 100).boxed().toList())
+        .containsExactlyInAnyOrderElementsOf(IntStream.range(0, 100).boxed().toList());
+  }
+
+  @Test
+  void oneDirectionIsCutWhileTheOtherGoesOn() throws Exception {
+    send(1);
+    DatagramPacket packet = new DatagramPacket(new byte[8], 8);
+    receiver.receive(packet);
+    fault("a", "b", fault -> fault.withCut(true));
+    send(2);
+    assertThatThrownBy(() -> next(receiver)).isInstanceOf(SocketTimeoutException.class);
+    receiver.send(new DatagramPacket(new byte[] {0, 9}, 2, packet.getSocketAddress()));
+    assertThat(next(sender)).isEqualTo(9);
+    fault("a", "b", fault -> Fault.NONE);
+    send(3);
+    assertThat(next(receiver)).isEqualTo(3);
+  }
+
+  @Test
+  void aStreamStaysWholeUnderLossAndDelayAndACutHoldsItUntilItIsHealed() throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
+      int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(HOME, way);
+          Socket called = server.accept()) {
+        fault(
+            "a",
+            "b",
+            fault -> fault.withLoss(0.2).withDelay(Duration.ofMillis(1), Duration.ofMillis(5)));
+        byte[] bytes = new byte[600_000];
+        for (int i = 0; i < bytes.length; i++) {
+          bytes[i] = (byte) (i * 31 >> 4);
         }
-        reader.join();
-        return came;
+        Thread writer =
+            new Thread(
+                () -> {
+                  try {
+                    caller.getOutputStream().write(bytes);
+                    caller.shutdownOutput();
+                  } catch (IOException e) {
+                    throw new IllegalStateException(e);
+                  }
+                });
+        writer.start();
+        assertThat(called.getInputStream().readAllBytes()).isEqualTo(bytes);
+        writer.join();
+        fault("b", "a", fault -> fault.withCut(true));
+        called.getOutputStream().write(7);
+        caller.setSoTimeout(200);
+        assertThatThrownBy(() -> caller.getInputStream().read())
+            .isInstanceOf(SocketTimeoutException.class);
+        fault("b", "a", fault -> Fault.NONE);
+        caller.setSoTimeout(5000);
+        assertThat(caller.getInputStream().read()).isEqualTo(7);
+      }
     }
-
-    @Test
-    void theSameSeedLosesAndDoublesTheSameDatagrams() throws Exception {
-        UnaryOperator<Fault> change = fault -> fault.withLoss(0.2).withDoubled(0.1);
-        fault("a", "b", change);
-        List<Integer> first = pass(1000);
-        proxies.close();
-        fresh();
-        fault("a", "b", change);
-        assertThat(pass(1000)).isEqualTo(first);
-        assertThat(first.stream().distinct().count()).isBetween(740L, 860L);
-        assertThat(first.size() - first.stream().distinct().count()).isBetween(50L, 115L);
+  }
+
+  @Test
+  void aRefusedConnectionAndAResetArePassedOn() throws Exception {
+    int nobody;
+    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
+      nobody = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(HOME, nobody);
+          Socket called = server.accept()) {
+        called.setSoLinger(true, 0);
+        called.close();
+        assertThatThrownBy(() -> caller.getInputStream().read())
+            .isInstanceOf(SocketException.class);
+      }
     }
-
-    @Test
-    void delaysAreKeptAndJitterReorders() throws Exception {
-        fault("a", "b", fault -> fault.withDelay(Duration.ofMillis(100), Duration.ZERO));
-        long start = System.nanoTime();
-        send(1);
-        assertThat(next(receiver)).isEqualTo(1);
-        assertThat(Duration.ofNanos(System.nanoTime() - start)).isBetween(Duration.ofMillis(100),
-                Duration.ofMillis(390));
-        fault("a", "b", fault -> fault.withDelay(Duration.ZERO, Duration.ofMillis(50)));
-        List<Integer> came = pass(100);
-        assertThat(came).isNotEqualTo(IntStream.range(0, 100).boxed().toList())
-                .containsExactlyInAnyOrderElementsOf(IntStream.range(0, 100).boxed().toList());
+    try (Socket caller = new Socket(HOME, nobody)) {
+      caller.setSoTimeout(5000);
+      assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketException.class);
     }
-
-    @Test
-    void oneDirectionIsCutWhileTheOtherGoesOn() throws Exception {
-        send(1);
-        DatagramPacket packet = new DatagramPacket(new byte[8], 8);
-        receiver.receive(packet);
-        fault("a", "b", fault -> fault.withCut(true));
-        send(2);
-        assertThatThrownBy(() -> next(receiver)).isInstanceOf(SocketTimeoutException.class);
-        receiver.send(new DatagramPacket(new byte[] {0, 9}, 2, packet.getSocketAddress()));
-        assertThat(next(sender)).isEqualTo(9);
+  }
+
+  @Test
+  void aConnectionOverACutWayStaysSilentAndComesUpOnceItIsHealed() throws Exception {
+    fault("a", "b", fault -> fault.withCut(true));
+    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
+      server.setSoTimeout(200);
+      int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(HOME, way)) {
+        caller.getOutputStream().write(5);
+        assertThatThrownBy(server::accept).isInstanceOf(SocketTimeoutException.class);
         fault("a", "b", fault -> Fault.NONE);
-        send(3);
-        assertThat(next(receiver)).isEqualTo(3);
-    }
-
-    @Test
-    void aStreamStaysWholeUnderLossAndDelayAndACutHoldsItUntilItIsHealed() throws Exception {
-        try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
-            int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-            try (Socket caller = new Socket(HOME, way); Socket called = server.accept()) {
-                fault("a", "b", fault -> fault.withLoss(0.2).withDelay(Duration.ofMillis(1), Duration.ofMillis(5)));
-                byte[] bytes = new byte[600_000];
-                for (int i = 0; i < bytes.length; i++) {
-                    bytes[i] = (byte) (i * 31 >> 4);
-                }
-                Thread writer = new Thread(() -> {
-                    try {
-                        caller.getOutputStream().write(bytes);
-                        caller.shutdownOutput();
-                    } catch (IOException e) {
-                        throw new IllegalStateException(e);
-                    }
-                });
-                writer.start();
-                assertThat(called.getInputStream().readAllBytes()).isEqualTo(bytes);
-                writer.join();
-                fault("b", "a", fault -> fault.withCut(true));
-                called.getOutputStream().write(7);
-                caller.setSoTimeout(200);
-                assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
-                fault("b", "a", fault -> Fault.NONE);
-                caller.setSoTimeout(5000);
-                assertThat(caller.getInputStream().read()).isEqualTo(7);
-            }
-        }
-    }
-
-    @Test
-    void aRefusedConnectionAndAResetArePassedOn() throws Exception {
-        int nobody;
-        try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
-            nobody = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-            try (Socket caller = new Socket(HOME, nobody); Socket called = server.accept()) {
-                called.setSoLinger(true, 0);
-                called.close();
-                assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketException.class);
-            }
-        }
-        try (Socket caller = new Socket(HOME, nobody)) {
-            caller.setSoTimeout(5000);
-            assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketException.class);
-        }
-    }
-
-    @Test
-    void aConnectionOverACutWayStaysSilentAndComesUpOnceItIsHealed() throws Exception {
-        fault("a", "b", fault -> fault.withCut(true));
-        try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
-            server.setSoTimeout(200);
-            int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-            try (Socket caller = new Socket(HOME, way)) {
-                caller.getOutputStream().write(5);
-                assertThatThrownBy(server::accept).isInstanceOf(SocketTimeoutException.class);
-                fault("a", "b", fault -> Fault.NONE);
-                server.setSoTimeout(5000);
-                try (Socket called = server.accept()) {
-                    assertThat(called.getInputStream().read()).isEqualTo(5);
-                }
-            }
+        server.setSoTimeout(5000);
+        try (Socket called = server.accept()) {
+          assertThat(called.getInputStream().read()).isEqualTo(5);
         }
+      }
     }
+  }
 }
