--- a/router/src/main/java/tamarindroute/config/Element.java
+++ b/router/src/main/java/tamarindroute/config/Element.java
@@ -25,158 +25,171 @@
 import org.xml.sax.XMLReader;
 import org.xml.sax.helpers.DefaultHandler;
 
-/** One element of a file that keeps to the schema, with the schema's defaults filled in, and where it stands. */
+/**
+ * One element of a file that keeps to the schema, with the schema's defaults filled in, and where
+ * it stands.
+ */
 public final class Element {
 
-    private static final String SCHEMA = "tamarindroute.xsd";
-    /** A thousand locations with a thousand networks each have no place in one file. */
-    private static final long LARGEST = 4 << 20;
-    private static final int MOST_FAULTS = 100;
-
-    public final String name;
-    public final int line;
-    public final int column;
-    private final Map<String, String> attributes = new HashMap<>();
-    private final List<Element> children = new ArrayList<>();
-
-    private Element(String name, int line, int column) {
-        this.name = name;
-        this.line = line;
-        this.column = column;
+  private static final String SCHEMA = "tamarindroute.xsd";
+
+  /** A thousand locations with a thousand networks each have no place in one file. */
+  private static final long LARGEST = 4 << 20;
+
+  private static final int MOST_FAULTS = 100;
+
+  public final String name;
+  public final int line;
+  public final int column;
+  private final Map<String, String> attributes = new HashMap<>();
+  private final List<Element> children = new ArrayList<>();
+
+  private Element(String name, int line, int column) {
+    this.name = name;
+    this.line = line;
+    this.column = column;
+  }
+
+  /** The attribute; null where it is absent and has no default. */
+  public String text(String attribute) {
+    return attributes.get(attribute);
+  }
+
+  public int whole(String attribute) {
+    return Integer.parseInt(attributes.get(attribute).strip());
+  }
+
+  public List<Element> all(String child) {
+    return children.stream().filter(one -> one.name.equals(child)).toList();
+  }
+
+  /** The one child of this name; null where it is absent. */
+  public Element one(String child) {
+    return all(child).stream().findFirst().orElse(null);
+  }
+
+  static Element read(Path file, List<Fault> faults) {
+    return read(file, Element.class.getResource(SCHEMA), faults);
+  }
+
+  /**
+   * Reads a file; what keeps it from being one of the schema goes to the faults, and null comes
+   * back.
+   */
+  public static Element read(Path file, URL schema, List<Fault> faults) {
+    try {
+      if (Files.size(file) > LARGEST) {
+        faults.add(new Fault(file.toString(), 0, 0, "larger than " + LARGEST + " bytes"));
+        return null;
+      }
+      SAXParserFactory parsers = SAXParserFactory.newInstance();
+      parsers.setNamespaceAware(true);
+      parsers.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
+      // No external entities, and no internal ones that grow: a file that declares any is refused.
+      parsers.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
+      ValidatorHandler validator = schema(schema).newValidatorHandler();
+      Tree tree = new Tree(file.toString(), faults);
+      validator.setContentHandler(tree);
+      validator.setErrorHandler(tree);
+      XMLReader reader = parsers.newSAXParser().getXMLReader();
+      reader.setContentHandler(validator);
+      reader.setErrorHandler(tree);
+      try (InputStream in = Files.newInputStream(file)) {
+        reader.parse(new InputSource(in));
+      }
+      return tree.broken ? null : tree.root;
+    } catch (SAXParseException e) {
+      // Told by the handler already.
+      return null;
+    } catch (IOException e) {
+      faults.add(new Fault(file.toString(), 0, 0, "can't be read: " + e));
+      return null;
+    } catch (SAXException | ParserConfigurationException e) {
+      faults.add(new Fault(file.toString(), 0, 0, e.getMessage()));
+      return null;
     }
+  }
+
+  private static Schema schema(URL told) throws SAXException, IOException {
+    SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
+    schemas.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
+    schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
+    schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
+    try (InputStream in = told.openStream()) {
+      return schemas.newSchema(new StreamSource(in));
+    } catch (SAXParseException e) {
+      // Not the file's fault, so that no place in it can be told.
+      throw new IllegalStateException("the schema " + told + " is none: " + e, e);
+    }
+  }
+
+  /** Gathers the elements, and the faults with their places. */
+  private static final class Tree extends DefaultHandler {
+
+    private final String file;
+    private final List<Fault> faults;
+    private final ArrayDeque<Element> open = new ArrayDeque<>();
+    private Locator locator;
+    private Element root;
+    private boolean broken;
 
-    /** The attribute; null where it is absent and has no default. */
-    public String text(String attribute) {
-        return attributes.get(attribute);
+    Tree(String file, List<Fault> faults) {
+      this.file = file;
+      this.faults = faults;
     }
 
-    public int whole(String attribute) {
-        return Integer.parseInt(attributes.get(attribute).strip());
+    @Override
+    public void setDocumentLocator(Locator here) {
+      locator = here;
     }
 
-    public List<Element> all(String child) {
-        return children.stream().filter(one -> one.name.equals(child)).toList();
+    @Override
+    public void startElement(String uri, String name, String qualified, Attributes told) {
+      Element element =
+          new Element(
+              name,
+              locator == null ? 0 : locator.getLineNumber(),
+              locator == null ? 0 : locator.getColumnNumber());
+      for (int i = 0; i < told.getLength(); i++) {
+        element.attributes.put(told.getLocalName(i), told.getValue(i));
+      }
+      if (open.isEmpty()) {
+        root = element;
+      } else {
+        open.peek().children.add(element);
+      }
+      open.push(element);
     }
 
-    /** The one child of this name; null where it is absent. */
-    public Element one(String child) {
-        return all(child).stream().findFirst().orElse(null);
+    @Override
+    public void endElement(String uri, String name, String qualified) {
+      open.pop();
     }
 
-    static Element read(Path file, List<Fault> faults) {
-        return read(file, Element.class.getResource(SCHEMA), faults);
+    @Override
+    public void warning(SAXParseException e) {
+      error(e);
     }
 
-    /** Reads a file; what keeps it from being one of the schema goes to the faults, and null comes back. */
-    public static Element read(Path file, URL schema, List<Fault> faults) {
-        try {
-            if (Files.size(file) > LARGEST) {
-                faults.add(new Fault(file.toString(), 0, 0, "larger than " + LARGEST + " bytes"));
-                return null;
-            }
-            SAXParserFactory parsers = SAXParserFactory.newInstance();
-            parsers.setNamespaceAware(true);
-            parsers.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
-            // No external entities, and no internal ones that grow: a file that declares any is refused.
-            parsers.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
-            ValidatorHandler validator = schema(schema).newValidatorHandler();
-            Tree tree = new Tree(file.toString(), faults);
-            validator.setContentHandler(tree);
-            validator.setErrorHandler(tree);
-            XMLReader reader = parsers.newSAXParser().getXMLReader();
-            reader.setContentHandler(validator);
-            reader.setErrorHandler(tree);
-            try (InputStream in = Files.newInputStream(file)) {
-                reader.parse(new InputSource(in));
-            }
-            return tree.broken ? null : tree.root;
-        } catch (SAXParseException e) {
-            // Told by the handler already.
-            return null;
-        } catch (IOException e) {
-            faults.add(new Fault(file.toString(), 0, 0, "can't be read: " + e));
-            return null;
-        } catch (SAXException | ParserConfigurationException e) {
-            faults.add(new Fault(file.toString(), 0, 0, e.getMessage()));
-            return null;
-        }
+    @Override
+    public void error(SAXParseException e) {
+      broken = true;
+      if (faults.size() < MOST_FAULTS) {
+        faults.add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), plain(e.getMessage())));
+      }
     }
 
-    private static Schema schema(URL told) throws SAXException, IOException {
-        SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
-        schemas.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
-        schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_DTD, "");
-        schemas.setProperty(XMLConstants.ACCESS_EXTERNAL_SCHEMA, "");
-        try (InputStream in = told.openStream()) {
-            return schemas.newSchema(new StreamSource(in));
-        } catch (SAXParseException e) {
-            // Not the file's fault, so that no place in it can be told.
-            throw new IllegalStateException("the schema " + told + " is none: " + e, e);
-        }
+    @Override
+    public void fatalError(SAXParseException e) throws SAXException {
+      error(e);
+      throw e;
     }
 
-    /** Gathers the elements, and the faults with their places. */
-    private static final class Tree extends DefaultHandler {
-
-        private final String file;
-        private final List<Fault> faults;
-        private final ArrayDeque<Element> open = new ArrayDeque<>();
-        private Locator locator;
-        private Element root;
-        private boolean broken;
-
-        Tree(String file, List<Fault> faults) {
-            this.file = file;
-            this.faults = faults;
-        }
-
-        @Override
-        public void setDocumentLocator(Locator here) {
-            locator = here;
-        }
-
-        @Override
-        public void startElement(String uri, String name, String qualified, Attributes told) {
-            Element element = new Element(name, locator == null ? 0 : locator.getLineNumber(),
-                    locator == null ? 0 : locator.getColumnNumber());
-            for (int i = 0; i < told.getLength(); i++) {
-                element.attributes.put(told.getLocalName(i), told.getValue(i));
-            }
-            if (open.isEmpty()) {
-                root = element;
-            } else {
-                open.peek().children.add(element);
-            }
-            open.push(element);
-        }
-
-        @Override
-        public void endElement(String uri, String name, String qualified) {
-            open.pop();
-        }
-
-        @Override
-        public void warning(SAXParseException e) {
-            error(e);
-        }
-
-        @Override
-        public void error(SAXParseException e) {
-            broken = true;
-            if (faults.size() < MOST_FAULTS) {
-                faults.add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), plain(e.getMessage())));
-            }
-        }
-
-        @Override
-        public void fatalError(SAXParseException e) throws SAXException {
-            error(e);
-            throw e;
-        }
-
-        /** The validator's words without its rule's number and the namespace. */
-        private static String plain(String message) {
-            return message.replaceFirst("^[a-zA-Z0-9.\\-]+: ", "").replaceAll("\"urn:tamarindroute:[a-z]+:1\":", "");
-        }
+    /** The validator's words without its rule's number and the namespace. */
+    private static String plain(String message) {
+      return message
+          .replaceFirst("^[a-zA-Z0-9.\\-]+: ", "")
+          .replaceAll("\"urn:tamarindroute:[a-z]+:1\":", "");
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/config/Fault.java
+++ b/router/src/main/java/tamarindroute/config/Fault.java
@@ -3,8 +3,8 @@
 /** What is wrong in a file, and where; line and column from 1, 0 where the whole file is meant. */
 public record Fault(String file, int line, int column, String what) {
 
-    @Override
-    public String toString() {
-        return line == 0 ? file + ": " + what : file + ":" + line + ":" + column + ": " + what;
-    }
+  @Override
+  public String toString() {
+    return line == 0 ? file + ": " + what : file + ":" + line + ":" + column + ": " + what;
+  }
 }
--- a/router/src/main/java/tamarindroute/dns/Cookies.java
+++ b/router/src/main/java/tamarindroute/dns/Cookies.java
@@ -11,57 +11,67 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Owns server cookies (RFC 7873, laid out as RFC 9018 has them, with HMAC-SHA256 cut to 8 bytes): proof that a
- * client's address is its own, without keeping anything of it. Instances of one secret know each other's.
+ * Owns server cookies (RFC 7873, laid out as RFC 9018 has them, with HMAC-SHA256 cut to 8 bytes):
+ * proof that a client's address is its own, without keeping anything of it. Instances of one secret
+ * know each other's.
  */
 public final class Cookies {
 
-    /** Version, three bytes of nothing, the time, and the proof. */
-    private static final int LENGTH = 16;
-    private static final byte VERSION = 1;
-    /** RFC 9018: an hour old is too old, five minutes ahead too new, and after half an hour a new one is due. */
-    private static final Duration OLDEST = Duration.ofHours(1);
-    private static final Duration NEWEST = Duration.ofMinutes(5);
+  /** Version, three bytes of nothing, the time, and the proof. */
+  private static final int LENGTH = 16;
 
-    private final byte[] secret;
-    private final byte[] previous;
+  private static final byte VERSION = 1;
 
-    public Cookies(DnsSettings.CookieKeys keys) {
-        this.secret = keys.secret().clone();
-        this.previous = keys.previous() == null ? null : keys.previous().clone();
-    }
+  /**
+   * RFC 9018: an hour old is too old, five minutes ahead too new, and after half an hour a new one
+   * is due.
+   */
+  private static final Duration OLDEST = Duration.ofHours(1);
 
-    /** The cookie that this client shall send from now on. */
-    public byte[] make(byte[] client, InetAddress address, Instant now) {
-        return make(secret, client, address, (int) now.getEpochSecond());
-    }
+  private static final Duration NEWEST = Duration.ofMinutes(5);
+
+  private final byte[] secret;
+  private final byte[] previous;
 
-    /** Whether this is a cookie of ours, made for this client at this address, and not too old. */
-    public boolean holds(byte[] client, byte[] server, InetAddress address, Instant now) {
-        if (server.length != LENGTH || server[0] != VERSION) {
-            return false;
-        }
-        int made = ByteBuffer.wrap(server).getInt(4);
-        // Seconds wrap round; their difference as a number of 32 bits does not.
-        int age = (int) now.getEpochSecond() - made;
-        if (age > OLDEST.toSeconds() || age < -NEWEST.toSeconds()) {
-            return false;
-        }
-        return MessageDigest.isEqual(server, make(secret, client, address, made))
-                || previous != null && MessageDigest.isEqual(server, make(previous, client, address, made));
+  public Cookies(DnsSettings.CookieKeys keys) {
+    this.secret = keys.secret().clone();
+    this.previous = keys.previous() == null ? null : keys.previous().clone();
+  }
+
+  /** The cookie that this client shall send from now on. */
+  public byte[] make(byte[] client, InetAddress address, Instant now) {
+    return make(secret, client, address, (int) now.getEpochSecond());
+  }
+
+  /** Whether this is a cookie of ours, made for this client at this address, and not too old. */
+  public boolean holds(byte[] client, byte[] server, InetAddress address, Instant now) {
+    if (server.length != LENGTH || server[0] != VERSION) {
+      return false;
+    }
+    int made = ByteBuffer.wrap(server).getInt(4);
+    // Seconds wrap round; their difference as a number of 32 bits does not.
+    int age = (int) now.getEpochSecond() - made;
+    if (age > OLDEST.toSeconds() || age < -NEWEST.toSeconds()) {
+      return false;
     }
+    return MessageDigest.isEqual(server, make(secret, client, address, made))
+        || previous != null && MessageDigest.isEqual(server, make(previous, client, address, made));
+  }
 
-    private static byte[] make(byte[] key, byte[] client, InetAddress address, int time) {
-        try {
-            byte[] head = ByteBuffer.allocate(8).put(VERSION).put(new byte[3]).putInt(time).array();
-            Mac mac = Mac.getInstance("HmacSHA256");
-            mac.init(new SecretKeySpec(key, "HmacSHA256"));
-            mac.update(client);
-            mac.update(head);
-            byte[] proof = mac.doFinal(address.getAddress());
-            return ByteBuffer.allocate(LENGTH).put(head).put(Arrays.copyOf(proof, LENGTH - head.length)).array();
-        } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java machine has HmacSHA256", e);
-        }
+  private static byte[] make(byte[] key, byte[] client, InetAddress address, int time) {
+    try {
+      byte[] head = ByteBuffer.allocate(8).put(VERSION).put(new byte[3]).putInt(time).array();
+      Mac mac = Mac.getInstance("HmacSHA256");
+      mac.init(new SecretKeySpec(key, "HmacSHA256"));
+      mac.update(client);
+      mac.update(head);
+      byte[] proof = mac.doFinal(address.getAddress());
+      return ByteBuffer.allocate(LENGTH)
+          .put(head)
+          .put(Arrays.copyOf(proof, LENGTH - head.length))
+          .array();
+    } catch (GeneralSecurityException e) {
+      throw new IllegalStateException("every Java machine has HmacSHA256", e);
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/dns/Frames.java
+++ b/router/src/main/java/tamarindroute/dns/Frames.java
@@ -4,64 +4,70 @@
 import tamarindroute.protocol.MalformedException;
 
 /**
- * Owns the cutting of a TCP stream into messages, each behind its length of two bytes (RFC 1035, 4.2.2). It must
- * never take more than it was told is the longest, nor hold room for bytes before they come.
+ * Owns the cutting of a TCP stream into messages, each behind its length of two bytes (RFC 1035,
+ * 4.2.2). It must never take more than it was told is the longest, nor hold room for bytes before
+ * they come.
  */
 public final class Frames {
 
-    /** Room grows by this as bytes come: a message that is announced and not sent costs no more. */
-    private static final int STEP = 512;
+  /** Room grows by this as bytes come: a message that is announced and not sent costs no more. */
+  private static final int STEP = 512;
 
-    private final int longest;
-    private int length = -1;
-    private int first = -1;
-    private byte[] bytes = new byte[0];
-    private int filled;
+  private final int longest;
+  private int length = -1;
+  private int first = -1;
+  private byte[] bytes = new byte[0];
+  private int filled;
 
-    public Frames(int longest) {
-        this.longest = longest;
-    }
+  public Frames(int longest) {
+    this.longest = longest;
+  }
 
-    /** The next whole message; null where more bytes are wanted. */
-    public byte[] next(ByteBuffer in) throws MalformedException {
-        while (length < 0 && in.hasRemaining()) {
-            int b = in.get() & 0xFF;
-            if (first < 0) {
-                first = b;
-            } else {
-                length = first << 8 | b;
-                first = -1;
-                if (length > longest || length == 0) {
-                    throw new MalformedException("a message of " + length + " bytes");
-                }
-            }
-        }
-        if (length < 0) {
-            return null;
-        }
-        int some = Math.min(in.remaining(), length - filled);
-        if (filled + some > bytes.length) {
-            bytes = java.util.Arrays.copyOf(bytes, Math.min(length, Math.max(filled + some, bytes.length + STEP)));
+  /** The next whole message; null where more bytes are wanted. */
+  public byte[] next(ByteBuffer in) throws MalformedException {
+    while (length < 0 && in.hasRemaining()) {
+      int b = in.get() & 0xFF;
+      if (first < 0) {
+        first = b;
+      } else {
+        length = first << 8 | b;
+        first = -1;
+        if (length > longest || length == 0) {
+          throw new MalformedException("a message of " + length + " bytes");
         }
-        in.get(bytes, filled, some);
-        filled += some;
-        if (filled < length) {
-            return null;
-        }
-        byte[] whole = java.util.Arrays.copyOf(bytes, length);
-        length = -1;
-        filled = 0;
-        bytes = new byte[0];
-        return whole;
+      }
     }
-
-    /** Whether no message is under way. */
-    public boolean atRest() {
-        return length < 0 && first < 0;
+    if (length < 0) {
+      return null;
     }
-
-    /** A message behind its length. */
-    public static byte[] frame(byte[] message) {
-        return ByteBuffer.allocate(2 + message.length).putShort((short) message.length).put(message).array();
+    int some = Math.min(in.remaining(), length - filled);
+    if (filled + some > bytes.length) {
+      bytes =
+          java.util.Arrays.copyOf(
+              bytes, Math.min(length, Math.max(filled + some, bytes.length + STEP)));
+    }
+    in.get(bytes, filled, some);
+    filled += some;
+    if (filled < length) {
+      return null;
     }
+    byte[] whole = java.util.Arrays.copyOf(bytes, length);
+    length = -1;
+    filled = 0;
+    bytes = new byte[0];
+    return whole;
+  }
+
+  /** Whether no message is under way. */
+  public boolean atRest() {
+    return length < 0 && first < 0;
+  }
+
+  /** A message behind its length. */
+  public static byte[] frame(byte[] message) {
+    return ByteBuffer.allocate(2 + message.length)
+        .putShort((short) message.length)
+        .put(message)
+        .array();
+  }
 }
--- a/router/src/main/java/tamarindroute/dns/Names.java
+++ b/router/src/main/java/tamarindroute/dns/Names.java
@@ -7,111 +7,118 @@
 import org.xbill.DNS.Name;
 
 /**
- * Owns the form of the steered names: SERVICE.WHAT.WHERE.origin, where WHERE is a location's label, or the one that
- * stands for the client's own location, WHAT a profile or a part of the objects, or absent, and SERVICE the prefix
- * under which SRV records stand, or absent. It must never know which cache is answered.
+ * Owns the form of the steered names: SERVICE.WHAT.WHERE.origin, where WHERE is a location's label,
+ * or the one that stands for the client's own location, WHAT a profile or a part of the objects, or
+ * absent, and SERVICE the prefix under which SRV records stand, or absent. It must never know which
+ * cache is answered.
  */
 public final class Names {
 
-    /** Under these two labels SRV records stand; the protocol's name is ours. */
-    private static final String SERVICE = "_cache";
-    private static final String TRANSPORT = "_tcp";
+  /** Under these two labels SRV records stand; the protocol's name is ours. */
+  private static final String SERVICE = "_cache";
 
-    /** What a name is. */
-    public sealed interface Found {}
+  private static final String TRANSPORT = "_tcp";
 
-    /**
-     * Answered by steering.
-     *
-     * @param scope the bits of the client's address that the answer depends on
-     * @param service whether SRV records stand here, else addresses and HTTPS
-     */
-    public record Steered(Wish wish, double carries, int scope, boolean service) implements Found {}
+  /** What a name is. */
+  public sealed interface Found {}
 
-    /** Names stand below it, none at it. */
-    public record Empty() implements Found {}
+  /**
+   * Answered by steering.
+   *
+   * @param scope the bits of the client's address that the answer depends on
+   * @param service whether SRV records stand here, else addresses and HTTPS
+   */
+  public record Steered(Wish wish, double carries, int scope, boolean service) implements Found {}
 
-    /** No steered name. */
-    public record None() implements Found {}
+  /** Names stand below it, none at it. */
+  public record Empty() implements Found {}
 
-    private static final Found EMPTY = new Empty();
-    private static final Found NONE = new None();
+  /** No steered name. */
+  public record None() implements Found {}
 
-    private final DnsSettings.Steer steer;
-    private final Map<String, Location> locations = new HashMap<>();
+  private static final Found EMPTY = new Empty();
+  private static final Found NONE = new None();
 
-    public Names(DnsSettings.Steer steer) {
-        this.steer = steer;
-        steer.locations().forEach(location -> locations.put(location.label(), location));
-    }
+  private final DnsSettings.Steer steer;
+  private final Map<String, Location> locations = new HashMap<>();
+
+  public Names(DnsSettings.Steer steer) {
+    this.steer = steer;
+    steer.locations().forEach(location -> locations.put(location.label(), location));
+  }
 
-    /** What this name is for a client of this address, of which so many bits are known. */
-    public Found find(Name name, InetAddress client, int known) {
-        if (!name.subdomain(steer.origin())) {
-            return NONE;
-        }
-        int depth = name.labels() - steer.origin().labels();
-        if (depth == 0 || depth > 4) {
-            return NONE;
-        }
-        String[] labels = new String[depth];
-        for (int i = 0; i < depth; i++) {
-            labels[i] = name.getLabelString(i).toLowerCase(Locale.ROOT);
-        }
-        String where = labels[depth - 1];
-        if (where.equals(steer.caches())) {
-            return depth == 1 ? EMPTY : depth == 2 ? new Steered(new Wish.ById(labels[0]), 0, 0, false) : NONE;
-        }
-        boolean nearest = where.equals(steer.nearest());
-        Location location = nearest ? ofClient(client) : locations.get(where);
-        if (location == null) {
-            return NONE;
-        }
-        Location.Clients clients = location.clientsOf(client);
-        // An answer for the client's own location holds for the network that decided it, and no wider.
-        int scope = !nearest ? 0 : clients == null ? known : clients.subnet().bits();
-        double carries = clients == null ? steer.carries() : clients.carries();
-        return found(labels, depth - 1, location, scope, carries);
+  /** What this name is for a client of this address, of which so many bits are known. */
+  public Found find(Name name, InetAddress client, int known) {
+    if (!name.subdomain(steer.origin())) {
+      return NONE;
+    }
+    int depth = name.labels() - steer.origin().labels();
+    if (depth == 0 || depth > 4) {
+      return NONE;
+    }
+    String[] labels = new String[depth];
+    for (int i = 0; i < depth; i++) {
+      labels[i] = name.getLabelString(i).toLowerCase(Locale.ROOT);
+    }
+    String where = labels[depth - 1];
+    if (where.equals(steer.caches())) {
+      return depth == 1
+          ? EMPTY
+          : depth == 2 ? new Steered(new Wish.ById(labels[0]), 0, 0, false) : NONE;
+    }
+    boolean nearest = where.equals(steer.nearest());
+    Location location = nearest ? ofClient(client) : locations.get(where);
+    if (location == null) {
+      return NONE;
     }
+    Location.Clients clients = location.clientsOf(client);
+    // An answer for the client's own location holds for the network that decided it, and no wider.
+    int scope = !nearest ? 0 : clients == null ? known : clients.subnet().bits();
+    double carries = clients == null ? steer.carries() : clients.carries();
+    return found(labels, depth - 1, location, scope, carries);
+  }
 
-    /** The rest of the name, its first labels, so many of them. */
-    private Found found(String[] labels, int left, Location location, int scope, double carries) {
-        boolean service = left >= 2 && labels[0].equals(SERVICE) && labels[1].equals(TRANSPORT);
-        int from = service ? 2 : left >= 1 && labels[0].equals(TRANSPORT) ? 1 : 0;
-        boolean between = from == 1;
-        Wish wish;
-        if (left - from == 0) {
-            wish = new Wish.AnyOf(location);
-        } else if (left - from == 1) {
-            wish = what(labels[from], location);
-        } else {
-            return NONE;
-        }
-        return wish == null ? NONE : between ? EMPTY : new Steered(wish, carries, scope, service);
+  /** The rest of the name, its first labels, so many of them. */
+  private Found found(String[] labels, int left, Location location, int scope, double carries) {
+    boolean service = left >= 2 && labels[0].equals(SERVICE) && labels[1].equals(TRANSPORT);
+    int from = service ? 2 : left >= 1 && labels[0].equals(TRANSPORT) ? 1 : 0;
+    boolean between = from == 1;
+    Wish wish;
+    if (left - from == 0) {
+      wish = new Wish.AnyOf(location);
+    } else if (left - from == 1) {
+      wish = what(labels[from], location);
+    } else {
+      return NONE;
     }
+    return wish == null ? NONE : between ? EMPTY : new Steered(wish, carries, scope, service);
+  }
 
-    private Wish what(String label, Location location) {
-        if (steer.profiles().containsKey(label)) {
-            return new Wish.ForProfile(location, steer.profiles().get(label));
-        }
-        String number = label.startsWith(steer.part()) ? label.substring(steer.part().length()) : "";
-        // One spelling for each part, so that its answers are not kept under several names.
-        boolean plain = number.matches("0|[1-9][0-9]{0,5}");
-        return plain && Integer.parseInt(number) < steer.parts()
-                ? new Wish.HomeOf(location, Integer.parseInt(number)) : null;
+  private Wish what(String label, Location location) {
+    if (steer.profiles().containsKey(label)) {
+      return new Wish.ForProfile(location, steer.profiles().get(label));
     }
+    String number = label.startsWith(steer.part()) ? label.substring(steer.part().length()) : "";
+    // One spelling for each part, so that its answers are not kept under several names.
+    boolean plain = number.matches("0|[1-9][0-9]{0,5}");
+    return plain && Integer.parseInt(number) < steer.parts()
+        ? new Wish.HomeOf(location, Integer.parseInt(number))
+        : null;
+  }
 
-    /** The location that has the narrowest network holding this address; the first one where none has. */
-    private Location ofClient(InetAddress client) {
-        Location best = steer.locations().get(0);
-        int bits = -1;
-        for (Location location : steer.locations()) {
-            Location.Clients clients = location.clientsOf(client);
-            if (clients != null && clients.subnet().bits() > bits) {
-                best = location;
-                bits = clients.subnet().bits();
-            }
-        }
-        return best;
+  /**
+   * The location that has the narrowest network holding this address; the first one where none has.
+   */
+  private Location ofClient(InetAddress client) {
+    Location best = steer.locations().get(0);
+    int bits = -1;
+    for (Location location : steer.locations()) {
+      Location.Clients clients = location.clientsOf(client);
+      if (clients != null && clients.subnet().bits() > bits) {
+        best = location;
+        bits = clients.subnet().bits();
+      }
     }
+    return best;
+  }
 }
--- a/router/src/main/java/tamarindroute/dns/Query.java
+++ b/router/src/main/java/tamarindroute/dns/Query.java
@@ -16,102 +16,116 @@
 import org.xbill.DNS.Type;
 
 /**
- * Owns the reading of a query: whole, bounded, and refused with the code that says why before anything believes it.
+ * Owns the reading of a query: whole, bounded, and refused with the code that says why before
+ * anything believes it.
  *
  * @param message as dnsjava read it
  * @param edns its OPT record; null for none
  * @param subnet the client network that its resolver tells; null for none
  * @param cookie what it brings of a cookie; null for none
  */
-record Query(Message message, Record question, OPTRecord edns, ClientSubnetOption subnet, CookieOption cookie) {
+record Query(
+    Message message,
+    Record question,
+    OPTRecord edns,
+    ClientSubnetOption subnet,
+    CookieOption cookie) {
 
-    /** A query holds one name, some options and no more; what is longer is no query. */
-    private static final int LONGEST = 1024;
-    private static final int HEADER = 12;
-    /** An OPT and a TSIG; nobody needs more. */
-    private static final int MOST_ADDITIONAL = 2;
+  /** A query holds one name, some options and no more; what is longer is no query. */
+  private static final int LONGEST = 1024;
 
-    /** Why a query can't be taken: the code to answer with; no answer at all where it is negative. */
-    static final class Unusable extends Exception {
+  private static final int HEADER = 12;
 
-        private static final long serialVersionUID = 1L;
-        static final int SILENCE = -1;
+  /** An OPT and a TSIG; nobody needs more. */
+  private static final int MOST_ADDITIONAL = 2;
 
-        final int code;
+  /** Why a query can't be taken: the code to answer with; no answer at all where it is negative. */
+  static final class Unusable extends Exception {
 
-        Unusable(int code, String why) {
-            super(why, null, false, false);
-            this.code = code;
-        }
-    }
+    private static final long serialVersionUID = 1L;
+    static final int SILENCE = -1;
 
-    static Query read(byte[] bytes) throws Unusable {
-        if (bytes.length < HEADER) {
-            throw new Unusable(Unusable.SILENCE, "shorter than a header");
-        }
-        if ((bytes[2] & 0x80) != 0) {
-            // Answering answers is how two servers talk to each other for ever.
-            throw new Unusable(Unusable.SILENCE, "an answer to no query");
-        }
-        if (((bytes[2] >> 3) & 0xF) != Opcode.QUERY) {
-            throw new Unusable(Rcode.NOTIMP, "opcode " + ((bytes[2] >> 3) & 0xF));
-        }
-        if (bytes.length > LONGEST || count(bytes, 4) != 1 || count(bytes, 6) != 0 || count(bytes, 8) != 0
-                || count(bytes, 10) > MOST_ADDITIONAL) {
-            throw new Unusable(Rcode.FORMERR, "counts or length of no query");
-        }
-        Message message;
-        try {
-            message = new Message(bytes);
-        } catch (IOException | RuntimeException e) {
-            throw new Unusable(Rcode.FORMERR, String.valueOf(e.getMessage()));
-        }
-        Record question = message.getQuestion();
-        if (question == null || message.getHeader().getFlag(Flags.TC)) {
-            throw new Unusable(Rcode.FORMERR, "no question");
-        }
-        OPTRecord edns = null;
-        for (Record record : message.getSection(Section.ADDITIONAL)) {
-            if (record.getType() == Type.OPT) {
-                if (edns != null || !record.getName().equals(org.xbill.DNS.Name.root)) {
-                    throw new Unusable(Rcode.FORMERR, "two OPT records, or one under a name");
-                }
-                edns = (OPTRecord) record;
-            }
-        }
-        return new Query(message, question, edns, subnet(edns), cookie(edns));
-    }
+    final int code;
 
-    private static int count(byte[] bytes, int at) {
-        return (bytes[at] & 0xFF) << 8 | bytes[at + 1] & 0xFF;
+    Unusable(int code, String why) {
+      super(why, null, false, false);
+      this.code = code;
     }
+  }
 
-    private static ClientSubnetOption subnet(OPTRecord edns) throws Unusable {
-        List<EDNSOption> told = edns == null ? List.of() : edns.getOptions(EDNSOption.Code.CLIENT_SUBNET);
-        if (told.isEmpty()) {
-            return null;
-        }
-        // Another family, or bits past the prefix, dnsjava refuses; a scope in a query is refused here.
-        if (told.size() > 1 || !(told.get(0) instanceof ClientSubnetOption subnet)
-                || subnet.getScopePrefixLength() != 0) {
-            throw new Unusable(Rcode.FORMERR, "a client subnet that is none");
+  static Query read(byte[] bytes) throws Unusable {
+    if (bytes.length < HEADER) {
+      throw new Unusable(Unusable.SILENCE, "shorter than a header");
+    }
+    if ((bytes[2] & 0x80) != 0) {
+      // Answering answers is how two servers talk to each other for ever.
+      throw new Unusable(Unusable.SILENCE, "an answer to no query");
+    }
+    if (((bytes[2] >> 3) & 0xF) != Opcode.QUERY) {
+      throw new Unusable(Rcode.NOTIMP, "opcode " + ((bytes[2] >> 3) & 0xF));
+    }
+    if (bytes.length > LONGEST
+        || count(bytes, 4) != 1
+        || count(bytes, 6) != 0
+        || count(bytes, 8) != 0
+        || count(bytes, 10) > MOST_ADDITIONAL) {
+      throw new Unusable(Rcode.FORMERR, "counts or length of no query");
+    }
+    Message message;
+    try {
+      message = new Message(bytes);
+    } catch (IOException | RuntimeException e) {
+      throw new Unusable(Rcode.FORMERR, String.valueOf(e.getMessage()));
+    }
+    Record question = message.getQuestion();
+    if (question == null || message.getHeader().getFlag(Flags.TC)) {
+      throw new Unusable(Rcode.FORMERR, "no question");
+    }
+    OPTRecord edns = null;
+    for (Record record : message.getSection(Section.ADDITIONAL)) {
+      if (record.getType() == Type.OPT) {
+        if (edns != null || !record.getName().equals(org.xbill.DNS.Name.root)) {
+          throw new Unusable(Rcode.FORMERR, "two OPT records, or one under a name");
         }
-        return subnet;
+        edns = (OPTRecord) record;
+      }
     }
+    return new Query(message, question, edns, subnet(edns), cookie(edns));
+  }
 
-    private static CookieOption cookie(OPTRecord edns) {
-        List<EDNSOption> told = edns == null ? List.of() : edns.getOptions(EDNSOption.Code.COOKIE);
-        return !told.isEmpty() && told.get(0) instanceof CookieOption cookie ? cookie : null;
-    }
+  private static int count(byte[] bytes, int at) {
+    return (bytes[at] & 0xFF) << 8 | bytes[at + 1] & 0xFF;
+  }
 
-    /** Whom the answer is for: the client that the resolver tells of, else whoever asked. */
-    InetAddress client(InetAddress asker) {
-        return subnet == null || subnet.getSourcePrefixLength() == 0 ? asker : subnet.getAddress();
+  private static ClientSubnetOption subnet(OPTRecord edns) throws Unusable {
+    List<EDNSOption> told =
+        edns == null ? List.of() : edns.getOptions(EDNSOption.Code.CLIENT_SUBNET);
+    if (told.isEmpty()) {
+      return null;
     }
-
-    /** How many bits of that are known. */
-    int known(InetAddress asker) {
-        return subnet == null || subnet.getSourcePrefixLength() == 0 ? asker.getAddress().length * 8
-                : subnet.getSourcePrefixLength();
+    // Another family, or bits past the prefix, dnsjava refuses; a scope in a query is refused here.
+    if (told.size() > 1
+        || !(told.get(0) instanceof ClientSubnetOption subnet)
+        || subnet.getScopePrefixLength() != 0) {
+      throw new Unusable(Rcode.FORMERR, "a client subnet that is none");
     }
+    return subnet;
+  }
+
+  private static CookieOption cookie(OPTRecord edns) {
+    List<EDNSOption> told = edns == null ? List.of() : edns.getOptions(EDNSOption.Code.COOKIE);
+    return !told.isEmpty() && told.get(0) instanceof CookieOption cookie ? cookie : null;
+  }
+
+  /** Whom the answer is for: the client that the resolver tells of, else whoever asked. */
+  InetAddress client(InetAddress asker) {
+    return subnet == null || subnet.getSourcePrefixLength() == 0 ? asker : subnet.getAddress();
+  }
+
+  /** How many bits of that are known. */
+  int known(InetAddress asker) {
+    return subnet == null || subnet.getSourcePrefixLength() == 0
+        ? asker.getAddress().length * 8
+        : subnet.getSourcePrefixLength();
+  }
 }
--- a/router/src/main/java/tamarindroute/host/Steady.java
+++ b/router/src/main/java/tamarindroute/host/Steady.java
@@ -2,15 +2,18 @@
 
 import java.time.Duration;
 
-/** The monotonic clock: it never goes back nor jumps with the system's, and goes on while the process is stopped. */
+/**
+ * The monotonic clock: it never goes back nor jumps with the system's, and goes on while the
+ * process is stopped.
+ */
 public final class Steady {
 
-    private static final long START = System.nanoTime();
+  private static final long START = System.nanoTime();
 
-    private Steady() {}
+  private Steady() {}
 
-    /** The time since the program's start. */
-    public static Duration now() {
-        return Duration.ofNanos(System.nanoTime() - START);
-    }
+  /** The time since the program's start. */
+  public static Duration now() {
+    return Duration.ofNanos(System.nanoTime() - START);
+  }
 }
--- a/router/src/main/java/tamarindroute/nameserver/Stream.java
+++ b/router/src/main/java/tamarindroute/nameserver/Stream.java
@@ -14,152 +14,163 @@
 import tamarindroute.protocol.MalformedException;
 
 /**
- * One client's TCP connection: queries are taken as they come and answered in any order (RFC 7766). It must never
- * hold an answer back in a queue: what a client leaves unread would be out of date when it reads it.
+ * One client's TCP connection: queries are taken as they come and answered in any order (RFC 7766).
+ * It must never hold an answer back in a queue: what a client leaves unread would be out of date
+ * when it reads it.
  */
 final class Stream implements Peer {
 
-    /** What takes a query; the answer comes once, null for none. */
-    interface Taker {
-        void taken(byte[] query, InetAddress from, Consumer<byte[]> answer);
-    }
+  /** What takes a query; the answer comes once, null for none. */
+  interface Taker {
+    void taken(byte[] query, InetAddress from, Consumer<byte[]> answer);
+  }
 
-    /** A query's longest by RFC 1035 and what EDNS adds; nobody sends more. */
-    private static final int LONGEST = 1024;
-    /** From a message's first byte to its last, and from the connection's start to its first message. */
-    private static final Duration WHOLE = Duration.ofSeconds(2);
-    /** A drain holds within 500 ms for every answer given: what has not left after half of that never will. */
-    private static final Duration UNREAD = Duration.ofMillis(250);
-
-    private final Timers timers;
-    private final Connection connection;
-    private InetAddress from;
-    private final Duration idle;
-    private final int most;
-    private final Taker taker;
-    private final Frames frames = new Frames(LONGEST);
-    private Duration usedAt;
-    private Runnable patience;
-    private Runnable unread;
-    private int open;
-    private boolean last;
-    private boolean over;
-
-    Stream(Timers timers, Connection connection, Duration idle, int most, Taker taker) {
-        this.timers = timers;
-        this.connection = connection;
-        this.idle = idle;
-        this.most = most;
-        this.taker = taker;
-        this.usedAt = timers.now();
-        this.patience = timers.after(WHOLE, this::waited);
-    }
+  /** A query's longest by RFC 1035 and what EDNS adds; nobody sends more. */
+  private static final int LONGEST = 1024;
 
-    @Override
-    public void opened() {
-        InetSocketAddress remote = connection.remote();
-        if (remote == null) {
-            connection.close(Ending.LET_GO, false);
-        } else {
-            from = remote.getAddress();
-        }
+  /**
+   * From a message's first byte to its last, and from the connection's start to its first message.
+   */
+  private static final Duration WHOLE = Duration.ofSeconds(2);
+
+  /**
+   * A drain holds within 500 ms for every answer given: what has not left after half of that never
+   * will.
+   */
+  private static final Duration UNREAD = Duration.ofMillis(250);
+
+  private final Timers timers;
+  private final Connection connection;
+  private InetAddress from;
+  private final Duration idle;
+  private final int most;
+  private final Taker taker;
+  private final Frames frames = new Frames(LONGEST);
+  private Duration usedAt;
+  private Runnable patience;
+  private Runnable unread;
+  private int open;
+  private boolean last;
+  private boolean over;
+
+  Stream(Timers timers, Connection connection, Duration idle, int most, Taker taker) {
+    this.timers = timers;
+    this.connection = connection;
+    this.idle = idle;
+    this.most = most;
+    this.taker = taker;
+    this.usedAt = timers.now();
+    this.patience = timers.after(WHOLE, this::waited);
+  }
+
+  @Override
+  public void opened() {
+    InetSocketAddress remote = connection.remote();
+    if (remote == null) {
+      connection.close(Ending.LET_GO, false);
+    } else {
+      from = remote.getAddress();
     }
+  }
 
-    /** The time for a whole message, or for the next one, is over. */
-    private void waited() {
-        if (open > 0) {
-            patience = timers.after(WHOLE, this::waited);
-        } else {
-            connection.close(Ending.LET_GO, true);
-        }
+  /** The time for a whole message, or for the next one, is over. */
+  private void waited() {
+    if (open > 0) {
+      patience = timers.after(WHOLE, this::waited);
+    } else {
+      connection.close(Ending.LET_GO, true);
     }
+  }
 
-    @Override
-    public void received(ByteBuffer bytes) {
-        try {
-            while (!connection.paused()) {
-                byte[] query = last ? null : frames.next(bytes);
-                if (query == null) {
-                    break;
-                }
-                open++;
-                if (open >= most) {
-                    connection.pause();
-                }
-                taker.taken(query, from, this::answer);
-            }
-        } catch (MalformedException e) {
-            Log.line("query-unreadable", e.getMessage());
-            connection.close(Ending.UNREADABLE, false);
-            return;
-        }
-        if (last) {
-            bytes.position(bytes.limit());
+  @Override
+  public void received(ByteBuffer bytes) {
+    try {
+      while (!connection.paused()) {
+        byte[] query = last ? null : frames.next(bytes);
+        if (query == null) {
+          break;
         }
-        if (!over) {
-            patience.run();
-            patience = timers.after(frames.atRest() ? idle : WHOLE, this::waited);
+        open++;
+        if (open >= most) {
+          connection.pause();
         }
+        taker.taken(query, from, this::answer);
+      }
+    } catch (MalformedException e) {
+      Log.line("query-unreadable", e.getMessage());
+      connection.close(Ending.UNREADABLE, false);
+      return;
+    }
+    if (last) {
+      bytes.position(bytes.limit());
+    }
+    if (!over) {
+      patience.run();
+      patience = timers.after(frames.atRest() ? idle : WHOLE, this::waited);
     }
+  }
 
-    private void answer(byte[] bytes) {
-        open--;
-        usedAt = timers.now();
-        if (over) {
-            return;
-        }
-        if (bytes != null) {
-            connection.write(Frames.frame(bytes));
-            if (unread == null) {
-                look();
-            }
-        }
-        if (connection.paused() && open < most) {
-            connection.resume();
-        }
-        closeIfDone();
+  private void answer(byte[] bytes) {
+    open--;
+    usedAt = timers.now();
+    if (over) {
+      return;
+    }
+    if (bytes != null) {
+      connection.write(Frames.frame(bytes));
+      if (unread == null) {
+        look();
+      }
+    }
+    if (connection.paused() && open < most) {
+      connection.resume();
     }
+    closeIfDone();
+  }
 
-    /** Looks after a while whether what is written up to now has left. */
-    private void look() {
-        long mark = connection.written();
-        unread = timers.after(UNREAD, () -> {
-            unread = null;
-            if (over) {
+  /** Looks after a while whether what is written up to now has left. */
+  private void look() {
+    long mark = connection.written();
+    unread =
+        timers.after(
+            UNREAD,
+            () -> {
+              unread = null;
+              if (over) {
                 return;
-            }
-            if (!connection.hasLeft(mark)) {
+              }
+              if (!connection.hasLeft(mark)) {
                 Log.line("query-unread", connection.waiting() + " bytes of answers left unread");
                 connection.close(Ending.LET_GO, false);
-            } else if (connection.waiting() > 0) {
+              } else if (connection.waiting() > 0) {
                 look();
-            }
-        });
-    }
+              }
+            });
+  }
 
-    @Override
-    public Duration uselessSince() {
-        return open > 0 ? null : usedAt;
-    }
+  @Override
+  public Duration uselessSince() {
+    return open > 0 ? null : usedAt;
+  }
 
-    @Override
-    public void inputClosed() {
-        last = true;
-        closeIfDone();
-    }
+  @Override
+  public void inputClosed() {
+    last = true;
+    closeIfDone();
+  }
 
-    private void closeIfDone() {
-        if (last && open == 0) {
-            connection.close(Ending.LET_GO, true);
-        }
+  private void closeIfDone() {
+    if (last && open == 0) {
+      connection.close(Ending.LET_GO, true);
     }
+  }
 
-    @Override
-    public void ended(Ending ending) {
-        over = true;
-        patience.run();
-        if (unread != null) {
-            unread.run();
-        }
+  @Override
+  public void ended(Ending ending) {
+    over = true;
+    patience.run();
+    if (unread != null) {
+      unread.run();
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/resolver/Check.java
+++ b/router/src/main/java/tamarindroute/resolver/Check.java
@@ -16,104 +16,113 @@
 import org.xbill.DNS.Type;
 
 /**
- * Owns what of an answer is believed: it must be for this very question, to the letter's case (0x20), and only
- * records of the question's name, and of aliases from there, inside the zone that was asked for are taken.
+ * Owns what of an answer is believed: it must be for this very question, to the letter's case
+ * (0x20), and only records of the question's name, and of aliases from there, inside the zone that
+ * was asked for are taken.
  */
 public final class Check {
 
-    /** What an answer turned out to be. */
-    public sealed interface Said {}
+  /** What an answer turned out to be. */
+  public sealed interface Said {}
 
-    /** Usable: only what is believed is left in it. */
-    public record Good(Message message) implements Said {}
+  /** Usable: only what is believed is left in it. */
+  public record Good(Message message) implements Said {}
 
-    /** Cut: to be asked again by TCP. */
-    public record Cut() implements Said {}
+  /** Cut: to be asked again by TCP. */
+  public record Cut() implements Said {}
 
-    /** The upstream's own word that it can't or won't. */
-    public record Unwilling(String why) implements Said {}
+  /** The upstream's own word that it can't or won't. */
+  public record Unwilling(String why) implements Said {}
 
-    /** Not an answer to this question: a forger's or a late one; the true one may still come. */
-    public record NotOurs(String why) implements Said {}
+  /** Not an answer to this question: a forger's or a late one; the true one may still come. */
+  public record NotOurs(String why) implements Said {}
 
-    /** Aliases in one answer; a longer chain is followed by nobody. */
-    private static final int MOST_ALIASES = 8;
-    /** More records than any answer of ours has. */
-    private static final int MOST_RECORDS = 200;
-    private static final int HEADER = 12;
+  /** Aliases in one answer; a longer chain is followed by nobody. */
+  private static final int MOST_ALIASES = 8;
 
-    private Check() {}
+  /** More records than any answer of ours has. */
+  private static final int MOST_RECORDS = 200;
 
-    /** Reads an answer to a query of this id and question, sent to a server of this zone. */
-    public static Said read(byte[] bytes, int id, Name asked, int type, Name zone) {
-        if (bytes.length < HEADER || (bytes[2] & 0x80) == 0 || ((bytes[0] & 0xFF) << 8 | bytes[1] & 0xFF) != id) {
-            return new NotOurs("no answer, or to another id");
-        }
-        Message message;
-        try {
-            message = new Message(bytes);
-        } catch (IOException | RuntimeException e) {
-            return new NotOurs("unreadable: " + e.getMessage());
-        }
-        Record question = message.getQuestion();
-        if (question == null || message.getHeader().getOpcode() != Opcode.QUERY || question.getType() != type
-                || question.getDClass() != DClass.IN
-                || !Arrays.equals(question.getName().toWire(), asked.toWire())) {
-            return new NotOurs("another question");
-        }
-        if (message.getHeader().getFlag(Flags.TC)) {
-            return new Cut();
-        }
-        int rcode = message.getRcode();
-        if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
-            return new Unwilling(Rcode.string(rcode));
-        }
-        return believed(message, rcode, asked, type, zone);
+  private static final int HEADER = 12;
+
+  private Check() {}
+
+  /** Reads an answer to a query of this id and question, sent to a server of this zone. */
+  public static Said read(byte[] bytes, int id, Name asked, int type, Name zone) {
+    if (bytes.length < HEADER
+        || (bytes[2] & 0x80) == 0
+        || ((bytes[0] & 0xFF) << 8 | bytes[1] & 0xFF) != id) {
+      return new NotOurs("no answer, or to another id");
+    }
+    Message message;
+    try {
+      message = new Message(bytes);
+    } catch (IOException | RuntimeException e) {
+      return new NotOurs("unreadable: " + e.getMessage());
+    }
+    Record question = message.getQuestion();
+    if (question == null
+        || message.getHeader().getOpcode() != Opcode.QUERY
+        || question.getType() != type
+        || question.getDClass() != DClass.IN
+        || !Arrays.equals(question.getName().toWire(), asked.toWire())) {
+      return new NotOurs("another question");
     }
+    if (message.getHeader().getFlag(Flags.TC)) {
+      return new Cut();
+    }
+    int rcode = message.getRcode();
+    if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
+      return new Unwilling(Rcode.string(rcode));
+    }
+    return believed(message, rcode, asked, type, zone);
+  }
 
-    private static Said believed(Message message, int rcode, Name asked, int type, Name zone) {
-        List<Record> answer = message.getSection(Section.ANSWER);
-        if (answer.size() > MOST_RECORDS) {
-            return new Unwilling("more records than an answer has");
-        }
-        Message kept = new Message();
-        kept.getHeader().setRcode(rcode);
-        kept.addRecord(Record.newRecord(asked, type, DClass.IN), Section.QUESTION);
-        Name name = asked;
-        boolean found = false;
-        for (int i = 0; i <= MOST_ALIASES && name != null; i++) {
-            Name alias = null;
-            for (Record record : records(answer, name)) {
-                if (record.getType() == type || record.getType() == Type.CNAME || type == Type.ANY) {
-                    kept.addRecord(record, Section.ANSWER);
-                    found = true;
-                    alias = record instanceof CNAMERecord other && type != Type.CNAME ? other.getTarget() : alias;
-                }
-            }
-            // An alias out of the zone is believed, what this server says of its target is not.
-            name = alias != null && alias.subdomain(zone) && !alias.equals(name) ? alias : null;
-        }
-        boolean soa = false;
-        for (Record record : message.getSection(Section.AUTHORITY)) {
-            if (record.getType() == Type.SOA && record.getName().subdomain(zone)
-                    && asked.subdomain(record.getName())) {
-                kept.addRecord(record, Section.AUTHORITY);
-                soa = true;
-            }
-        }
-        if (!found && !soa && rcode == Rcode.NOERROR) {
-            return new Unwilling("neither records nor an SOA: a referral, or lame");
+  private static Said believed(Message message, int rcode, Name asked, int type, Name zone) {
+    List<Record> answer = message.getSection(Section.ANSWER);
+    if (answer.size() > MOST_RECORDS) {
+      return new Unwilling("more records than an answer has");
+    }
+    Message kept = new Message();
+    kept.getHeader().setRcode(rcode);
+    kept.addRecord(Record.newRecord(asked, type, DClass.IN), Section.QUESTION);
+    Name name = asked;
+    boolean found = false;
+    for (int i = 0; i <= MOST_ALIASES && name != null; i++) {
+      Name alias = null;
+      for (Record record : records(answer, name)) {
+        if (record.getType() == type || record.getType() == Type.CNAME || type == Type.ANY) {
+          kept.addRecord(record, Section.ANSWER);
+          found = true;
+          alias =
+              record instanceof CNAMERecord other && type != Type.CNAME ? other.getTarget() : alias;
         }
-        return new Good(kept);
+      }
+      // An alias out of the zone is believed, what this server says of its target is not.
+      name = alias != null && alias.subdomain(zone) && !alias.equals(name) ? alias : null;
+    }
+    boolean soa = false;
+    for (Record record : message.getSection(Section.AUTHORITY)) {
+      if (record.getType() == Type.SOA
+          && record.getName().subdomain(zone)
+          && asked.subdomain(record.getName())) {
+        kept.addRecord(record, Section.AUTHORITY);
+        soa = true;
+      }
     }
+    if (!found && !soa && rcode == Rcode.NOERROR) {
+      return new Unwilling("neither records nor an SOA: a referral, or lame");
+    }
+    return new Good(kept);
+  }
 
-    private static List<Record> records(List<Record> all, Name name) {
-        List<Record> of = new ArrayList<>();
-        for (Record record : all) {
-            if (record.getName().equals(name) && record.getDClass() == DClass.IN) {
-                of.add(record);
-            }
-        }
-        return of;
+  private static List<Record> records(List<Record> all, Name name) {
+    List<Record> of = new ArrayList<>();
+    for (Record record : all) {
+      if (record.getName().equals(name) && record.getDClass() == DClass.IN) {
+        of.add(record);
+      }
     }
+    return of;
+  }
 }
--- a/router/src/main/java/tamarindroute/resolver/Forwarder.java
+++ b/router/src/main/java/tamarindroute/resolver/Forwarder.java
@@ -31,311 +31,345 @@
 import tamarindroute.protocol.MalformedException;
 
 /**
- * Owns the questions of ours that are under way: sends each from a fresh port with a random id and letters' case,
- * joins equal ones, goes to TCP for what was cut, and ends each within its time with one result. It must never decide
- * whom to ask, whether to ask again, what to believe or how long to keep it.
+ * Owns the questions of ours that are under way: sends each from a fresh port with a random id and
+ * letters' case, joins equal ones, goes to TCP for what was cut, and ends each within its time with
+ * one result. It must never decide whom to ask, whether to ask again, what to believe or how long
+ * to keep it.
  */
 public final class Forwarder {
 
-    /** The result of a question: an answer, perhaps stale, or none. */
-    public record Result(Message message, boolean stale) {}
-
-    /** A zone's servers, how long a question may take, and how long its answers are given out past their time. */
-    public static final class Route {
-
-        private final Name zone;
-        private final Upstreams upstreams;
-        private final Duration within;
-        private final Duration staleFor;
-        private final boolean recursive;
-
-        /** Recursive where the upstreams are resolvers, not the zone's own servers. */
-        public Route(Name zone, Upstreams upstreams, Duration within, Duration staleFor, boolean recursive) {
-            this.zone = zone;
-            this.upstreams = upstreams;
-            this.within = within;
-            this.staleFor = staleFor;
-            this.recursive = recursive;
-        }
+  /** The result of a question: an answer, perhaps stale, or none. */
+  public record Result(Message message, boolean stale) {}
+
+  /**
+   * A zone's servers, how long a question may take, and how long its answers are given out past
+   * their time.
+   */
+  public static final class Route {
+
+    private final Name zone;
+    private final Upstreams upstreams;
+    private final Duration within;
+    private final Duration staleFor;
+    private final boolean recursive;
+
+    /** Recursive where the upstreams are resolvers, not the zone's own servers. */
+    public Route(
+        Name zone, Upstreams upstreams, Duration within, Duration staleFor, boolean recursive) {
+      this.zone = zone;
+      this.upstreams = upstreams;
+      this.within = within;
+      this.staleFor = staleFor;
+      this.recursive = recursive;
     }
-
-    /** What is told of ourselves in EDNS: no fragments on any way. */
-    private static final int DATAGRAM = 1232;
-    private static final int LONGEST = Message.MAXLENGTH;
-    /** First and further attempts of one question. */
-    private static final int MOST_ATTEMPTS = 3;
-    /** Questions under way at once; past it they fail at once. */
-    private static final int MOST_JOBS = 1000;
-    /** Askers that wait for the same question. */
-    private static final int MOST_JOINED = 200;
-    /** Wrong answers to one attempt before its port is left: a forger is guessing ids there. */
-    private static final int MOST_FORGED = 20;
-    /** While all fail, the stale answer is given after this, for clients wait no longer (RFC 8767 has 1.8 s). */
-    private static final Duration STALE_AFTER = Duration.ofMillis(800);
-
-    private final Timers timers;
-    private final Datagrams datagrams;
-    private final Sockets sockets;
-    private final Kept kept = new Kept();
-    private final RetryBudget budget = new RetryBudget();
-    private final Map<Kept.Asked, Job> jobs = new HashMap<>();
-    private final SecureRandom random = new SecureRandom();
-
-    public Forwarder(Timers timers, Datagrams datagrams, Sockets sockets) {
-        this.timers = timers;
-        this.datagrams = datagrams;
-        this.sockets = sockets;
+  }
+
+  /** What is told of ourselves in EDNS: no fragments on any way. */
+  private static final int DATAGRAM = 1232;
+
+  private static final int LONGEST = Message.MAXLENGTH;
+
+  /** First and further attempts of one question. */
+  private static final int MOST_ATTEMPTS = 3;
+
+  /** Questions under way at once; past it they fail at once. */
+  private static final int MOST_JOBS = 1000;
+
+  /** Askers that wait for the same question. */
+  private static final int MOST_JOINED = 200;
+
+  /** Wrong answers to one attempt before its port is left: a forger is guessing ids there. */
+  private static final int MOST_FORGED = 20;
+
+  /**
+   * While all fail, the stale answer is given after this, for clients wait no longer (RFC 8767 has
+   * 1.8 s).
+   */
+  private static final Duration STALE_AFTER = Duration.ofMillis(800);
+
+  private final Timers timers;
+  private final Datagrams datagrams;
+  private final Sockets sockets;
+  private final Kept kept = new Kept();
+  private final RetryBudget budget = new RetryBudget();
+  private final Map<Kept.Asked, Job> jobs = new HashMap<>();
+  private final SecureRandom random = new SecureRandom();
+
+  public Forwarder(Timers timers, Datagrams datagrams, Sockets sockets) {
+    this.timers = timers;
+    this.datagrams = datagrams;
+    this.sockets = sockets;
+  }
+
+  /** What was known of a question, while nobody answers it; without a message where nothing was. */
+  private Result known(Route route, Kept.Asked asked) {
+    Kept.Found found = kept.stale(asked, route.staleFor, timers.now());
+    return found == null ? new Result(null, false) : new Result(found.message(), found.stale());
+  }
+
+  /**
+   * Asks; the result comes once, on the owner's thread, at the latest when the route's time is
+   * over.
+   */
+  public void ask(Route route, Name name, int type, Consumer<Result> then) {
+    Kept.Asked asked = new Kept.Asked(name, type);
+    Kept.Found found = kept.fresh(asked, timers.now());
+    if (found != null) {
+      then.accept(new Result(found.message(), false));
+      return;
     }
-
-    /** What was known of a question, while nobody answers it; without a message where nothing was. */
-    private Result known(Route route, Kept.Asked asked) {
-        Kept.Found found = kept.stale(asked, route.staleFor, timers.now());
-        return found == null ? new Result(null, false) : new Result(found.message(), found.stale());
+    Job job = jobs.get(asked);
+    if (job != null && job.staleTold) {
+      // Nobody has answered for a while: whoever asks now need not wait as long as the first did.
+      then.accept(known(route, asked));
+      return;
     }
-
-    /** Asks; the result comes once, on the owner's thread, at the latest when the route's time is over. */
-    public void ask(Route route, Name name, int type, Consumer<Result> then) {
-        Kept.Asked asked = new Kept.Asked(name, type);
-        Kept.Found found = kept.fresh(asked, timers.now());
-        if (found != null) {
-            then.accept(new Result(found.message(), false));
-            return;
-        }
-        Job job = jobs.get(asked);
-        if (job != null && job.staleTold) {
-            // Nobody has answered for a while: whoever asks now need not wait as long as the first did.
-            then.accept(known(route, asked));
-            return;
-        }
-        if (job != null && job.waiting.size() < MOST_JOINED) {
-            job.waiting.add(then);
-            return;
-        }
-        if (job != null || jobs.size() >= MOST_JOBS) {
-            then.accept(known(route, asked));
-            return;
-        }
-        job = new Job(route, asked);
-        jobs.put(asked, job);
-        job.waiting.add(then);
-        budget.first(timers.now());
-        job.attempt();
+    if (job != null && job.waiting.size() < MOST_JOINED) {
+      job.waiting.add(then);
+      return;
+    }
+    if (job != null || jobs.size() >= MOST_JOBS) {
+      then.accept(known(route, asked));
+      return;
+    }
+    job = new Job(route, asked);
+    jobs.put(asked, job);
+    job.waiting.add(then);
+    budget.first(timers.now());
+    job.attempt();
+  }
+
+  /** One question under way, for all who asked it. */
+  private final class Job {
+
+    private final Route route;
+    private final Kept.Asked asked;
+    private final List<Consumer<Result>> waiting = new ArrayList<>(1);
+    private final Set<Upstreams.Upstream> tried = new HashSet<>();
+    private final Runnable deadline;
+    private final Runnable staleTimer;
+    private Attempt out;
+    private int sent;
+    private boolean staleTold;
+
+    Job(Route route, Kept.Asked asked) {
+      this.route = route;
+      this.asked = asked;
+      this.deadline = timers.after(route.within, () -> giveUp("time is over"));
+      this.staleTimer = timers.after(STALE_AFTER, this::stale);
     }
 
-    /** One question under way, for all who asked it. */
-    private final class Job {
-
-        private final Route route;
-        private final Kept.Asked asked;
-        private final List<Consumer<Result>> waiting = new ArrayList<>(1);
-        private final Set<Upstreams.Upstream> tried = new HashSet<>();
-        private final Runnable deadline;
-        private final Runnable staleTimer;
-        private Attempt out;
-        private int sent;
-        private boolean staleTold;
-
-        Job(Route route, Kept.Asked asked) {
-            this.route = route;
-            this.asked = asked;
-            this.deadline = timers.after(route.within, () -> giveUp("time is over"));
-            this.staleTimer = timers.after(STALE_AFTER, this::stale);
-        }
-
-        void attempt() {
-            Upstreams.Upstream upstream = route.upstreams.next(tried, timers.now());
-            if (upstream == null && tried.size() == route.upstreams.all().size()) {
-                // All were asked once: the better of them once more, where the budget allows it.
-                upstream = route.upstreams.next(Set.of(), timers.now());
-            }
-            boolean allowed = sent == 0 || sent < MOST_ATTEMPTS && budget.further(timers.now());
-            if (upstream == null || !allowed) {
-                giveUp(upstream == null ? "every upstream has its limit in flight" : "no further attempt is allowed");
-                return;
-            }
-            sent++;
-            tried.add(upstream);
-            out = new Attempt(this, upstream);
-            out.go();
-        }
-
-        /** Nobody answers yet, and what was known is better than more waiting; the question goes on behind. */
-        private void stale() {
-            Result known = known(route, asked);
-            if (known.message() != null && !waiting.isEmpty()) {
-                staleTold = true;
-                tell(known);
-            }
-        }
-
-        void giveUp(String why) {
-            if (out != null) {
-                out.quit();
-            }
-            Result known = known(route, asked);
-            Log.event("upstream-none", asked.name() + ": " + why, "attempts", sent, "stale", known.message() != null);
-            end(known);
-        }
-
-        void good(Message message) {
-            kept.keep(asked, message, timers.now());
-            end(new Result(message, false));
-        }
-
-        private void end(Result result) {
-            jobs.remove(asked, this);
-            deadline.run();
-            staleTimer.run();
-            tell(result);
-        }
-
-        private void tell(Result result) {
-            List<Consumer<Result>> all = List.copyOf(waiting);
-            waiting.clear();
-            all.forEach(one -> one.accept(result));
-        }
+    void attempt() {
+      Upstreams.Upstream upstream = route.upstreams.next(tried, timers.now());
+      if (upstream == null && tried.size() == route.upstreams.all().size()) {
+        // All were asked once: the better of them once more, where the budget allows it.
+        upstream = route.upstreams.next(Set.of(), timers.now());
+      }
+      boolean allowed = sent == 0 || sent < MOST_ATTEMPTS && budget.further(timers.now());
+      if (upstream == null || !allowed) {
+        giveUp(
+            upstream == null
+                ? "every upstream has its limit in flight"
+                : "no further attempt is allowed");
+        return;
+      }
+      sent++;
+      tried.add(upstream);
+      out = new Attempt(this, upstream);
+      out.go();
     }
 
-    /** One sending of a question to one upstream. */
-    private final class Attempt implements Datagrams.Waiting, Peer {
-
-        private final Job job;
-        private final Upstreams.Upstream upstream;
-        private final int id = random.nextInt(1 << 16);
-        private final Name name;
-        private final Duration from = timers.now();
-        private Runnable timer = () -> {};
-        private Runnable quit = () -> {};
-        private Connection connection;
-        private final Frames frames = new Frames(LONGEST);
-        private int wrong;
-        private boolean over;
-
-        Attempt(Job job, Upstreams.Upstream upstream) {
-            this.job = job;
-            this.upstream = upstream;
-            this.name = anyCase(job.asked.name());
-        }
+    /**
+     * Nobody answers yet, and what was known is better than more waiting; the question goes on
+     * behind.
+     */
+    private void stale() {
+      Result known = known(route, asked);
+      if (known.message() != null && !waiting.isEmpty()) {
+        staleTold = true;
+        tell(known);
+      }
+    }
 
-        void go() {
-            Duration wait = job.route.upstreams.sent(upstream, from);
-            timer = timers.after(wait, () -> failed("silent", true));
-            quit = datagrams.ask(upstream.address, query(), this);
-        }
+    void giveUp(String why) {
+      if (out != null) {
+        out.quit();
+      }
+      Result known = known(route, asked);
+      Log.event(
+          "upstream-none",
+          asked.name() + ": " + why,
+          "attempts",
+          sent,
+          "stale",
+          known.message() != null);
+      end(known);
+    }
 
-        private byte[] query() {
-            Message message = new Message(id);
-            if (job.route.recursive) {
-                message.getHeader().setFlag(Flags.RD);
-            }
-            message.addRecord(Record.newRecord(name, job.asked.type(), DClass.IN), Section.QUESTION);
-            message.addRecord(new OPTRecord(DATAGRAM, 0, 0), Section.ADDITIONAL);
-            return message.toWire();
-        }
+    void good(Message message) {
+      kept.keep(asked, message, timers.now());
+      end(new Result(message, false));
+    }
 
-        /** On the owner's thread, from either transport. */
-        @Override
-        public void came(byte[] bytes) {
-            if (over) {
-                return;
-            }
-            Check.Said said = Check.read(bytes, id, name, job.asked.type(), job.route.zone);
-            if (said instanceof Check.Good good) {
-                end();
-                job.route.upstreams.answered(upstream, timers.now().minus(from), timers.now());
-                job.good(good.message());
-            } else if (said instanceof Check.Cut && connection == null) {
-                quit.run();
-                connection = sockets.connect(upstream.address, this);
-                quit = () -> connection.close(Ending.LET_GO, false);
-            } else if (said instanceof Check.Unwilling unwilling) {
-                failed(unwilling.why(), false);
-            } else {
-                Log.event("answer-forged", said, "upstream", upstream.address);
-                if (++wrong >= MOST_FORGED) {
-                    failed("flooded with wrong answers", true);
-                }
-            }
-        }
+    private void end(Result result) {
+      jobs.remove(asked, this);
+      deadline.run();
+      staleTimer.run();
+      tell(result);
+    }
 
-        @Override
-        public void opened() {
-            connection.write(Frames.frame(query()));
-        }
+    private void tell(Result result) {
+      List<Consumer<Result>> all = List.copyOf(waiting);
+      waiting.clear();
+      all.forEach(one -> one.accept(result));
+    }
+  }
+
+  /** One sending of a question to one upstream. */
+  private final class Attempt implements Datagrams.Waiting, Peer {
+
+    private final Job job;
+    private final Upstreams.Upstream upstream;
+    private final int id = random.nextInt(1 << 16);
+    private final Name name;
+    private final Duration from = timers.now();
+    private Runnable timer = () -> {};
+    private Runnable quit = () -> {};
+    private Connection connection;
+    private final Frames frames = new Frames(LONGEST);
+    private int wrong;
+    private boolean over;
+
+    Attempt(Job job, Upstreams.Upstream upstream) {
+      this.job = job;
+      this.upstream = upstream;
+      this.name = anyCase(job.asked.name());
+    }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            try {
-                for (byte[] whole = frames.next(bytes); whole != null; whole = frames.next(bytes)) {
-                    came(whole);
-                }
-            } catch (MalformedException e) {
-                connection.close(Ending.UNREADABLE, false);
-            }
-            bytes.position(bytes.limit());
-        }
+    void go() {
+      Duration wait = job.route.upstreams.sent(upstream, from);
+      timer = timers.after(wait, () -> failed("silent", true));
+      quit = datagrams.ask(upstream.address, query(), this);
+    }
 
-        @Override
-        public void ended(Ending ending) {
-            failed(ending.toString(), false);
-        }
+    private byte[] query() {
+      Message message = new Message(id);
+      if (job.route.recursive) {
+        message.getHeader().setFlag(Flags.RD);
+      }
+      message.addRecord(Record.newRecord(name, job.asked.type(), DClass.IN), Section.QUESTION);
+      message.addRecord(new OPTRecord(DATAGRAM, 0, 0), Section.ADDITIONAL);
+      return message.toWire();
+    }
 
-        private void failed(String why, boolean silent) {
-            if (over) {
-                return;
-            }
-            end();
-            job.route.upstreams.failed(upstream, silent, timers.now());
-            Log.event("upstream-failed", why, "upstream", upstream.address, "name", job.asked.name());
-            job.out = null;
-            job.attempt();
+    /** On the owner's thread, from either transport. */
+    @Override
+    public void came(byte[] bytes) {
+      if (over) {
+        return;
+      }
+      Check.Said said = Check.read(bytes, id, name, job.asked.type(), job.route.zone);
+      if (said instanceof Check.Good good) {
+        end();
+        job.route.upstreams.answered(upstream, timers.now().minus(from), timers.now());
+        job.good(good.message());
+      } else if (said instanceof Check.Cut && connection == null) {
+        quit.run();
+        connection = sockets.connect(upstream.address, this);
+        quit = () -> connection.close(Ending.LET_GO, false);
+      } else if (said instanceof Check.Unwilling unwilling) {
+        failed(unwilling.why(), false);
+      } else {
+        Log.event("answer-forged", said, "upstream", upstream.address);
+        if (++wrong >= MOST_FORGED) {
+          failed("flooded with wrong answers", true);
         }
+      }
+    }
 
-        private void end() {
-            over = true;
-            timer.run();
-            quit.run();
-        }
+    @Override
+    public void opened() {
+      connection.write(Frames.frame(query()));
+    }
 
-        void quit() {
-            if (!over) {
-                end();
-                job.route.upstreams.quit(upstream);
-            }
+    @Override
+    public void received(ByteBuffer bytes) {
+      try {
+        for (byte[] whole = frames.next(bytes); whole != null; whole = frames.next(bytes)) {
+          came(whole);
         }
+      } catch (MalformedException e) {
+        connection.close(Ending.UNREADABLE, false);
+      }
+      bytes.position(bytes.limit());
     }
 
-    /** The same name in letters of random case: an answer must bring it back to the letter. */
-    private Name anyCase(Name name) {
-        byte[] wire = name.toWire();
-        for (int i = 0; i < wire.length;) {
-            int length = wire[i++];
-            for (int end = i + length; i < end; i++) {
-                boolean letter = wire[i] >= 'A' && wire[i] <= 'Z' || wire[i] >= 'a' && wire[i] <= 'z';
-                wire[i] = letter && random.nextBoolean() ? (byte) (wire[i] ^ 0x20) : wire[i];
-            }
-        }
-        try {
-            return new Name(new org.xbill.DNS.DNSInput(wire));
-        } catch (WireParseException e) {
-            throw new IllegalStateException("a name that was one before", e);
-        }
+    @Override
+    public void ended(Ending ending) {
+      failed(ending.toString(), false);
     }
 
-    /** A route to resolvers for any name. */
-    public static Route resolvers(List<InetSocketAddress> addresses, Duration within, long seed) {
-        return new Route(Name.root, new Upstreams(addresses, MOST_IN_FLIGHT, seed), within, Duration.ofDays(1), true);
+    private void failed(String why, boolean silent) {
+      if (over) {
+        return;
+      }
+      end();
+      job.route.upstreams.failed(upstream, silent, timers.now());
+      Log.event("upstream-failed", why, "upstream", upstream.address, "name", job.asked.name());
+      job.out = null;
+      job.attempt();
     }
 
-    /** Questions of ours that one upstream has at once; more would only wait there. */
-    public static final int MOST_IN_FLIGHT = 32;
+    private void end() {
+      over = true;
+      timer.run();
+      quit.run();
+    }
 
-    /** A name as settings spell it, always from the root. */
-    public static Name name(String text) {
-        try {
-            return Name.fromString(text.endsWith(".") ? text : text + ".");
-        } catch (TextParseException e) {
-            throw new IllegalArgumentException("no name: " + text);
-        }
+    void quit() {
+      if (!over) {
+        end();
+        job.route.upstreams.quit(upstream);
+      }
+    }
+  }
+
+  /** The same name in letters of random case: an answer must bring it back to the letter. */
+  private Name anyCase(Name name) {
+    byte[] wire = name.toWire();
+    for (int i = 0; i < wire.length; ) {
+      int length = wire[i++];
+      for (int end = i + length; i < end; i++) {
+        boolean letter = wire[i] >= 'A' && wire[i] <= 'Z' || wire[i] >= 'a' && wire[i] <= 'z';
+        wire[i] = letter && random.nextBoolean() ? (byte) (wire[i] ^ 0x20) : wire[i];
+      }
+    }
+    try {
+      return new Name(new org.xbill.DNS.DNSInput(wire));
+    } catch (WireParseException e) {
+      throw new IllegalStateException("a name that was one before", e);
+    }
+  }
+
+  /** A route to resolvers for any name. */
+  public static Route resolvers(List<InetSocketAddress> addresses, Duration within, long seed) {
+    return new Route(
+        Name.root,
+        new Upstreams(addresses, MOST_IN_FLIGHT, seed),
+        within,
+        Duration.ofDays(1),
+        true);
+  }
+
+  /** Questions of ours that one upstream has at once; more would only wait there. */
+  public static final int MOST_IN_FLIGHT = 32;
+
+  /** A name as settings spell it, always from the root. */
+  public static Name name(String text) {
+    try {
+      return Name.fromString(text.endsWith(".") ? text : text + ".");
+    } catch (TextParseException e) {
+      throw new IllegalArgumentException("no name: " + text);
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/resolver/Kept.java
+++ b/router/src/main/java/tamarindroute/resolver/Kept.java
@@ -11,98 +11,115 @@
 import org.xbill.DNS.Section;
 
 /**
- * Owns the answers that are kept: for their TTL, what says no for its SOA's (RFC 2308), and past that, marked as
- * stale, for a bounded time while nobody answers (RFC 8767). It must never lengthen a TTL, nor keep more than its
- * bound of answers.
+ * Owns the answers that are kept: for their TTL, what says no for its SOA's (RFC 2308), and past
+ * that, marked as stale, for a bounded time while nobody answers (RFC 8767). It must never lengthen
+ * a TTL, nor keep more than its bound of answers.
  */
 public final class Kept {
 
-    /** An hour, whatever the TTL says: a mistake at another's is not kept for a week. */
-    private static final long LONGEST = 3600;
-    /** RFC 2308 wants no more than some minutes for what says no. */
-    private static final long LONGEST_NO = 300;
-    /** RFC 8767: a stale answer is given for half a minute at a time. */
-    private static final long STALE_TTL = 30;
-    /** A few megabytes of answers at the largest that is kept. */
-    private static final int MOST = 2048;
-    private static final int LARGEST = 4096;
+  /** An hour, whatever the TTL says: a mistake at another's is not kept for a week. */
+  private static final long LONGEST = 3600;
 
-    /** What is asked; the class is always IN. */
-    public record Asked(Name name, int type) {}
+  /** RFC 2308 wants no more than some minutes for what says no. */
+  private static final long LONGEST_NO = 300;
 
-    /** An answer as it is given out now. */
-    public record Found(Message message, boolean stale) {}
+  /** RFC 8767: a stale answer is given for half a minute at a time. */
+  private static final long STALE_TTL = 30;
 
-    private record Entry(int rcode, List<Record> answer, List<Record> authority, Duration since, Duration until) {}
+  /** A few megabytes of answers at the largest that is kept. */
+  private static final int MOST = 2048;
 
-    private final Map<Asked, Entry> entries = new LinkedHashMap<>(64, 0.75f, true) {
+  private static final int LARGEST = 4096;
+
+  /** What is asked; the class is always IN. */
+  public record Asked(Name name, int type) {}
+
+  /** An answer as it is given out now. */
+  public record Found(Message message, boolean stale) {}
+
+  private record Entry(
+      int rcode, List<Record> answer, List<Record> authority, Duration since, Duration until) {}
+
+  private final Map<Asked, Entry> entries =
+      new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Asked, Entry> eldest) {
-            return size() > MOST;
+          return size() > MOST;
         }
-    };
-
-    /** Keeps a checked answer, where it says for how long. */
-    public void keep(Asked asked, Message message, Duration now) {
-        List<Record> answer = List.copyOf(message.getSection(Section.ANSWER));
-        List<Record> authority = List.copyOf(message.getSection(Section.AUTHORITY));
-        long ttl;
-        if (answer.isEmpty() || message.getRcode() != 0) {
-            ttl = authority.stream().filter(SOARecord.class::isInstance)
-                    .mapToLong(soa -> Math.min(soa.getTTL(), ((SOARecord) soa).getMinimum())).min().orElse(0);
-            ttl = Math.min(LONGEST_NO, ttl);
-        } else {
-            ttl = Math.min(LONGEST, answer.stream().mapToLong(Record::getTTL).min().orElse(0));
-        }
-        if (ttl > 0 && message.numBytes() <= LARGEST) {
-            entries.put(asked, new Entry(message.getRcode(), answer, authority, now,
-                    now.plusSeconds(ttl)));
-        }
-    }
+      };
 
-    /** What is kept for this question and holds still; null for nothing. */
-    public Found fresh(Asked asked, Duration now) {
-        Entry entry = entries.get(asked);
-        return entry == null || entry.until.compareTo(now) <= 0 ? null : found(asked, entry, now);
+  /** Keeps a checked answer, where it says for how long. */
+  public void keep(Asked asked, Message message, Duration now) {
+    List<Record> answer = List.copyOf(message.getSection(Section.ANSWER));
+    List<Record> authority = List.copyOf(message.getSection(Section.AUTHORITY));
+    long ttl;
+    if (answer.isEmpty() || message.getRcode() != 0) {
+      ttl =
+          authority.stream()
+              .filter(SOARecord.class::isInstance)
+              .mapToLong(soa -> Math.min(soa.getTTL(), ((SOARecord) soa).getMinimum()))
+              .min()
+              .orElse(0);
+      ttl = Math.min(LONGEST_NO, ttl);
+    } else {
+      ttl = Math.min(LONGEST, answer.stream().mapToLong(Record::getTTL).min().orElse(0));
     }
-
-    /** What held until so long ago at the most; null for nothing. */
-    public Found stale(Asked asked, Duration longest, Duration now) {
-        Entry entry = entries.get(asked);
-        if (entry == null) {
-            return null;
-        }
-        if (entry.until.plus(longest).compareTo(now) <= 0) {
-            entries.remove(asked);
-            return null;
-        }
-        return found(asked, entry, now);
+    if (ttl > 0 && message.numBytes() <= LARGEST) {
+      entries.put(
+          asked, new Entry(message.getRcode(), answer, authority, now, now.plusSeconds(ttl)));
     }
+  }
 
-    private static Found found(Asked asked, Entry entry, Duration now) {
-        boolean stale = entry.until.compareTo(now) <= 0;
-        long age = now.minus(entry.since).toSeconds();
-        Message message = new Message();
-        message.getHeader().setRcode(entry.rcode);
-        message.addRecord(Record.newRecord(asked.name(), asked.type(), 1), Section.QUESTION);
-        add(message, entry.answer, Section.ANSWER, age, stale);
-        add(message, entry.authority, Section.AUTHORITY, age, stale);
-        return new Found(message, stale);
-    }
+  /** What is kept for this question and holds still; null for nothing. */
+  public Found fresh(Asked asked, Duration now) {
+    Entry entry = entries.get(asked);
+    return entry == null || entry.until.compareTo(now) <= 0 ? null : found(asked, entry, now);
+  }
 
-    /** Adds records with what is left of their TTL, or past it with the stale span. */
-    private static void add(Message message, List<Record> records, int section, long age, boolean stale) {
-        for (Record record : records) {
-            long ttl = stale ? STALE_TTL : Math.max(0, Math.min(LONGEST, record.getTTL()) - age);
-            message.addRecord(Record.newRecord(record.getName(), record.getType(), record.getDClass(), ttl,
-                    record.rdataToWireCanonical()), section);
-        }
+  /** What held until so long ago at the most; null for nothing. */
+  public Found stale(Asked asked, Duration longest, Duration now) {
+    Entry entry = entries.get(asked);
+    if (entry == null) {
+      return null;
     }
+    if (entry.until.plus(longest).compareTo(now) <= 0) {
+      entries.remove(asked);
+      return null;
+    }
+    return found(asked, entry, now);
+  }
+
+  private static Found found(Asked asked, Entry entry, Duration now) {
+    boolean stale = entry.until.compareTo(now) <= 0;
+    long age = now.minus(entry.since).toSeconds();
+    Message message = new Message();
+    message.getHeader().setRcode(entry.rcode);
+    message.addRecord(Record.newRecord(asked.name(), asked.type(), 1), Section.QUESTION);
+    add(message, entry.answer, Section.ANSWER, age, stale);
+    add(message, entry.authority, Section.AUTHORITY, age, stale);
+    return new Found(message, stale);
+  }
 
-    /** How many answers are kept; for tests of the bound. */
-    int size() {
-        return entries.size();
+  /** Adds records with what is left of their TTL, or past it with the stale span. */
+  private static void add(
+      Message message, List<Record> records, int section, long age, boolean stale) {
+    for (Record record : records) {
+      long ttl = stale ? STALE_TTL : Math.max(0, Math.min(LONGEST, record.getTTL()) - age);
+      message.addRecord(
+          Record.newRecord(
+              record.getName(),
+              record.getType(),
+              record.getDClass(),
+              ttl,
+              record.rdataToWireCanonical()),
+          section);
     }
+  }
+
+  /** How many answers are kept; for tests of the bound. */
+  int size() {
+    return entries.size();
+  }
 }
--- a/router/src/main/java/tamarindroute/settings/MalformedSettingsException.java
+++ b/router/src/main/java/tamarindroute/settings/MalformedSettingsException.java
@@ -5,9 +5,9 @@
 /** What an instance was told at its birth cannot be read. */
 public final class MalformedSettingsException extends IOException {
 
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    public MalformedSettingsException(String message) {
-        super(message);
-    }
+  public MalformedSettingsException(String message) {
+    super(message);
+  }
 }
--- a/router/src/main/java/tamarindroute/standby/Endpoint.java
+++ b/router/src/main/java/tamarindroute/standby/Endpoint.java
@@ -14,278 +14,322 @@
 import tamarindroute.net.Datagrams;
 import tamarindroute.net.Timers;
 import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.Seal;
 import tamarindroute.vrrp.Advertisement;
 import tamarindroute.vrrp.Ballot;
 import tamarindroute.vrrp.Election;
 import tamarindroute.vrrp.Quorum;
-import tamarindroute.protocol.Seal;
 
 /**
- * One gateway's address for advertisements and the virtual routers on it. Peers are those that the settings tell, by
- * address and port; what comes from others, is not sealed as told or makes no sense is dropped with a log line. The
- * addresses in the pseudo header are those of the UDP addresses.
+ * One gateway's address for advertisements and the virtual routers on it. Peers are those that the
+ * settings tell, by address and port; what comes from others, is not sealed as told or makes no
+ * sense is dropped with a log line. The addresses in the pseudo header are those of the UDP
+ * addresses.
  */
 public final class Endpoint {
 
-    /** Who holds a virtual router's address; on the owner's thread. */
-    public interface Holder {
+  /** Who holds a virtual router's address; on the owner's thread. */
+  public interface Holder {
 
-        /** Bind, announce, serve. */
-        void take();
+    /** Bind, announce, serve. */
+    void take();
 
-        /** Unbind; what is open gets the answer that it still may. */
-        void drop(Election.Why why);
-    }
+    /** Unbind; what is open gets the answer that it still may. */
+    void drop(Election.Why why);
+  }
 
-    private final Timers timers;
-    private final Datagrams datagrams;
-    private final InetSocketAddress own;
-    private final List<InetSocketAddress> peers;
-    private final Post post;
-    private final Map<Integer, Router> routers = new HashMap<>();
-    private final List<InetSocketAddress> voters = new ArrayList<>();
-    private Duration span;
-    private Booth booth;
+  private final Timers timers;
+  private final Datagrams datagrams;
+  private final InetSocketAddress own;
+  private final List<InetSocketAddress> peers;
+  private final Post post;
+  private final Map<Integer, Router> routers = new HashMap<>();
+  private final List<InetSocketAddress> voters = new ArrayList<>();
+  private Duration span;
+  private Booth booth;
 
-    /** Without a seal the plain form of the standard is sent and taken; run is larger at each start of this gateway. */
-    public Endpoint(Timers timers, Datagrams datagrams, InetSocketAddress own, List<InetSocketAddress> peers,
-            Seal seal, long run) {
-        this.timers = timers;
-        this.datagrams = datagrams;
-        this.own = own;
-        this.peers = List.copyOf(peers);
-        this.post = new Post(datagrams, own, seal, run);
-    }
+  /**
+   * Without a seal the plain form of the standard is sent and taken; run is larger at each start of
+   * this gateway.
+   */
+  public Endpoint(
+      Timers timers,
+      Datagrams datagrams,
+      InetSocketAddress own,
+      List<InetSocketAddress> peers,
+      Seal seal,
+      long run) {
+    this.timers = timers;
+    this.datagrams = datagrams;
+    this.own = own;
+    this.peers = List.copyOf(peers);
+    this.post = new Post(datagrams, own, seal, run);
+  }
 
-    /**
-     * From its start on, whoever is active acts only with the grants of more than half of the voters: these, witnesses
-     * among them, and this gateway itself. Needs a seal. The span is the same at all; three intervals are a lease's.
-     */
-    public void askVoters(List<InetSocketAddress> others, Duration each) {
-        if (!post.sealed()) {
-            throw new IllegalArgumentException("voters need a seal");
-        }
-        voters.addAll(others);
-        span = each;
+  /**
+   * From its start on, whoever is active acts only with the grants of more than half of the voters:
+   * these, witnesses among them, and this gateway itself. Needs a seal. The span is the same at
+   * all; three intervals are a lease's.
+   */
+  public void askVoters(List<InetSocketAddress> others, Duration each) {
+    if (!post.sealed()) {
+      throw new IllegalArgumentException("voters need a seal");
     }
+    voters.addAll(others);
+    span = each;
+  }
 
-    /** Adds a virtual router, not yet started. */
-    public Router add(int virtualId, int priority, List<InetAddress> addresses, Election.Settings settings,
-            Holder holder) {
-        Router router = new Router(virtualId, priority, addresses, settings, holder);
-        if (routers.putIfAbsent(virtualId, router) != null) {
-            throw new IllegalArgumentException("the virtual router " + virtualId + " is there twice");
-        }
-        return router;
+  /** Adds a virtual router, not yet started. */
+  public Router add(
+      int virtualId,
+      int priority,
+      List<InetAddress> addresses,
+      Election.Settings settings,
+      Holder holder) {
+    Router router = new Router(virtualId, priority, addresses, settings, holder);
+    if (routers.putIfAbsent(virtualId, router) != null) {
+      throw new IllegalArgumentException("the virtual router " + virtualId + " is there twice");
     }
+    return router;
+  }
 
-    /** Listens, then starts all routers; on the owner's thread. */
-    public void start() throws IOException {
-        booth = span == null ? null : new Booth(routers.keySet(), span);
-        datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
-        routers.values().forEach(router -> router.event(new Election.Start()));
-    }
+  /** Listens, then starts all routers; on the owner's thread. */
+  public void start() throws IOException {
+    booth = span == null ? null : new Booth(routers.keySet(), span);
+    datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
+    routers.values().forEach(router -> router.event(new Election.Start()));
+  }
 
-    /** Stops all routers in order: peers hear of it and need not wait. */
-    public void stop() {
-        routers.values().forEach(router -> router.event(new Election.Stop()));
-    }
+  /** Stops all routers in order: peers hear of it and need not wait. */
+  public void stop() {
+    routers.values().forEach(router -> router.event(new Election.Stop()));
+  }
 
-    /** A gateway's address as a number of which the higher wins a tie; unsigned bytes in their order, then the port. */
-    public static long order(InetSocketAddress address) {
-        byte[] bytes = address.getAddress().getAddress();
-        // The last six bytes tell peers of one network apart, in IPv6 too.
-        long order = 0;
-        for (int i = Math.max(0, bytes.length - 6); i < bytes.length; i++) {
-            order = order << 8 | bytes[i] & 0xFF;
-        }
-        return order << 16 | address.getPort();
+  /**
+   * A gateway's address as a number of which the higher wins a tie; unsigned bytes in their order,
+   * then the port.
+   */
+  public static long order(InetSocketAddress address) {
+    byte[] bytes = address.getAddress().getAddress();
+    // The last six bytes tell peers of one network apart, in IPv6 too.
+    long order = 0;
+    for (int i = Math.max(0, bytes.length - 6); i < bytes.length; i++) {
+      order = order << 8 | bytes[i] & 0xFF;
     }
+    return order << 16 | address.getPort();
+  }
 
-    private void taken(byte[] bytes, InetSocketAddress from) {
-        if (!peers.contains(from) && !voters.contains(from)) {
-            Log.event("vrrp-stranger", "an advertisement from no peer", "from", from);
-            return;
-        }
-        try {
-            byte[] message = post.open(bytes, from);
-            if (post.sealed() && Ballot.is(message)) {
-                ballot(Ballot.read(message), from);
-                return;
-            }
-            if (!peers.contains(from)) {
-                throw new MalformedException("an advertisement from a voter that is no peer");
-            }
-            Advertisement told = Advertisement.read(message, from.getAddress(), own.getAddress());
-            Router router = routers.get(told.virtualId());
-            if (router == null || !router.addresses.equals(told.addresses())) {
-                throw new MalformedException("virtual router " + told.virtualId() + " with " + told.addresses()
-                        + " is not one of ours");
-            }
-            router.event(new Election.Heard(told.priority(), order(from), told.interval()));
-        } catch (MalformedException e) {
-            Log.event("vrrp-unreadable", e.getMessage(), "from", from);
-        }
+  private void taken(byte[] bytes, InetSocketAddress from) {
+    if (!peers.contains(from) && !voters.contains(from)) {
+      Log.event("vrrp-stranger", "an advertisement from no peer", "from", from);
+      return;
     }
-
-    private void ballot(Ballot ballot, InetSocketAddress from) throws MalformedException {
-        if (booth == null) {
-            throw new MalformedException("a ballot, and there are no voters here");
-        }
-        if (ballot.kind() == Ballot.Kind.ASKED || ballot.kind() == Ballot.Kind.RETURNED) {
-            Ballot answer = booth.taken(ballot, from);
-            if (answer != null) {
-                send(from, answer);
-            }
-        } else if (ballot.kind() == Ballot.Kind.GRANTED && routers.containsKey(ballot.virtualId())
-                && ballot.span().equals(span) && voters.contains(from)) {
-            routers.get(ballot.virtualId()).granted(1 + voters.indexOf(from), Duration.ofNanos(ballot.mark()));
-        }
+    try {
+      byte[] message = post.open(bytes, from);
+      if (post.sealed() && Ballot.is(message)) {
+        ballot(Ballot.read(message), from);
+        return;
+      }
+      if (!peers.contains(from)) {
+        throw new MalformedException("an advertisement from a voter that is no peer");
+      }
+      Advertisement told = Advertisement.read(message, from.getAddress(), own.getAddress());
+      Router router = routers.get(told.virtualId());
+      if (router == null || !router.addresses.equals(told.addresses())) {
+        throw new MalformedException(
+            "virtual router "
+                + told.virtualId()
+                + " with "
+                + told.addresses()
+                + " is not one of ours");
+      }
+      router.event(new Election.Heard(told.priority(), order(from), told.interval()));
+    } catch (MalformedException e) {
+      Log.event("vrrp-unreadable", e.getMessage(), "from", from);
     }
+  }
 
-    private void send(InetSocketAddress to, Ballot ballot) {
-        post.send(to, ballot.write());
+  private void ballot(Ballot ballot, InetSocketAddress from) throws MalformedException {
+    if (booth == null) {
+      throw new MalformedException("a ballot, and there are no voters here");
     }
+    if (ballot.kind() == Ballot.Kind.ASKED || ballot.kind() == Ballot.Kind.RETURNED) {
+      Ballot answer = booth.taken(ballot, from);
+      if (answer != null) {
+        send(from, answer);
+      }
+    } else if (ballot.kind() == Ballot.Kind.GRANTED
+        && routers.containsKey(ballot.virtualId())
+        && ballot.span().equals(span)
+        && voters.contains(from)) {
+      routers
+          .get(ballot.virtualId())
+          .granted(1 + voters.indexOf(from), Duration.ofNanos(ballot.mark()));
+    }
+  }
 
-    /** One virtual router. */
-    public final class Router {
+  private void send(InetSocketAddress to, Ballot ballot) {
+    post.send(to, ballot.write());
+  }
 
-        private final int virtualId;
-        private final List<InetAddress> addresses;
-        private final Election.Settings settings;
-        private final Holder holder;
-        private Election.State state;
-        private Runnable timer = () -> {};
-        private Runnable quorumTimer = () -> {};
-        private Quorum quorum;
-        private boolean taken;
+  /** One virtual router. */
+  public final class Router {
 
-        private Router(int virtualId, int priority, List<InetAddress> addresses, Election.Settings settings,
-                Holder holder) {
-            this.virtualId = virtualId;
-            this.addresses = List.copyOf(addresses);
-            this.settings = settings;
-            this.holder = holder;
-            this.state = Election.initial(priority, settings);
-        }
+    private final int virtualId;
+    private final List<InetAddress> addresses;
+    private final Election.Settings settings;
+    private final Holder holder;
+    private Election.State state;
+    private Runnable timer = () -> {};
+    private Runnable quorumTimer = () -> {};
+    private Quorum quorum;
+    private boolean taken;
 
-        /** Whether this gateway may act for the address now; asked before each taking in and each write. */
-        public boolean mayAct() {
-            if (!taken) {
-                return false;
-            }
-            if (!Election.mayAct(state, Steady.now())) {
-                // It was stopped: all is put in order before whoever asked goes on.
-                event(new Election.Tick());
-            }
-            settle();
-            return taken;
-        }
+    private Router(
+        int virtualId,
+        int priority,
+        List<InetAddress> addresses,
+        Election.Settings settings,
+        Holder holder) {
+      this.virtualId = virtualId;
+      this.addresses = List.copyOf(addresses);
+      this.settings = settings;
+      this.holder = holder;
+      this.state = Election.initial(priority, settings);
+    }
 
-        /** Takes the address when all that it needs is there, and drops it when any of it is gone. */
-        private void settle() {
-            boolean may = Election.mayAct(state, Steady.now()) && (quorum == null || quorum.holds(Steady.now()));
-            if (may && !taken) {
-                taken = true;
-                Log.event("vrrp-taken", "the address is ours", "router", virtualId);
-                holder.take();
-            } else if (!may && taken) {
-                drop(Election.Why.LEASE_OVER);
-            }
-        }
+    /**
+     * Whether this gateway may act for the address now; asked before each taking in and each write.
+     */
+    public boolean mayAct() {
+      if (!taken) {
+        return false;
+      }
+      if (!Election.mayAct(state, Steady.now())) {
+        // It was stopped: all is put in order before whoever asked goes on.
+        event(new Election.Tick());
+      }
+      settle();
+      return taken;
+    }
 
-        private void drop(Election.Why why) {
-            taken = false;
-            Log.event("vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
-            holder.drop(why);
-        }
+    /** Takes the address when all that it needs is there, and drops it when any of it is gone. */
+    private void settle() {
+      boolean may =
+          Election.mayAct(state, Steady.now()) && (quorum == null || quorum.holds(Steady.now()));
+      if (may && !taken) {
+        taken = true;
+        Log.event("vrrp-taken", "the address is ours", "router", virtualId);
+        holder.take();
+      } else if (!may && taken) {
+        drop(Election.Why.LEASE_OVER);
+      }
+    }
 
-        /** The grants asked for at this time; the answers come, or do not. */
-        private void askVoters() {
-            Duration now = Steady.now();
-            quorum = quorum == null ? Quorum.none(voters.size() + 1) : quorum;
-            Ballot ask = new Ballot(Ballot.Kind.ASKED, virtualId, span, now.toNanos());
-            Ballot mine = booth.taken(ask, own);
-            if (mine != null && mine.kind() == Ballot.Kind.GRANTED) {
-                granted(0, now);
-            }
-            voters.forEach(voter -> send(voter, ask));
-        }
+    private void drop(Election.Why why) {
+      taken = false;
+      Log.event("vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
+      holder.drop(why);
+    }
 
-        private void granted(int voter, Duration asked) {
-            // A time that is none of ours would let a grant count for ever.
-            if (state.role() == Election.Role.ACTIVE && quorum != null && asked.compareTo(Steady.now()) <= 0) {
-                quorum = quorum.granted(voter, asked, span);
-                settle();
-                quorumTimer.run();
-                quorumTimer = timers.after(span, this::settle);
-            }
-        }
+    /** The grants asked for at this time; the answers come, or do not. */
+    private void askVoters() {
+      Duration now = Steady.now();
+      quorum = quorum == null ? Quorum.none(voters.size() + 1) : quorum;
+      Ballot ask = new Ballot(Ballot.Kind.ASKED, virtualId, span, now.toNanos());
+      Ballot mine = booth.taken(ask, own);
+      if (mine != null && mine.kind() == Ballot.Kind.GRANTED) {
+        granted(0, now);
+      }
+      voters.forEach(voter -> send(voter, ask));
+    }
 
-        /** What was granted is given back, so that the next one need not wait for its end. */
-        private void giveBack() {
-            if (booth != null) {
-                Ballot back = new Ballot(Ballot.Kind.RETURNED, virtualId, span, 0);
-                booth.taken(back, own);
-                voters.forEach(voter -> send(voter, back));
-                quorum = Quorum.none(voters.size() + 1);
-            }
-        }
+    private void granted(int voter, Duration asked) {
+      // A time that is none of ours would let a grant count for ever.
+      if (state.role() == Election.Role.ACTIVE
+          && quorum != null
+          && asked.compareTo(Steady.now()) <= 0) {
+        quorum = quorum.granted(voter, asked, span);
+        settle();
+        quorumTimer.run();
+        quorumTimer = timers.after(span, this::settle);
+      }
+    }
 
-        public Election.State state() {
-            return state;
-        }
+    /** What was granted is given back, so that the next one need not wait for its end. */
+    private void giveBack() {
+      if (booth != null) {
+        Ballot back = new Ballot(Ballot.Kind.RETURNED, virtualId, span, 0);
+        booth.taken(back, own);
+        voters.forEach(voter -> send(voter, back));
+        quorum = Quorum.none(voters.size() + 1);
+      }
+    }
 
-        /** How good a candidate this gateway is has changed. */
-        public void priority(int now) {
-            if (now != state.priority()) {
-                Log.event("vrrp-priority", "changed", "router", virtualId, "from", state.priority(), "to", now);
-                event(new Election.Changed(now));
-            }
-        }
+    public Election.State state() {
+      return state;
+    }
 
-        /** Gives the address up in order and waits as any other from then on. */
-        public void resign() {
-            event(new Election.Stop());
-            event(new Election.Start());
-        }
+    /** How good a candidate this gateway is has changed. */
+    public void priority(int now) {
+      if (now != state.priority()) {
+        Log.event(
+            "vrrp-priority", "changed", "router", virtualId, "from", state.priority(), "to", now);
+        event(new Election.Changed(now));
+      }
+    }
 
-        private void event(Election.Event event) {
-            Election.Role before = state.role();
-            Duration now = Steady.now();
-            Election.Step step = Election.next(state, event, now, settings);
-            state = step.state();
-            if (before != state.role()) {
-                // A topic for each role: the guard of one line a second must not hide that an address changed hands.
-                Log.event("vrrp-" + state.role().name().toLowerCase(Locale.ROOT), "was " + before, "router", virtualId,
-                        "event", event, "priority", state.priority());
-            }
-            timer.run();
-            Duration due = Election.due(state);
-            if (due != null) {
-                timer = timers.after(due.minus(now), () -> event(new Election.Tick()));
-            }
-            for (Election.Action action : step.actions()) {
-                if (action instanceof Election.Advertise advertise) {
-                    advertise(advertise.priority());
-                    if (booth != null && advertise.priority() != Advertisement.STOPS) {
-                        askVoters();
-                    }
-                } else if (action instanceof Election.Drop drop) {
-                    if (taken) {
-                        drop(drop.why());
-                    }
-                    giveBack();
-                }
-            }
-            settle();
-        }
+    /** Gives the address up in order and waits as any other from then on. */
+    public void resign() {
+      event(new Election.Stop());
+      event(new Election.Start());
+    }
 
-        private void advertise(int priority) {
-            Advertisement advertisement = new Advertisement(virtualId, priority, settings.interval(), addresses);
-            for (InetSocketAddress peer : peers) {
-                post.send(peer, advertisement.write(own.getAddress(), peer.getAddress()));
-            }
+    private void event(Election.Event event) {
+      Election.Role before = state.role();
+      Duration now = Steady.now();
+      Election.Step step = Election.next(state, event, now, settings);
+      state = step.state();
+      if (before != state.role()) {
+        // A topic for each role: the guard of one line a second must not hide that an address
+        // changed hands.
+        Log.event(
+            "vrrp-" + state.role().name().toLowerCase(Locale.ROOT),
+            "was " + before,
+            "router",
+            virtualId,
+            "event",
+            event,
+            "priority",
+            state.priority());
+      }
+      timer.run();
+      Duration due = Election.due(state);
+      if (due != null) {
+        timer = timers.after(due.minus(now), () -> event(new Election.Tick()));
+      }
+      for (Election.Action action : step.actions()) {
+        if (action instanceof Election.Advertise advertise) {
+          advertise(advertise.priority());
+          if (booth != null && advertise.priority() != Advertisement.STOPS) {
+            askVoters();
+          }
+        } else if (action instanceof Election.Drop drop) {
+          if (taken) {
+            drop(drop.why());
+          }
+          giveBack();
         }
+      }
+      settle();
+    }
+
+    private void advertise(int priority) {
+      Advertisement advertisement =
+          new Advertisement(virtualId, priority, settings.interval(), addresses);
+      for (InetSocketAddress peer : peers) {
+        post.send(peer, advertisement.write(own.getAddress(), peer.getAddress()));
+      }
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/standby/Witness.java
+++ b/router/src/main/java/tamarindroute/standby/Witness.java
@@ -8,42 +8,51 @@
 import tamarindroute.log.Log;
 import tamarindroute.net.Datagrams;
 import tamarindroute.protocol.MalformedException;
-import tamarindroute.vrrp.Ballot;
 import tamarindroute.protocol.Seal;
+import tamarindroute.vrrp.Ballot;
 
-/** A third voter that carries nothing: it answers known candidates' sealed requests, and is never active itself. */
+/**
+ * A third voter that carries nothing: it answers known candidates' sealed requests, and is never
+ * active itself.
+ */
 public final class Witness {
 
-    private final Datagrams datagrams;
-    private final InetSocketAddress own;
-    private final List<InetSocketAddress> candidates;
-    private final Post post;
-    private final Booth booth;
+  private final Datagrams datagrams;
+  private final InetSocketAddress own;
+  private final List<InetSocketAddress> candidates;
+  private final Post post;
+  private final Booth booth;
 
-    public Witness(Datagrams datagrams, InetSocketAddress own, List<InetSocketAddress> candidates,
-            Set<Integer> virtualIds, Duration span, Seal seal, long run) {
-        this.datagrams = datagrams;
-        this.own = own;
-        this.candidates = List.copyOf(candidates);
-        this.post = new Post(datagrams, own, seal, run);
-        this.booth = new Booth(virtualIds, span);
-    }
+  public Witness(
+      Datagrams datagrams,
+      InetSocketAddress own,
+      List<InetSocketAddress> candidates,
+      Set<Integer> virtualIds,
+      Duration span,
+      Seal seal,
+      long run) {
+    this.datagrams = datagrams;
+    this.own = own;
+    this.candidates = List.copyOf(candidates);
+    this.post = new Post(datagrams, own, seal, run);
+    this.booth = new Booth(virtualIds, span);
+  }
 
-    public void start() throws IOException {
-        datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
-    }
+  public void start() throws IOException {
+    datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
+  }
 
-    private void taken(byte[] bytes, InetSocketAddress from) {
-        try {
-            if (!candidates.contains(from)) {
-                throw new MalformedException("no candidate");
-            }
-            Ballot answer = booth.taken(Ballot.read(post.open(bytes, from)), from);
-            if (answer != null) {
-                post.send(from, answer.write());
-            }
-        } catch (MalformedException e) {
-            Log.event("vrrp-unreadable", e.getMessage(), "from", from);
-        }
+  private void taken(byte[] bytes, InetSocketAddress from) {
+    try {
+      if (!candidates.contains(from)) {
+        throw new MalformedException("no candidate");
+      }
+      Ballot answer = booth.taken(Ballot.read(post.open(bytes, from)), from);
+      if (answer != null) {
+        post.send(from, answer.write());
+      }
+    } catch (MalformedException e) {
+      Log.event("vrrp-unreadable", e.getMessage(), "from", from);
     }
+  }
 }
--- a/router/src/main/java/tamarindroute/vrrp/Advertisement.java
+++ b/router/src/main/java/tamarindroute/vrrp/Advertisement.java
@@ -9,91 +9,111 @@
 import tamarindroute.protocol.MalformedException;
 
 /**
- * One advertisement of version 3, both ways (RFC 9568, 5.1 and 5.2). The checksum covers the pseudo header of the
- * addresses that carry it. UDP does not show a datagram's TTL or hop limit, so the rule that it be 255 can't be
- * checked here; what shelters from senders beyond the link is the seal.
+ * One advertisement of version 3, both ways (RFC 9568, 5.1 and 5.2). The checksum covers the pseudo
+ * header of the addresses that carry it. UDP does not show a datagram's TTL or hop limit, so the
+ * rule that it be 255 can't be checked here; what shelters from senders beyond the link is the
+ * seal.
  */
-public record Advertisement(int virtualId, int priority, Duration interval, List<InetAddress> addresses) {
+public record Advertisement(
+    int virtualId, int priority, Duration interval, List<InetAddress> addresses) {
 
-    /** The priority of whoever owns the address, and the one that says that its holder stops. */
-    public static final int OWNER = 255;
-    public static final int STOPS = 0;
+  /** The priority of whoever owns the address, and the one that says that its holder stops. */
+  public static final int OWNER = 255;
 
-    private static final int VERSION_AND_TYPE = 0x31;
-    private static final int HEADER = 8;
-    private static final int PROTOCOL = 112;
-    /** Twelve bits of centiseconds. */
-    private static final int LONGEST_CENTIS = 0xFFF;
-    private static final int MOST_ADDRESSES = 255;
+  public static final int STOPS = 0;
 
-    public Advertisement {
-        List<InetAddress> all = List.copyOf(addresses);
-        addresses = all;
-        long centis = interval.toMillis() / 10;
-        if (virtualId < 1 || virtualId > 255 || priority < 0 || priority > 255 || centis < 1
-                || centis > LONGEST_CENTIS || interval.toMillis() % 10 != 0 || addresses.isEmpty()
-                || addresses.size() > MOST_ADDRESSES
-                || all.stream().anyMatch(a -> a.getClass() != all.get(0).getClass())) {
-            throw new IllegalArgumentException("no advertisement of version 3");
-        }
-    }
+  private static final int VERSION_AND_TYPE = 0x31;
+  private static final int HEADER = 8;
+  private static final int PROTOCOL = 112;
+
+  /** Twelve bits of centiseconds. */
+  private static final int LONGEST_CENTIS = 0xFFF;
+
+  private static final int MOST_ADDRESSES = 255;
 
-    /** As it goes from one address to another of the same family. */
-    public byte[] write(InetAddress from, InetAddress to) {
-        int size = addresses.get(0).getAddress().length;
-        ByteBuffer bytes = ByteBuffer.allocate(HEADER + size * addresses.size());
-        bytes.put((byte) VERSION_AND_TYPE).put((byte) virtualId).put((byte) priority).put((byte) addresses.size())
-                .putShort((short) (interval.toMillis() / 10)).putShort((short) 0);
-        addresses.forEach(address -> bytes.put(address.getAddress()));
-        bytes.putShort(6, (short) checksum(bytes.array(), from, to));
-        return bytes.array();
+  public Advertisement {
+    List<InetAddress> all = List.copyOf(addresses);
+    addresses = all;
+    long centis = interval.toMillis() / 10;
+    if (virtualId < 1
+        || virtualId > 255
+        || priority < 0
+        || priority > 255
+        || centis < 1
+        || centis > LONGEST_CENTIS
+        || interval.toMillis() % 10 != 0
+        || addresses.isEmpty()
+        || addresses.size() > MOST_ADDRESSES
+        || all.stream().anyMatch(a -> a.getClass() != all.get(0).getClass())) {
+      throw new IllegalArgumentException("no advertisement of version 3");
     }
+  }
 
-    /** Reads one whole, as it came from one address to another; anything else of it is refused. */
-    public static Advertisement read(byte[] bytes, InetAddress from, InetAddress to) throws MalformedException {
-        if (bytes.length < HEADER || (bytes[0] & 0xFF) != VERSION_AND_TYPE) {
-            throw new MalformedException("no advertisement of version 3");
-        }
-        int size = from.getAddress().length;
-        int count = bytes[3] & 0xFF;
-        if (to.getAddress().length != size || count == 0 || bytes.length != HEADER + size * count) {
-            throw new MalformedException(bytes.length + " bytes with " + count + " addresses");
-        }
-        if (checksum(bytes, from, to) != 0) {
-            throw new MalformedException("the checksum does not hold");
-        }
-        int centis = (bytes[4] & 0x0F) << 8 | bytes[5] & 0xFF;
-        if ((bytes[1] & 0xFF) == 0 || centis == 0) {
-            throw new MalformedException("no virtual router or no interval");
-        }
-        List<InetAddress> addresses = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            byte[] address = new byte[size];
-            System.arraycopy(bytes, HEADER + i * size, address, 0, size);
-            try {
-                addresses.add(InetAddress.getByAddress(address));
-            } catch (UnknownHostException e) {
-                throw new MalformedException("no address: " + e.getMessage());
-            }
-        }
-        if (addresses.stream().anyMatch(a -> a.getAddress().length != size)) {
-            // Java turns an IPv4 address mapped into IPv6 into its own kind.
-            throw new MalformedException("an address of another family");
-        }
-        return new Advertisement(bytes[1] & 0xFF, bytes[2] & 0xFF, Duration.ofMillis(centis * 10L), addresses);
+  /** As it goes from one address to another of the same family. */
+  public byte[] write(InetAddress from, InetAddress to) {
+    int size = addresses.get(0).getAddress().length;
+    ByteBuffer bytes = ByteBuffer.allocate(HEADER + size * addresses.size());
+    bytes
+        .put((byte) VERSION_AND_TYPE)
+        .put((byte) virtualId)
+        .put((byte) priority)
+        .put((byte) addresses.size())
+        .putShort((short) (interval.toMillis() / 10))
+        .putShort((short) 0);
+    addresses.forEach(address -> bytes.put(address.getAddress()));
+    bytes.putShort(6, (short) checksum(bytes.array(), from, to));
+    return bytes.array();
+  }
+
+  /** Reads one whole, as it came from one address to another; anything else of it is refused. */
+  public static Advertisement read(byte[] bytes, InetAddress from, InetAddress to)
+      throws MalformedException {
+    if (bytes.length < HEADER || (bytes[0] & 0xFF) != VERSION_AND_TYPE) {
+      throw new MalformedException("no advertisement of version 3");
+    }
+    int size = from.getAddress().length;
+    int count = bytes[3] & 0xFF;
+    if (to.getAddress().length != size || count == 0 || bytes.length != HEADER + size * count) {
+      throw new MalformedException(bytes.length + " bytes with " + count + " addresses");
     }
+    if (checksum(bytes, from, to) != 0) {
+      throw new MalformedException("the checksum does not hold");
+    }
+    int centis = (bytes[4] & 0x0F) << 8 | bytes[5] & 0xFF;
+    if ((bytes[1] & 0xFF) == 0 || centis == 0) {
+      throw new MalformedException("no virtual router or no interval");
+    }
+    List<InetAddress> addresses = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      byte[] address = new byte[size];
+      System.arraycopy(bytes, HEADER + i * size, address, 0, size);
+      try {
+        addresses.add(InetAddress.getByAddress(address));
+      } catch (UnknownHostException e) {
+        throw new MalformedException("no address: " + e.getMessage());
+      }
+    }
+    if (addresses.stream().anyMatch(a -> a.getAddress().length != size)) {
+      // Java turns an IPv4 address mapped into IPv6 into its own kind.
+      throw new MalformedException("an address of another family");
+    }
+    return new Advertisement(
+        bytes[1] & 0xFF, bytes[2] & 0xFF, Duration.ofMillis(centis * 10L), addresses);
+  }
 
-    /** The Internet checksum over the pseudo header and the message; 0 over one that holds its own. */
-    private static int checksum(byte[] message, InetAddress from, InetAddress to) {
-        long sum = PROTOCOL + message.length;
-        for (byte[] part : new byte[][] {from.getAddress(), to.getAddress(), message}) {
-            for (int i = 0; i < part.length; i++) {
-                sum += (i & 1) == 0 ? (part[i] & 0xFF) << 8 : part[i] & 0xFF;
-            }
-        }
-        while (sum >> 16 != 0) {
-            sum = (sum & 0xFFFF) + (sum >> 16);
-        }
-        return (int) (~sum & 0xFFFF);
+  /**
+   * The Internet checksum over the pseudo header and the message; 0 over one that holds its own.
+   */
+  private static int checksum(byte[] message, InetAddress from, InetAddress to) {
+    long sum = PROTOCOL + message.length;
+    for (byte[] part : new byte[][] {from.getAddress(), to.getAddress(), message}) {
+      for (int i = 0; i < part.length; i++) {
+        sum += (i & 1) == 0 ? (part[i] & 0xFF) << 8 : part[i] & 0xFF;
+      }
+    }
+    while (sum >> 16 != 0) {
+      sum = (sum & 0xFFFF) + (sum >> 16);
     }
+    return (int) (~sum & 0xFFFF);
+  }
 }
--- a/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
+++ b/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
@@ -15,98 +15,122 @@
 /** Settings files, sound and not. */
 class ServiceSettingsTest {
 
-    @TempDir
-    Path folder;
-
-    private String sound;
-
-    @BeforeEach
-    void example() throws IOException {
-        sound = Files.readString(Path.of("deploy/dns.xml")).replace("../example/config.json", "config.json");
-        Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
-        Files.copy(Path.of("example/config.json"), folder.resolve("config.json"));
-    }
-
-    private Path file(String text) throws IOException {
-        return Files.writeString(folder.resolve("dns.xml"), text);
-    }
-
-    private List<String> faults(String text) throws IOException {
-        Path file = file(text);
-        UnusableException e = catchThrowableOfType(UnusableException.class, () -> ServiceSettings.read(file));
-        assertThat(e).as("refused").isNotNull();
-        return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
-    }
-
-    /** The line in which a text stands, from 1. */
-    private static int line(String text, String part) {
-        return (int) text.substring(0, text.indexOf(part)).lines().count() + (text.startsWith(part) ? 1 : 0);
-    }
-
-    @Test
-    void theExampleIsSoundAndItsDefaultsAreTheSchemas() throws IOException {
-        ServiceSettings settings = ServiceSettings.read(Path.of("deploy/dns.xml"));
-        assertThat(settings.dns().steer().mostTtl()).isEqualTo(Duration.ofSeconds(30));
-        assertThat(settings.dns().steer().nearest()).isEqualTo("near");
-        assertThat(settings.dns().steer().locations().get(0).clients()).extracting(c -> c.carries())
-                .containsExactly(2.0, 8.0);
-        assertThat(settings.dns().zones().get(0).soa().getMinimum()).isEqualTo(5);
-    }
-
-    @Test
-    void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
-        String wrong = sound.replace("ttl-most=\"PT30S\"", "ttl-most=\"30\"").replace("slip=\"2\"", "slip=\"no\"")
-                .replace("<profile label=\"pick\" name=\"pick\"/>", "<profil label=\"pick\"/>");
-        List<String> faults = faults(wrong);
-        assertThat(faults).hasSizeGreaterThanOrEqualTo(3);
-        assertThat(faults).anySatisfy(f -> assertThat(f).contains("30").contains("ttl-most"));
-        assertThat(faults).anySatisfy(f -> assertThat(f).startsWith(line(wrong, "<profil ") + ":").contains("profil"));
-        assertThat(faults).anySatisfy(f -> assertThat(f).contains("slip"));
-    }
-
-    @Test
-    void whatASchemaCannotSayIsToldWithItsPlaceToo() throws IOException {
-        String wrong = sound.replace("place=\"shed\"", "place=\"moon\"").replace("ttl-least=\"PT1S\"",
-                "ttl-least=\"PT1M\"").replace("name=\"clip\"/>", "name=\"clap\"/>")
-                .replace("10.3.0.0/16", "10.3.0.0/77").replace("file=\"sheds.zone\"", "file=\"none.zone\"");
-        List<String> faults = faults(wrong);
-        for (String part : List.of("moon", "ttl-least is over", "clap", "77 bits", "none.zone")) {
-            assertThat(faults).anySatisfy(f -> assertThat(f).contains(part).matches("(?s)\\d+:\\d+: .*"));
-        }
-    }
-
-    @Test
-    void brokenFilesAreRefusedWithTheirLine() throws IOException {
-        assertThat(faults("<tamarindroute")).singleElement().asString().startsWith("1:");
-        assertThat(faults("")).hasSize(1);
-        assertThat(faults(sound.replace("</steer>", ""))).anySatisfy(f -> assertThat(f).contains("steer"));
-        assertThat(faults("<other/>")).isNotEmpty();
-    }
-
-    @Test
-    void entitiesAreNotRead() throws IOException {
-        Files.writeString(folder.resolve("secret"), "x");
-        String external = "<!DOCTYPE tamarindroute [<!ENTITY x SYSTEM \"secret\">]>\n"
-                + sound.substring(sound.indexOf("<tamarindroute"));
-        assertThat(faults(external)).singleElement().asString().contains("DOCTYPE");
-    }
-
-    @Test
-    void zonesThatAreNoneAreRefused() throws IOException {
-        Files.writeString(folder.resolve("sheds.zone"), "@ IN A 192.0.2.1\n");
-        assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
-        Files.writeString(folder.resolve("sheds.zone"), "$INCLUDE /etc/hostname\n");
-        assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
-        Files.writeString(folder.resolve("sheds.zone"), Files.readString(Path.of("deploy/sheds.zone"))
-                + "shed-3 IN A 192.0.2.1\n");
-        assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("shed-3").contains("steered"));
-    }
-
-    @Test
-    void aFeedByNameNeedsResolvers() throws IOException {
-        String named = sound.replace("instances=\"1\"/>", "instances=\"1\" feed=\"feed.sheds.example:7001\"/>");
-        assertThat(faults(named)).singleElement().asString().contains("resolvers");
-        assertThat(ServiceSettings.read(file(named.replace("<dns ", "<resolvers><upstream address=\"127.0.0.1:53\"/>"
-                + "</resolvers><dns "))).feed()).isEqualTo("feed.sheds.example:7001");
+  @TempDir Path folder;
+
+  private String sound;
+
+  @BeforeEach
+  void example() throws IOException {
+    sound =
+        Files.readString(Path.of("deploy/dns.xml"))
+            .replace("../example/config.json", "config.json");
+    Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
+    Files.copy(Path.of("example/config.json"), folder.resolve("config.json"));
+  }
+
+  private Path file(String text) throws IOException {
+    return Files.writeString(folder.resolve("dns.xml"), text);
+  }
+
+  private List<String> faults(String text) throws IOException {
+    Path file = file(text);
+    UnusableException e =
+        catchThrowableOfType(UnusableException.class, () -> ServiceSettings.read(file));
+    assertThat(e).as("refused").isNotNull();
+    return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
+  }
+
+  /** The line in which a text stands, from 1. */
+  private static int line(String text, String part) {
+    return (int) text.substring(0, text.indexOf(part)).lines().count()
+        + (text.startsWith(part) ? 1 : 0);
+  }
+
+  @Test
+  void theExampleIsSoundAndItsDefaultsAreTheSchemas() throws IOException {
+    ServiceSettings settings = ServiceSettings.read(Path.of("deploy/dns.xml"));
+    assertThat(settings.dns().steer().mostTtl()).isEqualTo(Duration.ofSeconds(30));
+    assertThat(settings.dns().steer().nearest()).isEqualTo("near");
+    assertThat(settings.dns().steer().locations().get(0).clients())
+        .extracting(c -> c.carries())
+        .containsExactly(2.0, 8.0);
+    assertThat(settings.dns().zones().get(0).soa().getMinimum()).isEqualTo(5);
+  }
+
+  @Test
+  void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
+    String wrong =
+        sound
+            .replace("ttl-most=\"PT30S\"", "ttl-most=\"30\"")
+            .replace("slip=\"2\"", "slip=\"no\"")
+            .replace("<profile label=\"pick\" name=\"pick\"/>", "<profil label=\"pick\"/>");
+    List<String> faults = faults(wrong);
+    assertThat(faults).hasSizeGreaterThanOrEqualTo(3);
+    assertThat(faults).anySatisfy(f -> assertThat(f).contains("30").contains("ttl-most"));
+    assertThat(faults)
+        .anySatisfy(
+            f -> assertThat(f).startsWith(line(wrong, "<profil ") + ":").contains("profil"));
+    assertThat(faults).anySatisfy(f -> assertThat(f).contains("slip"));
+  }
+
+  @Test
+  void whatASchemaCannotSayIsToldWithItsPlaceToo() throws IOException {
+    String wrong =
+        sound
+            .replace("place=\"shed\"", "place=\"moon\"")
+            .replace("ttl-least=\"PT1S\"", "ttl-least=\"PT1M\"")
+            .replace("name=\"clip\"/>", "name=\"clap\"/>")
+            .replace("10.3.0.0/16", "10.3.0.0/77")
+            .replace("file=\"sheds.zone\"", "file=\"none.zone\"");
+    List<String> faults = faults(wrong);
+    for (String part : List.of("moon", "ttl-least is over", "clap", "77 bits", "none.zone")) {
+      assertThat(faults).anySatisfy(f -> assertThat(f).contains(part).matches("(?s)\\d+:\\d+: .*"));
     }
+  }
+
+  @Test
+  void brokenFilesAreRefusedWithTheirLine() throws IOException {
+    assertThat(faults("<tamarindroute")).singleElement().asString().startsWith("1:");
+    assertThat(faults("")).hasSize(1);
+    assertThat(faults(sound.replace("</steer>", "")))
+        .anySatisfy(f -> assertThat(f).contains("steer"));
+    assertThat(faults("<other/>")).isNotEmpty();
+  }
+
+  @Test
+  void entitiesAreNotRead() throws IOException {
+    Files.writeString(folder.resolve("secret"), "x");
+    String external =
+        "<!DOCTYPE tamarindroute [<!ENTITY x SYSTEM \"secret\">]>\n"
+            + sound.substring(sound.indexOf("<tamarindroute"));
+    assertThat(faults(external)).singleElement().asString().contains("DOCTYPE");
+  }
+
+  @Test
+  void zonesThatAreNoneAreRefused() throws IOException {
+    Files.writeString(folder.resolve("sheds.zone"), "@ IN A 192.0.2.1\n");
+    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
+    Files.writeString(folder.resolve("sheds.zone"), "$INCLUDE /etc/hostname\n");
+    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
+    Files.writeString(
+        folder.resolve("sheds.zone"),
+        Files.readString(Path.of("deploy/sheds.zone")) + "shed-3 IN A 192.0.2.1\n");
+    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("shed-3").contains("steered"));
+  }
+
+  @Test
+  void aFeedByNameNeedsResolvers() throws IOException {
+    String named =
+        sound.replace("instances=\"1\"/>", "instances=\"1\" feed=\"feed.sheds.example:7001\"/>");
+    assertThat(faults(named)).singleElement().asString().contains("resolvers");
+    assertThat(
+            ServiceSettings.read(
+                    file(
+                        named.replace(
+                            "<dns ",
+                            "<resolvers><upstream address=\"127.0.0.1:53\"/>"
+                                + "</resolvers><dns ")))
+                .feed())
+        .isEqualTo("feed.sheds.example:7001");
+  }
 }
--- a/router/src/test/java/tamarindroute/host/ConfigTest.java
+++ b/router/src/test/java/tamarindroute/host/ConfigTest.java
@@ -15,46 +15,55 @@
 /** Limits that are not told, or odd: a stated default, or an error that names them. */
 class ConfigTest {
 
-    private static final String LIMITS = "\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},";
+  private static final String LIMITS =
+      "\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},";
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private String with(String old, String now) throws IOException {
-        String text = Files.readString(Path.of("example/config.json"));
-        assertThat(text).contains(old);
-        return Files.writeString(folder.resolve("config.json"), text.replace(old, now)).toString();
-    }
+  private String with(String old, String now) throws IOException {
+    String text = Files.readString(Path.of("example/config.json"));
+    assertThat(text).contains(old);
+    return Files.writeString(folder.resolve("config.json"), text.replace(old, now)).toString();
+  }
 
-    @Test
-    void limitsThatAreNotToldCountAsThePlatformsLeast() throws Exception {
-        for (String none : new String[] {"", "\"limits\": {},", "\"limits\": {\"cores\": 0.2},"}) {
-            Config config = Config.read(with(LIMITS, none));
-            assertThat(config.memory()).isEqualTo(32L * 1024 * 1024);
-            assertThat(config.descriptors()).isEqualTo(256);
-        }
-        assertThat(Config.read(with("192", "64.0")).memory()).isEqualTo(64L * 1024 * 1024);
+  @Test
+  void limitsThatAreNotToldCountAsThePlatformsLeast() throws Exception {
+    for (String none : new String[] {"", "\"limits\": {},", "\"limits\": {\"cores\": 0.2},"}) {
+      Config config = Config.read(with(LIMITS, none));
+      assertThat(config.memory()).isEqualTo(32L * 1024 * 1024);
+      assertThat(config.descriptors()).isEqualTo(256);
     }
+    assertThat(Config.read(with("192", "64.0")).memory()).isEqualTo(64L * 1024 * 1024);
+  }
 
-    @ParameterizedTest
-    @CsvSource({"192, -5, limits.memory_mb is -5", "192, 0, limits.memory_mb is 0",
-        "1024, 1e12, limits.sockets is 1e12",
-        "1024, {}, can't be used", "192, '\"x\"', can't be used", "'\"listen\"', '\"heard\"', no listen",
-        "'\"feed\"', '\"fed\"', no feed",
-        "'\"settings\"', '\"set\"', no settings", "'\"127.0.0.1:7000\"', '\"7000\"', no address"})
-    void whatIsOddIsToldByName(String old, String now, String told) throws Exception {
-        String file = with(old, now);
-        assertThatThrownBy(() -> Config.read(file)).isInstanceOf(MalformedSettingsException.class)
-                .hasMessageContaining(told)
-                .message().doesNotContain("\n").doesNotContain("Cannot invoke");
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "192, -5, limits.memory_mb is -5",
+    "192, 0, limits.memory_mb is 0",
+    "1024, 1e12, limits.sockets is 1e12",
+    "1024, {}, can't be used",
+    "192, '\"x\"', can't be used",
+    "'\"listen\"', '\"heard\"', no listen",
+    "'\"feed\"', '\"fed\"', no feed",
+    "'\"settings\"', '\"set\"', no settings",
+    "'\"127.0.0.1:7000\"', '\"7000\"', no address"
+  })
+  void whatIsOddIsToldByName(String old, String now, String told) throws Exception {
+    String file = with(old, now);
+    assertThatThrownBy(() -> Config.read(file))
+        .isInstanceOf(MalformedSettingsException.class)
+        .hasMessageContaining(told)
+        .message()
+        .doesNotContain("\n")
+        .doesNotContain("Cannot invoke");
+  }
 
-    /** What is read once at the start is not held for as long as the gateway runs. */
-    @Test
-    void theListOfTheStartIsLetGoOf() throws Exception {
-        Config config = Config.read("example/config.json");
-        assertThat(config.known()).contains("s-0000000a");
-        assertThat(config.started().known()).isEmpty();
-        assertThat(config.differsIn(config.started())).isEmpty();
-    }
+  /** What is read once at the start is not held for as long as the gateway runs. */
+  @Test
+  void theListOfTheStartIsLetGoOf() throws Exception {
+    Config config = Config.read("example/config.json");
+    assertThat(config.known()).contains("s-0000000a");
+    assertThat(config.started().known()).isEmpty();
+    assertThat(config.differsIn(config.started())).isEmpty();
+  }
 }
--- a/router/src/test/java/tamarindroute/resolver/ResolverTest.java
+++ b/router/src/test/java/tamarindroute/resolver/ResolverTest.java
@@ -24,160 +24,180 @@
 /** What the asking side decides, without sockets or clocks. */
 class ResolverTest {
 
-    private static final Name ZONE = Forwarder.name("north.example");
-    private static final Name ASKED = Forwarder.name("A.north.Example");
-
-    private static Duration at(double seconds) {
-        return Duration.ofMillis(Math.round(seconds * 1000));
-    }
-
-    private static Record record(String name, String type, long ttl, String data) {
-        try {
-            return Record.fromString(Forwarder.name(name), Type.value(type), DClass.IN, ttl, data, Name.root);
-        } catch (IOException e) {
-            throw new IllegalArgumentException(e);
-        }
-    }
-
-    private static Message answer(int id, Name name, Record... records) {
-        Message message = new Message(id);
-        message.getHeader().setFlag(Flags.QR);
-        message.addRecord(Record.newRecord(name, Type.A, DClass.IN), Section.QUESTION);
-        for (Record record : records) {
-            message.addRecord(record, record.getType() == Type.SOA ? Section.AUTHORITY : Section.ANSWER);
-        }
-        return message;
-    }
-
-    private static Check.Said read(Message message) {
-        return Check.read(message.toWire(), 7, ASKED, Type.A, ZONE);
-    }
-
-    @Test
-    void onlyAnswersToThisVeryQuestionAreBelieved() {
-        Record good = record("a.north.example", "A", 60, "192.0.2.1");
-        assertThat(read(answer(7, ASKED, good))).isInstanceOf(Check.Good.class);
-        assertThat(read(answer(8, ASKED, good))).as("id").isInstanceOf(Check.NotOurs.class);
-        assertThat(read(answer(7, Forwarder.name("a.north.example"), good))).as("letters' case")
-                .isInstanceOf(Check.NotOurs.class);
-        assertThat(read(answer(7, Forwarder.name("b.north.example"), good))).isInstanceOf(Check.NotOurs.class);
-        Message query = answer(7, ASKED, good);
-        query.getHeader().unsetFlag(Flags.QR);
-        assertThat(read(query)).isInstanceOf(Check.NotOurs.class);
-        Message cut = answer(7, ASKED);
-        cut.getHeader().setFlag(Flags.TC);
-        assertThat(read(cut)).isInstanceOf(Check.Cut.class);
-        Message refused = answer(7, ASKED);
-        refused.getHeader().setRcode(Rcode.REFUSED);
-        assertThat(read(refused)).isInstanceOf(Check.Unwilling.class);
-        assertThat(read(answer(7, ASKED))).as("lame").isInstanceOf(Check.Unwilling.class);
+  private static final Name ZONE = Forwarder.name("north.example");
+  private static final Name ASKED = Forwarder.name("A.north.Example");
+
+  private static Duration at(double seconds) {
+    return Duration.ofMillis(Math.round(seconds * 1000));
+  }
+
+  private static Record record(String name, String type, long ttl, String data) {
+    try {
+      return Record.fromString(
+          Forwarder.name(name), Type.value(type), DClass.IN, ttl, data, Name.root);
+    } catch (IOException e) {
+      throw new IllegalArgumentException(e);
     }
-
-    @Test
-    void recordsOutsideOfTheChainOrTheZoneAreLeftOut() {
-        Check.Good good = (Check.Good) read(answer(7, ASKED,
-                record("a.north.example", "CNAME", 60, "b.north.example."),
-                record("b.north.example", "CNAME", 60, "c.south.example."),
-                record("c.south.example", "A", 60, "203.0.113.66"),
-                record("bank.example", "A", 60, "203.0.113.66"),
-                record("z.north.example", "A", 60, "203.0.113.66")));
-        assertThat(good.message().getSection(Section.ANSWER)).extracting(r -> r.getName().toString().toLowerCase())
-                .containsExactly("a.north.example.", "b.north.example.");
+  }
+
+  private static Message answer(int id, Name name, Record... records) {
+    Message message = new Message(id);
+    message.getHeader().setFlag(Flags.QR);
+    message.addRecord(Record.newRecord(name, Type.A, DClass.IN), Section.QUESTION);
+    for (Record record : records) {
+      message.addRecord(record, record.getType() == Type.SOA ? Section.AUTHORITY : Section.ANSWER);
     }
-
-    @Property(seed = "19", tries = 2000)
-    void randomAnswersAreNeverTakenAndNeverThrow(@ForAll @Size(max = 600) byte[] bytes) {
-        assertThat(Check.read(bytes, 7, ASKED, Type.A, ZONE)).isNotInstanceOf(Check.Good.class);
+    return message;
+  }
+
+  private static Check.Said read(Message message) {
+    return Check.read(message.toWire(), 7, ASKED, Type.A, ZONE);
+  }
+
+  @Test
+  void onlyAnswersToThisVeryQuestionAreBelieved() {
+    Record good = record("a.north.example", "A", 60, "192.0.2.1");
+    assertThat(read(answer(7, ASKED, good))).isInstanceOf(Check.Good.class);
+    assertThat(read(answer(8, ASKED, good))).as("id").isInstanceOf(Check.NotOurs.class);
+    assertThat(read(answer(7, Forwarder.name("a.north.example"), good)))
+        .as("letters' case")
+        .isInstanceOf(Check.NotOurs.class);
+    assertThat(read(answer(7, Forwarder.name("b.north.example"), good)))
+        .isInstanceOf(Check.NotOurs.class);
+    Message query = answer(7, ASKED, good);
+    query.getHeader().unsetFlag(Flags.QR);
+    assertThat(read(query)).isInstanceOf(Check.NotOurs.class);
+    Message cut = answer(7, ASKED);
+    cut.getHeader().setFlag(Flags.TC);
+    assertThat(read(cut)).isInstanceOf(Check.Cut.class);
+    Message refused = answer(7, ASKED);
+    refused.getHeader().setRcode(Rcode.REFUSED);
+    assertThat(read(refused)).isInstanceOf(Check.Unwilling.class);
+    assertThat(read(answer(7, ASKED))).as("lame").isInstanceOf(Check.Unwilling.class);
+  }
+
+  @Test
+  void recordsOutsideOfTheChainOrTheZoneAreLeftOut() {
+    Check.Good good =
+        (Check.Good)
+            read(
+                answer(
+                    7,
+                    ASKED,
+                    record("a.north.example", "CNAME", 60, "b.north.example."),
+                    record("b.north.example", "CNAME", 60, "c.south.example."),
+                    record("c.south.example", "A", 60, "203.0.113.66"),
+                    record("bank.example", "A", 60, "203.0.113.66"),
+                    record("z.north.example", "A", 60, "203.0.113.66")));
+    assertThat(good.message().getSection(Section.ANSWER))
+        .extracting(r -> r.getName().toString().toLowerCase())
+        .containsExactly("a.north.example.", "b.north.example.");
+  }
+
+  @Property(seed = "19", tries = 2000)
+  void randomAnswersAreNeverTakenAndNeverThrow(@ForAll @Size(max = 600) byte[] bytes) {
+    assertThat(Check.read(bytes, 7, ASKED, Type.A, ZONE)).isNotInstanceOf(Check.Good.class);
+  }
+
+  @Property(seed = "20", tries = 2000)
+  void mutilatedAnswersGiveOnlyRecordsOfTheName(@ForAll long seed) {
+    Random random = new Random(seed);
+    byte[] bytes =
+        answer(
+                7,
+                ASKED,
+                record("a.north.example", "A", 60, "192.0.2.1"),
+                record("a.north.example", "CNAME", 60, "b.north.example."))
+            .toWire();
+    for (int i = random.nextInt(4); i >= 0; i--) {
+      bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
     }
-
-    @Property(seed = "20", tries = 2000)
-    void mutilatedAnswersGiveOnlyRecordsOfTheName(@ForAll long seed) {
-        Random random = new Random(seed);
-        byte[] bytes = answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1"),
-                record("a.north.example", "CNAME", 60, "b.north.example.")).toWire();
-        for (int i = random.nextInt(4); i >= 0; i--) {
-            bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
-        }
-        if (Check.read(bytes, 7, ASKED, Type.A, ZONE) instanceof Check.Good good) {
-            assertThat(good.message().getSection(Section.ANSWER))
-                    .allSatisfy(r -> assertThat(r.getName().subdomain(ZONE)).isTrue());
-        }
+    if (Check.read(bytes, 7, ASKED, Type.A, ZONE) instanceof Check.Good good) {
+      assertThat(good.message().getSection(Section.ANSWER))
+          .allSatisfy(r -> assertThat(r.getName().subdomain(ZONE)).isTrue());
     }
-
-    @Test
-    void whatIsKeptAgesIsBoundedAndIsGivenOutStaleForItsTime() {
-        Kept kept = new Kept();
-        Kept.Asked asked = new Kept.Asked(ASKED, Type.A);
-        kept.keep(asked, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
-        assertThat(kept.fresh(asked, at(20)).message().getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(40);
-        assertThat(kept.fresh(asked, at(60))).isNull();
-        Kept.Found stale = kept.stale(asked, at(100), at(159));
-        assertThat(stale.stale()).isTrue();
-        assertThat(stale.message().getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(30);
-        assertThat(kept.stale(asked, at(100), at(160))).isNull();
-        Message no = answer(7, ASKED, record("north.example", "SOA", 900,
-                "ns.north.example. h.north.example. 1 2 3 4 10"));
-        no.getHeader().setRcode(Rcode.NXDOMAIN);
-        kept.keep(asked, no, at(200));
-        assertThat(kept.fresh(asked, at(209)).message().getRcode()).isEqualTo(Rcode.NXDOMAIN);
-        assertThat(kept.fresh(asked, at(211))).isNull();
-        for (int i = 0; i < 5000; i++) {
-            kept.keep(new Kept.Asked(Forwarder.name("n" + i + ".north.example"), Type.A),
-                    answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(300));
-        }
-        assertThat(kept.size()).isEqualTo(2048);
+  }
+
+  @Test
+  void whatIsKeptAgesIsBoundedAndIsGivenOutStaleForItsTime() {
+    Kept kept = new Kept();
+    Kept.Asked asked = new Kept.Asked(ASKED, Type.A);
+    kept.keep(asked, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
+    assertThat(kept.fresh(asked, at(20)).message().getSection(Section.ANSWER).get(0).getTTL())
+        .isEqualTo(40);
+    assertThat(kept.fresh(asked, at(60))).isNull();
+    Kept.Found stale = kept.stale(asked, at(100), at(159));
+    assertThat(stale.stale()).isTrue();
+    assertThat(stale.message().getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(30);
+    assertThat(kept.stale(asked, at(100), at(160))).isNull();
+    Message no =
+        answer(
+            7,
+            ASKED,
+            record("north.example", "SOA", 900, "ns.north.example. h.north.example. 1 2 3 4 10"));
+    no.getHeader().setRcode(Rcode.NXDOMAIN);
+    kept.keep(asked, no, at(200));
+    assertThat(kept.fresh(asked, at(209)).message().getRcode()).isEqualTo(Rcode.NXDOMAIN);
+    assertThat(kept.fresh(asked, at(211))).isNull();
+    for (int i = 0; i < 5000; i++) {
+      kept.keep(
+          new Kept.Asked(Forwarder.name("n" + i + ".north.example"), Type.A),
+          answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")),
+          at(300));
     }
-
-    private static InetSocketAddress upstream(int last) {
-        return new InetSocketAddress("192.0.2." + last, 53);
+    assertThat(kept.size()).isEqualTo(2048);
+  }
+
+  private static InetSocketAddress upstream(int last) {
+    return new InetSocketAddress("192.0.2." + last, 53);
+  }
+
+  @Test
+  void theQuickAndSoundUpstreamGoesFirstAndOneThatCameBackIsFoundAgain() {
+    Upstreams upstreams = new Upstreams(List.of(upstream(1), upstream(2)), 100, 1);
+    int[] asked = new int[2];
+    for (int i = 0; i < 2000; i++) {
+      double now = i * 0.1;
+      boolean dead = now < 60;
+      Upstreams.Upstream one = upstreams.next(Set.of(), at(now));
+      int place = one.address.equals(upstream(1)) ? 0 : 1;
+      if (now >= 10 && now < 60 || now > 150) {
+        asked[now < 60 ? 0 : 1] += place == 0 ? 1 : 0;
+      }
+      upstreams.sent(one, at(now));
+      if (place == 0 && dead) {
+        upstreams.failed(one, true, at(now + 0.05));
+      } else {
+        upstreams.answered(one, at(place == 0 ? 0.002 : 0.03), at(now));
+      }
     }
-
-    @Test
-    void theQuickAndSoundUpstreamGoesFirstAndOneThatCameBackIsFoundAgain() {
-        Upstreams upstreams = new Upstreams(List.of(upstream(1), upstream(2)), 100, 1);
-        int[] asked = new int[2];
-        for (int i = 0; i < 2000; i++) {
-            double now = i * 0.1;
-            boolean dead = now < 60;
-            Upstreams.Upstream one = upstreams.next(Set.of(), at(now));
-            int place = one.address.equals(upstream(1)) ? 0 : 1;
-            if (now >= 10 && now < 60 || now > 150) {
-                asked[now < 60 ? 0 : 1] += place == 0 ? 1 : 0;
-            }
-            upstreams.sent(one, at(now));
-            if (place == 0 && dead) {
-                upstreams.failed(one, true, at(now + 0.05));
-            } else {
-                upstreams.answered(one, at(place == 0 ? 0.002 : 0.03), at(now));
-            }
-        }
-        assertThat(asked[0]).as("while it was dead, of 500").isLessThan(15);
-        assertThat(asked[1]).as("once it is back and quicker, of 500").isGreaterThan(400);
-    }
-
-    @Test
-    void anUpstreamHasItsLimitInFlight() {
-        Upstreams upstreams = new Upstreams(List.of(upstream(1)), 3, 1);
-        for (int i = 0; i < 3; i++) {
-            upstreams.sent(upstreams.next(Set.of(), at(0)), at(0));
-        }
-        assertThat(upstreams.next(Set.of(), at(0))).isNull();
-        upstreams.quit(upstreams.all().get(0));
-        assertThat(upstreams.next(Set.of(), at(0))).isNotNull();
+    assertThat(asked[0]).as("while it was dead, of 500").isLessThan(15);
+    assertThat(asked[1]).as("once it is back and quicker, of 500").isGreaterThan(400);
+  }
+
+  @Test
+  void anUpstreamHasItsLimitInFlight() {
+    Upstreams upstreams = new Upstreams(List.of(upstream(1)), 3, 1);
+    for (int i = 0; i < 3; i++) {
+      upstreams.sent(upstreams.next(Set.of(), at(0)), at(0));
     }
-
-    @Test
-    void furtherAttemptsStayAPartOfTheFirst() {
-        RetryBudget budget = new RetryBudget();
-        int further = 0;
-        for (int i = 0; i < 10_000; i++) {
-            budget.first(at(i * 0.001));
-            further += budget.further(at(i * 0.001)) ? 1 : 0;
-            further += budget.further(at(i * 0.001)) ? 1 : 0;
-        }
-        assertThat(further).isBetween(1500, 2010);
-        RetryBudget quiet = new RetryBudget();
-        quiet.first(at(0));
-        assertThat(quiet.further(at(0))).isTrue();
+    assertThat(upstreams.next(Set.of(), at(0))).isNull();
+    upstreams.quit(upstreams.all().get(0));
+    assertThat(upstreams.next(Set.of(), at(0))).isNotNull();
+  }
+
+  @Test
+  void furtherAttemptsStayAPartOfTheFirst() {
+    RetryBudget budget = new RetryBudget();
+    int further = 0;
+    for (int i = 0; i < 10_000; i++) {
+      budget.first(at(i * 0.001));
+      further += budget.further(at(i * 0.001)) ? 1 : 0;
+      further += budget.further(at(i * 0.001)) ? 1 : 0;
     }
+    assertThat(further).isBetween(1500, 2010);
+    RetryBudget quiet = new RetryBudget();
+    quiet.first(at(0));
+    assertThat(quiet.further(at(0))).isTrue();
+  }
 }
--- a/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
@@ -17,206 +17,252 @@
 import tamarindroute.protocol.MalformedException;
 import tamarindroute.protocol.Seal;
 
-/** The codec, the seal, the candidate's worth, a voter's grants, and the machine explored exhaustively. */
+/**
+ * The codec, the seal, the candidate's worth, a voter's grants, and the machine explored
+ * exhaustively.
+ */
 class VrrpTest {
 
-    private static final Duration INTERVAL = Duration.ofMillis(40);
+  private static final Duration INTERVAL = Duration.ofMillis(40);
 
-    private static InetAddress address(String text) {
-        try {
-            return InetAddress.getByName(text);
-        } catch (java.net.UnknownHostException e) {
-            throw new IllegalArgumentException(e);
-        }
+  private static InetAddress address(String text) {
+    try {
+      return InetAddress.getByName(text);
+    } catch (java.net.UnknownHostException e) {
+      throw new IllegalArgumentException(e);
     }
+  }
 
-    private static Election.Settings settings(long own) {
-        return new Election.Settings(own, INTERVAL, true, Duration.ZERO);
-    }
+  private static Election.Settings settings(long own) {
+    return new Election.Settings(own, INTERVAL, true, Duration.ZERO);
+  }
 
-    @ParameterizedTest
-    @CsvSource({"192.0.2.1, 192.0.2.2, 192.0.2.100", "2001:db8::1, 2001:db8::2, 2001:db8::100"})
-    void anAdvertisementComesBackAsItWent(String from, String to, String shared) throws MalformedException {
-        Advertisement told = new Advertisement(7, 120, Duration.ofMillis(1000),
-                List.of(address(shared), address(from)));
-        byte[] bytes = told.write(address(from), address(to));
-        assertThat(Advertisement.read(bytes, address(from), address(to))).isEqualTo(told);
-        assertThat(bytes[0]).isEqualTo((byte) 0x31);
-        assertThatThrownBy(() -> Advertisement.read(bytes, address(shared), address(to))).as("the pseudo header")
-                .isInstanceOf(MalformedException.class);
-    }
+  @ParameterizedTest
+  @CsvSource({"192.0.2.1, 192.0.2.2, 192.0.2.100", "2001:db8::1, 2001:db8::2, 2001:db8::100"})
+  void anAdvertisementComesBackAsItWent(String from, String to, String shared)
+      throws MalformedException {
+    Advertisement told =
+        new Advertisement(7, 120, Duration.ofMillis(1000), List.of(address(shared), address(from)));
+    byte[] bytes = told.write(address(from), address(to));
+    assertThat(Advertisement.read(bytes, address(from), address(to))).isEqualTo(told);
+    assertThat(bytes[0]).isEqualTo((byte) 0x31);
+    assertThatThrownBy(() -> Advertisement.read(bytes, address(shared), address(to)))
+        .as("the pseudo header")
+        .isInstanceOf(MalformedException.class);
+  }
 
-    @Property(seed = "21", tries = 3000)
-    void randomBytesAreNoAdvertisements(@ForAll @Size(max = 100) byte[] bytes) {
-        // Only the checksum stands between luck and belief: one in 65,536 of what has the form.
-        try {
-            Advertisement read = Advertisement.read(bytes, address("192.0.2.1"), address("192.0.2.2"));
-            assertThat(read.write(address("192.0.2.1"), address("192.0.2.2"))).hasSameSizeAs(bytes);
-        } catch (MalformedException e) {
-            assertThat(e).hasMessageNotContaining("Exception");
-        }
+  @Property(seed = "21", tries = 3000)
+  void randomBytesAreNoAdvertisements(@ForAll @Size(max = 100) byte[] bytes) {
+    // Only the checksum stands between luck and belief: one in 65,536 of what has the form.
+    try {
+      Advertisement read = Advertisement.read(bytes, address("192.0.2.1"), address("192.0.2.2"));
+      assertThat(read.write(address("192.0.2.1"), address("192.0.2.2"))).hasSameSizeAs(bytes);
+    } catch (MalformedException e) {
+      assertThat(e).hasMessageNotContaining("Exception");
     }
+  }
 
-    @Property(seed = "22", tries = 2000)
-    void aFlippedBitIsSeenByTheSealAndByTheChecksum(@ForAll long seed) {
-        Random random = new Random(seed);
-        byte[] bytes = new Advertisement(1, 100, INTERVAL, List.of(address("192.0.2.9")))
-                .write(address("192.0.2.1"), address("192.0.2.2"));
-        byte[] flipped = bytes.clone();
-        flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-        assertThatThrownBy(() -> Advertisement.read(flipped, address("192.0.2.1"), address("192.0.2.2")))
-                .isInstanceOf(MalformedException.class);
-        Seal seal = new Seal(Map.of(1, new byte[] {1, 2, 3}), 1);
-        byte[] sealed = seal.seal(bytes, 5, 9);
-        sealed[random.nextInt(sealed.length)] ^= (byte) (1 << random.nextInt(8));
-        assertThatThrownBy(() -> seal.open(sealed, Seal.Heard.NOTHING)).isInstanceOf(MalformedException.class);
-    }
+  @Property(seed = "22", tries = 2000)
+  void aFlippedBitIsSeenByTheSealAndByTheChecksum(@ForAll long seed) {
+    Random random = new Random(seed);
+    byte[] bytes =
+        new Advertisement(1, 100, INTERVAL, List.of(address("192.0.2.9")))
+            .write(address("192.0.2.1"), address("192.0.2.2"));
+    byte[] flipped = bytes.clone();
+    flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
+    assertThatThrownBy(
+            () -> Advertisement.read(flipped, address("192.0.2.1"), address("192.0.2.2")))
+        .isInstanceOf(MalformedException.class);
+    Seal seal = new Seal(Map.of(1, new byte[] {1, 2, 3}), 1);
+    byte[] sealed = seal.seal(bytes, 5, 9);
+    sealed[random.nextInt(sealed.length)] ^= (byte) (1 << random.nextInt(8));
+    assertThatThrownBy(() -> seal.open(sealed, Seal.Heard.NOTHING))
+        .isInstanceOf(MalformedException.class);
+  }
 
-    @Test
-    void aSealedMessageIsTakenOnceInAnyOrderAndOfTheLatestRunAlone() throws MalformedException {
-        Seal before = new Seal(Map.of(1, new byte[] {1}), 1);
-        Seal during = new Seal(Map.of(1, new byte[] {1}, 2, new byte[] {2}), 2);
-        Seal after = new Seal(Map.of(2, new byte[] {2}), 2);
-        byte[] message = {42};
-        Seal.Heard heard = Seal.Heard.NOTHING;
-        for (long number : new long[] {3, 1, 2, 70}) {
-            heard = during.open(before.seal(message, 10, number), heard).heard();
-        }
-        Seal.Heard all = heard;
-        for (long number : new long[] {3, 70, 5}) {
-            assertThatThrownBy(() -> during.open(before.seal(message, 10, number), all))
-                    .as("number %d", number).isInstanceOf(MalformedException.class);
-        }
-        assertThat(during.open(during.seal(message, 10, 69), all).message()).isEqualTo(message);
-        Seal.Heard anew = during.open(during.seal(message, 11, 0), all).heard();
-        assertThatThrownBy(() -> during.open(before.seal(message, 10, 90), anew)).as("an earlier run")
-                .isInstanceOf(MalformedException.class);
-        assertThatThrownBy(() -> after.open(before.seal(message, 12, 0), anew)).as("the old key, after the change")
-                .isInstanceOf(MalformedException.class);
+  @Test
+  void aSealedMessageIsTakenOnceInAnyOrderAndOfTheLatestRunAlone() throws MalformedException {
+    Seal before = new Seal(Map.of(1, new byte[] {1}), 1);
+    Seal during = new Seal(Map.of(1, new byte[] {1}, 2, new byte[] {2}), 2);
+    Seal after = new Seal(Map.of(2, new byte[] {2}), 2);
+    byte[] message = {42};
+    Seal.Heard heard = Seal.Heard.NOTHING;
+    for (long number : new long[] {3, 1, 2, 70}) {
+      heard = during.open(before.seal(message, 10, number), heard).heard();
     }
+    Seal.Heard all = heard;
+    for (long number : new long[] {3, 70, 5}) {
+      assertThatThrownBy(() -> during.open(before.seal(message, 10, number), all))
+          .as("number %d", number)
+          .isInstanceOf(MalformedException.class);
+    }
+    assertThat(during.open(during.seal(message, 10, 69), all).message()).isEqualTo(message);
+    Seal.Heard anew = during.open(during.seal(message, 11, 0), all).heard();
+    assertThatThrownBy(() -> during.open(before.seal(message, 10, 90), anew))
+        .as("an earlier run")
+        .isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> after.open(before.seal(message, 12, 0), anew))
+        .as("the old key, after the change")
+        .isInstanceOf(MalformedException.class);
+  }
 
-    @Test
-    void worthFallsAtOnceAndRisesOnlyWhenItHasHeld() {
-        Candidacy candidacy = Candidacy.of(100);
-        Candidacy.Facts well = new Candidacy.Facts(true, true, 1);
-        candidacy = candidacy.with(well, Duration.ZERO).with(well, Duration.ofSeconds(9));
-        assertThat(candidacy.now()).isEqualTo(1);
-        candidacy = candidacy.with(well, Duration.ofSeconds(10));
-        assertThat(candidacy.now()).isEqualTo(100);
-        Candidacy cold = Candidacy.of(200).with(new Candidacy.Facts(true, false, 1), Duration.ZERO)
-                .with(new Candidacy.Facts(true, false, 1), Duration.ofSeconds(60));
-        assertThat(cold.now()).as("a cold standby, whatever it was told").isLessThan(candidacy.now());
-        candidacy = candidacy.with(new Candidacy.Facts(true, true, 0.5), Duration.ofSeconds(11));
-        assertThat(candidacy.now()).isEqualTo(50);
-        for (int i = 0; i < 100; i++) {
-            // A fact that comes and goes each second never raises it.
-            candidacy = candidacy.with(i % 2 == 0 ? well : new Candidacy.Facts(true, true, 0.5),
-                    Duration.ofSeconds(12 + i));
-            assertThat(candidacy.now()).isEqualTo(50);
-        }
-        assertThat(candidacy.with(new Candidacy.Facts(false, true, 1), Duration.ofSeconds(200)).now()).isEqualTo(1);
+  @Test
+  void worthFallsAtOnceAndRisesOnlyWhenItHasHeld() {
+    Candidacy candidacy = Candidacy.of(100);
+    Candidacy.Facts well = new Candidacy.Facts(true, true, 1);
+    candidacy = candidacy.with(well, Duration.ZERO).with(well, Duration.ofSeconds(9));
+    assertThat(candidacy.now()).isEqualTo(1);
+    candidacy = candidacy.with(well, Duration.ofSeconds(10));
+    assertThat(candidacy.now()).isEqualTo(100);
+    Candidacy cold =
+        Candidacy.of(200)
+            .with(new Candidacy.Facts(true, false, 1), Duration.ZERO)
+            .with(new Candidacy.Facts(true, false, 1), Duration.ofSeconds(60));
+    assertThat(cold.now()).as("a cold standby, whatever it was told").isLessThan(candidacy.now());
+    candidacy = candidacy.with(new Candidacy.Facts(true, true, 0.5), Duration.ofSeconds(11));
+    assertThat(candidacy.now()).isEqualTo(50);
+    for (int i = 0; i < 100; i++) {
+      // A fact that comes and goes each second never raises it.
+      candidacy =
+          candidacy.with(
+              i % 2 == 0 ? well : new Candidacy.Facts(true, true, 0.5), Duration.ofSeconds(12 + i));
+      assertThat(candidacy.now()).isEqualTo(50);
     }
+    assertThat(candidacy.with(new Candidacy.Facts(false, true, 1), Duration.ofSeconds(200)).now())
+        .isEqualTo(1);
+  }
 
-    @Property(seed = "23", tries = 500)
-    void twoOfThreeVotersNeverLetTwoCountOnThem(@ForAll long seed) {
-        Random random = new Random(seed);
-        Duration span = Duration.ofMillis(100);
-        Grants[] voters = new Grants[3];
-        java.util.Arrays.fill(voters, Grants.started(span, Duration.ofMillis(-200)));
-        Duration[][] counts = new Duration[2][3];
-        for (int ms = 0; ms < 2000; ms++) {
-            Duration now = Duration.ofMillis(ms);
-            if (random.nextInt(4) == 0) {
-                int candidate = random.nextInt(2);
-                int voter = random.nextInt(3);
-                // The request was on its way for a while, and its answer may be lost.
-                Duration asked = now.minusMillis(random.nextInt(30));
-                Grants.Answer answer = voters[voter].asked(candidate, span, now);
-                voters[voter] = answer.grants();
-                if (answer.granted() && random.nextInt(3) > 0) {
-                    counts[candidate][voter] = Grants.countsUntil(asked, span);
-                }
-            }
-            if (random.nextInt(300) == 0) {
-                voters[random.nextInt(3)] = Grants.started(span, now);
-            }
-            int sure = 0;
-            for (Duration[] one : counts) {
-                long held = java.util.Arrays.stream(one).filter(u -> u != null && now.compareTo(u) < 0).count();
-                sure += held >= 2 ? 1 : 0;
-            }
-            assertThat(sure).isLessThanOrEqualTo(1);
+  @Property(seed = "23", tries = 500)
+  void twoOfThreeVotersNeverLetTwoCountOnThem(@ForAll long seed) {
+    Random random = new Random(seed);
+    Duration span = Duration.ofMillis(100);
+    Grants[] voters = new Grants[3];
+    java.util.Arrays.fill(voters, Grants.started(span, Duration.ofMillis(-200)));
+    Duration[][] counts = new Duration[2][3];
+    for (int ms = 0; ms < 2000; ms++) {
+      Duration now = Duration.ofMillis(ms);
+      if (random.nextInt(4) == 0) {
+        int candidate = random.nextInt(2);
+        int voter = random.nextInt(3);
+        // The request was on its way for a while, and its answer may be lost.
+        Duration asked = now.minusMillis(random.nextInt(30));
+        Grants.Answer answer = voters[voter].asked(candidate, span, now);
+        voters[voter] = answer.grants();
+        if (answer.granted() && random.nextInt(3) > 0) {
+          counts[candidate][voter] = Grants.countsUntil(asked, span);
         }
+      }
+      if (random.nextInt(300) == 0) {
+        voters[random.nextInt(3)] = Grants.started(span, now);
+      }
+      int sure = 0;
+      for (Duration[] one : counts) {
+        long held =
+            java.util.Arrays.stream(one).filter(u -> u != null && now.compareTo(u) < 0).count();
+        sure += held >= 2 ? 1 : 0;
+      }
+      assertThat(sure).isLessThanOrEqualTo(1);
     }
+  }
 
-    /** Without a loss both act for one way and the tick that it takes to be counted; a loss costs one interval. */
-    private static int bound(int losses, int way) {
-        return losses * 4 + way + 1;
-    }
+  /**
+   * Without a loss both act for one way and the tick that it takes to be counted; a loss costs one
+   * interval.
+   */
+  private static int bound(int losses, int way) {
+    return losses * 4 + way + 1;
+  }
 
-    @ParameterizedTest
-    @CsvSource({
-        // losses, doubled, stops, kills, the longest way in ticks, priorities; an interval is 4 ticks
-        "0, 0, 3, 0, 1, 100, 200",
-        "0, 0, 3, 0, 2, 100, 100",
-        "0, 0, 2, 1, 1, 100, 100",
-        "0, 2, 1, 2, 2, 100, 200",
-        "1, 0, 0, 1, 1, 100, 100",
-        "2, 0, 0, 1, 1, 100, 200",
-        "3, 1, 0, 0, 2, 100, 100",
-        "0, 0, 2, 2, 1, 100, 255", "2, 1, 1, 1, 1, 100, 200"})
-    void twoNeverActTogetherForLongerThanTheBoundAndOneDoesInTheEnd(int losses, int doubled, int stops, int kills,
-            int way, int first, int second) {
-        ModelCheck check = new ModelCheck(ModelCheck.SOUND, List.of(settings(1), settings(2)), List.of(first, second),
-                50);
-        ModelCheck.Found found = check.explore(new ModelCheck.Budget(losses, doubled, stops, kills, way));
-        System.out.printf("two routers, %d lost, %d doubled, %d stops, %d kills, way %d, priorities %d and %d: "
-                + "%d states, longest together %d ticks%n", losses, doubled, stops, kills, way, first, second,
-                found.states(), found.longestOverlap());
-        assertThat(found.states()).isGreaterThan(100);
-        assertThat(found.longestOverlap()).isLessThanOrEqualTo(bound(losses, way));
-        assertThat(found.healed()).isTrue();
-    }
+  @ParameterizedTest
+  @CsvSource({
+    // losses, doubled, stops, kills, the longest way in ticks, priorities; an interval is 4 ticks
+    "0, 0, 3, 0, 1, 100, 200",
+    "0, 0, 3, 0, 2, 100, 100",
+    "0, 0, 2, 1, 1, 100, 100",
+    "0, 2, 1, 2, 2, 100, 200",
+    "1, 0, 0, 1, 1, 100, 100",
+    "2, 0, 0, 1, 1, 100, 200",
+    "3, 1, 0, 0, 2, 100, 100",
+    "0, 0, 2, 2, 1, 100, 255",
+    "2, 1, 1, 1, 1, 100, 200"
+  })
+  void twoNeverActTogetherForLongerThanTheBoundAndOneDoesInTheEnd(
+      int losses, int doubled, int stops, int kills, int way, int first, int second) {
+    ModelCheck check =
+        new ModelCheck(
+            ModelCheck.SOUND, List.of(settings(1), settings(2)), List.of(first, second), 50);
+    ModelCheck.Found found =
+        check.explore(new ModelCheck.Budget(losses, doubled, stops, kills, way));
+    System.out.printf(
+        "two routers, %d lost, %d doubled, %d stops, %d kills, way %d, priorities %d and %d: "
+            + "%d states, longest together %d ticks%n",
+        losses, doubled, stops, kills, way, first, second, found.states(), found.longestOverlap());
+    assertThat(found.states()).isGreaterThan(100);
+    assertThat(found.longestOverlap()).isLessThanOrEqualTo(bound(losses, way));
+    assertThat(found.healed()).isTrue();
+  }
 
-    @ParameterizedTest
-    @CsvSource({"0, 1, 1, 1, 100, 150, 200", "0, 0, 2, 1, 100, 100, 200", "1, 1, 0, 1, 100, 100, 100"})
-    void threeKeepTheBoundToo(int losses, int stops, int kills, int way, int first, int second, int third) {
-        ModelCheck check = new ModelCheck(ModelCheck.SOUND, List.of(settings(1), settings(2), settings(3)),
-                List.of(first, second, third), 50);
-        ModelCheck.Found found = check.explore(new ModelCheck.Budget(losses, 0, stops, kills, way));
-        System.out.printf("three routers, %d lost, %d stops, %d kills, way %d, priorities %d, %d and %d: "
-                + "%d states, longest together %d ticks%n", losses, stops, kills, way, first, second, third,
-                found.states(), found.longestOverlap());
-        // The bound is each pair's: a third may follow at once upon the first two.
-        assertThat(found.longestOverlap()).isLessThanOrEqualTo(2 * bound(losses, way));
-        assertThat(found.healed()).isTrue();
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "0, 1, 1, 1, 100, 150, 200",
+    "0, 0, 2, 1, 100, 100, 200",
+    "1, 1, 0, 1, 100, 100, 100"
+  })
+  void threeKeepTheBoundToo(
+      int losses, int stops, int kills, int way, int first, int second, int third) {
+    ModelCheck check =
+        new ModelCheck(
+            ModelCheck.SOUND,
+            List.of(settings(1), settings(2), settings(3)),
+            List.of(first, second, third),
+            50);
+    ModelCheck.Found found = check.explore(new ModelCheck.Budget(losses, 0, stops, kills, way));
+    System.out.printf(
+        "three routers, %d lost, %d stops, %d kills, way %d, priorities %d, %d and %d: "
+            + "%d states, longest together %d ticks%n",
+        losses, stops, kills, way, first, second, third, found.states(), found.longestOverlap());
+    // The bound is each pair's: a third may follow at once upon the first two.
+    assertThat(found.longestOverlap()).isLessThanOrEqualTo(2 * bound(losses, way));
+    assertThat(found.healed()).isTrue();
+  }
 
-    @Test
-    void aBrokenTieAndADroppedLeaseAreFound() {
-        ModelCheck.Machine noTie = new ModelCheck.Machine() {
-            @Override
-            public Election.Step next(Election.State state, Election.Event event, Duration now,
-                    Election.Settings settings) {
-                Election.Event seen = event instanceof Election.Heard h
-                        ? new Election.Heard(h.priority(), Long.MIN_VALUE, h.interval()) : event;
-                return Election.next(state, seen, now, settings);
-            }
+  @Test
+  void aBrokenTieAndADroppedLeaseAreFound() {
+    ModelCheck.Machine noTie =
+        new ModelCheck.Machine() {
+          @Override
+          public Election.Step next(
+              Election.State state,
+              Election.Event event,
+              Duration now,
+              Election.Settings settings) {
+            Election.Event seen =
+                event instanceof Election.Heard h
+                    ? new Election.Heard(h.priority(), Long.MIN_VALUE, h.interval())
+                    : event;
+            return Election.next(state, seen, now, settings);
+          }
         };
-        ModelCheck.Machine noLease = new ModelCheck.Machine() {
-            @Override
-            public boolean mayAct(Election.State state, Duration now) {
-                return state.role() == Election.Role.ACTIVE;
-            }
+    ModelCheck.Machine noLease =
+        new ModelCheck.Machine() {
+          @Override
+          public boolean mayAct(Election.State state, Duration now) {
+            return state.role() == Election.Role.ACTIVE;
+          }
         };
-        List<Election.Settings> two = List.of(settings(1), settings(2));
-        ModelCheck.Found tie = new ModelCheck(noTie, two, List.of(100, 100), 12)
-                .explore(new ModelCheck.Budget(2, 0, 0, 1, 1));
-        assertThat(tie.longestOverlap() > 12 || !tie.healed()).as("the broken tie").isTrue();
-        ModelCheck.Found sound = new ModelCheck(ModelCheck.SOUND, two, List.of(100, 200), 50)
-                .explore(new ModelCheck.Budget(0, 0, 1, 0, 1));
-        ModelCheck.Found lease = new ModelCheck(noLease, two, List.of(100, 200), 50)
-                .explore(new ModelCheck.Budget(0, 0, 1, 0, 1));
-        assertThat(lease.longestOverlap()).as("the dropped lease").isGreaterThan(sound.longestOverlap());
-    }
+    List<Election.Settings> two = List.of(settings(1), settings(2));
+    ModelCheck.Found tie =
+        new ModelCheck(noTie, two, List.of(100, 100), 12)
+            .explore(new ModelCheck.Budget(2, 0, 0, 1, 1));
+    assertThat(tie.longestOverlap() > 12 || !tie.healed()).as("the broken tie").isTrue();
+    ModelCheck.Found sound =
+        new ModelCheck(ModelCheck.SOUND, two, List.of(100, 200), 50)
+            .explore(new ModelCheck.Budget(0, 0, 1, 0, 1));
+    ModelCheck.Found lease =
+        new ModelCheck(noLease, two, List.of(100, 200), 50)
+            .explore(new ModelCheck.Budget(0, 0, 1, 0, 1));
+    assertThat(lease.longestOverlap())
+        .as("the dropped lease")
+        .isGreaterThan(sound.longestOverlap());
+  }
 }
--- a/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
@@ -19,7 +19,8 @@
 /** The codec and the adapter, byte by byte, on one pipe. */
 class WireHostTest {
 
-    private static final String ENV = """
+  private static final String ENV =
+      """
             Classes.count=1
             Classes.0.DeadlineNs=3000000000
             Classes.0.GoalTimeNs=600000000
@@ -32,177 +33,219 @@
             Some.KeyOfTomorrow=x,y
             Zone=3
             """;
-    private static final long START = 5_000_000_000L;
-
-    private final ByteArrayOutputStream pipe = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream records = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
-    private int count;
-
-    private ByteBuffer record(int code) {
-        return ByteBuffer.allocate(56).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
-    }
-
-    private void add(ByteBuffer record) {
-        records.writeBytes(record.array());
-        count++;
-    }
-
-    private void frame(long clock) {
-        pipe.writeBytes(ByteBuffer.allocate(16).order(ByteOrder.LITTLE_ENDIAN).putLong(clock)
-                .putInt(records.size() + tail.size()).putInt(count).array());
-        pipe.writeBytes(records.toByteArray());
-        pipe.writeBytes(tail.toByteArray());
-        records.reset();
-        tail.reset();
-        count = 0;
-    }
-
-    private void open(int instance, String env) {
-        byte[] text = env.getBytes(StandardCharsets.UTF_8);
-        add(record(16).putShort((short) instance).putLong(99).putInt(tail.size()).putInt(text.length));
-        tail.writeBytes(text);
-    }
-
-    /** Each cache as {id, zone, state, kind}. */
-    private void list(int slot, int instance, int how, int[]... caches) {
-        add(record(27).putInt(slot).putInt(tail.size()).putInt(caches.length));
-        for (int[] cache : caches) {
-            tail.writeBytes(ByteBuffer.allocate(21).order(ByteOrder.LITTLE_ENDIAN).putInt(cache[0])
-                    .put((byte) cache[1]).put((byte) cache[2]).putShort((short) 0).putLong(0)
-                    .put((byte) cache[3]).putFloat(4).array());
-        }
-        add(record(17).putShort((short) instance).putInt(slot).put((byte) how).putLong(1));
-    }
-
-    private void arrival(int instance, int request) {
-        add(record(18).putShort((short) instance).putInt(request).putShort((short) 0).put((byte) 0)
-                .putShort((short) 0).putLong(12345).putLong(3_000_000_000L).putFloat(0).putFloat(4).putFloat(100));
-    }
-
-    private void outcome(int instance, int request, int number, int cache, int code, int closed) {
-        add(record(20).putShort((short) instance).putInt(request).put((byte) number).putInt(cache)
-                .putShort((short) code).putLong(1_000_000).put((byte) closed));
-    }
-
-    private ByteBuffer serve(Function<Settings, Decisions> module) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost(module).serve(new ByteArrayInputStream(pipe.toByteArray()), out);
-        return ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-    }
-
-    /** The next reply's action records of 40 bytes; the tail is left out. */
-    private static ByteBuffer[] reply(ByteBuffer out) {
-        ByteBuffer[] actions = new ByteBuffer[out.getInt()];
-        int length = out.getInt();
-        for (int i = 0; i < actions.length; i++) {
-            actions[i] = out.slice(out.position() + 40 * i, 40).order(ByteOrder.LITTLE_ENDIAN);
-        }
-        out.position(out.position() + length);
-        return actions;
-    }
-
-    /** Code, instance, request, source and cache. */
-    private static String shown(ByteBuffer trip) {
-        return trip.get(0) + " " + trip.getShort(1) + " " + trip.getInt(3) + " " + trip.getInt(7) + " "
-                + trip.getInt(11);
-    }
-
-    @Test
-    void servesAViewFromItsArrivalToItsEnd() throws IOException {
-        frame(START);
-        open(7, ENV);
-        list(3, 7, 2, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1}, new int[] {13, 0, 2, 2});
-        frame(START);
-        arrival(7, -2);
-        frame(START + 10);
-        outcome(7, -2, 0, 11, 90, 0);
-        frame(START + 20);
-        outcome(7, -2, 1, 11, 10, 1);
-        add(record(21).putShort((short) 7).putInt(-2));
-        frame(START + 30);
-        ByteBuffer out = serve(Brain::new);
-        assertThat(reply(out)).isEmpty();
-        assertThat(reply(out)).isEmpty();
-        ByteBuffer[] look = reply(out);
-        assertThat(shown(look[0])).isEqualTo("92 7 -2 11 11");
-        assertThat(look[1].get(0)).isEqualTo((byte) 84);
-        ByteBuffer[] fill = reply(out);
-        assertThat(shown(fill[0])).isEqualTo("92 7 -2 12 11");
-        assertThat(fill[0].get(24)).isEqualTo((byte) 1);
-        assertThat(reply(out)).isEmpty();
-        assertThat(out.hasRemaining()).isFalse();
-    }
-
-    @Test
-    void appliesListNewsInTheOrderOfEventsAndAnswersWhatCannotBeServedAtOnce() throws IOException {
-        open(7, ENV);
-        list(0, 7, 1, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1});
-        list(0, 7, 0, new int[] {11, 3, 1, 0});
-        arrival(7, 1);
-        list(0, 7, 1, new int[] {21, 3, 2, 0});
-        arrival(7, 2);
-        add(record(25).putShort((short) 7));
-        open(7, ENV);
-        arrival(7, 3);
-        frame(START);
-        ByteBuffer[] actions = reply(serve(Brain::new));
-        assertThat(shown(actions[0])).startsWith("81 7 1 ");
-        assertThat(actions[1].getInt(11)).isEqualTo(21);
-        assertThat(shown(actions[actions.length - 1])).startsWith("81 7 3 ");
-    }
-
-    @Test
-    void asksForTheListWhereItMustAndAgainAfterAFailure() throws IOException {
-        open(7, ENV + "Discovery=subscribe\nObligations.MustAskInNs=8000000000\n");
-        add(record(17).putShort((short) 7).putInt(0).put((byte) 3).putLong(0));
-        frame(START);
-        add(record(22).putShort((short) 7).putLong(1L << 62));
-        frame(START + Duration.ofSeconds(2).toNanos());
-        ByteBuffer out = serve(Brain::new);
-        ByteBuffer[] first = reply(out);
-        assertThat(first[0].get(0)).isEqualTo((byte) 90);
-        assertThat(first[1].getLong(3)).isEqualTo(START + 2_000_000_000L);
-        assertThat(reply(out)[0].get(0)).isEqualTo((byte) 90);
-    }
-
-    @Test
-    void declaresAFailureInsideTheModuleForItsInstance() throws IOException {
-        open(7, ENV);
-        frame(START);
-        ByteBuffer out = serve(settings -> {
-            throw new IllegalStateException("broken on purpose");
-        });
-        ByteBuffer[] actions = reply(out);
-        assertThat(actions[0].get(0)).isEqualTo((byte) 89);
-        assertThat(new String(out.array(), StandardCharsets.UTF_8)).contains("broken on purpose");
-    }
-
-    @Test
-    void rejectsWhatIsNoFrame() {
-        assertMalformed("inside a header", new byte[5]);
-        frame(START);
-        byte[] lying = pipe.toByteArray();
-        lying[12] = 1;
-        assertMalformed("do not fit", lying);
-        add(record(99));
-        frame(START);
-        assertMalformed("no event has the code 99", pipe.toByteArray());
-        pipe.reset();
-        add(record(16).putShort((short) 1).putLong(1).putInt(4).putInt(400));
-        frame(START);
-        assertMalformed("outside the tail", pipe.toByteArray());
-        byte[] whole = pipe.toByteArray();
-        assertMalformed("the input ends after", java.util.Arrays.copyOf(whole, whole.length - 7));
-        pipe.reset();
-        arrival(5, 1);
-        frame(START);
-        assertMalformed("not open", pipe.toByteArray());
-    }
-
-    private static void assertMalformed(String message, byte[] input) {
-        assertThatThrownBy(() -> new WireHost(Brain::new).serve(new ByteArrayInputStream(input),
-                new ByteArrayOutputStream())).isInstanceOf(MalformedFrameException.class)
-                .hasMessageContaining(message);
-    }
+  private static final long START = 5_000_000_000L;
+
+  private final ByteArrayOutputStream pipe = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream records = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
+  private int count;
+
+  private ByteBuffer record(int code) {
+    return ByteBuffer.allocate(56).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
+  }
+
+  private void add(ByteBuffer record) {
+    records.writeBytes(record.array());
+    count++;
+  }
+
+  private void frame(long clock) {
+    pipe.writeBytes(
+        ByteBuffer.allocate(16)
+            .order(ByteOrder.LITTLE_ENDIAN)
+            .putLong(clock)
+            .putInt(records.size() + tail.size())
+            .putInt(count)
+            .array());
+    pipe.writeBytes(records.toByteArray());
+    pipe.writeBytes(tail.toByteArray());
+    records.reset();
+    tail.reset();
+    count = 0;
+  }
+
+  private void open(int instance, String env) {
+    byte[] text = env.getBytes(StandardCharsets.UTF_8);
+    add(record(16).putShort((short) instance).putLong(99).putInt(tail.size()).putInt(text.length));
+    tail.writeBytes(text);
+  }
+
+  /** Each cache as {id, zone, state, kind}. */
+  private void list(int slot, int instance, int how, int[]... caches) {
+    add(record(27).putInt(slot).putInt(tail.size()).putInt(caches.length));
+    for (int[] cache : caches) {
+      tail.writeBytes(
+          ByteBuffer.allocate(21)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(cache[0])
+              .put((byte) cache[1])
+              .put((byte) cache[2])
+              .putShort((short) 0)
+              .putLong(0)
+              .put((byte) cache[3])
+              .putFloat(4)
+              .array());
+    }
+    add(record(17).putShort((short) instance).putInt(slot).put((byte) how).putLong(1));
+  }
+
+  private void arrival(int instance, int request) {
+    add(
+        record(18)
+            .putShort((short) instance)
+            .putInt(request)
+            .putShort((short) 0)
+            .put((byte) 0)
+            .putShort((short) 0)
+            .putLong(12345)
+            .putLong(3_000_000_000L)
+            .putFloat(0)
+            .putFloat(4)
+            .putFloat(100));
+  }
+
+  private void outcome(int instance, int request, int number, int cache, int code, int closed) {
+    add(
+        record(20)
+            .putShort((short) instance)
+            .putInt(request)
+            .put((byte) number)
+            .putInt(cache)
+            .putShort((short) code)
+            .putLong(1_000_000)
+            .put((byte) closed));
+  }
+
+  private ByteBuffer serve(Function<Settings, Decisions> module) throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    new WireHost(module).serve(new ByteArrayInputStream(pipe.toByteArray()), out);
+    return ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+  }
+
+  /** The next reply's action records of 40 bytes; the tail is left out. */
+  private static ByteBuffer[] reply(ByteBuffer out) {
+    ByteBuffer[] actions = new ByteBuffer[out.getInt()];
+    int length = out.getInt();
+    for (int i = 0; i < actions.length; i++) {
+      actions[i] = out.slice(out.position() + 40 * i, 40).order(ByteOrder.LITTLE_ENDIAN);
+    }
+    out.position(out.position() + length);
+    return actions;
+  }
+
+  /** Code, instance, request, source and cache. */
+  private static String shown(ByteBuffer trip) {
+    return trip.get(0)
+        + " "
+        + trip.getShort(1)
+        + " "
+        + trip.getInt(3)
+        + " "
+        + trip.getInt(7)
+        + " "
+        + trip.getInt(11);
+  }
+
+  @Test
+  void servesAViewFromItsArrivalToItsEnd() throws IOException {
+    frame(START);
+    open(7, ENV);
+    list(3, 7, 2, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1}, new int[] {13, 0, 2, 2});
+    frame(START);
+    arrival(7, -2);
+    frame(START + 10);
+    outcome(7, -2, 0, 11, 90, 0);
+    frame(START + 20);
+    outcome(7, -2, 1, 11, 10, 1);
+    add(record(21).putShort((short) 7).putInt(-2));
+    frame(START + 30);
+    ByteBuffer out = serve(Brain::new);
+    assertThat(reply(out)).isEmpty();
+    assertThat(reply(out)).isEmpty();
+    ByteBuffer[] look = reply(out);
+    assertThat(shown(look[0])).isEqualTo("92 7 -2 11 11");
+    assertThat(look[1].get(0)).isEqualTo((byte) 84);
+    ByteBuffer[] fill = reply(out);
+    assertThat(shown(fill[0])).isEqualTo("92 7 -2 12 11");
+    assertThat(fill[0].get(24)).isEqualTo((byte) 1);
+    assertThat(reply(out)).isEmpty();
+    assertThat(out.hasRemaining()).isFalse();
+  }
+
+  @Test
+  void appliesListNewsInTheOrderOfEventsAndAnswersWhatCannotBeServedAtOnce() throws IOException {
+    open(7, ENV);
+    list(0, 7, 1, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1});
+    list(0, 7, 0, new int[] {11, 3, 1, 0});
+    arrival(7, 1);
+    list(0, 7, 1, new int[] {21, 3, 2, 0});
+    arrival(7, 2);
+    add(record(25).putShort((short) 7));
+    open(7, ENV);
+    arrival(7, 3);
+    frame(START);
+    ByteBuffer[] actions = reply(serve(Brain::new));
+    assertThat(shown(actions[0])).startsWith("81 7 1 ");
+    assertThat(actions[1].getInt(11)).isEqualTo(21);
+    assertThat(shown(actions[actions.length - 1])).startsWith("81 7 3 ");
+  }
+
+  @Test
+  void asksForTheListWhereItMustAndAgainAfterAFailure() throws IOException {
+    open(7, ENV + "Discovery=subscribe\nObligations.MustAskInNs=8000000000\n");
+    add(record(17).putShort((short) 7).putInt(0).put((byte) 3).putLong(0));
+    frame(START);
+    add(record(22).putShort((short) 7).putLong(1L << 62));
+    frame(START + Duration.ofSeconds(2).toNanos());
+    ByteBuffer out = serve(Brain::new);
+    ByteBuffer[] first = reply(out);
+    assertThat(first[0].get(0)).isEqualTo((byte) 90);
+    assertThat(first[1].getLong(3)).isEqualTo(START + 2_000_000_000L);
+    assertThat(reply(out)[0].get(0)).isEqualTo((byte) 90);
+  }
+
+  @Test
+  void declaresAFailureInsideTheModuleForItsInstance() throws IOException {
+    open(7, ENV);
+    frame(START);
+    ByteBuffer out =
+        serve(
+            settings -> {
+              throw new IllegalStateException("broken on purpose");
+            });
+    ByteBuffer[] actions = reply(out);
+    assertThat(actions[0].get(0)).isEqualTo((byte) 89);
+    assertThat(new String(out.array(), StandardCharsets.UTF_8)).contains("broken on purpose");
+  }
+
+  @Test
+  void rejectsWhatIsNoFrame() {
+    assertMalformed("inside a header", new byte[5]);
+    frame(START);
+    byte[] lying = pipe.toByteArray();
+    lying[12] = 1;
+    assertMalformed("do not fit", lying);
+    add(record(99));
+    frame(START);
+    assertMalformed("no event has the code 99", pipe.toByteArray());
+    pipe.reset();
+    add(record(16).putShort((short) 1).putLong(1).putInt(4).putInt(400));
+    frame(START);
+    assertMalformed("outside the tail", pipe.toByteArray());
+    byte[] whole = pipe.toByteArray();
+    assertMalformed("the input ends after", java.util.Arrays.copyOf(whole, whole.length - 7));
+    pipe.reset();
+    arrival(5, 1);
+    frame(START);
+    assertMalformed("not open", pipe.toByteArray());
+  }
+
+  private static void assertMalformed(String message, byte[] input) {
+    assertThatThrownBy(
+            () ->
+                new WireHost(Brain::new)
+                    .serve(new ByteArrayInputStream(input), new ByteArrayOutputStream()))
+        .isInstanceOf(MalformedFrameException.class)
+        .hasMessageContaining(message);
+  }
 }
--- a/variants/src/main/java/tamarindroute/variants/Changes.java
+++ b/variants/src/main/java/tamarindroute/variants/Changes.java
@@ -7,58 +7,61 @@
 import java.util.TreeMap;
 
 /**
- * What differs between two documents: the paths of the keys, such as {@code tier[0].report.how}, with their values in
- * the second; {@link MissingNode} where it has none. An array of tables is gone into, any other array is one value.
+ * What differs between two documents: the paths of the keys, such as {@code tier[0].report.how},
+ * with their values in the second; {@link MissingNode} where it has none. An array of tables is
+ * gone into, any other array is one value.
  */
 final class Changes {
 
-    private final SortedMap<String, JsonNode> found = new TreeMap<>();
+  private final SortedMap<String, JsonNode> found = new TreeMap<>();
 
-    private Changes() {}
+  private Changes() {}
 
-    static SortedMap<String, JsonNode> between(JsonNode before, JsonNode after) {
-        Changes changes = new Changes();
-        changes.compare("", before, after);
-        return changes.found;
-    }
+  static SortedMap<String, JsonNode> between(JsonNode before, JsonNode after) {
+    Changes changes = new Changes();
+    changes.compare("", before, after);
+    return changes.found;
+  }
 
-    private void compare(String path, JsonNode before, JsonNode after) {
-        if (before.isObject() && after.isObject()) {
-            compareTables(path, before, after);
-        } else if (isTables(before) && isTables(after) && before.size() == after.size()) {
-            for (int i = 0; i < before.size(); i++) {
-                compare(path + "[" + i + "]", before.get(i), after.get(i));
-            }
-        } else if (!sameValue(before, after)) {
-            found.put(path, after);
-        }
+  private void compare(String path, JsonNode before, JsonNode after) {
+    if (before.isObject() && after.isObject()) {
+      compareTables(path, before, after);
+    } else if (isTables(before) && isTables(after) && before.size() == after.size()) {
+      for (int i = 0; i < before.size(); i++) {
+        compare(path + "[" + i + "]", before.get(i), after.get(i));
+      }
+    } else if (!sameValue(before, after)) {
+      found.put(path, after);
     }
+  }
 
-    private void compareTables(String path, JsonNode before, JsonNode after) {
-        String prefix = path.isEmpty() ? "" : path + ".";
-        for (Iterator<String> keys = before.fieldNames(); keys.hasNext();) {
-            String key = keys.next();
-            compare(prefix + key, before.get(key), after.path(key));
-        }
-        for (Iterator<String> keys = after.fieldNames(); keys.hasNext();) {
-            String key = keys.next();
-            if (!before.has(key)) {
-                found.put(prefix + key, after.get(key));
-            }
-        }
+  private void compareTables(String path, JsonNode before, JsonNode after) {
+    String prefix = path.isEmpty() ? "" : path + ".";
+    for (Iterator<String> keys = before.fieldNames(); keys.hasNext(); ) {
+      String key = keys.next();
+      compare(prefix + key, before.get(key), after.path(key));
     }
-
-    private static boolean isTables(JsonNode node) {
-        return node.isArray() && !node.isEmpty() && node.get(0).isObject();
+    for (Iterator<String> keys = after.fieldNames(); keys.hasNext(); ) {
+      String key = keys.next();
+      if (!before.has(key)) {
+        found.put(prefix + key, after.get(key));
+      }
     }
+  }
 
-    /** Whether two values are one, 5 and 5.0 being the same. */
-    private static boolean sameValue(JsonNode one, JsonNode other) {
-        return one.equals((a, b) -> {
-            if (a.isNumber() && b.isNumber()) {
-                return a.decimalValue().compareTo(b.decimalValue());
-            }
-            return a.equals(b) ? 0 : 1;
-        }, other);
-    }
+  private static boolean isTables(JsonNode node) {
+    return node.isArray() && !node.isEmpty() && node.get(0).isObject();
+  }
+
+  /** Whether two values are one, 5 and 5.0 being the same. */
+  private static boolean sameValue(JsonNode one, JsonNode other) {
+    return one.equals(
+        (a, b) -> {
+          if (a.isNumber() && b.isNumber()) {
+            return a.decimalValue().compareTo(b.decimalValue());
+          }
+          return a.equals(b) ? 0 : 1;
+        },
+        other);
+  }
 }
