--- a/variants/src/main/java/tamarindroute/variants/Table.java
+++ b/variants/src/main/java/tamarindroute/variants/Table.java
@@ -12,84 +12,97 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** The command that prints a Markdown table of the bench's reports; a report's file is named for its factor. */
+/**
+ * The command that prints a Markdown table of the bench's reports; a report's file is named for its
+ * factor.
+ */
 public final class Table {
 
-    private static final String USAGE = "usage: table.sh FOLDER    of reports FACTOR.json, as the bench's --json writes them";
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String SUFFIX = ".json";
-    private static final String NONE = "-";
-    private static final List<String> COLUMNS = List.of("factor", "served", "floor", "top", "gate", "score");
-    /** The keys of a report's row that the columns after the first show. */
-    private static final List<String> KEYS = List.of("served", "G_floor", "G_top", "gate", "score");
+  private static final String USAGE =
+      "usage: table.sh FOLDER    of reports FACTOR.json, as the bench's --json writes them";
+  private static final ObjectMapper JSON = new ObjectMapper();
+  private static final String SUFFIX = ".json";
+  private static final String NONE = "-";
+  private static final List<String> COLUMNS =
+      List.of("factor", "served", "floor", "top", "gate", "score");
 
-    private Table() {}
+  /** The keys of a report's row that the columns after the first show. */
+  private static final List<String> KEYS = List.of("served", "G_floor", "G_top", "gate", "score");
 
-    /** The folder; exit codes as those of {@link Generate}. */
-    public static void main(String[] words) {
-        System.exit(run(System.out, System.err, words));
-    }
+  private Table() {}
 
-    static int run(PrintStream out, PrintStream errors, String... words) {
-        return Exit.codeOf(() -> {
-            if (words.length != 1) {
-                throw new UsageException(words.length + " folders given");
-            }
-            if (words[0].startsWith("-")) {
-                throw new RefusedException(words[0] + ": no such option");
-            }
-            lines(Path.of(words[0])).forEach(out::println);
-        }, USAGE, errors);
-    }
+  /** The folder; exit codes as those of {@link Generate}. */
+  public static void main(String[] words) {
+    System.exit(run(System.out, System.err, words));
+  }
 
-    private static List<String> lines(Path folder) throws RefusedException, IOException {
-        if (!Files.isDirectory(folder)) {
-            throw new RefusedException(folder + ": no such folder");
-        }
-        List<Path> reports;
-        try (Stream<Path> files = Files.list(folder)) {
-            reports = files.filter(file -> file.getFileName().toString().endsWith(SUFFIX)).sorted().toList();
-        }
-        if (reports.isEmpty()) {
-            throw new RefusedException(folder + ": no reports (*" + SUFFIX + ") there");
-        }
-        List<String> lines = new ArrayList<>();
-        lines.add(line(COLUMNS));
-        lines.add("| --- | ---: | ---: | ---: | --- | ---: |");
-        for (Path report : reports) {
-            lines.add(row(report));
-        }
-        return lines;
-    }
+  static int run(PrintStream out, PrintStream errors, String... words) {
+    return Exit.codeOf(
+        () -> {
+          if (words.length != 1) {
+            throw new UsageException(words.length + " folders given");
+          }
+          if (words[0].startsWith("-")) {
+            throw new RefusedException(words[0] + ": no such option");
+          }
+          lines(Path.of(words[0])).forEach(out::println);
+        },
+        USAGE,
+        errors);
+  }
 
-    private static String row(Path report) throws RefusedException, IOException {
-        String file = report.getFileName().toString();
-        List<String> cells = new ArrayList<>(List.of(file.substring(0, file.length() - SUFFIX.length())));
-        JsonNode row = read(report).path("row");
-        if (!row.isObject()) {
-            throw new RefusedException(report + ": not a report of the bench: it has no row");
-        }
-        KEYS.forEach(key -> cells.add(cell(row.path(key))));
-        return line(cells);
+  private static List<String> lines(Path folder) throws RefusedException, IOException {
+    if (!Files.isDirectory(folder)) {
+      throw new RefusedException(folder + ": no such folder");
+    }
+    List<Path> reports;
+    try (Stream<Path> files = Files.list(folder)) {
+      reports =
+          files.filter(file -> file.getFileName().toString().endsWith(SUFFIX)).sorted().toList();
     }
+    if (reports.isEmpty()) {
+      throw new RefusedException(folder + ": no reports (*" + SUFFIX + ") there");
+    }
+    List<String> lines = new ArrayList<>();
+    lines.add(line(COLUMNS));
+    lines.add("| --- | ---: | ---: | ---: | --- | ---: |");
+    for (Path report : reports) {
+      lines.add(row(report));
+    }
+    return lines;
+  }
 
-    private static JsonNode read(Path report) throws RefusedException, IOException {
-        try {
-            return JSON.readTree(report.toFile());
-        } catch (JsonProcessingException malformed) {
-            throw new RefusedException(report + ": not JSON, line " + malformed.getLocation().getLineNr());
-        }
+  private static String row(Path report) throws RefusedException, IOException {
+    String file = report.getFileName().toString();
+    List<String> cells =
+        new ArrayList<>(List.of(file.substring(0, file.length() - SUFFIX.length())));
+    JsonNode row = read(report).path("row");
+    if (!row.isObject()) {
+      throw new RefusedException(report + ": not a report of the bench: it has no row");
     }
+    KEYS.forEach(key -> cells.add(cell(row.path(key))));
+    return line(cells);
+  }
 
-    private static String cell(JsonNode value) {
-        if (value.isMissingNode() || value.isNull()) {
-            return NONE;
-        }
-        return value.isNumber() ? String.format(Locale.ROOT, "%.3f", value.asDouble())
-                : value.asText().replace("|", "\\|").replace('\n', ' ');
+  private static JsonNode read(Path report) throws RefusedException, IOException {
+    try {
+      return JSON.readTree(report.toFile());
+    } catch (JsonProcessingException malformed) {
+      throw new RefusedException(
+          report + ": not JSON, line " + malformed.getLocation().getLineNr());
     }
+  }
 
-    private static String line(List<String> cells) {
-        return "| " + String.join(" | ", cells) + " |";
+  private static String cell(JsonNode value) {
+    if (value.isMissingNode() || value.isNull()) {
+      return NONE;
     }
+    return value.isNumber()
+        ? String.format(Locale.ROOT, "%.3f", value.asDouble())
+        : value.asText().replace("|", "\\|").replace('\n', ' ');
+  }
+
+  private static String line(List<String> cells) {
+    return "| " + String.join(" | ", cells) + " |";
+  }
 }
--- a/variants/src/test/java/tamarindroute/variants/FactorTest.java
+++ b/variants/src/test/java/tamarindroute/variants/FactorTest.java
@@ -20,12 +20,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What each factor changes in the written files of two sites: the keys that it names and no other. */
+/**
+ * What each factor changes in the written files of two sites: the keys that it names and no other.
+ */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FactorTest {
 
-    /** A line a factor: its keys, in whatever table of an array they stand. */
-    private static final Map<String, Set<String>> KEYS = keys("""
+  /** A line a factor: its keys, in whatever table of an array they stand. */
+  private static final Map<String, Set<String>> KEYS =
+      keys(
+          """
             no-weights tier.weights
             nominal-weights tier.weights
             rough-weights tier.weights
@@ -72,12 +76,23 @@
             keyed-writes class.effect class.group class.window_ms
             few-streams tier.conn.streams
             """);
-    private static final Set<String> ALREADY_IN_ATRIUM = Set.of("no-weights", "sizes-told", "links-told", "tells-all",
-            "no-second-copies", "joins", "keyed-writes");
-    private static final Set<String> ALREADY_IN_QUAYSIDE = Set.of("nominal-weights", "sizes-told", "links-untold",
-            "tells-hits", "second-copies", "bypass");
-    /** What a factor makes of all its keys on quayside-lots, reckoned by hand. */
-    private static final String QUAYSIDE = """
+
+  private static final Set<String> ALREADY_IN_ATRIUM =
+      Set.of(
+          "no-weights",
+          "sizes-told",
+          "links-told",
+          "tells-all",
+          "no-second-copies",
+          "joins",
+          "keyed-writes");
+  private static final Set<String> ALREADY_IN_QUAYSIDE =
+      Set.of(
+          "nominal-weights", "sizes-told", "links-untold", "tells-hits", "second-copies", "bypass");
+
+  /** What a factor makes of all its keys on quayside-lots, reckoned by hand. */
+  private static final String QUAYSIDE =
+      """
             no-weights tier[0].weights="none"
             rough-weights tier[0].weights="rough"
             live-weights tier[0].weights="live"
@@ -119,96 +134,103 @@
             few-streams tier[0].conn.streams=8
             """;
 
-    @TempDir
-    static Path temporary;
+  @TempDir static Path temporary;
 
-    private static Map<String, Set<String>> keys(String lines) {
-        Map<String, Set<String>> keys = new HashMap<>();
-        for (String line : lines.lines().toList()) {
-            String[] words = line.split(" ");
-            keys.put(words[0], Set.copyOf(Arrays.asList(words).subList(1, words.length)));
-        }
-        return keys;
+  private static Map<String, Set<String>> keys(String lines) {
+    Map<String, Set<String>> keys = new HashMap<>();
+    for (String line : lines.lines().toList()) {
+      String[] words = line.split(" ");
+      keys.put(words[0], Set.copyOf(Arrays.asList(words).subList(1, words.length)));
     }
+    return keys;
+  }
 
-    @BeforeAll
-    static void generate() {
-        assertThat(Sites.generate(Sites.ATRIUM, temporary.resolve("atrium")).code()).isEqualTo(Exit.DONE);
-        assertThat(Sites.generate(Sites.QUAYSIDE, temporary.resolve("quayside")).code()).isEqualTo(Exit.DONE);
-    }
+  @BeforeAll
+  static void generate() {
+    assertThat(Sites.generate(Sites.ATRIUM, temporary.resolve("atrium")).code())
+        .isEqualTo(Exit.DONE);
+    assertThat(Sites.generate(Sites.QUAYSIDE, temporary.resolve("quayside")).code())
+        .isEqualTo(Exit.DONE);
+  }
 
-    @ParameterizedTest
-    @EnumSource
-    void changesItsKeysAndNoOther(Factor factor) throws IOException {
-        checkKeys(factor, Sites.ATRIUM, temporary.resolve("atrium"), ALREADY_IN_ATRIUM);
-        checkKeys(factor, Sites.QUAYSIDE, temporary.resolve("quayside"), ALREADY_IN_QUAYSIDE);
-    }
+  @ParameterizedTest
+  @EnumSource
+  void changesItsKeysAndNoOther(Factor factor) throws IOException {
+    checkKeys(factor, Sites.ATRIUM, temporary.resolve("atrium"), ALREADY_IN_ATRIUM);
+    checkKeys(factor, Sites.QUAYSIDE, temporary.resolve("quayside"), ALREADY_IN_QUAYSIDE);
+  }
 
-    private static void checkKeys(Factor factor, Path site, Path folder, Set<String> already) throws IOException {
-        Path variant = folder.resolve(factor.word()).resolve(site.getFileName());
-        assertThat(Files.exists(variant)).as("%s of %s", factor, site).isEqualTo(!already.contains(factor.word()));
-        if (!already.contains(factor.word())) {
-            Map<String, String> changed = Sites.changed(site, variant);
-            assertThat(withoutNumbers(changed.keySet())).isNotEmpty().isSubsetOf(KEYS.get(factor.word()));
-            for (String value : changed.values()) {
-                checkRange(value);
-            }
-        }
+  private static void checkKeys(Factor factor, Path site, Path folder, Set<String> already)
+      throws IOException {
+    Path variant = folder.resolve(factor.word()).resolve(site.getFileName());
+    assertThat(Files.exists(variant))
+        .as("%s of %s", factor, site)
+        .isEqualTo(!already.contains(factor.word()));
+    if (!already.contains(factor.word())) {
+      Map<String, String> changed = Sites.changed(site, variant);
+      assertThat(withoutNumbers(changed.keySet())).isNotEmpty().isSubsetOf(KEYS.get(factor.word()));
+      for (String value : changed.values()) {
+        checkRange(value);
+      }
     }
+  }
 
-    private static Set<String> withoutNumbers(Set<String> paths) {
-        return paths.stream().map(path -> path.replaceAll("\\[\\d+]", ""))
-                .collect(Collectors.toCollection(TreeSet::new));
-    }
+  private static Set<String> withoutNumbers(Set<String> paths) {
+    return paths.stream()
+        .map(path -> path.replaceAll("\\[\\d+]", ""))
+        .collect(Collectors.toCollection(TreeSet::new));
+  }
 
-    private static void checkRange(String value) throws IOException {
-        JsonNode numbers = new ObjectMapper().readTree(value);
-        if (numbers.path(0).isNumber()) {
-            assertThat(numbers).hasSize(2);
-            assertThat(numbers.get(0).asDouble()).isBetween(0.0, numbers.get(1).asDouble());
-        }
+  private static void checkRange(String value) throws IOException {
+    JsonNode numbers = new ObjectMapper().readTree(value);
+    if (numbers.path(0).isNumber()) {
+      assertThat(numbers).hasSize(2);
+      assertThat(numbers.get(0).asDouble()).isBetween(0.0, numbers.get(1).asDouble());
     }
+  }
 
-    @Test
-    void whatItSetsIsWhatWasReckonedByHand() throws IOException {
-        Map<String, Set<String>> wanted = keys(QUAYSIDE);
-        assertThat(wanted).hasSize(Factor.values().length - ALREADY_IN_QUAYSIDE.size());
-        for (Map.Entry<String, Set<String>> line : wanted.entrySet()) {
-            Path variant = temporary.resolve("quayside").resolve(line.getKey()).resolve("quayside-lots.toml");
-            Set<String> found = new TreeSet<>();
-            Sites.changed(Sites.QUAYSIDE, variant).forEach((path, value) -> found.add(path + "=" + value));
-            assertThat(found).as(line.getKey()).isEqualTo(line.getValue());
-        }
+  @Test
+  void whatItSetsIsWhatWasReckonedByHand() throws IOException {
+    Map<String, Set<String>> wanted = keys(QUAYSIDE);
+    assertThat(wanted).hasSize(Factor.values().length - ALREADY_IN_QUAYSIDE.size());
+    for (Map.Entry<String, Set<String>> line : wanted.entrySet()) {
+      Path variant =
+          temporary.resolve("quayside").resolve(line.getKey()).resolve("quayside-lots.toml");
+      Set<String> found = new TreeSet<>();
+      Sites.changed(Sites.QUAYSIDE, variant)
+          .forEach((path, value) -> found.add(path + "=" + value));
+      assertThat(found).as(line.getKey()).isEqualTo(line.getValue());
     }
+  }
 
-    @Test
-    void aDeadlineUnderTheLeastStays() throws Exception {
-        var site = SiteFile.read(Sites.QUAYSIDE).document();
-        Tables.at(site, "class").set("deadline_ms", 600).set("aim_ms", 500);
-        Factor.SHORT_DEADLINES.apply(site);
-        Factor.LOOSE_TARGET.apply(site);
-        assertThat(site.findValues("deadline_ms")).allMatch(deadline -> deadline.asInt() == 600);
-        assertThat(site.findValues("aim_ms")).allMatch(aim -> aim.asInt() == 600);
-    }
+  @Test
+  void aDeadlineUnderTheLeastStays() throws Exception {
+    var site = SiteFile.read(Sites.QUAYSIDE).document();
+    Tables.at(site, "class").set("deadline_ms", 600).set("aim_ms", 500);
+    Factor.SHORT_DEADLINES.apply(site);
+    Factor.LOOSE_TARGET.apply(site);
+    assertThat(site.findValues("deadline_ms")).allMatch(deadline -> deadline.asInt() == 600);
+    assertThat(site.findValues("aim_ms")).allMatch(aim -> aim.asInt() == 600);
+  }
 
-    @Test
-    void reportsThatWereOffGetFieldsWhenPolled() throws Exception {
-        var site = SiteFile.read(Sites.ATRIUM).document();
-        Factor.NO_REPORTS.apply(site);
-        var without = site.deepCopy();
-        Factor.LATE_REPORTS.apply(site);
-        assertThat(site).isEqualTo(without);
-        Factor.POLLED_REPORTS.apply(site);
-        assertThat(site.at("/tier/0/report/fields")).hasSize(3);
-        assertThat(site.at("/allow/probes").asBoolean()).isTrue();
-    }
+  @Test
+  void reportsThatWereOffGetFieldsWhenPolled() throws Exception {
+    var site = SiteFile.read(Sites.ATRIUM).document();
+    Factor.NO_REPORTS.apply(site);
+    var without = site.deepCopy();
+    Factor.LATE_REPORTS.apply(site);
+    assertThat(site).isEqualTo(without);
+    Factor.POLLED_REPORTS.apply(site);
+    assertThat(site.at("/tier/0/report/fields")).hasSize(3);
+    assertThat(site.at("/allow/probes").asBoolean()).isTrue();
+  }
 
-    @Test
-    void withoutPurgesNoneAreQuicker() throws Exception {
-        var site = SiteFile.read(Sites.QUAYSIDE).document();
-        Tables.at(site, "fam").set("purges", 0);
-        var before = site.deepCopy();
-        Factor.QUICK_PURGES.apply(site);
-        assertThat(site).isEqualTo(before);
-    }
+  @Test
+  void withoutPurgesNoneAreQuicker() throws Exception {
+    var site = SiteFile.read(Sites.QUAYSIDE).document();
+    Tables.at(site, "fam").set("purges", 0);
+    var before = site.deepCopy();
+    Factor.QUICK_PURGES.apply(site);
+    assertThat(site).isEqualTo(before);
+  }
 }
--- a/variants/src/test/java/tamarindroute/variants/TableTest.java
+++ b/variants/src/test/java/tamarindroute/variants/TableTest.java
@@ -14,64 +14,66 @@
 /** The table of the bench's reports. */
 class TableTest {
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private ByteArrayOutputStream out;
-    private ByteArrayOutputStream errors;
+  private ByteArrayOutputStream out;
+  private ByteArrayOutputStream errors;
 
-    @BeforeEach
-    void openStreams() {
-        out = new ByteArrayOutputStream();
-        errors = new ByteArrayOutputStream();
-    }
+  @BeforeEach
+  void openStreams() {
+    out = new ByteArrayOutputStream();
+    errors = new ByteArrayOutputStream();
+  }
 
-    private int table(Object... words) {
-        String[] texts = new String[words.length];
-        for (int i = 0; i < words.length; i++) {
-            texts[i] = words[i].toString();
-        }
-        return Table.run(new PrintStream(out, true), new PrintStream(errors, true), texts);
+  private int table(Object... words) {
+    String[] texts = new String[words.length];
+    for (int i = 0; i < words.length; i++) {
+      texts[i] = words[i].toString();
     }
+    return Table.run(new PrintStream(out, true), new PrintStream(errors, true), texts);
+  }
 
-    private void report(String name, String row) throws IOException {
-        Files.writeString(folder.resolve(name + ".json"), "{\"site\": \"s\", \"row\": " + row + "}");
-    }
+  private void report(String name, String row) throws IOException {
+    Files.writeString(folder.resolve(name + ".json"), "{\"site\": \"s\", \"row\": " + row + "}");
+  }
 
-    @Test
-    void eachReportIsARow() throws IOException {
-        report("no-weights",
-                "{\"served\": 0.70956, \"G_floor\": 0.5165, \"G_top\": 0.9, \"gate\": null, \"score\": 0.3224776}");
-        report("joins+low-load",
-                "{\"served\": 0.5, \"G_floor\": 0.25, \"G_top\": 1, \"gate\": \"floor (served 0.5, 1|2)\", \"score\": 0}");
-        report("unchanged", "{\"served\": 1, \"gate\": 0.0}");
-        Files.writeString(folder.resolve("notes.txt"), "no report");
-        assertThat(table(folder)).isZero();
-        assertThat(out.toString().lines()).containsExactly(
-                "| factor | served | floor | top | gate | score |",
-                "| --- | ---: | ---: | ---: | --- | ---: |",
-                "| joins+low-load | 0.500 | 0.250 | 1.000 | floor (served 0.5, 1\\|2) | 0.000 |",
-                "| no-weights | 0.710 | 0.517 | 0.900 | - | 0.322 |",
-                "| unchanged | 1.000 | - | - | 0.000 | - |");
-    }
+  @Test
+  void eachReportIsARow() throws IOException {
+    report(
+        "no-weights",
+        "{\"served\": 0.70956, \"G_floor\": 0.5165, \"G_top\": 0.9, \"gate\": null, \"score\": 0.3224776}");
+    report(
+        "joins+low-load",
+        "{\"served\": 0.5, \"G_floor\": 0.25, \"G_top\": 1, \"gate\": \"floor (served 0.5, 1|2)\", \"score\": 0}");
+    report("unchanged", "{\"served\": 1, \"gate\": 0.0}");
+    Files.writeString(folder.resolve("notes.txt"), "no report");
+    assertThat(table(folder)).isZero();
+    assertThat(out.toString().lines())
+        .containsExactly(
+            "| factor | served | floor | top | gate | score |",
+            "| --- | ---: | ---: | ---: | --- | ---: |",
+            "| joins+low-load | 0.500 | 0.250 | 1.000 | floor (served 0.5, 1\\|2) | 0.000 |",
+            "| no-weights | 0.710 | 0.517 | 0.900 | - | 0.322 |",
+            "| unchanged | 1.000 | - | - | 0.000 | - |");
+  }
 
-    @Test
-    void whatIsNoReportIsRefused() throws IOException {
-        assertThat(table(folder)).isEqualTo(Exit.REFUSED);
-        assertThat(table(folder.resolve("none"))).isEqualTo(Exit.REFUSED);
-        assertThat(table("--all")).isEqualTo(Exit.REFUSED);
-        report("good", "{}");
-        report("other", "3");
-        assertThat(table(folder)).isEqualTo(Exit.REFUSED);
-        Files.writeString(folder.resolve("bad.json"), "{");
-        assertThat(table(folder)).isEqualTo(Exit.REFUSED);
-        assertThat(errors.toString().lines()).hasSize(5);
-        assertThat(out.toString()).isEmpty();
-    }
+  @Test
+  void whatIsNoReportIsRefused() throws IOException {
+    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
+    assertThat(table(folder.resolve("none"))).isEqualTo(Exit.REFUSED);
+    assertThat(table("--all")).isEqualTo(Exit.REFUSED);
+    report("good", "{}");
+    report("other", "3");
+    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
+    Files.writeString(folder.resolve("bad.json"), "{");
+    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
+    assertThat(errors.toString().lines()).hasSize(5);
+    assertThat(out.toString()).isEmpty();
+  }
 
-    @Test
-    void withoutAFolderTheUsageIsPrinted() {
-        assertThat(table()).isEqualTo(Exit.USAGE);
-        assertThat(errors.toString()).contains("usage: table.sh");
-    }
+  @Test
+  void withoutAFolderTheUsageIsPrinted() {
+    assertThat(table()).isEqualTo(Exit.USAGE);
+    assertThat(errors.toString()).contains("usage: table.sh");
+  }
 }
--- a/variants/src/test/java/tamarindroute/variants/TomlTextTest.java
+++ b/variants/src/test/java/tamarindroute/variants/TomlTextTest.java
@@ -10,7 +10,8 @@
 /** Edits of a text by paths. */
 class TomlTextTest {
 
-    private static final String TEXT = """
+  private static final String TEXT =
+      """
             name = "a"  # a comment
             [[tier]]
             size = 1
@@ -28,30 +29,50 @@
             cores = 5
             """;
 
-    private static JsonNode json(String text) throws Exception {
-        return new ObjectMapper().readTree(text);
-    }
+  private static JsonNode json(String text) throws Exception {
+    return new ObjectMapper().readTree(text);
+  }
 
-    @Test
-    void aValueIsPutWhereItsPathLeads() throws Exception {
-        String edited = TomlText.edited(TEXT,
-                Map.of("tier[0].kind[1].cores", json("[0.50, 6]"), "tier[1].kind[0].cores", json("7"),
-                        "tier[0].report.how", json("\"probe\"")));
-        assertThat(edited).isEqualTo(TEXT.replace("[3, 4] # more", "[0.5, 6]").replace("cores = 5", "cores = 7")
+  @Test
+  void aValueIsPutWhereItsPathLeads() throws Exception {
+    String edited =
+        TomlText.edited(
+            TEXT,
+            Map.of(
+                "tier[0].kind[1].cores",
+                json("[0.50, 6]"),
+                "tier[1].kind[0].cores",
+                json("7"),
+                "tier[0].report.how",
+                json("\"probe\"")));
+    assertThat(edited)
+        .isEqualTo(
+            TEXT.replace("[3, 4] # more", "[0.5, 6]")
+                .replace("cores = 5", "cores = 7")
                 .replace("\"none\"", "\"probe\""));
-    }
+  }
 
-    @Test
-    void aKeyThatATableLacksIsAddedAtItsEnd() throws Exception {
-        String edited = TomlText.edited(TEXT, Map.of("tier[0].weights", json("\"live\""), "stock", json("true"),
-                "tier[1].kind[0].fields", json("[\"x0\"]")));
-        assertThat(edited).isEqualTo(TEXT.replace("size = 1\n", "size = 1\nweights = \"live\"\n")
+  @Test
+  void aKeyThatATableLacksIsAddedAtItsEnd() throws Exception {
+    String edited =
+        TomlText.edited(
+            TEXT,
+            Map.of(
+                "tier[0].weights",
+                json("\"live\""),
+                "stock",
+                json("true"),
+                "tier[1].kind[0].fields",
+                json("[\"x0\"]")));
+    assertThat(edited)
+        .isEqualTo(
+            TEXT.replace("size = 1\n", "size = 1\nweights = \"live\"\n")
                 .replace("# a comment\n", "# a comment\nstock = true\n")
                 .replace("cores = 5\n", "cores = 5\nfields = [\"x0\"]\n"));
-    }
+  }
 
-    @Test
-    void withoutChangesTheTextStays() {
-        assertThat(TomlText.edited(TEXT, Map.of())).isEqualTo(TEXT);
-    }
+  @Test
+  void withoutChangesTheTextStays() {
+    assertThat(TomlText.edited(TEXT, Map.of())).isEqualTo(TEXT);
+  }
 }
--- a/windows/src/main/java/tamarindroute/windows/Entry.java
+++ b/windows/src/main/java/tamarindroute/windows/Entry.java
@@ -4,54 +4,74 @@
 import java.util.List;
 
 /**
- * A window as it is agreed. All that a gateway needs to go on with it stands here, so that whoever leads next can.
- * Times are agreed time: monotonic, the same for all that hold the view.
+ * A window as it is agreed. All that a gateway needs to go on with it stands here, so that whoever
+ * leads next can. Times are agreed time: monotonic, the same for all that hold the view.
  *
  * @param revision of the wishes that asked for it: only later ones withdraw it
- * @param start    null until a time is reserved
- * @param end      when its caches are to be back
+ * @param start null until a time is reserved
+ * @param end when its caches are to be back
  */
-public record Entry(String id, Phase phase, int revision, List<String> caches, Duration length, Duration earliest,
-        Duration latest, Duration start, Duration end) {
+public record Entry(
+    String id,
+    Phase phase,
+    int revision,
+    List<String> caches,
+    Duration length,
+    Duration earliest,
+    Duration latest,
+    Duration start,
+    Duration end) {
 
-    /** A window's phases in their order; {@code CALLED_OFF} is one that never drained anything. */
-    public enum Phase {
-        ASKED, RESERVED, DRAINING, OPEN, RETURNING, CLOSED, CALLED_OFF;
+  /** A window's phases in their order; {@code CALLED_OFF} is one that never drained anything. */
+  public enum Phase {
+    ASKED,
+    RESERVED,
+    DRAINING,
+    OPEN,
+    RETURNING,
+    CLOSED,
+    CALLED_OFF;
 
-        /** Whether the caches don't count as cover, whatever is heard of them. */
-        public boolean holds() {
-            return this == DRAINING || this == OPEN || this == RETURNING;
-        }
+    /** Whether the caches don't count as cover, whatever is heard of them. */
+    public boolean holds() {
+      return this == DRAINING || this == OPEN || this == RETURNING;
+    }
 
-        public boolean ended() {
-            return this == CLOSED || this == CALLED_OFF;
-        }
+    public boolean ended() {
+      return this == CLOSED || this == CALLED_OFF;
     }
+  }
 
-    /** What is agreed is bounded: a batch is at most a location's edges. */
-    public static final int MOST_CACHES = 256;
+  /** What is agreed is bounded: a batch is at most a location's edges. */
+  public static final int MOST_CACHES = 256;
 
-    public Entry {
-        caches = List.copyOf(caches);
-        if (caches.isEmpty() || caches.size() > MOST_CACHES || length.isNegative() || length.isZero()) {
-            throw new IllegalArgumentException("window " + id + " of " + caches.size() + " caches, " + length);
-        }
+  public Entry {
+    caches = List.copyOf(caches);
+    if (caches.isEmpty() || caches.size() > MOST_CACHES || length.isNegative() || length.isZero()) {
+      throw new IllegalArgumentException(
+          "window " + id + " of " + caches.size() + " caches, " + length);
     }
+  }
 
-    public static Entry asked(String id, int revision, List<String> caches, Duration length, Duration earliest,
-            Duration latest) {
-        return new Entry(id, Phase.ASKED, revision, caches, length, earliest, latest, null, null);
-    }
+  public static Entry asked(
+      String id,
+      int revision,
+      List<String> caches,
+      Duration length,
+      Duration earliest,
+      Duration latest) {
+    return new Entry(id, Phase.ASKED, revision, caches, length, earliest, latest, null, null);
+  }
 
-    Entry in(Phase next) {
-        return new Entry(id, next, revision, caches, length, earliest, latest, start, end);
-    }
+  Entry in(Phase next) {
+    return new Entry(id, next, revision, caches, length, earliest, latest, start, end);
+  }
 
-    Entry at(Phase next, Duration from, Duration to) {
-        return new Entry(id, next, revision, caches, length, earliest, latest, from, to);
-    }
+  Entry at(Phase next, Duration from, Duration to) {
+    return new Entry(id, next, revision, caches, length, earliest, latest, from, to);
+  }
 
-    String key() {
-        return "window/" + id;
-    }
+  String key() {
+    return "window/" + id;
+  }
 }
--- a/windows/src/main/java/tamarindroute/windows/LoadCurve.java
+++ b/windows/src/main/java/tamarindroute/windows/LoadCurve.java
@@ -7,136 +7,152 @@
 import java.util.TreeMap;
 
 /**
- * A location's load by time of day, from what each member tells of its own. Merging takes the newer word of each member:
- * commutative, associative, idempotent. A member that is no longer heard counts as its last word, grown.
+ * A location's load by time of day, from what each member tells of its own. Merging takes the newer
+ * word of each member: commutative, associative, idempotent. A member that is no longer heard
+ * counts as its last word, grown.
  */
 public record LoadCurve(int bins, SortedMap<String, Word> words) {
-    /** A quarter of an hour: load changes by a few hundredths in it. */
-    public static final int MOST_BINS = 96;
-    /** As many members as membership is built for. */
-    public static final int MOST_MEMBERS = 5_000;
-    /** A day weighs half of the day after it: a week's pattern shows, a single odd day is a quarter two days later. */
-    static final double KEPT = 0.5;
-    /** What is not heard may have grown by this an hour ... */
-    static final double GROWN = 0.02;
-    /** ... up to this: beyond, what others tell of the same clients has taken its place. */
-    static final double MOST_GROWN = 1.5;
-    /** A word this old is not yet grown: members tell theirs every few minutes. */
-    static final Duration FRESH = Duration.ofMinutes(30);
-
-    /**
-     * A member's decaying sums by bin of the day: {@code load} over {@code weight} is its load; {@code at} when
-     * it said so.
-     */
-    public record Word(long sequence, double[] load, double[] weight, Duration at) {
-        public Word {
-            load = load.clone();
-            weight = weight.clone();
-            for (int i = 0; i < load.length; i++) {
-                if (load.length != weight.length || !(load[i] >= 0 && load[i] <= MOST && weight[i] >= 0
-                        && weight[i] <= MOST)) {
-                    throw new IllegalArgumentException("a word out of bounds in bin " + i);
-                }
-            }
-        }
-
-        /** Above any load of a location in any unit; sums of such stay exact enough. */
-        private static final double MOST = 1e12;
-
-        public static Word none(int bins) {
-            return new Word(0, new double[bins], new double[bins], Duration.ZERO);
-        }
-
-        /** With a day's load in a bin; older days count the less. */
-        public Word and(int bin, double seen, Duration now) {
-            double[] sums = load.clone();
-            double[] weights = weight.clone();
-            sums[bin] = sums[bin] * KEPT + seen;
-            weights[bin] = weights[bin] * KEPT + 1;
-            return new Word(sequence + 1, sums, weights, now);
-        }
-
-        double at(int bin) {
-            return weight[bin] > 0 ? load[bin] / weight[bin] : 0;
-        }
-
-        /**
-         * Neither arrays nor origins of one sequence differ, unless a member breaks its word: then the larger
-         * load counts.
-         */
-        private static Word newer(Word one, Word other) {
-            if (one.sequence != other.sequence) {
-                return one.sequence > other.sequence ? one : other;
-            }
-            int order = Arrays.compare(one.load, other.load);
-            order = order != 0 ? order : Arrays.compare(other.weight, one.weight);
-            order = order != 0 ? order : one.at.compareTo(other.at);
-            return order >= 0 ? one : other;
+  /** A quarter of an hour: load changes by a few hundredths in it. */
+  public static final int MOST_BINS = 96;
+
+  /** As many members as membership is built for. */
+  public static final int MOST_MEMBERS = 5_000;
+
+  /**
+   * A day weighs half of the day after it: a week's pattern shows, a single odd day is a quarter
+   * two days later.
+   */
+  static final double KEPT = 0.5;
+
+  /** What is not heard may have grown by this an hour ... */
+  static final double GROWN = 0.02;
+
+  /** ... up to this: beyond, what others tell of the same clients has taken its place. */
+  static final double MOST_GROWN = 1.5;
+
+  /** A word this old is not yet grown: members tell theirs every few minutes. */
+  static final Duration FRESH = Duration.ofMinutes(30);
+
+  /**
+   * A member's decaying sums by bin of the day: {@code load} over {@code weight} is its load;
+   * {@code at} when it said so.
+   */
+  public record Word(long sequence, double[] load, double[] weight, Duration at) {
+    public Word {
+      load = load.clone();
+      weight = weight.clone();
+      for (int i = 0; i < load.length; i++) {
+        if (load.length != weight.length
+            || !(load[i] >= 0 && load[i] <= MOST && weight[i] >= 0 && weight[i] <= MOST)) {
+          throw new IllegalArgumentException("a word out of bounds in bin " + i);
         }
+      }
     }
 
-    public LoadCurve {
-        if (bins < 1 || bins > MOST_BINS || words.size() > MOST_MEMBERS) {
-            throw new IllegalArgumentException(bins + " bins, " + words.size() + " members");
-        }
-        words = Collections.unmodifiableSortedMap(new TreeMap<>(words));
-    }
+    /** Above any load of a location in any unit; sums of such stay exact enough. */
+    private static final double MOST = 1e12;
 
-    public static LoadCurve empty(int bins) {
-        return new LoadCurve(bins, new TreeMap<>());
+    public static Word none(int bins) {
+      return new Word(0, new double[bins], new double[bins], Duration.ZERO);
     }
 
-    /** With a member's word, unless a newer one is known. A word of other bins is not taken. */
-    public LoadCurve heard(String member, Word word) {
-        TreeMap<String, Word> one = new TreeMap<>();
-        one.put(member, word);
-        return word.load.length == bins ? merged(one) : this;
+    /** With a day's load in a bin; older days count the less. */
+    public Word and(int bin, double seen, Duration now) {
+      double[] sums = load.clone();
+      double[] weights = weight.clone();
+      sums[bin] = sums[bin] * KEPT + seen;
+      weights[bin] = weights[bin] * KEPT + 1;
+      return new Word(sequence + 1, sums, weights, now);
     }
 
-    public LoadCurve merge(LoadCurve other) {
-        return other.bins == bins ? merged(other.words) : this;
+    double at(int bin) {
+      return weight[bin] > 0 ? load[bin] / weight[bin] : 0;
     }
 
-    /** Of too many members the first by name are kept, so that the order of merging makes no difference. */
-    private LoadCurve merged(SortedMap<String, Word> others) {
-        TreeMap<String, Word> all = new TreeMap<>(words);
-        others.forEach((member, word) -> all.merge(member, word, Word::newer));
-        while (all.size() > MOST_MEMBERS) {
-            all.pollLastEntry();
-        }
-        return new LoadCurve(bins, all);
+    /**
+     * Neither arrays nor origins of one sequence differ, unless a member breaks its word: then the
+     * larger load counts.
+     */
+    private static Word newer(Word one, Word other) {
+      if (one.sequence != other.sequence) {
+        return one.sequence > other.sequence ? one : other;
+      }
+      int order = Arrays.compare(one.load, other.load);
+      order = order != 0 ? order : Arrays.compare(other.weight, one.weight);
+      order = order != 0 ? order : one.at.compareTo(other.at);
+      return order >= 0 ? one : other;
     }
+  }
 
-    /** The load of a bin of the day, smoothed with its neighbours, but never below what was seen in it. */
-    public double at(int bin, Duration now) {
-        double here = raw(bin, now);
-        double around = raw((bin + bins - 1) % bins, now) / 4 + here / 2 + raw((bin + 1) % bins, now) / 4;
-        return Math.max(here, around);
+  public LoadCurve {
+    if (bins < 1 || bins > MOST_BINS || words.size() > MOST_MEMBERS) {
+      throw new IllegalArgumentException(bins + " bins, " + words.size() + " members");
     }
-
-    private double raw(int bin, Duration now) {
-        double sum = 0;
-        for (Word word : words.values()) {
-            sum += word.at(bin) * grown(now.minus(word.at));
-        }
-        return sum;
+    words = Collections.unmodifiableSortedMap(new TreeMap<>(words));
+  }
+
+  public static LoadCurve empty(int bins) {
+    return new LoadCurve(bins, new TreeMap<>());
+  }
+
+  /** With a member's word, unless a newer one is known. A word of other bins is not taken. */
+  public LoadCurve heard(String member, Word word) {
+    TreeMap<String, Word> one = new TreeMap<>();
+    one.put(member, word);
+    return word.load.length == bins ? merged(one) : this;
+  }
+
+  public LoadCurve merge(LoadCurve other) {
+    return other.bins == bins ? merged(other.words) : this;
+  }
+
+  /**
+   * Of too many members the first by name are kept, so that the order of merging makes no
+   * difference.
+   */
+  private LoadCurve merged(SortedMap<String, Word> others) {
+    TreeMap<String, Word> all = new TreeMap<>(words);
+    others.forEach((member, word) -> all.merge(member, word, Word::newer));
+    while (all.size() > MOST_MEMBERS) {
+      all.pollLastEntry();
     }
-
-    private static double grown(Duration age) {
-        Duration unseen = age.minus(FRESH);
-        return unseen.isNegative() ? 1 : Math.min(MOST_GROWN, 1 + GROWN * unseen.toMinutes() / 60.0);
+    return new LoadCurve(bins, all);
+  }
+
+  /**
+   * The load of a bin of the day, smoothed with its neighbours, but never below what was seen in
+   * it.
+   */
+  public double at(int bin, Duration now) {
+    double here = raw(bin, now);
+    double around =
+        raw((bin + bins - 1) % bins, now) / 4 + here / 2 + raw((bin + 1) % bins, now) / 4;
+    return Math.max(here, around);
+  }
+
+  private double raw(int bin, Duration now) {
+    double sum = 0;
+    for (Word word : words.values()) {
+      sum += word.at(bin) * grown(now.minus(word.at));
     }
-
-    /** The load for the planner: from a time of day on, in the curve's bins. */
-    public double[] from(int first, int count, Duration now) {
-        double[] day = new double[bins];
-        for (int i = 0; i < bins; i++) {
-            day[i] = at(i, now);
-        }
-        double[] load = new double[count];
-        for (int i = 0; i < count; i++) {
-            load[i] = day[(first + i) % bins];
-        }
-        return load;
+    return sum;
+  }
+
+  private static double grown(Duration age) {
+    Duration unseen = age.minus(FRESH);
+    return unseen.isNegative() ? 1 : Math.min(MOST_GROWN, 1 + GROWN * unseen.toMinutes() / 60.0);
+  }
+
+  /** The load for the planner: from a time of day on, in the curve's bins. */
+  public double[] from(int first, int count, Duration now) {
+    double[] day = new double[bins];
+    for (int i = 0; i < bins; i++) {
+      day[i] = at(i, now);
+    }
+    double[] load = new double[count];
+    for (int i = 0; i < count; i++) {
+      load[i] = day[(first + i) % bins];
     }
+    return load;
+  }
 }
--- a/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
+++ b/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
@@ -12,57 +12,65 @@
 import org.junit.jupiter.api.Test;
 
 class LoadCurveTest {
-    private static final Duration NOW = Duration.ofHours(40);
+  private static final Duration NOW = Duration.ofHours(40);
 
-    private static LoadCurve some(long seed) {
-        Random random = new Random(seed);
-        LoadCurve curve = LoadCurve.empty(4);
-        for (int i = random.nextInt(4); i >= 0; i--) {
-            // One process's words of one sequence are the same word, or it breaks its word: both occur.
-            LoadCurve.Word word = LoadCurve.Word.none(4);
-            for (int more = random.nextInt(3); more >= 0; more--) {
-                word = word.and(random.nextInt(4), random.nextInt(3), NOW);
-            }
-            curve = curve.heard("m" + random.nextInt(3), word);
-        }
-        return curve;
+  private static LoadCurve some(long seed) {
+    Random random = new Random(seed);
+    LoadCurve curve = LoadCurve.empty(4);
+    for (int i = random.nextInt(4); i >= 0; i--) {
+      // One process's words of one sequence are the same word, or it breaks its word: both occur.
+      LoadCurve.Word word = LoadCurve.Word.none(4);
+      for (int more = random.nextInt(3); more >= 0; more--) {
+        word = word.and(random.nextInt(4), random.nextInt(3), NOW);
+      }
+      curve = curve.heard("m" + random.nextInt(3), word);
     }
+    return curve;
+  }
 
-    private static String text(LoadCurve curve) {
-        StringBuilder text = new StringBuilder();
-        curve.words().forEach((m, w) -> text.append(m).append(w.sequence()).append(java.util.Arrays.toString(w.load()))
-                .append(java.util.Arrays.toString(w.weight())));
-        return text.toString();
-    }
+  private static String text(LoadCurve curve) {
+    StringBuilder text = new StringBuilder();
+    curve
+        .words()
+        .forEach(
+            (m, w) ->
+                text.append(m)
+                    .append(w.sequence())
+                    .append(java.util.Arrays.toString(w.load()))
+                    .append(java.util.Arrays.toString(w.weight())));
+    return text.toString();
+  }
 
-    @Property(seed = "28", tries = 300, edgeCases = EdgeCasesMode.NONE)
-    void mergingIsCommutativeAssociativeIdempotent(@ForAll long one, @ForAll long two, @ForAll long three) {
-        LoadCurve a = some(one);
-        LoadCurve b = some(two);
-        LoadCurve c = some(three);
-        assertThat(text(a.merge(b))).isEqualTo(text(b.merge(a)));
-        assertThat(text(a.merge(b).merge(c))).isEqualTo(text(a.merge(b.merge(c))));
-        assertThat(text(a.merge(b).merge(b))).isEqualTo(text(a.merge(b)));
-    }
+  @Property(seed = "28", tries = 300, edgeCases = EdgeCasesMode.NONE)
+  void mergingIsCommutativeAssociativeIdempotent(
+      @ForAll long one, @ForAll long two, @ForAll long three) {
+    LoadCurve a = some(one);
+    LoadCurve b = some(two);
+    LoadCurve c = some(three);
+    assertThat(text(a.merge(b))).isEqualTo(text(b.merge(a)));
+    assertThat(text(a.merge(b).merge(c))).isEqualTo(text(a.merge(b.merge(c))));
+    assertThat(text(a.merge(b).merge(b))).isEqualTo(text(a.merge(b)));
+  }
 
-    @Test
-    void daysDecayMembersAddUpAndTheUnseenGrow() {
-        LoadCurve.Word word = LoadCurve.Word.none(4).and(1, 10, NOW).and(1, 16, NOW);
-        LoadCurve curve = LoadCurve.empty(4).heard("m", word);
-        assertThat(curve.at(1, NOW)).isCloseTo((10 * LoadCurve.KEPT + 16) / 1.5, within(1e-9));
-        assertThat(curve.at(0, NOW)).as("smoothed").isCloseTo(14.0 / 4, within(1e-9));
-        assertThat(curve.heard("n", word).at(1, NOW)).isCloseTo(28, within(1e-9));
-        Duration later = NOW.plus(LoadCurve.FRESH).plusHours(5);
-        assertThat(curve.at(1, later)).isCloseTo(14 * (1 + 5 * LoadCurve.GROWN), within(1e-9));
-        assertThat(curve.at(1, NOW.plusDays(9))).isCloseTo(14 * LoadCurve.MOST_GROWN, within(1e-9));
-        assertThat(curve.from(1, 5, NOW)).hasSize(5).startsWith(14.0).endsWith(14.0);
-    }
+  @Test
+  void daysDecayMembersAddUpAndTheUnseenGrow() {
+    LoadCurve.Word word = LoadCurve.Word.none(4).and(1, 10, NOW).and(1, 16, NOW);
+    LoadCurve curve = LoadCurve.empty(4).heard("m", word);
+    assertThat(curve.at(1, NOW)).isCloseTo((10 * LoadCurve.KEPT + 16) / 1.5, within(1e-9));
+    assertThat(curve.at(0, NOW)).as("smoothed").isCloseTo(14.0 / 4, within(1e-9));
+    assertThat(curve.heard("n", word).at(1, NOW)).isCloseTo(28, within(1e-9));
+    Duration later = NOW.plus(LoadCurve.FRESH).plusHours(5);
+    assertThat(curve.at(1, later)).isCloseTo(14 * (1 + 5 * LoadCurve.GROWN), within(1e-9));
+    assertThat(curve.at(1, NOW.plusDays(9))).isCloseTo(14 * LoadCurve.MOST_GROWN, within(1e-9));
+    assertThat(curve.from(1, 5, NOW)).hasSize(5).startsWith(14.0).endsWith(14.0);
+  }
 
-    @Test
-    void wordsOutOfBoundsAreRefusedWhole() {
-        assertThatThrownBy(() -> LoadCurve.Word.none(4).and(0, Double.NaN, NOW)).hasMessageContaining("bin 0");
-        assertThatThrownBy(() -> LoadCurve.Word.none(4).and(2, -1, NOW)).hasMessageContaining("bin 2");
-        LoadCurve curve = LoadCurve.empty(4);
-        assertThat(curve.heard("m", LoadCurve.Word.none(5))).isEqualTo(curve);
-    }
+  @Test
+  void wordsOutOfBoundsAreRefusedWhole() {
+    assertThatThrownBy(() -> LoadCurve.Word.none(4).and(0, Double.NaN, NOW))
+        .hasMessageContaining("bin 0");
+    assertThatThrownBy(() -> LoadCurve.Word.none(4).and(2, -1, NOW)).hasMessageContaining("bin 2");
+    LoadCurve curve = LoadCurve.empty(4);
+    assertThat(curve.heard("m", LoadCurve.Word.none(5))).isEqualTo(curve);
+  }
 }
--- a/windows/src/test/java/tamarindroute/windows/Measure.java
+++ b/windows/src/test/java/tamarindroute/windows/Measure.java
@@ -10,134 +10,170 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Prints how long plans take, how good they are, and a location's night in batches, one by one and in random order. */
+/**
+ * Prints how long plans take, how good they are, and a location's night in batches, one by one and
+ * in random order.
+ */
 public final class Measure {
-    private Measure() {}
+  private Measure() {}
 
-    public static void main(String[] args) {
-        if (args.length < 2) {
-            time();
-        }
-        quality(args.length > 0 ? Integer.parseInt(args[0]) : 300);
-        for (int seed = 1; seed <= 3; seed++) {
-            night(seed);
-        }
+  public static void main(String[] args) {
+    if (args.length < 2) {
+      time();
     }
-
-    /** What the thread has used: other work on the machine doesn't count. */
-    private static long cpu() {
-        return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+    quality(args.length > 0 ? Integer.parseInt(args[0]) : 300);
+    for (int seed = 1; seed <= 3; seed++) {
+      night(seed);
     }
+  }
 
-    static World large(long seed) {
-        return Worlds.world(seed, new Worlds.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
-                new World.Rules(Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
-    }
+  /** What the thread has used: other work on the machine doesn't count. */
+  private static long cpu() {
+    return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+  }
 
-    /** Every edge of every location, from midnight on, within two days. */
-    static List<Wish> all(World world) {
-        List<Wish> wishes = new ArrayList<>();
-        for (int l = 0; l < 10; l++) {
-            wishes.add(Wish.share("all-" + l, "l" + l, 1, Duration.ofMinutes(45), Duration.ZERO,
-                    Worlds.BIN.multipliedBy(world.bins())));
-        }
-        return wishes;
+  static World large(long seed) {
+    return Worlds.world(
+        seed,
+        new Worlds.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
+        new World.Rules(Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+  }
+
+  /** Every edge of every location, from midnight on, within two days. */
+  static List<Wish> all(World world) {
+    List<Wish> wishes = new ArrayList<>();
+    for (int l = 0; l < 10; l++) {
+      wishes.add(
+          Wish.share(
+              "all-" + l,
+              "l" + l,
+              1,
+              Duration.ofMinutes(45),
+              Duration.ZERO,
+              Worlds.BIN.multipliedBy(world.bins())));
     }
+    return wishes;
+  }
 
-    private static void time() {
-        World world = large(1);
-        List<Wish> wishes = all(world);
-        double[] took = new double[15];
-        Plan plan = null;
-        for (int i = 0; i < took.length; i++) {
-            long start = cpu();
-            plan = Planner.plan(world, List.of(), wishes);
-            took[i] = (cpu() - start) / 1e6;
-        }
-        double first = took[0];
-        Arrays.sort(took);
-        System.out.printf("plan: %d caches, %d ranges, %d bins, processor time: first %.0f ms, median %.0f ms,"
-                + " worst %.0f ms; %d batches,"
-                + " %d refusals%n", world.caches().size(), world.ranges().size(), world.bins(), first, took[7],
-                took[14],
-                plan.batches().size(), plan.refusals().size());
-        plan.refusals().forEach(r -> System.out.println("  refused: " + r));
+  private static void time() {
+    World world = large(1);
+    List<Wish> wishes = all(world);
+    double[] took = new double[15];
+    Plan plan = null;
+    for (int i = 0; i < took.length; i++) {
+      long start = cpu();
+      plan = Planner.plan(world, List.of(), wishes);
+      took[i] = (cpu() - start) / 1e6;
     }
+    double first = took[0];
+    Arrays.sort(took);
+    System.out.printf(
+        "plan: %d caches, %d ranges, %d bins, processor time: first %.0f ms, median %.0f ms,"
+            + " worst %.0f ms; %d batches,"
+            + " %d refusals%n",
+        world.caches().size(),
+        world.ranges().size(),
+        world.bins(),
+        first,
+        took[7],
+        took[14],
+        plan.batches().size(),
+        plan.refusals().size());
+    plan.refusals().forEach(r -> System.out.println("  refused: " + r));
+  }
 
-    private static void quality(int worlds) {
-        List<Double> factors = new ArrayList<>();
-        int none = 0;
-        int missed = 0;
-        for (int seed = 1; seed <= worlds; seed++) {
-            World world = Worlds.small(seed);
-            int length = 1 + seed % 2;
-            List<String> edges = Worlds.edges(world, "l0");
-            int best = new BruteForce(world, edges, length).end();
-            Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, length)));
-            if (best == Integer.MAX_VALUE) {
-                none++;
-            } else if (!plan.refusals().isEmpty()) {
-                missed++;
-                System.out.println("missed: seed " + seed + ", best " + best + ": " + plan.refusals());
-            } else {
-                factors.add((double) end(plan) / best);
-                if (end(plan) > best * 1.3) {
-                    System.out.println("far: seed " + seed + ", best " + best + ", planned " + end(plan));
-                }
-            }
+  private static void quality(int worlds) {
+    List<Double> factors = new ArrayList<>();
+    int none = 0;
+    int missed = 0;
+    for (int seed = 1; seed <= worlds; seed++) {
+      World world = Worlds.small(seed);
+      int length = 1 + seed % 2;
+      List<String> edges = Worlds.edges(world, "l0");
+      int best = new BruteForce(world, edges, length).end();
+      Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, length)));
+      if (best == Integer.MAX_VALUE) {
+        none++;
+      } else if (!plan.refusals().isEmpty()) {
+        missed++;
+        System.out.println("missed: seed " + seed + ", best " + best + ": " + plan.refusals());
+      } else {
+        factors.add((double) end(plan) / best);
+        if (end(plan) > best * 1.3) {
+          System.out.println("far: seed " + seed + ", best " + best + ", planned " + end(plan));
         }
-        Collections.sort(factors);
-        System.out.printf(
-                "quality: %d worlds: no plan %d, missed %d, planned %d: factor median %.2f, 95%% %.2f, worst %.2f,"
-                        + " best met %d%n",
-                worlds, none, missed, factors.size(), factors.get(factors.size() / 2),
-                factors.get((int) (factors.size() * 0.95)), factors.get(factors.size() - 1),
-                factors.stream().filter(f -> f < 1.0001).count());
+      }
     }
+    Collections.sort(factors);
+    System.out.printf(
+        "quality: %d worlds: no plan %d, missed %d, planned %d: factor median %.2f, 95%% %.2f, worst %.2f,"
+            + " best met %d%n",
+        worlds,
+        none,
+        missed,
+        factors.size(),
+        factors.get(factors.size() / 2),
+        factors.get((int) (factors.size() * 0.95)),
+        factors.get(factors.size() - 1),
+        factors.stream().filter(f -> f < 1.0001).count());
+  }
 
-    static int end(Plan plan) {
-        return plan.batches().stream().mapToInt(b -> (int) b.end().dividedBy(Worlds.BIN)).max().orElse(0);
-    }
+  static int end(Plan plan) {
+    return plan.batches().stream()
+        .mapToInt(b -> (int) b.end().dividedBy(Worlds.BIN))
+        .max()
+        .orElse(0);
+  }
 
-    private static void night(long seed) {
-        World world = Worlds.world(seed, new Worlds.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
-                new World.Rules(Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
-        List<String> edges = Worlds.edges(world, "l0");
-        Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, 3)));
-        List<World.Held> batches = NaiveChecker.held(plan);
-        report("batches", seed, world, batches);
-        List<World.Held> single = new ArrayList<>();
-        for (int i = 0; i < edges.size(); i++) {
-            single.add(
-                    new World.Held(edges.get(i), Worlds.BIN.multipliedBy(5L * i), Worlds.BIN.multipliedBy(5L * i + 3)));
-        }
-        report("one by one", seed, world, single);
-        // As many at once as the plan has on average, whoever they are, each batch after the one before is warm.
-        int rounds = (int) Math.ceil((Measure.end(plan) + 2) / 5.0);
-        int size = (int) Math.ceil((double) edges.size() / rounds);
-        List<String> shuffled = new ArrayList<>(edges);
-        Collections.shuffle(shuffled, new Random(seed));
-        List<World.Held> random = new ArrayList<>();
-        for (int i = 0; i < shuffled.size(); i++) {
-            long start = 5L * (i / size);
-            random.add(new World.Held(shuffled.get(i), Worlds.BIN.multipliedBy(start),
-                    Worlds.BIN.multipliedBy(start + 3)));
-        }
-        report("random order", seed, world, random);
+  private static void night(long seed) {
+    World world =
+        Worlds.world(
+            seed,
+            new Worlds.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
+            new World.Rules(
+                Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+    List<String> edges = Worlds.edges(world, "l0");
+    Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, 3)));
+    List<World.Held> batches = NaiveChecker.held(plan);
+    report("batches", seed, world, batches);
+    List<World.Held> single = new ArrayList<>();
+    for (int i = 0; i < edges.size(); i++) {
+      single.add(
+          new World.Held(
+              edges.get(i), Worlds.BIN.multipliedBy(5L * i), Worlds.BIN.multipliedBy(5L * i + 3)));
+    }
+    report("one by one", seed, world, single);
+    // As many at once as the plan has on average, whoever they are, each batch after the one before
+    // is warm.
+    int rounds = (int) Math.ceil((Measure.end(plan) + 2) / 5.0);
+    int size = (int) Math.ceil((double) edges.size() / rounds);
+    List<String> shuffled = new ArrayList<>(edges);
+    Collections.shuffle(shuffled, new Random(seed));
+    List<World.Held> random = new ArrayList<>();
+    for (int i = 0; i < shuffled.size(); i++) {
+      long start = 5L * (i / size);
+      random.add(
+          new World.Held(
+              shuffled.get(i), Worlds.BIN.multipliedBy(start), Worlds.BIN.multipliedBy(start + 3)));
     }
+    report("random order", seed, world, random);
+  }
 
-    private static void report(String how, long seed, World world, List<World.Held> windows) {
-        int end = windows.stream().mapToInt(w -> (int) w.end().dividedBy(Worlds.BIN)).max().orElse(0);
-        double room = 1;
-        Map<String, Double> loads = NaiveChecker.loads(world, windows);
-        for (Cache cache : world.caches()) {
-            double most = loads.getOrDefault(cache.name(), 0.0);
-            room = Math.min(room, 1 - most / cache.capacity());
-        }
-        int uncovered = (int) NaiveChecker.harm(world, List.of(), windows).stream().filter(h -> h.startsWith("cover"))
-                .count();
-        System.out.printf(
-                "night, seed %d, %s: %.2f h, least room with one more failure %.2f, uncovered range-bins %d%n",
-                seed, how, end / 4.0, room, uncovered);
+  private static void report(String how, long seed, World world, List<World.Held> windows) {
+    int end = windows.stream().mapToInt(w -> (int) w.end().dividedBy(Worlds.BIN)).max().orElse(0);
+    double room = 1;
+    Map<String, Double> loads = NaiveChecker.loads(world, windows);
+    for (Cache cache : world.caches()) {
+      double most = loads.getOrDefault(cache.name(), 0.0);
+      room = Math.min(room, 1 - most / cache.capacity());
     }
+    int uncovered =
+        (int)
+            NaiveChecker.harm(world, List.of(), windows).stream()
+                .filter(h -> h.startsWith("cover"))
+                .count();
+    System.out.printf(
+        "night, seed %d, %s: %.2f h, least room with one more failure %.2f, uncovered range-bins %d%n",
+        seed, how, end / 4.0, room, uncovered);
+  }
 }
--- a/windows/src/test/java/tamarindroute/windows/Worlds.java
+++ b/windows/src/test/java/tamarindroute/windows/Worlds.java
@@ -12,107 +12,178 @@
 import java.util.stream.IntStream;
 
 /**
- * Worlds by seed: weighted rendezvous hashing as the policy's, a day's load whose peak nearly fills the fullest
- * cache.
+ * Worlds by seed: weighted rendezvous hashing as the policy's, a day's load whose peak nearly fills
+ * the fullest cache.
  */
 final class Worlds {
-    static final Duration BIN = Duration.ofMinutes(15);
+  static final Duration BIN = Duration.ofMinutes(15);
 
-    private Worlds() {}
+  private Worlds() {}
 
-    record Shape(int locations, int edges, int parents, int hubs, int ranges, int deep, int bins, double peak) {}
+  record Shape(
+      int locations,
+      int edges,
+      int parents,
+      int hubs,
+      int ranges,
+      int deep,
+      int bins,
+      double peak) {}
 
-    static World world(long seed, Shape shape, World.Rules rules) {
-        Random random = new Random(seed);
-        List<Cache> caches = new ArrayList<>();
-        for (int l = 0; l < shape.locations; l++) {
-            for (int e = 0; e < shape.edges; e++) {
-                caches.add(new Cache("e" + l + "-" + e, "l" + l, Cache.Tier.EDGE, 0.7 + random.nextDouble(), "", true,
-                        Duration.ZERO));
-            }
-        }
-        for (int p = 0; p < shape.parents; p++) {
-            caches.add(new Cache("p" + p, "", Cache.Tier.PARENT, 0.7 + random.nextDouble(), "h" + p % shape.hubs, true,
-                    Duration.ZERO));
-        }
-        caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 1e9, "", true, Duration.ZERO));
-        List<Range> ranges = new ArrayList<>();
-        for (int r = 0; r < shape.ranges; r++) {
-            String location = "l" + r % shape.locations;
-            double share = (double) shape.locations / shape.ranges;
-            List<Integer> fills = new ArrayList<>(ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.deep));
-            fills.add(caches.size() - 1);
-            ranges.add(new Range(location, Math.min(1, share), ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed,
-                    shape.deep), fills));
-        }
-        Map<String, double[]> load = new HashMap<>();
-        for (int l = 0; l < shape.locations; l++) {
-            int shift = l;
-            // Night at the start: 0.3 of the peak, which is in the middle of the day of 96 bins.
-            load.put("l" + l, IntStream.range(0, shape.bins).mapToDouble(b -> 0.65 - 0.35 * Math.cos(2 * Math.PI
-                    * (b - shift) / Math.min(96, shape.bins))).toArray());
-        }
-        return scaled(new World(caches, ranges, load, Duration.ZERO, BIN, rules), shape.peak);
+  static World world(long seed, Shape shape, World.Rules rules) {
+    Random random = new Random(seed);
+    List<Cache> caches = new ArrayList<>();
+    for (int l = 0; l < shape.locations; l++) {
+      for (int e = 0; e < shape.edges; e++) {
+        caches.add(
+            new Cache(
+                "e" + l + "-" + e,
+                "l" + l,
+                Cache.Tier.EDGE,
+                0.7 + random.nextDouble(),
+                "",
+                true,
+                Duration.ZERO));
+      }
     }
-
-    /**
-     * Capacities scaled by tier, so that each tier's fullest cache would be at the given part of its own at the
-     * peak.
-     */
-    private static World scaled(World world, double peak) {
-        Map<String, double[]> highest = new HashMap<>();
-        world.load().forEach((l, load) -> highest.put(l, new double[] {Arrays.stream(load).max().orElseThrow()}));
-        Board board = new Board(new World(world.caches(), world.ranges(), highest, world.from(), world.bin(),
-                world.rules()), List.of());
-        Map<Cache.Tier, Double> factor = new HashMap<>();
-        for (int c = 0; c < world.caches().size(); c++) {
-            Cache cache = world.caches().get(c);
-            factor.merge(cache.tier(), board.most(c, 0) / cache.capacity(), Math::max);
-        }
-        return new World(world.caches().stream().map(c -> c.tier() == Cache.Tier.ORIGIN ? c : new Cache(c.name(),
-                c.location(), c.tier(), c.capacity() * factor.get(c.tier()) / peak, c.hub(), c.ready(), c.warmAt()))
-                .toList(), world.ranges(), world.load(), world.from(), world.bin(), world.rules());
+    for (int p = 0; p < shape.parents; p++) {
+      caches.add(
+          new Cache(
+              "p" + p,
+              "",
+              Cache.Tier.PARENT,
+              0.7 + random.nextDouble(),
+              "h" + p % shape.hubs,
+              true,
+              Duration.ZERO));
     }
-
-    static List<Integer> ranked(List<Cache> caches, Cache.Tier tier, String location, long key, int deep) {
-        record Scored(int place, double score) {}
-        return IntStream.range(0, caches.size()).filter(c -> caches.get(c).tier() == tier
-                && caches.get(c).location().equals(location)).mapToObj(c -> new Scored(c,
-                        -Math.log(uniform(key * 1_000_003L + c)) / caches.get(c).capacity()))
-                .sorted(Comparator.comparingDouble(Scored::score)).limit(deep).map(Scored::place).toList();
+    caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 1e9, "", true, Duration.ZERO));
+    List<Range> ranges = new ArrayList<>();
+    for (int r = 0; r < shape.ranges; r++) {
+      String location = "l" + r % shape.locations;
+      double share = (double) shape.locations / shape.ranges;
+      List<Integer> fills =
+          new ArrayList<>(ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.deep));
+      fills.add(caches.size() - 1);
+      ranges.add(
+          new Range(
+              location,
+              Math.min(1, share),
+              ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed, shape.deep),
+              fills));
     }
-
-    private static double uniform(long key) {
-        long z = key * 0x9E3779B97F4A7C15L;
-        z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-        return ((z ^ z >>> 31) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
+    Map<String, double[]> load = new HashMap<>();
+    for (int l = 0; l < shape.locations; l++) {
+      int shift = l;
+      // Night at the start: 0.3 of the peak, which is in the middle of the day of 96 bins.
+      load.put(
+          "l" + l,
+          IntStream.range(0, shape.bins)
+              .mapToDouble(
+                  b -> 0.65 - 0.35 * Math.cos(2 * Math.PI * (b - shift) / Math.min(96, shape.bins)))
+              .toArray());
     }
+    return scaled(new World(caches, ranges, load, Duration.ZERO, BIN, rules), shape.peak);
+  }
 
-    /** One location of a few edges, small enough for all plans to be tried. */
-    static World small(long seed) {
-        Random random = new Random(seed * 7919);
-        int edges = 4 + random.nextInt(2);
-        boolean reserve = random.nextInt(3) > 0;
-        World.Rules rules = new World.Rules(reserve ? Set.of(World.Failure.values()) : Set.of(), 0.2, 0.1,
-                BIN.multipliedBy(random.nextInt(3)), random.nextBoolean());
-        int deep = reserve ? 3 + random.nextInt(2) : 2 + random.nextInt(2);
-        return world(seed, new Shape(1, edges, 3, 2, 4 + random.nextInt(8), deep, 12, 0.4 + random.nextDouble() / 2),
-                rules);
+  /**
+   * Capacities scaled by tier, so that each tier's fullest cache would be at the given part of its
+   * own at the peak.
+   */
+  private static World scaled(World world, double peak) {
+    Map<String, double[]> highest = new HashMap<>();
+    world
+        .load()
+        .forEach(
+            (l, load) -> highest.put(l, new double[] {Arrays.stream(load).max().orElseThrow()}));
+    Board board =
+        new Board(
+            new World(
+                world.caches(), world.ranges(), highest, world.from(), world.bin(), world.rules()),
+            List.of());
+    Map<Cache.Tier, Double> factor = new HashMap<>();
+    for (int c = 0; c < world.caches().size(); c++) {
+      Cache cache = world.caches().get(c);
+      factor.merge(cache.tier(), board.most(c, 0) / cache.capacity(), Math::max);
     }
+    return new World(
+        world.caches().stream()
+            .map(
+                c ->
+                    c.tier() == Cache.Tier.ORIGIN
+                        ? c
+                        : new Cache(
+                            c.name(),
+                            c.location(),
+                            c.tier(),
+                            c.capacity() * factor.get(c.tier()) / peak,
+                            c.hub(),
+                            c.ready(),
+                            c.warmAt()))
+            .toList(),
+        world.ranges(),
+        world.load(),
+        world.from(),
+        world.bin(),
+        world.rules());
+  }
 
-    /** Some worlds of middle size, with two locations. */
-    static World middle(long seed, Set<World.Failure> reserve) {
-        return world(seed, new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
-                new World.Rules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
-    }
+  static List<Integer> ranked(
+      List<Cache> caches, Cache.Tier tier, String location, long key, int deep) {
+    record Scored(int place, double score) {}
+    return IntStream.range(0, caches.size())
+        .filter(c -> caches.get(c).tier() == tier && caches.get(c).location().equals(location))
+        .mapToObj(
+            c -> new Scored(c, -Math.log(uniform(key * 1_000_003L + c)) / caches.get(c).capacity()))
+        .sorted(Comparator.comparingDouble(Scored::score))
+        .limit(deep)
+        .map(Scored::place)
+        .toList();
+  }
 
-    static List<String> edges(World world, String location) {
-        return world.caches().stream().filter(c -> c.tier() == Cache.Tier.EDGE && c.location().equals(location))
-                .map(Cache::name).toList();
-    }
+  private static double uniform(long key) {
+    long z = key * 0x9E3779B97F4A7C15L;
+    z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
+    z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
+    return ((z ^ z >>> 31) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
+  }
 
-    static Wish wish(World world, List<String> caches, int bins) {
-        return Wish.of("night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(world.bins()));
-    }
+  /** One location of a few edges, small enough for all plans to be tried. */
+  static World small(long seed) {
+    Random random = new Random(seed * 7919);
+    int edges = 4 + random.nextInt(2);
+    boolean reserve = random.nextInt(3) > 0;
+    World.Rules rules =
+        new World.Rules(
+            reserve ? Set.of(World.Failure.values()) : Set.of(),
+            0.2,
+            0.1,
+            BIN.multipliedBy(random.nextInt(3)),
+            random.nextBoolean());
+    int deep = reserve ? 3 + random.nextInt(2) : 2 + random.nextInt(2);
+    return world(
+        seed,
+        new Shape(1, edges, 3, 2, 4 + random.nextInt(8), deep, 12, 0.4 + random.nextDouble() / 2),
+        rules);
+  }
+
+  /** Some worlds of middle size, with two locations. */
+  static World middle(long seed, Set<World.Failure> reserve) {
+    return world(
+        seed,
+        new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
+        new World.Rules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
+  }
+
+  static List<String> edges(World world, String location) {
+    return world.caches().stream()
+        .filter(c -> c.tier() == Cache.Tier.EDGE && c.location().equals(location))
+        .map(Cache::name)
+        .toList();
+  }
+
+  static Wish wish(World world, List<String> caches, int bins) {
+    return Wish.of(
+        "night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(world.bins()));
+  }
 }
