--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
@@ -2,17 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.HexFormat;
-import java.util.LinkedHashSet;
-import java.util.List;
-
-import org.junit.jupiter.api.Test;
-
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
@@ -20,7 +11,12 @@
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.message.RaftMessage;
-
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HexFormat;
+import java.util.LinkedHashSet;
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.proto.WEnvelope;
 import tamarindroute.agreement.proto.WLogEntry;
@@ -33,120 +29,240 @@
 /** Pins the bytes of each consensus message between voters, written and read back. */
 class RaftMessageFormatTest {
 
-    private static final HexFormat HEX = HexFormat.of();
-    private static final Object GROUP = 77L;
-    private static final Seat FIRST = new Seat(new Member(new Address("10.0.0.1", 7000), 100));
-    private static final Seat SECOND = new Seat(new Member(new Address("10.0.0.2", 7000), 300));
-    private static final Seat THIRD = new Seat(new Member(new Address("v3", 1), 1_700_000_000_001L));
-
-    private static Collection<RaftEndpoint> members(RaftEndpoint... members) {
-        return new LinkedHashSet<>(List.of(members));
-    }
-
-    private static RaftGroupMembersView group() {
-        return Wire.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(12)
-                .setMembers(members(FIRST, SECOND, THIRD)).setVotingMembers(members(FIRST, SECOND)).build();
-    }
-
-    private static LogEntry entry(long index, Object operation) {
-        return Wire.MODELS.createLogEntryBuilder().setIndex(index).setTerm(3).setOperation(operation).build();
-    }
-
-    private static LogEntry change(long index, MembershipChangeMode mode) {
-        return entry(index, Wire.MODELS.createUpdateRaftGroupMembersOpBuilder()
-                .setMembers(members(FIRST, SECOND, THIRD)).setVotingMembers(members(FIRST, SECOND)).setEndpoint(THIRD)
-                .setMode(mode).build());
-    }
-
-    private static SnapshotChunk chunk() {
-        return Wire.MODELS.createSnapshotChunkBuilder().setIndex(500).setTerm(3)
-                .setOperation(ByteString.copyFrom(new byte[] {8, 0, -1})).setSnapshotChunkIndex(1)
-                .setSnapshotChunkCount(2).setGroupMembersView(group()).build();
-    }
-
-    private static void assertFormat(RaftMessage message, String hex) throws InvalidProtocolBufferException {
-        assertThat(HEX.formatHex(Messages.to(message).toByteArray())).isEqualTo(hex);
-        RaftMessage read = Messages.from(GROUP, WRaft.parseFrom(HEX.parseHex(hex)));
-        assertThat(read.getClass()).isEqualTo(message.getClass());
-        assertThat(read.getGroupId()).isEqualTo(GROUP);
-        assertThat(read.getSender()).isEqualTo(message.getSender());
-        assertThat(HEX.formatHex(Messages.to(read).toByteArray())).isEqualTo(hex);
-    }
-
-    @Test
-    void preVoteRequestAndResponse() throws InvalidProtocolBufferException {
-        assertFormat(Wire.MODELS.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setLastLogTerm(3).setLastLogIndex(500).build(), "0801120f0a0831302e302e302e3110d83618641804200328f403");
-        assertFormat(Wire.MODELS.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setGranted(true).build(), "0802120f0a0831302e302e302e3110d836186418044801");
-        assertFormat(Wire.MODELS.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setGranted(false).build(), "0802120f0a0831302e302e302e3110d83618641804");
-    }
-
-    @Test
-    void voteRequestAndResponse() throws InvalidProtocolBufferException {
-        assertFormat(Wire.MODELS.createVoteRequestBuilder().setGroupId(GROUP).setSender(THIRD).setTerm(4)
-                .setLastLogTerm(3).setLastLogIndex(500).setSticky(true).build(), "0803120d0a02763310011881d095ffbc311804200328f4034801");
-        assertFormat(Wire.MODELS.createVoteResponseBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setGranted(true).build(), "0804120f0a0831302e302e302e3110d836186418044801");
-    }
-
-    @Test
-    void appendRequestWithEachOperation() throws InvalidProtocolBufferException {
-        List<LogEntry> entries = List.of(entry(501, new Command.Put("k", 2, "t", new byte[] {1})),
-                entry(502, new Command.Nothing()), change(503, MembershipChangeMode.ADD_LEARNER));
-        assertFormat(Wire.MODELS.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setPreviousLogTerm(3).setPreviousLogIndex(500).setCommitIndex(499).setLogEntries(entries)
-                .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build(), "0805120f0a0831302e302e302e3110d83618641804200328f40330f30338064007521408"
+  private static final HexFormat HEX = HexFormat.of();
+  private static final Object GROUP = 77L;
+  private static final Seat FIRST = new Seat(new Member(new Address("10.0.0.1", 7000), 100));
+  private static final Seat SECOND = new Seat(new Member(new Address("10.0.0.2", 7000), 300));
+  private static final Seat THIRD = new Seat(new Member(new Address("v3", 1), 1_700_000_000_001L));
+
+  private static Collection<RaftEndpoint> members(RaftEndpoint... members) {
+    return new LinkedHashSet<>(List.of(members));
+  }
+
+  private static RaftGroupMembersView group() {
+    return Wire.MODELS
+        .createRaftGroupMembersViewBuilder()
+        .setLogIndex(12)
+        .setMembers(members(FIRST, SECOND, THIRD))
+        .setVotingMembers(members(FIRST, SECOND))
+        .build();
+  }
+
+  private static LogEntry entry(long index, Object operation) {
+    return Wire.MODELS
+        .createLogEntryBuilder()
+        .setIndex(index)
+        .setTerm(3)
+        .setOperation(operation)
+        .build();
+  }
+
+  private static LogEntry change(long index, MembershipChangeMode mode) {
+    return entry(
+        index,
+        Wire.MODELS
+            .createUpdateRaftGroupMembersOpBuilder()
+            .setMembers(members(FIRST, SECOND, THIRD))
+            .setVotingMembers(members(FIRST, SECOND))
+            .setEndpoint(THIRD)
+            .setMode(mode)
+            .build());
+  }
+
+  private static SnapshotChunk chunk() {
+    return Wire.MODELS
+        .createSnapshotChunkBuilder()
+        .setIndex(500)
+        .setTerm(3)
+        .setOperation(ByteString.copyFrom(new byte[] {8, 0, -1}))
+        .setSnapshotChunkIndex(1)
+        .setSnapshotChunkCount(2)
+        .setGroupMembersView(group())
+        .build();
+  }
+
+  private static void assertFormat(RaftMessage message, String hex)
+      throws InvalidProtocolBufferException {
+    assertThat(HEX.formatHex(Messages.to(message).toByteArray())).isEqualTo(hex);
+    RaftMessage read = Messages.from(GROUP, WRaft.parseFrom(HEX.parseHex(hex)));
+    assertThat(read.getClass()).isEqualTo(message.getClass());
+    assertThat(read.getGroupId()).isEqualTo(GROUP);
+    assertThat(read.getSender()).isEqualTo(message.getSender());
+    assertThat(HEX.formatHex(Messages.to(read).toByteArray())).isEqualTo(hex);
+  }
+
+  @Test
+  void preVoteRequestAndResponse() throws InvalidProtocolBufferException {
+    assertFormat(
+        Wire.MODELS
+            .createPreVoteRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setLastLogTerm(3)
+            .setLastLogIndex(500)
+            .build(),
+        "0801120f0a0831302e302e302e3110d83618641804200328f403");
+    assertFormat(
+        Wire.MODELS
+            .createPreVoteResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setGranted(true)
+            .build(),
+        "0802120f0a0831302e302e302e3110d836186418044801");
+    assertFormat(
+        Wire.MODELS
+            .createPreVoteResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setGranted(false)
+            .build(),
+        "0802120f0a0831302e302e302e3110d83618641804");
+  }
+
+  @Test
+  void voteRequestAndResponse() throws InvalidProtocolBufferException {
+    assertFormat(
+        Wire.MODELS
+            .createVoteRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(THIRD)
+            .setTerm(4)
+            .setLastLogTerm(3)
+            .setLastLogIndex(500)
+            .setSticky(true)
+            .build(),
+        "0803120d0a02763310011881d095ffbc311804200328f4034801");
+    assertFormat(
+        Wire.MODELS
+            .createVoteResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setGranted(true)
+            .build(),
+        "0804120f0a0831302e302e302e3110d836186418044801");
+  }
+
+  @Test
+  void appendRequestWithEachOperation() throws InvalidProtocolBufferException {
+    List<LogEntry> entries =
+        List.of(
+            entry(501, new Command.Put("k", 2, "t", new byte[] {1})),
+            entry(502, new Command.Nothing()),
+            change(503, MembershipChangeMode.ADD_LEARNER));
+    assertFormat(
+        Wire.MODELS
+            .createAppendEntriesRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setPreviousLogTerm(3)
+            .setPreviousLogIndex(500)
+            .setCommitIndex(499)
+            .setLogEntries(entries)
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "0805120f0a0831302e302e302e3110d83618641804200328f40330f30338064007521408"
             + "f50310031a0d080210022a016b3201743a0101520708f60310031a00526d08f703100322"
             + "660a55120f0a0831302e302e302e3110d836186412100a0831302e302e302e3210d83618"
             + "ac02120d0a02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a10"
             + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc31");
-        assertFormat(Wire.MODELS.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setPreviousLogTerm(3).setPreviousLogIndex(500).setCommitIndex(499).setLogEntries(new ArrayList<>())
-                .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build(), "0805120f0a0831302e302e302e3110d83618641804200328f40330f30338064007");
-    }
-
-    @Test
-    void membershipChangesOfEachMode() throws InvalidProtocolBufferException {
-        assertChange(MembershipChangeMode.ADD_LEARNER, "08f703100322660a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
+    assertFormat(
+        Wire.MODELS
+            .createAppendEntriesRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setPreviousLogTerm(3)
+            .setPreviousLogIndex(500)
+            .setCommitIndex(499)
+            .setLogEntries(new ArrayList<>())
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "0805120f0a0831302e302e302e3110d83618641804200328f40330f30338064007");
+  }
+
+  @Test
+  void membershipChangesOfEachMode() throws InvalidProtocolBufferException {
+    assertChange(
+        MembershipChangeMode.ADD_LEARNER,
+        "08f703100322660a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
             + "2e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831302e302e302e3110"
             + "d83618641a100a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc"
             + "31");
-        assertChange(MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, "08f703100322680a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
+    assertChange(
+        MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
+        "08f703100322680a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
             + "2e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831302e302e302e3110"
             + "d83618641a100a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc"
             + "311801");
-        assertChange(MembershipChangeMode.REMOVE_MEMBER, "08f703100322680a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
+    assertChange(
+        MembershipChangeMode.REMOVE_MEMBER,
+        "08f703100322680a55120f0a0831302e302e302e3110d836186412100a0831302e302e30"
             + "2e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831302e302e302e3110"
             + "d83618641a100a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc"
             + "311802");
-    }
-
-    private static void assertChange(MembershipChangeMode mode, String hex) throws InvalidProtocolBufferException {
-        assertThat(HEX.formatHex(Wire.to(change(503, mode)).toByteArray())).isEqualTo(hex);
-        LogEntry read = Wire.from(WLogEntry.parseFrom(HEX.parseHex(hex)));
-        assertThat(((UpdateRaftGroupMembersOp) read.getOperation()).getMode()).isEqualTo(mode);
-        assertThat(HEX.formatHex(Wire.to(read).toByteArray())).isEqualTo(hex);
-    }
-
-    @Test
-    void appendResponses() throws InvalidProtocolBufferException {
-        assertFormat(Wire.MODELS.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(SECOND)
-                .setTerm(4).setLastLogIndex(503).setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build(),
-                "080612100a0831302e302e302e3210d83618ac02180428f70338064007");
-        assertFormat(Wire.MODELS.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(SECOND)
-                .setTerm(4).setExpectedNextIndex(400).setQuerySequenceNumber(6).setFlowControlSequenceNumber(7)
-                .build(), "080712100a0831302e302e302e3210d83618ac02180428900338064007");
-    }
-
-    @Test
-    void snapshotRequestAndResponse() throws InvalidProtocolBufferException {
-        assertFormat(Wire.MODELS.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setSenderLeader(true).setSnapshotTerm(3).setSnapshotIndex(500).setTotalSnapshotChunkCount(2)
-                .setSnapshotChunk(chunk()).setSnapshottedMembers(members(FIRST, SECOND))
-                .setGroupMembersView(group()).setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build(),
-                "0808120f0a0831302e302e302e3110d83618641804200328f4033806400748015a6708f4"
+  }
+
+  private static void assertChange(MembershipChangeMode mode, String hex)
+      throws InvalidProtocolBufferException {
+    assertThat(HEX.formatHex(Wire.to(change(503, mode)).toByteArray())).isEqualTo(hex);
+    LogEntry read = Wire.from(WLogEntry.parseFrom(HEX.parseHex(hex)));
+    assertThat(((UpdateRaftGroupMembersOp) read.getOperation()).getMode()).isEqualTo(mode);
+    assertThat(HEX.formatHex(Wire.to(read).toByteArray())).isEqualTo(hex);
+  }
+
+  @Test
+  void appendResponses() throws InvalidProtocolBufferException {
+    assertFormat(
+        Wire.MODELS
+            .createAppendEntriesSuccessResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(SECOND)
+            .setTerm(4)
+            .setLastLogIndex(503)
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "080612100a0831302e302e302e3210d83618ac02180428f70338064007");
+    assertFormat(
+        Wire.MODELS
+            .createAppendEntriesFailureResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(SECOND)
+            .setTerm(4)
+            .setExpectedNextIndex(400)
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "080712100a0831302e302e302e3210d83618ac02180428900338064007");
+  }
+
+  @Test
+  void snapshotRequestAndResponse() throws InvalidProtocolBufferException {
+    assertFormat(
+        Wire.MODELS
+            .createInstallSnapshotRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setSenderLeader(true)
+            .setSnapshotTerm(3)
+            .setSnapshotIndex(500)
+            .setTotalSnapshotChunkCount(2)
+            .setSnapshotChunk(chunk())
+            .setSnapshottedMembers(members(FIRST, SECOND))
+            .setGroupMembersView(group())
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "0808120f0a0831302e302e302e3110d83618641804200328f4033806400748015a6708f4"
             + "0310031a030800ff200128023257080c120f0a0831302e302e302e3110d836186412100a"
             + "0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a083130"
             + "2e302e302e3110d83618641a100a0831302e302e302e3210d83618ac0260026a0f0a0831"
@@ -154,48 +270,94 @@
             + "0a0831302e302e302e3110d836186412100a0831302e302e302e3210d83618ac02120d0a"
             + "02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a100a0831302e"
             + "302e302e3210d83618ac02");
-        assertFormat(Wire.MODELS.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(FIRST).setTerm(4)
-                .setSenderLeader(false).setSnapshotTerm(3).setSnapshotIndex(500).setTotalSnapshotChunkCount(2)
-                .setSnapshotChunk(null).setSnapshottedMembers(members(FIRST)).setGroupMembersView(group())
-                .setQuerySequenceNumber(6).setFlowControlSequenceNumber(7).build(), "0808120f0a0831302e302e302e3110d83618641804200328f4033806400760026a0f0a08"
+    assertFormat(
+        Wire.MODELS
+            .createInstallSnapshotRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setSenderLeader(false)
+            .setSnapshotTerm(3)
+            .setSnapshotIndex(500)
+            .setTotalSnapshotChunkCount(2)
+            .setSnapshotChunk(null)
+            .setSnapshottedMembers(members(FIRST))
+            .setGroupMembersView(group())
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "0808120f0a0831302e302e302e3110d83618641804200328f4033806400760026a0f0a08"
             + "31302e302e302e3110d83618647257080c120f0a0831302e302e302e3110d83618641210"
             + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831"
             + "302e302e302e3110d83618641a100a0831302e302e302e3210d83618ac02");
-        assertFormat(Wire.MODELS.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(SECOND).setTerm(4)
-                .setSnapshotIndex(500).setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(6)
-                .setFlowControlSequenceNumber(7).build(), "080912100a0831302e302e302e3210d83618ac02180428f403380640076001");
-    }
-
-    @Test
-    void triggerLeaderElectionRequest() throws InvalidProtocolBufferException {
-        assertFormat(Wire.MODELS.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(FIRST)
-                .setTerm(4).setLastLogTerm(3).setLastLogIndex(500).build(), "080a120f0a0831302e302e302e3110d83618641804200328f403");
-    }
-
-    @Test
-    void envelopeOfAConsensusMessage() {
-        String hex = "084d12100a0831302e302e302e3210d83618ac021a170802120f0a0831302e302e302e31"
+    assertFormat(
+        Wire.MODELS
+            .createInstallSnapshotResponseBuilder()
+            .setGroupId(GROUP)
+            .setSender(SECOND)
+            .setTerm(4)
+            .setSnapshotIndex(500)
+            .setRequestedSnapshotChunkIndex(1)
+            .setQuerySequenceNumber(6)
+            .setFlowControlSequenceNumber(7)
+            .build(),
+        "080912100a0831302e302e302e3210d83618ac02180428f403380640076001");
+  }
+
+  @Test
+  void triggerLeaderElectionRequest() throws InvalidProtocolBufferException {
+    assertFormat(
+        Wire.MODELS
+            .createTriggerLeaderElectionRequestBuilder()
+            .setGroupId(GROUP)
+            .setSender(FIRST)
+            .setTerm(4)
+            .setLastLogTerm(3)
+            .setLastLogIndex(500)
+            .build(),
+        "080a120f0a0831302e302e302e3110d83618641804200328f403");
+  }
+
+  @Test
+  void envelopeOfAConsensusMessage() {
+    String hex =
+        "084d12100a0831302e302e302e3210d83618ac021a170802120f0a0831302e302e302e31"
             + "10d836186418044801";
-        WRaft message = Messages.to(Wire.MODELS.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(FIRST)
-                .setTerm(4).setGranted(true).build());
-        byte[] bytes = WEnvelope.newBuilder().setGroup(77).setTo(Words.to(SECOND.member())).setRaft(message).build()
-                .toByteArray();
-        assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
-        assertThat(Heard.of(HEX.parseHex(hex))).contains(new Heard.OfLibrary(77, SECOND.member(), message));
-    }
-
-    /** The group's number follows from its founders: voters of two versions must compute the same. */
-    @Test
-    void groupNumberOfFounders() {
-        World world = new World(1, 3);
-        world.awaitLeader();
-        Heard.OfLibrary message = (Heard.OfLibrary) Heard.of(world.lastTo.get(World.address(0))).orElseThrow();
-        assertThat(message.group()).isEqualTo(4_784_654_027_431_817_514L);
-    }
-
-    @Test
-    void electionTimeoutsAreDrawnFromTheSeed() {
-        Chance chance = new Chance(42);
-        assertThat(List.of(chance.nextInt(), chance.nextInt(1_000), chance.nextInt(1_000))).containsExactly(-77_315_224, 999, 562);
-    }
+    WRaft message =
+        Messages.to(
+            Wire.MODELS
+                .createPreVoteResponseBuilder()
+                .setGroupId(GROUP)
+                .setSender(FIRST)
+                .setTerm(4)
+                .setGranted(true)
+                .build());
+    byte[] bytes =
+        WEnvelope.newBuilder()
+            .setGroup(77)
+            .setTo(Words.to(SECOND.member()))
+            .setRaft(message)
+            .build()
+            .toByteArray();
+    assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
+    assertThat(Heard.of(HEX.parseHex(hex)))
+        .contains(new Heard.OfLibrary(77, SECOND.member(), message));
+  }
+
+  /** The group's number follows from its founders: voters of two versions must compute the same. */
+  @Test
+  void groupNumberOfFounders() {
+    World world = new World(1, 3);
+    world.awaitLeader();
+    Heard.OfLibrary message =
+        (Heard.OfLibrary) Heard.of(world.lastTo.get(World.address(0))).orElseThrow();
+    assertThat(message.group()).isEqualTo(4_784_654_027_431_817_514L);
+  }
+
+  @Test
+  void electionTimeoutsAreDrawnFromTheSeed() {
+    Chance chance = new Chance(42);
+    assertThat(List.of(chance.nextInt(), chance.nextInt(1_000), chance.nextInt(1_000)))
+        .containsExactly(-77_315_224, 999, 562);
+  }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
@@ -2,23 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import com.google.protobuf.ByteString;
+import io.microraft.RaftEndpoint;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
 import java.util.Collection;
 import java.util.HexFormat;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.TreeMap;
-
 import org.junit.jupiter.api.Test;
-
-import com.google.protobuf.ByteString;
-
-import io.microraft.RaftEndpoint;
-import io.microraft.model.log.LogEntry;
-import io.microraft.model.log.RaftGroupMembersView;
-import io.microraft.model.log.SnapshotChunk;
-import io.microraft.persistence.RestoredRaftState;
-
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.Entry;
 import tamarindroute.agreement.View;
@@ -30,144 +26,224 @@
 /** Pins the bytes of each record of a voter's store and of a snapshot, written and read back. */
 class RaftStoreFormatTest {
 
-    private static final HexFormat HEX = HexFormat.of();
-    private static final Member SELF = new Member(new Address("10.0.0.1", 7000), 100);
-    private static final Member OTHER = new Member(new Address("10.0.0.2", 7000), 300);
-    private static final String PLEDGE = "0000003694c353402c6d49cd5a340a0f0a0831302e302e302e3110d8361864120f0a0831"
-            + "302e302e302e3110d836186412100a0831302e302e302e3210d83618ac025a";
-    private static final String BEGIN = "00000002b577a7f589326b43504d5a0000003694c353402c6d49cd5a340a0f0a0831302e"
-            + "302e302e3110d8361864120f0a0831302e302e302e3110d836186412100a0831302e302e"
-            + "302e3210d83618ac025a00000002b577a7f58bc9f1e11a005a";
-    private static final String ENDPOINT = "00000013dfc787077410eaea0a0f0a0831302e302e302e3110d836186448015a";
-    private static final String INITIAL_MEMBERS = "00000048237e0f7ba81009681246120f0a0831302e302e302e3110d836186412100a0831"
-            + "302e302e302e3210d83618ac021a0f0a0831302e302e302e3110d83618641a100a083130"
-            + "2e302e302e3210d83618ac025a";
-    private static final String TERM_WITH_VOTE = "00000016afad73882d3d58d21a14080112100a0831302e302e302e3210d83618ac025a";
-    private static final String TERM_WITHOUT_VOTE = "000000045c1402c0418e4e681a0208025a";
-    private static final String ENTRY = "0000001441a312a4b778ad45221208f50310021a0b08022a016b3201743a01015a";
-    private static final String CHUNK = "00000055407863a200b2304d2a5308f40310021a02080728013246120f0a0831302e302e"
-            + "302e3110d836186412100a0831302e302e302e3210d83618ac021a0f0a0831302e302e30"
-            + "2e3110d83618641a100a0831302e302e302e3210d83618ac025a";
-    private static final String TRUNCATED_FROM = "00000003c27097637af832c630f6035a";
-    private static final String TRUNCATED_UNTIL = "00000003c270976346dd01fc38f4035a";
-    private static final String CHUNKS_DELETED = "00000003c27097631dae96b74090035a";
-
-    private static RaftGroupMembersView group() {
-        Collection<RaftEndpoint> members = new LinkedHashSet<>(List.of(new Seat(SELF), new Seat(OTHER)));
-        return Wire.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(members)
-                .setVotingMembers(members).build();
+  private static final HexFormat HEX = HexFormat.of();
+  private static final Member SELF = new Member(new Address("10.0.0.1", 7000), 100);
+  private static final Member OTHER = new Member(new Address("10.0.0.2", 7000), 300);
+  private static final String PLEDGE =
+      "0000003694c353402c6d49cd5a340a0f0a0831302e302e302e3110d8361864120f0a0831"
+          + "302e302e302e3110d836186412100a0831302e302e302e3210d83618ac025a";
+  private static final String BEGIN =
+      "00000002b577a7f589326b43504d5a0000003694c353402c6d49cd5a340a0f0a0831302e"
+          + "302e302e3110d8361864120f0a0831302e302e302e3110d836186412100a0831302e302e"
+          + "302e3210d83618ac025a00000002b577a7f58bc9f1e11a005a";
+  private static final String ENDPOINT =
+      "00000013dfc787077410eaea0a0f0a0831302e302e302e3110d836186448015a";
+  private static final String INITIAL_MEMBERS =
+      "00000048237e0f7ba81009681246120f0a0831302e302e302e3110d836186412100a0831"
+          + "302e302e302e3210d83618ac021a0f0a0831302e302e302e3110d83618641a100a083130"
+          + "2e302e302e3210d83618ac025a";
+  private static final String TERM_WITH_VOTE =
+      "00000016afad73882d3d58d21a14080112100a0831302e302e302e3210d83618ac025a";
+  private static final String TERM_WITHOUT_VOTE = "000000045c1402c0418e4e681a0208025a";
+  private static final String ENTRY =
+      "0000001441a312a4b778ad45221208f50310021a0b08022a016b3201743a01015a";
+  private static final String CHUNK =
+      "00000055407863a200b2304d2a5308f40310021a02080728013246120f0a0831302e302e"
+          + "302e3110d836186412100a0831302e302e302e3210d83618ac021a0f0a0831302e302e30"
+          + "2e3110d83618641a100a0831302e302e302e3210d83618ac025a";
+  private static final String TRUNCATED_FROM = "00000003c27097637af832c630f6035a";
+  private static final String TRUNCATED_UNTIL = "00000003c270976346dd01fc38f4035a";
+  private static final String CHUNKS_DELETED = "00000003c27097631dae96b74090035a";
+
+  private static RaftGroupMembersView group() {
+    Collection<RaftEndpoint> members =
+        new LinkedHashSet<>(List.of(new Seat(SELF), new Seat(OTHER)));
+    return Wire.MODELS
+        .createRaftGroupMembersViewBuilder()
+        .setLogIndex(0)
+        .setMembers(members)
+        .setVotingMembers(members)
+        .build();
+  }
+
+  private static LogEntry entry(long index) {
+    return Wire.MODELS
+        .createLogEntryBuilder()
+        .setIndex(index)
+        .setTerm(2)
+        .setOperation(new Command.Put("k", 0, "t", new byte[] {1}))
+        .build();
+  }
+
+  private static SnapshotChunk chunk() {
+    return Wire.MODELS
+        .createSnapshotChunkBuilder()
+        .setIndex(500)
+        .setTerm(2)
+        .setOperation(ByteString.copyFrom(new byte[] {8, 7}))
+        .setSnapshotChunkIndex(0)
+        .setSnapshotChunkCount(1)
+        .setGroupMembersView(group())
+        .build();
+  }
+
+  private interface Step {
+    void run() throws IOException;
+  }
+
+  /** The bytes that a step adds to the file. */
+  private static String added(Memory medium, Step step) throws IOException {
+    int before = medium.read().length;
+    step.run();
+    byte[] after = medium.read();
+    return HEX.formatHex(after, before, after.length);
+  }
+
+  @Test
+  void eachRecordAsWritten() throws IOException {
+    Memory medium = new Memory();
+    Kept kept = Kept.open(medium);
+    assertThat(added(medium, () -> kept.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
+    kept.begin(77);
+    assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN);
+    assertThat(
+            added(
+                medium,
+                () ->
+                    kept.persistAndFlushLocalEndpoint(
+                        Wire.MODELS
+                            .createRaftEndpointPersistentStateBuilder()
+                            .setLocalEndpoint(new Seat(SELF))
+                            .setVoting(true)
+                            .build())))
+        .isEqualTo(ENDPOINT);
+    assertThat(added(medium, () -> kept.persistAndFlushInitialGroupMembers(group())))
+        .isEqualTo(INITIAL_MEMBERS);
+    assertThat(
+            added(
+                medium,
+                () ->
+                    kept.persistAndFlushTerm(
+                        Wire.MODELS
+                            .createRaftTermPersistentStateBuilder()
+                            .setTerm(1)
+                            .setVotedFor(new Seat(OTHER))
+                            .build())))
+        .isEqualTo(TERM_WITH_VOTE);
+    assertThat(
+            added(
+                medium,
+                () ->
+                    kept.persistAndFlushTerm(
+                        Wire.MODELS
+                            .createRaftTermPersistentStateBuilder()
+                            .setTerm(2)
+                            .setVotedFor(null)
+                            .build())))
+        .isEqualTo(TERM_WITHOUT_VOTE);
+    assertThat(added(medium, () -> kept.persistLogEntries(List.of(entry(501))))).isEqualTo(ENTRY);
+    assertThat(added(medium, () -> kept.persistSnapshotChunk(chunk()))).isEqualTo(CHUNK);
+    assertThat(added(medium, () -> kept.truncateLogEntriesFrom(502))).isEqualTo(TRUNCATED_FROM);
+    assertThat(added(medium, () -> kept.truncateLogEntriesUntil(500))).isEqualTo(TRUNCATED_UNTIL);
+    assertThat(added(medium, () -> kept.deleteSnapshotChunks(400, 1))).isEqualTo(CHUNKS_DELETED);
+    assertThat(added(medium, kept::flush)).isEmpty();
+  }
+
+  @Test
+  void recordsAreReadBack() throws IOException {
+    Memory medium = new Memory();
+    medium.append(
+        HEX.parseHex(
+            BEGIN
+                + ENDPOINT
+                + INITIAL_MEMBERS
+                + TERM_WITHOUT_VOTE
+                + TERM_WITH_VOTE
+                + ENTRY
+                + CHUNK
+                + TRUNCATED_FROM
+                + TRUNCATED_UNTIL
+                + CHUNKS_DELETED));
+    Kept kept = Kept.open(medium);
+    assertThat(kept.runs()).isTrue();
+    assertThat(kept.group()).isEqualTo(77);
+    assertThat(kept.self()).contains(SELF);
+    assertThat(kept.pledged()).contains(SELF);
+    assertThat(kept.bound()).containsExactly(SELF, OTHER);
+    RestoredRaftState state = kept.restored();
+    assertThat(state.getLocalEndpointPersistentState().getLocalEndpoint())
+        .isEqualTo(new Seat(SELF));
+    assertThat(state.getLocalEndpointPersistentState().isVoting()).isTrue();
+    assertThat(state.getTermPersistentState().getTerm()).isEqualTo(1);
+    assertThat(state.getTermPersistentState().getVotedFor()).isEqualTo(new Seat(OTHER));
+    assertThat(state.getInitialGroupMembers().getMembers())
+        .containsExactly(new Seat(SELF), new Seat(OTHER));
+    assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(500);
+    assertThat(state.getLogEntries())
+        .hasSize(1)
+        .allSatisfy(one -> assertThat(one.getIndex()).isEqualTo(501));
+  }
+
+  @Test
+  void pledgeAloneIsReadBack() throws IOException {
+    Memory medium = new Memory();
+    medium.append(HEX.parseHex(PLEDGE));
+    Kept kept = Kept.open(medium);
+    assertThat(kept.runs()).isFalse();
+    assertThat(kept.pledged()).contains(SELF);
+    assertThat(kept.bound()).containsExactly(SELF, OTHER);
+  }
+
+  /** Past its growth the file holds only what still counts, in a fixed order. */
+  @Test
+  void compactedFile() throws IOException {
+    Memory medium = new Memory();
+    medium.append(
+        HEX.parseHex(BEGIN + ENDPOINT + INITIAL_MEMBERS + TERM_WITHOUT_VOTE + ENTRY + CHUNK));
+    Kept kept = Kept.open(medium);
+    LogEntry large =
+        Wire.MODELS
+            .createLogEntryBuilder()
+            .setIndex(502)
+            .setTerm(2)
+            .setOperation(new Command.Put("k", 0, "t", new byte[16 * 1024]))
+            .build();
+    for (int i = 0; i < 300; i++) {
+      kept.persistLogEntries(List.of(large));
     }
-
-    private static LogEntry entry(long index) {
-        return Wire.MODELS.createLogEntryBuilder().setIndex(index).setTerm(2)
-                .setOperation(new Command.Put("k", 0, "t", new byte[] {1})).build();
-    }
-
-    private static SnapshotChunk chunk() {
-        return Wire.MODELS.createSnapshotChunkBuilder().setIndex(500).setTerm(2)
-                .setOperation(ByteString.copyFrom(new byte[] {8, 7})).setSnapshotChunkIndex(0)
-                .setSnapshotChunkCount(1).setGroupMembersView(group()).build();
-    }
-
-    private interface Step {
-        void run() throws IOException;
-    }
-
-    /** The bytes that a step adds to the file. */
-    private static String added(Memory medium, Step step) throws IOException {
-        int before = medium.read().length;
-        step.run();
-        byte[] after = medium.read();
-        return HEX.formatHex(after, before, after.length);
-    }
-
-    @Test
-    void eachRecordAsWritten() throws IOException {
-        Memory medium = new Memory();
-        Kept kept = Kept.open(medium);
-        assertThat(added(medium, () -> kept.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
-        kept.begin(77);
-        assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN);
-        assertThat(added(medium, () -> kept.persistAndFlushLocalEndpoint(Wire.MODELS
-                .createRaftEndpointPersistentStateBuilder().setLocalEndpoint(new Seat(SELF)).setVoting(true).build())))
-                .isEqualTo(ENDPOINT);
-        assertThat(added(medium, () -> kept.persistAndFlushInitialGroupMembers(group()))).isEqualTo(INITIAL_MEMBERS);
-        assertThat(added(medium, () -> kept.persistAndFlushTerm(Wire.MODELS.createRaftTermPersistentStateBuilder()
-                .setTerm(1).setVotedFor(new Seat(OTHER)).build()))).isEqualTo(TERM_WITH_VOTE);
-        assertThat(added(medium, () -> kept.persistAndFlushTerm(Wire.MODELS.createRaftTermPersistentStateBuilder()
-                .setTerm(2).setVotedFor(null).build()))).isEqualTo(TERM_WITHOUT_VOTE);
-        assertThat(added(medium, () -> kept.persistLogEntries(List.of(entry(501))))).isEqualTo(ENTRY);
-        assertThat(added(medium, () -> kept.persistSnapshotChunk(chunk()))).isEqualTo(CHUNK);
-        assertThat(added(medium, () -> kept.truncateLogEntriesFrom(502))).isEqualTo(TRUNCATED_FROM);
-        assertThat(added(medium, () -> kept.truncateLogEntriesUntil(500))).isEqualTo(TRUNCATED_UNTIL);
-        assertThat(added(medium, () -> kept.deleteSnapshotChunks(400, 1))).isEqualTo(CHUNKS_DELETED);
-        assertThat(added(medium, kept::flush)).isEmpty();
-    }
-
-    @Test
-    void recordsAreReadBack() throws IOException {
-        Memory medium = new Memory();
-        medium.append(HEX.parseHex(BEGIN + ENDPOINT + INITIAL_MEMBERS + TERM_WITHOUT_VOTE + TERM_WITH_VOTE + ENTRY
-                + CHUNK + TRUNCATED_FROM + TRUNCATED_UNTIL + CHUNKS_DELETED));
-        Kept kept = Kept.open(medium);
-        assertThat(kept.runs()).isTrue();
-        assertThat(kept.group()).isEqualTo(77);
-        assertThat(kept.self()).contains(SELF);
-        assertThat(kept.pledged()).contains(SELF);
-        assertThat(kept.bound()).containsExactly(SELF, OTHER);
-        RestoredRaftState state = kept.restored();
-        assertThat(state.getLocalEndpointPersistentState().getLocalEndpoint()).isEqualTo(new Seat(SELF));
-        assertThat(state.getLocalEndpointPersistentState().isVoting()).isTrue();
-        assertThat(state.getTermPersistentState().getTerm()).isEqualTo(1);
-        assertThat(state.getTermPersistentState().getVotedFor()).isEqualTo(new Seat(OTHER));
-        assertThat(state.getInitialGroupMembers().getMembers()).containsExactly(new Seat(SELF), new Seat(OTHER));
-        assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(500);
-        assertThat(state.getLogEntries()).hasSize(1).allSatisfy(one -> assertThat(one.getIndex()).isEqualTo(501));
-    }
-
-    @Test
-    void pledgeAloneIsReadBack() throws IOException {
-        Memory medium = new Memory();
-        medium.append(HEX.parseHex(PLEDGE));
-        Kept kept = Kept.open(medium);
-        assertThat(kept.runs()).isFalse();
-        assertThat(kept.pledged()).contains(SELF);
-        assertThat(kept.bound()).containsExactly(SELF, OTHER);
-    }
-
-    /** Past its growth the file holds only what still counts, in a fixed order. */
-    @Test
-    void compactedFile() throws IOException {
-        Memory medium = new Memory();
-        medium.append(HEX.parseHex(BEGIN + ENDPOINT + INITIAL_MEMBERS + TERM_WITHOUT_VOTE + ENTRY + CHUNK));
-        Kept kept = Kept.open(medium);
-        LogEntry large = Wire.MODELS.createLogEntryBuilder().setIndex(502).setTerm(2)
-                .setOperation(new Command.Put("k", 0, "t", new byte[16 * 1024])).build();
-        for (int i = 0; i < 300; i++) {
-            kept.persistLogEntries(List.of(large));
-        }
-        kept.truncateLogEntriesFrom(502);
-        kept.flush();
-        int pledgeEnd = BEGIN.indexOf(PLEDGE) + PLEDGE.length();
-        assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN.substring(0, pledgeEnd) + ENDPOINT + INITIAL_MEMBERS
-                + TERM_WITHOUT_VOTE + CHUNK + ENTRY);
-    }
-
-    @Test
-    void snapshotOfTheView() {
-        String hex = "084d10041a0f0a0831302e302e302e3110d83618641a100a0831302e302e302e3210d836"
+    kept.truncateLogEntriesFrom(502);
+    kept.flush();
+    int pledgeEnd = BEGIN.indexOf(PLEDGE) + PLEDGE.length();
+    assertThat(HEX.formatHex(medium.read()))
+        .isEqualTo(
+            BEGIN.substring(0, pledgeEnd)
+                + ENDPOINT
+                + INITIAL_MEMBERS
+                + TERM_WITHOUT_VOTE
+                + CHUNK
+                + ENTRY);
+  }
+
+  @Test
+  void snapshotOfTheView() {
+    String hex =
+        "084d10041a0f0a0831302e302e302e3110d83618641a100a0831302e302e302e3210d836"
             + "18ac02220f0a0831302e302e302e3110d83618642a110a076c6576656c2f3112016c1a01"
             + "0520033002";
-        TreeMap<String, Entry> entries = new TreeMap<>();
-        entries.put("level/1", new Entry("l", new byte[] {5}, 3));
-        View view = new View(77, 4, 2, List.of(SELF, OTHER), List.of(SELF), entries);
-        assertThat(HEX.formatHex(Words.to(view).toByteArray())).isEqualTo(hex);
-        Machine machine = new Machine(1);
-        machine.installSnapshot(9, List.of(ByteString.copyFrom(HEX.parseHex(hex.substring(0, 20))),
-                ByteString.copyFrom(HEX.parseHex(hex.substring(20)))));
-        assertThat(machine.view()).isEqualTo(view);
-        StringBuilder parts = new StringBuilder();
-        machine.takeSnapshot(10, part -> parts.append(HEX.formatHex(((ByteString) part).toByteArray())));
-        assertThat(parts).hasToString(hex);
-    }
+    TreeMap<String, Entry> entries = new TreeMap<>();
+    entries.put("level/1", new Entry("l", new byte[] {5}, 3));
+    View view = new View(77, 4, 2, List.of(SELF, OTHER), List.of(SELF), entries);
+    assertThat(HEX.formatHex(Words.to(view).toByteArray())).isEqualTo(hex);
+    Machine machine = new Machine(1);
+    machine.installSnapshot(
+        9,
+        List.of(
+            ByteString.copyFrom(HEX.parseHex(hex.substring(0, 20))),
+            ByteString.copyFrom(HEX.parseHex(hex.substring(20)))));
+    assertThat(machine.view()).isEqualTo(view);
+    StringBuilder parts = new StringBuilder();
+    machine.takeSnapshot(
+        10, part -> parts.append(HEX.formatHex(((ByteString) part).toByteArray())));
+    assertThat(parts).hasToString(hex);
+  }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
@@ -8,11 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-
 import tamarindroute.agreement.Agreement.Fate;
 import tamarindroute.agreement.Agreement.Outcome;
 import tamarindroute.agreement.Answer;
@@ -26,118 +24,167 @@
 /** Pins the bytes of each message between members and voters, written and read back. */
 class AgreementMessageFormatTest {
 
-    private static final HexFormat HEX = HexFormat.of();
-    private static final Member FIRST = new Member(new Address("10.0.0.1", 7000), 1_700_000_000_001L);
-    private static final Member SECOND = new Member(new Address("v2.example", 65_535), 3);
-
-    private static View view() {
-        Map<String, Entry> entries = Map.of("level/1", new Entry("l", new byte[] {5, 0, -1}, 3), "window/2",
-                new Entry("w", new byte[0], 9));
-        return new View(7_000_000_007L, 9, 2, List.of(FIRST, SECOND), List.of(FIRST), new TreeMap<>(entries));
-    }
-
-    private static String hex(byte[] bytes) {
-        return HEX.formatHex(bytes);
-    }
-
-    private static Heard decoded(String hex) {
-        return Heard.of(HEX.parseHex(hex)).orElseThrow();
-    }
-
-    @Test
-    void viewRequestWithoutAndWithHeldView() {
-        Leased none = Leased.none(SECOND).asked(Duration.ZERO);
-        assertThat(hex(Words.ask(none))).isEqualTo("220508ca8db701");
-        assertThat(decoded("220508ca8db701")).isEqualTo(new Heard.Ask(none.number(), 0, 0));
-        Answer answer = new Answer(none.number(), true, Optional.empty(), Duration.ofSeconds(10), 7_000_000_007L,
-                Optional.of(view()), List.of());
-        Leased held = none.answered(answer).asked(Duration.ofSeconds(3));
-        assertThat(hex(Words.ask(held))).isEqualTo("220d08cb8db70110878cee891a1809");
-        assertThat(decoded("220d08cb8db70110878cee891a1809")).isEqualTo(new Heard.Ask(none.number() + 1, 7_000_000_007L, 9));
-    }
-
-    @Test
-    void proposalOfEachCommand() {
-        assertProposal(new Command.Nothing(), "320508ac021200");
-        assertProposal(new Command.Cut(4, List.of(FIRST), List.of(SECOND, FIRST)), "324908ac021244080110041a140a0831302e302e302e3110d8361881d095ffbc3122120a"
+  private static final HexFormat HEX = HexFormat.of();
+  private static final Member FIRST = new Member(new Address("10.0.0.1", 7000), 1_700_000_000_001L);
+  private static final Member SECOND = new Member(new Address("v2.example", 65_535), 3);
+
+  private static View view() {
+    Map<String, Entry> entries =
+        Map.of(
+            "level/1",
+            new Entry("l", new byte[] {5, 0, -1}, 3),
+            "window/2",
+            new Entry("w", new byte[0], 9));
+    return new View(
+        7_000_000_007L, 9, 2, List.of(FIRST, SECOND), List.of(FIRST), new TreeMap<>(entries));
+  }
+
+  private static String hex(byte[] bytes) {
+    return HEX.formatHex(bytes);
+  }
+
+  private static Heard decoded(String hex) {
+    return Heard.of(HEX.parseHex(hex)).orElseThrow();
+  }
+
+  @Test
+  void viewRequestWithoutAndWithHeldView() {
+    Leased none = Leased.none(SECOND).asked(Duration.ZERO);
+    assertThat(hex(Words.ask(none))).isEqualTo("220508ca8db701");
+    assertThat(decoded("220508ca8db701")).isEqualTo(new Heard.Ask(none.number(), 0, 0));
+    Answer answer =
+        new Answer(
+            none.number(),
+            true,
+            Optional.empty(),
+            Duration.ofSeconds(10),
+            7_000_000_007L,
+            Optional.of(view()),
+            List.of());
+    Leased held = none.answered(answer).asked(Duration.ofSeconds(3));
+    assertThat(hex(Words.ask(held))).isEqualTo("220d08cb8db70110878cee891a1809");
+    assertThat(decoded("220d08cb8db70110878cee891a1809"))
+        .isEqualTo(new Heard.Ask(none.number() + 1, 7_000_000_007L, 9));
+  }
+
+  @Test
+  void proposalOfEachCommand() {
+    assertProposal(new Command.Nothing(), "320508ac021200");
+    assertProposal(
+        new Command.Cut(4, List.of(FIRST), List.of(SECOND, FIRST)),
+        "324908ac021244080110041a140a0831302e302e302e3110d8361881d095ffbc3122120a"
             + "0a76322e6578616d706c6510ffff03180322140a0831302e302e302e3110d8361881d095"
             + "ffbc31");
-        assertProposal(new Command.Put("window/1", 4, "w", new byte[] {0, 1, -1}), "321b08ac021216080210042a0877696e646f772f313201773a030001ff");
-        assertProposal(new Command.Remove("window/1", 300), "321408ac02120f080310ac022a0877696e646f772f31");
-        assertProposal(new Command.Voters(5, List.of(FIRST, SECOND)), "323308ac02122e0804100522140a0831302e302e302e3110d8361881d095ffbc3122120a"
+    assertProposal(
+        new Command.Put("window/1", 4, "w", new byte[] {0, 1, -1}),
+        "321b08ac021216080210042a0877696e646f772f313201773a030001ff");
+    assertProposal(
+        new Command.Remove("window/1", 300), "321408ac02120f080310ac022a0877696e646f772f31");
+    assertProposal(
+        new Command.Voters(5, List.of(FIRST, SECOND)),
+        "323308ac02122e0804100522140a0831302e302e302e3110d8361881d095ffbc3122120a"
             + "0a76322e6578616d706c6510ffff031803");
-    }
-
-    private static void assertProposal(Command command, String hex) {
-        assertThat(hex(Words.proposal(300, command))).isEqualTo(hex);
-        Heard.Proposal proposal = (Heard.Proposal) decoded(hex);
-        assertThat(proposal.number()).isEqualTo(300);
-        assertThat(proposal.command()).isInstanceOf(command.getClass());
-        assertThat(proposal.command().from()).isEqualTo(command.from());
-        assertThat(hex(Words.proposal(proposal.number(), proposal.command()))).isEqualTo(hex);
-    }
-
-    @Test
-    void bootstrapOffer() {
-        String free = "42160a140a0831302e302e302e3110d8361881d095ffbc31";
-        assertThat(hex(Words.offer(FIRST, List.of(), false))).isEqualTo(free);
-        assertThat(decoded(free)).isEqualTo(new Heard.Offered(FIRST, List.of(), false));
-        String founded = "42420a140a0831302e302e302e3110d8361881d095ffbc3112140a0831302e302e302e31"
+  }
+
+  private static void assertProposal(Command command, String hex) {
+    assertThat(hex(Words.proposal(300, command))).isEqualTo(hex);
+    Heard.Proposal proposal = (Heard.Proposal) decoded(hex);
+    assertThat(proposal.number()).isEqualTo(300);
+    assertThat(proposal.command()).isInstanceOf(command.getClass());
+    assertThat(proposal.command().from()).isEqualTo(command.from());
+    assertThat(hex(Words.proposal(proposal.number(), proposal.command()))).isEqualTo(hex);
+  }
+
+  @Test
+  void bootstrapOffer() {
+    String free = "42160a140a0831302e302e302e3110d8361881d095ffbc31";
+    assertThat(hex(Words.offer(FIRST, List.of(), false))).isEqualTo(free);
+    assertThat(decoded(free)).isEqualTo(new Heard.Offered(FIRST, List.of(), false));
+    String founded =
+        "42420a140a0831302e302e302e3110d8361881d095ffbc3112140a0831302e302e302e31"
             + "10d8361881d095ffbc3112120a0a76322e6578616d706c6510ffff0318031801";
-        assertThat(hex(Words.offer(FIRST, List.of(FIRST, SECOND), true))).isEqualTo(founded);
-        assertThat(decoded(founded)).isEqualTo(new Heard.Offered(FIRST, List.of(FIRST, SECOND), true));
-    }
-
-    @Test
-    void viewResponseWithFullView() {
-        assertAnswer(new Answer(1, true, Optional.of(SECOND), Duration.ofSeconds(10), 7_000_000_007L,
-                Optional.of(view()), List.of()), "2a9301080110011a120a0a76322e6578616d706c6510ffff03180320904e28878cee891a"
+    assertThat(hex(Words.offer(FIRST, List.of(FIRST, SECOND), true))).isEqualTo(founded);
+    assertThat(decoded(founded)).isEqualTo(new Heard.Offered(FIRST, List.of(FIRST, SECOND), true));
+  }
+
+  @Test
+  void viewResponseWithFullView() {
+    assertAnswer(
+        new Answer(
+            1,
+            true,
+            Optional.of(SECOND),
+            Duration.ofSeconds(10),
+            7_000_000_007L,
+            Optional.of(view()),
+            List.of()),
+        "2a9301080110011a120a0a76322e6578616d706c6510ffff03180320904e28878cee891a"
             + "327008878cee891a10091a140a0831302e302e302e3110d8361881d095ffbc311a120a0a"
             + "76322e6578616d706c6510ffff03180322140a0831302e302e302e3110d8361881d095ff"
             + "bc312a130a076c6576656c2f3112016c1a030500ff20032a0f0a0877696e646f772f3212"
             + "017720093002");
-    }
-
-    @Test
-    void viewResponseWithCommands() {
-        assertAnswer(new Answer(2, true, Optional.of(FIRST), Duration.ofMillis(9_999), 7, Optional.empty(),
-                List.of(new Command.Remove("a", 3), new Command.Cut(4, List.of(FIRST), List.of()),
-                        new Command.Voters(5, List.of(FIRST)), new Command.Nothing())), "2a62080210011a140a0831302e302e302e3110d8361881d095ffbc31208f4e28073a0708"
+  }
+
+  @Test
+  void viewResponseWithCommands() {
+    assertAnswer(
+        new Answer(
+            2,
+            true,
+            Optional.of(FIRST),
+            Duration.ofMillis(9_999),
+            7,
+            Optional.empty(),
+            List.of(
+                new Command.Remove("a", 3), new Command.Cut(4, List.of(FIRST), List.of()),
+                new Command.Voters(5, List.of(FIRST)), new Command.Nothing())),
+        "2a62080210011a140a0831302e302e302e3110d8361881d095ffbc31208f4e28073a0708"
             + "0310032a01613a1a080110041a140a0831302e302e302e3110d8361881d095ffbc313a1a"
             + "0804100522140a0831302e302e302e3110d8361881d095ffbc313a00");
-    }
-
-    @Test
-    void viewResponseOfVoterThatIsNotLeader() {
-        assertAnswer(Answer.elsewhere(3, Optional.of(FIRST)), "2a1808031a140a0831302e302e302e3110d8361881d095ffbc31");
-        assertAnswer(Answer.elsewhere(3, Optional.empty()), "2a020803");
-    }
-
-    private static void assertAnswer(Answer answer, String hex) {
-        assertThat(hex(Words.answer(answer))).isEqualTo(hex);
-        assertThat(decoded(hex)).isEqualTo(new Heard.Answered(answer));
-    }
-
-    @ParameterizedTest
-    @CsvSource({"0, 3a19080818ac022a120a0a76322e6578616d706c6510ffff031803", "1, 3a200808100118ac0222037768792a120a0a76322e6578616d706c6510ffff031803", "2, 3a200808100218ac0222037768792a120a0a76322e6578616d706c6510ffff031803", "3, 3a200808100318ac0222037768792a120a0a76322e6578616d706c6510ffff031803", "4, 3a200808100418ac0222037768792a120a0a76322e6578616d706c6510ffff031803"})
-    void proposalReplyOfEachStatus(int ordinal, String hex) {
-        Outcome outcome = new Outcome(Fate.values()[ordinal], 300, ordinal == 0 ? "" : "why", Optional.of(SECOND));
-        assertThat(hex(Words.outcome(8, outcome))).isEqualTo(hex);
-        assertThat(decoded(hex)).isEqualTo(new Heard.Proposed(8, outcome));
-    }
-
-    @Test
-    void statusesAreEncodedByTheirOrder() {
-        assertThat(Fate.values()).containsExactly(Fate.AGREED, Fate.REFUSED, Fate.ELSEWHERE, Fate.UNKNOWN, Fate.BUSY);
-    }
-
-    @Test
-    void proposalReplyWithoutLeaderAndWithLongReason() {
-        Outcome outcome = new Outcome(Fate.UNKNOWN, 0, "x".repeat(500), Optional.empty());
-        String prefix = "3a970308081003229003";
-        String hex = hex(Words.outcome(8, outcome));
-        assertThat(hex).isEqualTo(prefix + "78".repeat(400));
-        assertThat(decoded(hex)).isEqualTo(
-                new Heard.Proposed(8, new Outcome(Fate.UNKNOWN, 0, "x".repeat(400), Optional.empty())));
-    }
+  }
+
+  @Test
+  void viewResponseOfVoterThatIsNotLeader() {
+    assertAnswer(
+        Answer.elsewhere(3, Optional.of(FIRST)),
+        "2a1808031a140a0831302e302e302e3110d8361881d095ffbc31");
+    assertAnswer(Answer.elsewhere(3, Optional.empty()), "2a020803");
+  }
+
+  private static void assertAnswer(Answer answer, String hex) {
+    assertThat(hex(Words.answer(answer))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new Heard.Answered(answer));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "0, 3a19080818ac022a120a0a76322e6578616d706c6510ffff031803",
+    "1, 3a200808100118ac0222037768792a120a0a76322e6578616d706c6510ffff031803",
+    "2, 3a200808100218ac0222037768792a120a0a76322e6578616d706c6510ffff031803",
+    "3, 3a200808100318ac0222037768792a120a0a76322e6578616d706c6510ffff031803",
+    "4, 3a200808100418ac0222037768792a120a0a76322e6578616d706c6510ffff031803"
+  })
+  void proposalReplyOfEachStatus(int ordinal, String hex) {
+    Outcome outcome =
+        new Outcome(Fate.values()[ordinal], 300, ordinal == 0 ? "" : "why", Optional.of(SECOND));
+    assertThat(hex(Words.outcome(8, outcome))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new Heard.Proposed(8, outcome));
+  }
+
+  @Test
+  void statusesAreEncodedByTheirOrder() {
+    assertThat(Fate.values())
+        .containsExactly(Fate.AGREED, Fate.REFUSED, Fate.ELSEWHERE, Fate.UNKNOWN, Fate.BUSY);
+  }
+
+  @Test
+  void proposalReplyWithoutLeaderAndWithLongReason() {
+    Outcome outcome = new Outcome(Fate.UNKNOWN, 0, "x".repeat(500), Optional.empty());
+    String prefix = "3a970308081003229003";
+    String hex = hex(Words.outcome(8, outcome));
+    assertThat(hex).isEqualTo(prefix + "78".repeat(400));
+    assertThat(decoded(hex))
+        .isEqualTo(
+            new Heard.Proposed(8, new Outcome(Fate.UNKNOWN, 0, "x".repeat(400), Optional.empty())));
+  }
 }
--- a/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
@@ -19,50 +19,67 @@
 import tamarindroute.net.Timers;
 import tamarindroute.protocol.Seal;
 
-/** Sealed datagrams, the incarnation file, the settings file and feed event checksums, pinned as they are. */
+/**
+ * Sealed datagrams, the incarnation file, the settings file and feed event checksums, pinned as
+ * they are.
+ */
 class MemberFormatsFixtureTest {
 
-    private static final List<String> SEALED = List.of(
-            "050000000000000007000000000000000008011001180122100a093132372e302e302e3110aa4618073a0101"
-                    + "94636f29d0ed3e914de5ad7b041a1bd36093dc8c236f2dc8471311649c79b339",
-            "050000000000000007000000000000000108011001180122100a093132372e302e302e3110aa4618073a0101"
-                    + "412467595173e06bd13b79d5a09c67f6776d01ccc8b7c83cc9a91f771a08722e");
+  private static final List<String> SEALED =
+      List.of(
+          "050000000000000007000000000000000008011001180122100a093132372e302e302e3110aa4618073a0101"
+              + "94636f29d0ed3e914de5ad7b041a1bd36093dc8c236f2dc8471311649c79b339",
+          "050000000000000007000000000000000108011001180122100a093132372e302e302e3110aa4618073a0101"
+              + "412467595173e06bd13b79d5a09c67f6776d01ccc8b7c83cc9a91f771a08722e");
 
-    @TempDir
-    Path folder;
+  @TempDir Path folder;
 
-    private static Seal seal() {
-        return new Seal(Map.of(5, HexFormat.of()
-                .parseHex("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f")), 5);
-    }
+  private static Seal seal() {
+    return new Seal(
+        Map.of(
+            5,
+            HexFormat.of()
+                .parseHex("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f")),
+        5);
+  }
 
-    @Test
-    void datagramsAreSealedWithKeyIdIncarnationCounterAndHmac() throws Exception {
-        Letter message = Letter.of(new Member(new Address("127.0.0.1", 9002), 7), 0, new Letter.Facts(new byte[] {1}));
-        Post sender = new Post(seal(), 2);
-        Post receiver = new Post(seal(), 2);
-        for (String datagram : SEALED) {
-            assertThat(HexFormat.of().formatHex(sender.seal(message))).isEqualTo(datagram);
-            assertThat(receiver.open(HexFormat.of().parseHex(datagram), new Member(new Address("127.0.0.1", 9001), 5))
-                    .letter()).isEqualTo(message);
-        }
+  @Test
+  void datagramsAreSealedWithKeyIdIncarnationCounterAndHmac() throws Exception {
+    Letter message =
+        Letter.of(
+            new Member(new Address("127.0.0.1", 9002), 7), 0, new Letter.Facts(new byte[] {1}));
+    Post sender = new Post(seal(), 2);
+    Post receiver = new Post(seal(), 2);
+    for (String datagram : SEALED) {
+      assertThat(HexFormat.of().formatHex(sender.seal(message))).isEqualTo(datagram);
+      assertThat(
+              receiver
+                  .open(
+                      HexFormat.of().parseHex(datagram),
+                      new Member(new Address("127.0.0.1", 9001), 5))
+                  .letter())
+          .isEqualTo(message);
     }
+  }
 
-    @Test
-    void incarnationFileHoldsOneDecimalNumberAndALineEnd() throws Exception {
-        Path file = folder.resolve("members.birth");
-        new Birth(file).keep(1_700_000_000_123L);
-        assertThat(Files.readString(file)).isEqualTo("1700000000123\n");
-        assertThat(folder).isDirectoryNotContaining("glob:**.new");
-        Files.writeString(file, " 42\r\n");
-        assertThat(new Birth(file).propose(7)).isEqualTo(43);
-    }
+  @Test
+  void incarnationFileHoldsOneDecimalNumberAndALineEnd() throws Exception {
+    Path file = folder.resolve("members.birth");
+    new Birth(file).keep(1_700_000_000_123L);
+    assertThat(Files.readString(file)).isEqualTo("1700000000123\n");
+    assertThat(folder).isDirectoryNotContaining("glob:**.new");
+    Files.writeString(file, " 42\r\n");
+    assertThat(new Birth(file).propose(7)).isEqualTo(43);
+  }
 
-    @Test
-    void everySettingIsReadFromTheFile() throws Exception {
-        Files.writeString(folder.resolve("new.key"), "ab".repeat(16));
-        Files.writeString(folder.resolve("old.key"), "CD".repeat(64) + "\n");
-        Path file = Files.writeString(folder.resolve("members.xml"), """
+  @Test
+  void everySettingIsReadFromTheFile() throws Exception {
+    Files.writeString(folder.resolve("new.key"), "ab".repeat(16));
+    Files.writeString(folder.resolve("old.key"), "CD".repeat(64) + "\n");
+    Path file =
+        Files.writeString(
+            folder.resolve("members.xml"),
+            """
                 <?xml version="1.0" encoding="UTF-8"?>
                 <members xmlns="urn:tamarindroute:members:1" listen="0.0.0.0:9001" name="10.0.0.1:9101" state="s.birth">
                   <key id="7" file="new.key"/>
@@ -76,68 +93,90 @@
                   <limits bytes="8192" members="6000"/>
                 </members>
                 """);
-        MembersSettings settings = MembersSettings.read(file);
-        assertThat(settings.listen()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
-        assertThat(settings.name()).isEqualTo(new Address("10.0.0.1", 9101));
-        assertThat(settings.state()).isEqualTo(folder.resolve("s.birth"));
-        assertThat(settings.seal().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
-        assertThat(settings.seeds()).containsExactly(new Address("10.0.0.2", 9101));
-        assertThat(settings.voters()).containsExactly(new Address("10.0.0.1", 9101),
-                new Address("0:0:0:0:0:0:0:1", 9101));
-        assertThat(settings.ways()).containsExactly(Map.entry(new Address("10.0.0.2", 9101),
-                new InetSocketAddress("127.0.0.1", 19002)));
-        Settings usual = Settings.USUAL;
-        assertThat(settings.membership()).isEqualTo(new Settings(Duration.ofSeconds(2), Duration.ofMillis(150),
-                Duration.ofMinutes(1), usual.indirect(), usual.observers(), usual.low(), usual.high(),
-                usual.rumours(), 8_192, 6_000, usual.guards()));
-    }
+    MembersSettings settings = MembersSettings.read(file);
+    assertThat(settings.listen()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
+    assertThat(settings.name()).isEqualTo(new Address("10.0.0.1", 9101));
+    assertThat(settings.state()).isEqualTo(folder.resolve("s.birth"));
+    assertThat(settings.seal().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
+    assertThat(settings.seeds()).containsExactly(new Address("10.0.0.2", 9101));
+    assertThat(settings.voters())
+        .containsExactly(new Address("10.0.0.1", 9101), new Address("0:0:0:0:0:0:0:1", 9101));
+    assertThat(settings.ways())
+        .containsExactly(
+            Map.entry(new Address("10.0.0.2", 9101), new InetSocketAddress("127.0.0.1", 19002)));
+    Settings usual = Settings.USUAL;
+    assertThat(settings.membership())
+        .isEqualTo(
+            new Settings(
+                Duration.ofSeconds(2),
+                Duration.ofMillis(150),
+                Duration.ofMinutes(1),
+                usual.indirect(),
+                usual.observers(),
+                usual.low(),
+                usual.high(),
+                usual.rumours(),
+                8_192,
+                6_000,
+                usual.guards()));
+  }
 
-    @Test
-    void aFeedEventGoesAsItsCompactJsonWithTheChecksumOfTheOneBefore() {
-        List<Letter.Body> sent = new ArrayList<>();
-        long[] last = {0};
-        FeedNews.Reader reader = new FeedNews.Reader() {
-            @Override
-            public long last() {
-                return last[0];
-            }
+  @Test
+  void aFeedEventGoesAsItsCompactJsonWithTheChecksumOfTheOneBefore() {
+    List<Letter.Body> sent = new ArrayList<>();
+    long[] last = {0};
+    FeedNews.Reader reader =
+        new FeedNews.Reader() {
+          @Override
+          public long last() {
+            return last[0];
+          }
 
-            @Override
-            public boolean told(long number, String event) {
-                return false;
-            }
+          @Override
+          public boolean told(long number, String event) {
+            return false;
+          }
         };
-        Timers timers = new Timers() {
-            @Override
-            public Duration now() {
-                return Duration.ZERO;
-            }
+    Timers timers =
+        new Timers() {
+          @Override
+          public Duration now() {
+            return Duration.ZERO;
+          }
 
-            @Override
-            public void handOver(Runnable task) {}
+          @Override
+          public void handOver(Runnable task) {}
 
-            @Override
-            public Runnable after(Duration span, Runnable task) {
-                return () -> {};
-            }
+          @Override
+          public Runnable after(Duration span, Runnable task) {
+            return () -> {};
+          }
         };
-        Member other = new Member(new Address("127.0.0.1", 9002), 1);
-        FeedNews news = new FeedNews(new Address("127.0.0.1", 9001), reader, timers, new FeedNews.Others() {
-            @Override
-            public List<Member> alive() {
+    Member other = new Member(new Address("127.0.0.1", 9002), 1);
+    FeedNews news =
+        new FeedNews(
+            new Address("127.0.0.1", 9001),
+            reader,
+            timers,
+            new FeedNews.Others() {
+              @Override
+              public List<Member> alive() {
                 return new ArrayList<>();
-            }
+              }
 
-            @Override
-            public void send(Member to, Letter.Body body) {
+              @Override
+              public void send(Member to, Letter.Body body) {
                 sent.add(body);
-            }
-        });
-        last[0] = 2;
-        news.read("{ \"n\": 2, \"events\": [ {\"n\": 1, \"purge\": {\"key\": \"a\"}}, {\"n\": 2, \"drain\": \"b\"} ]}");
-        news.taken(other, new Letter.News(1, List.of()));
-        // The CRC-32 of {"n":1,"purge":{"key":"a"}}.
-        assertThat(sent).containsExactly(new Letter.News(2,
-                List.of(new Letter.Event(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}"))));
-    }
+              }
+            });
+    last[0] = 2;
+    news.read(
+        "{ \"n\": 2, \"events\": [ {\"n\": 1, \"purge\": {\"key\": \"a\"}}, {\"n\": 2, \"drain\": \"b\"} ]}");
+    news.taken(other, new Letter.News(1, List.of()));
+    // The CRC-32 of {"n":1,"purge":{"key":"a"}}.
+    assertThat(sent)
+        .containsExactly(
+            new Letter.News(
+                2, List.of(new Letter.Event(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}"))));
+  }
 }
--- a/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
@@ -14,34 +14,36 @@
 /** The fragments of the agreement's messages, pinned byte for byte. */
 class FragmentFixtureTest {
 
-    private static final Address TO = new Address("10.0.0.9", 1);
-    private static final Member FROM = new Member(new Address("10.0.0.8", 1), 5);
+  private static final Address TO = new Address("10.0.0.9", 1);
+  private static final Member FROM = new Member(new Address("10.0.0.8", 1), 5);
 
-    @Test
-    void shortMessageIsOneFragmentWithItsHead() {
-        List<Outbox.Piece> fragments = new Outbox().put(TO, new byte[] {7, -1});
-        assertThat(fragments).hasSize(1);
-        assertThat(HexFormat.of().formatHex(fragments.get(0).bytes())).isEqualTo("00000000000000010000000107ff");
-    }
+  @Test
+  void shortMessageIsOneFragmentWithItsHead() {
+    List<Outbox.Piece> fragments = new Outbox().put(TO, new byte[] {7, -1});
+    assertThat(fragments).hasSize(1);
+    assertThat(HexFormat.of().formatHex(fragments.get(0).bytes()))
+        .isEqualTo("00000000000000010000000107ff");
+  }
 
-    @Test
-    void longMessageIsCutEvery3840Bytes() {
-        byte[] message = new byte[2 * 3_840 + 1];
-        Arrays.fill(message, 0, 3_840, (byte) 1);
-        Arrays.fill(message, 3_840, 7_680, (byte) 2);
-        message[7_680] = 3;
-        String first = "0102030405060708" + "0000" + "0003" + "01".repeat(3_840);
-        String second = "0102030405060708" + "0001" + "0003" + "02".repeat(3_840);
-        String third = "0102030405060708" + "0002" + "0003" + "03";
-        List<String> expected = List.of(first, second, third);
-        Pieces pieces = new Pieces();
-        Optional<byte[]> whole = Optional.empty();
-        for (int place = 0; place < 3; place++) {
-            assertThat(HexFormat.of().formatHex(Pieces.cut(message, 0x0102030405060708L, place)))
-                    .isEqualTo(expected.get(place));
-            assertThat(whole).isEmpty();
-            whole = pieces.taken(FROM, HexFormat.of().parseHex(expected.get(place)), Duration.ofSeconds(1));
-        }
-        assertThat(whole).hasValue(message);
+  @Test
+  void longMessageIsCutEvery3840Bytes() {
+    byte[] message = new byte[2 * 3_840 + 1];
+    Arrays.fill(message, 0, 3_840, (byte) 1);
+    Arrays.fill(message, 3_840, 7_680, (byte) 2);
+    message[7_680] = 3;
+    String first = "0102030405060708" + "0000" + "0003" + "01".repeat(3_840);
+    String second = "0102030405060708" + "0001" + "0003" + "02".repeat(3_840);
+    String third = "0102030405060708" + "0002" + "0003" + "03";
+    List<String> expected = List.of(first, second, third);
+    Pieces pieces = new Pieces();
+    Optional<byte[]> whole = Optional.empty();
+    for (int place = 0; place < 3; place++) {
+      assertThat(HexFormat.of().formatHex(Pieces.cut(message, 0x0102030405060708L, place)))
+          .isEqualTo(expected.get(place));
+      assertThat(whole).isEmpty();
+      whole =
+          pieces.taken(FROM, HexFormat.of().parseHex(expected.get(place)), Duration.ofSeconds(1));
     }
+    assertThat(whole).hasValue(message);
+  }
 }
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
@@ -22,89 +22,112 @@
 /** The wire format of each member message, pinned byte for byte. */
 class MemberMessageFixtureTest {
 
-    private static final Member SENDER = new Member(new Address("127.0.0.1", 9001), 1_700_000_000_123L);
-    private static final Member OTHER = new Member(new Address("fe80:0:0:0:1:2:3:4", 65_535), 17);
-    /** The envelope's fields up to the body: levels, sender, and incarnation 9 of the receiver. */
-    private static final String HEAD = "08011001180122150a093132372e302e302e3110a94618fbd095ffbc312809";
+  private static final Member SENDER =
+      new Member(new Address("127.0.0.1", 9001), 1_700_000_000_123L);
+  private static final Member OTHER = new Member(new Address("fe80:0:0:0:1:2:3:4", 65_535), 17);
 
-    static List<Arguments> messages() {
-        List<Arguments> messages = new ArrayList<>();
-        Map<Message.Kind, String> kinds = Map.ofEntries(
-                Map.entry(Message.Kind.PROBE, "3205080110ac02"),
-                Map.entry(Message.Kind.ACK, "3205080210ac02"),
-                Map.entry(Message.Kind.PROBE_FOR, "3205080310ac02"),
-                Map.entry(Message.Kind.NACK, "3205080410ac02"),
-                Map.entry(Message.Kind.JOIN, "3205080510ac02"),
-                Map.entry(Message.Kind.WELCOME, "3205080610ac02"),
-                Map.entry(Message.Kind.SUPERSEDED, "3205080710ac02"),
-                Map.entry(Message.Kind.EXCHANGE, "3205080810ac02"),
-                Map.entry(Message.Kind.EXCHANGE_BACK, "3205080910ac02"),
-                Map.entry(Message.Kind.LEAVE, "3205080a10ac02"),
-                Map.entry(Message.Kind.GOSSIP, "3205080b10ac02"));
-        for (Message.Kind kind : Message.Kind.values()) {
-            messages.add(Arguments.of(swim(kind, SENDER, List.of()), HEAD + kinds.get(kind)));
-        }
-        List<String> states = List.of(
-                "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
-                        + "303a303a303a303a313a323a333a3410ffff0318111001180322093132372e302e302e3128a946",
-                "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
-                        + "303a303a303a303a313a323a333a3410ffff0318111002180322093132372e302e302e3128a946",
-                "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
-                        + "303a303a303a303a313a323a333a3410ffff0318111003180322093132372e302e302e3128a946",
-                "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
-                        + "303a303a303a303a313a323a333a3410ffff0318111004180322093132372e302e302e3128a946",
-                "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
-                        + "303a303a303a303a313a323a333a3410ffff0318111005180322093132372e302e302e3128a946");
-        for (Standing state : Standing.values()) {
-            messages.add(Arguments.of(
-                    swim(Message.Kind.GOSSIP, OTHER, List.of(new Rumour(OTHER, state, 3, SENDER.address()))),
-                    HEAD + states.get(state.ordinal())));
-        }
-        messages.add(Arguments.of(letter(new Letter.Facts(new byte[] {1, -1, 127})), HEAD + "3a0301ff7f"));
-        messages.add(Arguments.of(letter(new Letter.Agreement(new byte[] {0, -128})), HEAD + "42020080"));
-        messages.add(Arguments.of(letter(new Letter.News(41, List.of())), HEAD + "4a020829"));
-        messages.add(Arguments.of(
-                letter(new Letter.News(42, List.of(new Letter.Event(41, 0xFEDC_BA98L, "{\"n\":41}"),
+  /** The envelope's fields up to the body: levels, sender, and incarnation 9 of the receiver. */
+  private static final String HEAD =
+      "08011001180122150a093132372e302e302e3110a94618fbd095ffbc312809";
+
+  static List<Arguments> messages() {
+    List<Arguments> messages = new ArrayList<>();
+    Map<Message.Kind, String> kinds =
+        Map.ofEntries(
+            Map.entry(Message.Kind.PROBE, "3205080110ac02"),
+            Map.entry(Message.Kind.ACK, "3205080210ac02"),
+            Map.entry(Message.Kind.PROBE_FOR, "3205080310ac02"),
+            Map.entry(Message.Kind.NACK, "3205080410ac02"),
+            Map.entry(Message.Kind.JOIN, "3205080510ac02"),
+            Map.entry(Message.Kind.WELCOME, "3205080610ac02"),
+            Map.entry(Message.Kind.SUPERSEDED, "3205080710ac02"),
+            Map.entry(Message.Kind.EXCHANGE, "3205080810ac02"),
+            Map.entry(Message.Kind.EXCHANGE_BACK, "3205080910ac02"),
+            Map.entry(Message.Kind.LEAVE, "3205080a10ac02"),
+            Map.entry(Message.Kind.GOSSIP, "3205080b10ac02"));
+    for (Message.Kind kind : Message.Kind.values()) {
+      messages.add(Arguments.of(swim(kind, SENDER, List.of()), HEAD + kinds.get(kind)));
+    }
+    List<String> states =
+        List.of(
+            "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
+                + "303a303a303a303a313a323a333a3410ffff0318111001180322093132372e302e302e3128a946",
+            "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
+                + "303a303a303a303a313a323a333a3410ffff0318111002180322093132372e302e302e3128a946",
+            "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
+                + "303a303a303a303a313a323a333a3410ffff0318111003180322093132372e302e302e3128a946",
+            "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
+                + "303a303a303a303a313a323a333a3410ffff0318111004180322093132372e302e302e3128a946",
+            "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
+                + "303a303a303a303a313a323a333a3410ffff0318111005180322093132372e302e302e3128a946");
+    for (Standing state : Standing.values()) {
+      messages.add(
+          Arguments.of(
+              swim(
+                  Message.Kind.GOSSIP,
+                  OTHER,
+                  List.of(new Rumour(OTHER, state, 3, SENDER.address()))),
+              HEAD + states.get(state.ordinal())));
+    }
+    messages.add(
+        Arguments.of(letter(new Letter.Facts(new byte[] {1, -1, 127})), HEAD + "3a0301ff7f"));
+    messages.add(
+        Arguments.of(letter(new Letter.Agreement(new byte[] {0, -128})), HEAD + "42020080"));
+    messages.add(Arguments.of(letter(new Letter.News(41, List.of())), HEAD + "4a020829"));
+    messages.add(
+        Arguments.of(
+            letter(
+                new Letter.News(
+                    42,
+                    List.of(
+                        new Letter.Event(41, 0xFEDC_BA98L, "{\"n\":41}"),
                         new Letter.Event(42, 1, "{\"n\":42}")))),
-                HEAD + "4a26082a121208291098f5f2f60f1a087b226e223a34317d120e082a10011a087b226e223a34327d"));
-        List<String> leases = List.of(
-                "52140802100118fbd095ffbc3120052890a10f30b817",
-                "52140802100218fbd095ffbc3120052890a10f30b817",
-                "52140802100318fbd095ffbc3120052890a10f30b817",
-                "52140802100418fbd095ffbc3120052890a10f30b817",
-                "52140802100518fbd095ffbc3120052890a10f30b817");
-        for (Letter.LeaseKind kind : Letter.LeaseKind.values()) {
-            messages.add(Arguments.of(letter(new Letter.Lease(2, kind, 1_700_000_000_123L, 5, 250_000,
-                    Duration.ofMillis(3_000))), HEAD + leases.get(kind.ordinal())));
-        }
-        return messages;
+            HEAD
+                + "4a26082a121208291098f5f2f60f1a087b226e223a34317d120e082a10011a087b226e223a34327d"));
+    List<String> leases =
+        List.of(
+            "52140802100118fbd095ffbc3120052890a10f30b817",
+            "52140802100218fbd095ffbc3120052890a10f30b817",
+            "52140802100318fbd095ffbc3120052890a10f30b817",
+            "52140802100418fbd095ffbc3120052890a10f30b817",
+            "52140802100518fbd095ffbc3120052890a10f30b817");
+    for (Letter.LeaseKind kind : Letter.LeaseKind.values()) {
+      messages.add(
+          Arguments.of(
+              letter(
+                  new Letter.Lease(
+                      2, kind, 1_700_000_000_123L, 5, 250_000, Duration.ofMillis(3_000))),
+              HEAD + leases.get(kind.ordinal())));
     }
+    return messages;
+  }
 
-    private static Letter swim(Message.Kind kind, Member about, List<Rumour> updates) {
-        return Letter.of(new Message(kind, SENDER, 9, 300, about, updates));
-    }
+  private static Letter swim(Message.Kind kind, Member about, List<Rumour> updates) {
+    return Letter.of(new Message(kind, SENDER, 9, 300, about, updates));
+  }
 
-    private static Letter letter(Letter.Body body) {
-        return Letter.of(SENDER, 9, body);
-    }
+  private static Letter letter(Letter.Body body) {
+    return Letter.of(SENDER, 9, body);
+  }
 
-    @ParameterizedTest
-    @MethodSource("messages")
-    void messageIsWrittenAndReadAsTheseBytes(Letter message, String hex) throws Exception {
-        assertThat(HexFormat.of().formatHex(Envelopes.write(message))).isEqualTo(hex);
-        assertThat(Envelopes.read(HexFormat.of().parseHex(hex))).isEqualTo(message);
-    }
+  @ParameterizedTest
+  @MethodSource("messages")
+  void messageIsWrittenAndReadAsTheseBytes(Letter message, String hex) throws Exception {
+    assertThat(HexFormat.of().formatHex(Envelopes.write(message))).isEqualTo(hex);
+    assertThat(Envelopes.read(HexFormat.of().parseHex(hex))).isEqualTo(message);
+  }
 
-    @Test
-    void unknownTargetIncarnationIsLeftOut() {
-        Letter message = Letter.of(SENDER, 0, new Letter.Facts("x".getBytes(StandardCharsets.UTF_8)));
-        assertThat(HexFormat.of().formatHex(Envelopes.write(message))).isEqualTo("08011001180122150a093132372e302e302e3110a94618fbd095ffbc313a0178");
-    }
+  @Test
+  void unknownTargetIncarnationIsLeftOut() {
+    Letter message = Letter.of(SENDER, 0, new Letter.Facts("x".getBytes(StandardCharsets.UTF_8)));
+    assertThat(HexFormat.of().formatHex(Envelopes.write(message)))
+        .isEqualTo("08011001180122150a093132372e302e302e3110a94618fbd095ffbc313a0178");
+  }
 
-    @Test
-    void enumOrderIsTheOrderOfTheFixtures() {
-        assertThat(Arrays.stream(Message.Kind.values()).map(Enum::ordinal)).hasSize(11);
-        assertThat(Standing.values()).hasSize(5);
-        assertThat(Letter.LeaseKind.values()).hasSize(5);
-    }
+  @Test
+  void enumOrderIsTheOrderOfTheFixtures() {
+    assertThat(Arrays.stream(Message.Kind.values()).map(Enum::ordinal)).hasSize(11);
+    assertThat(Standing.values()).hasSize(5);
+    assertThat(Letter.LeaseKind.values()).hasSize(5);
+  }
 }
--- a/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
@@ -6,25 +6,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hashes and draws that members have to compute alike, pinned: they decide who belongs to which part of an exchange. */
+/**
+ * Hashes and draws that members have to compute alike, pinned: they decide who belongs to which
+ * part of an exchange.
+ */
 class MemberHashFixtureTest {
 
-    private static final Member ONE = new Member(new Address("127.0.0.1", 9001), 17);
-    private static final Member OTHER = new Member(new Address("127.0.0.1", 9002), 18);
+  private static final Member ONE = new Member(new Address("127.0.0.1", 9001), 17);
+  private static final Member OTHER = new Member(new Address("127.0.0.1", 9002), 18);
 
-    @Test
-    void hashOfAMemberAndMixOfTwo() {
-        assertThat(Draws.hash(ONE)).isEqualTo(4_159_021_764L);
-        assertThat(Draws.mixed(Draws.hash(ONE), Draws.hash(OTHER))).isEqualTo(427_753_566_010_787_572L);
-    }
+  @Test
+  void hashOfAMemberAndMixOfTwo() {
+    assertThat(Draws.hash(ONE)).isEqualTo(4_159_021_764L);
+    assertThat(Draws.mixed(Draws.hash(ONE), Draws.hash(OTHER))).isEqualTo(427_753_566_010_787_572L);
+  }
 
-    @Test
-    void drawsFromTheSeedOfAMember() {
-        Draws draws = new Draws(Draws.seedOf(ONE));
-        List<Integer> drawn = new ArrayList<>();
-        for (int i = 0; i < 5; i++) {
-            drawn.add(draws.below(1_000));
-        }
-        assertThat(drawn).containsExactly(790, 977, 468, 812, 345);
+  @Test
+  void drawsFromTheSeedOfAMember() {
+    Draws draws = new Draws(Draws.seedOf(ONE));
+    List<Integer> drawn = new ArrayList<>();
+    for (int i = 0; i < 5; i++) {
+      drawn.add(draws.below(1_000));
     }
+    assertThat(drawn).containsExactly(790, 977, 468, 812, 345);
+  }
 }
--- a/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
+++ b/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
@@ -12,33 +12,42 @@
 /** The form of the lines that the provider for small memories writes. */
 class LogLineFormatTest {
 
-    private static String written(Runnable logging) {
-        PrintStream before = System.out;
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-        try {
-            logging.run();
-        } finally {
-            System.setOut(before);
-        }
-        return bytes.toString(StandardCharsets.UTF_8).strip();
+  private static String written(Runnable logging) {
+    PrintStream before = System.out;
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+    try {
+      logging.run();
+    } finally {
+      System.setOut(before);
     }
+    return bytes.toString(StandardCharsets.UTF_8).strip();
+  }
 
-    @Test
-    void aLineHasItsTimeTopicParticularsNamedValuesAndWhatWasLeftOut() {
-        Logger logger = new Small().getLoggerFactory().getLogger("tamarindroute");
-        assertThat(written(() -> logger.atInfo().addKeyValue("topic", "some-topic").addKeyValue("left_out", 7)
-                .addKeyValue("one", 1).addKeyValue("two", "b").log("what happened")))
-                .matches("\\d{13} some-topic: what happened one=1 two=b \\(\\+7\\)");
-        assertThat(written(() -> logger.atInfo().addKeyValue("topic", "some-topic").log("no more")))
-                .matches("\\d{13} some-topic: no more");
-    }
+  @Test
+  void aLineHasItsTimeTopicParticularsNamedValuesAndWhatWasLeftOut() {
+    Logger logger = new Small().getLoggerFactory().getLogger("tamarindroute");
+    assertThat(
+            written(
+                () ->
+                    logger
+                        .atInfo()
+                        .addKeyValue("topic", "some-topic")
+                        .addKeyValue("left_out", 7)
+                        .addKeyValue("one", 1)
+                        .addKeyValue("two", "b")
+                        .log("what happened")))
+        .matches("\\d{13} some-topic: what happened one=1 two=b \\(\\+7\\)");
+    assertThat(written(() -> logger.atInfo().addKeyValue("topic", "some-topic").log("no more")))
+        .matches("\\d{13} some-topic: no more");
+  }
 
-    @Test
-    void ofLibrariesOnlyWarningsAndErrorsAreWritten() {
-        Logger library = new Small().getLoggerFactory().getLogger("org.other");
-        for (Level level : Level.values()) {
-            assertThat(library.isEnabledForLevel(level)).isEqualTo(level == Level.WARN || level == Level.ERROR);
-        }
+  @Test
+  void ofLibrariesOnlyWarningsAndErrorsAreWritten() {
+    Logger library = new Small().getLoggerFactory().getLogger("org.other");
+    for (Level level : Level.values()) {
+      assertThat(library.isEnabledForLevel(level))
+          .isEqualTo(level == Level.WARN || level == Level.ERROR);
     }
+  }
 }
--- a/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
@@ -18,58 +18,66 @@
 @Timeout(30)
 class ControlFeedFormatTest {
 
-    private final OneThread owner = new OneThread();
-    private final Sockets sockets = new Sockets(owner, new Pool(64L * 1024 * 1024), 256);
-    private final List<String> texts = new CopyOnWriteArrayList<>();
+  private final OneThread owner = new OneThread();
+  private final Sockets sockets = new Sockets(owner, new Pool(64L * 1024 * 1024), 256);
+  private final List<String> texts = new CopyOnWriteArrayList<>();
 
-    private final Feed.Reader reader = new Feed.Reader() {
+  private final Feed.Reader reader =
+      new Feed.Reader() {
         @Override
         public long last() {
-            return texts.size() * 41L;
+          return texts.size() * 41L;
         }
 
         @Override
         public void read(String text) {
-            texts.add(text);
+          texts.add(text);
         }
-    };
+      };
 
-    @AfterEach
-    void end() {
-        sockets.shutDown();
-        owner.end();
-    }
+  @AfterEach
+  void end() {
+    sockets.shutDown();
+    owner.end();
+  }
 
-    private static String request(InputStream in, int length) throws IOException {
-        return new String(in.readNBytes(length), StandardCharsets.US_ASCII);
-    }
+  private static String request(InputStream in, int length) throws IOException {
+    return new String(in.readNBytes(length), StandardCharsets.US_ASCII);
+  }
 
-    private static void respond(Socket socket, String response) throws IOException {
-        socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
-        socket.getOutputStream().flush();
-    }
+  private static void respond(Socket socket, String response) throws IOException {
+    socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
+    socket.getOutputStream().flush();
+  }
 
-    @Test
-    void requestsAndResponsesKeepTheirBytes() throws Exception {
-        try (ServerSocket server = new ServerSocket(0)) {
-            int port = server.getLocalPort();
-            Feed feed = new Feed(sockets, owner, new InetSocketAddress("127.0.0.1", port), reader, 1);
-            owner.handOver(feed::start);
-            try (Socket socket = server.accept()) {
-                socket.setSoTimeout(5_000);
-                String first = "GET /v1/events?SUB=0&wait=2000 HTTP/1.1\r\nHost: 127.0.0.1:" + port
-                        + "\r\nAccept: application/json\r\n\r\n";
-                assertThat(request(socket.getInputStream(), first.length())).isEqualTo(first);
-                respond(socket, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 25\r\n\r\n"
-                        + "{\"n\":0,\"events\":[],\"x\":2}");
-                String second = first.replace("SUB=0", "SUB=41");
-                assertThat(request(socket.getInputStream(), second.length())).isEqualTo(second);
-                respond(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + "5\r\n{\"n\":\r\nf\r\n1,\"events\":[{}]\r\n1\r\n}\r\n0\r\n\r\n");
-                String third = first.replace("SUB=0", "SUB=82");
-                assertThat(request(socket.getInputStream(), third.length())).isEqualTo(third);
-            }
-        }
-        assertThat(texts).containsExactly("{\"n\":0,\"events\":[],\"x\":2}", "{\"n\":1,\"events\":[{}]}");
+  @Test
+  void requestsAndResponsesKeepTheirBytes() throws Exception {
+    try (ServerSocket server = new ServerSocket(0)) {
+      int port = server.getLocalPort();
+      Feed feed = new Feed(sockets, owner, new InetSocketAddress("127.0.0.1", port), reader, 1);
+      owner.handOver(feed::start);
+      try (Socket socket = server.accept()) {
+        socket.setSoTimeout(5_000);
+        String first =
+            "GET /v1/events?SUB=0&wait=2000 HTTP/1.1\r\nHost: 127.0.0.1:"
+                + port
+                + "\r\nAccept: application/json\r\n\r\n";
+        assertThat(request(socket.getInputStream(), first.length())).isEqualTo(first);
+        respond(
+            socket,
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 25\r\n\r\n"
+                + "{\"n\":0,\"events\":[],\"x\":2}");
+        String second = first.replace("SUB=0", "SUB=41");
+        assertThat(request(socket.getInputStream(), second.length())).isEqualTo(second);
+        respond(
+            socket,
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + "5\r\n{\"n\":\r\nf\r\n1,\"events\":[{}]\r\n1\r\n}\r\n0\r\n\r\n");
+        String third = first.replace("SUB=0", "SUB=82");
+        assertThat(request(socket.getInputStream(), third.length())).isEqualTo(third);
+      }
     }
+    assertThat(texts)
+        .containsExactly("{\"n\":0,\"events\":[],\"x\":2}", "{\"n\":1,\"events\":[{}]}");
+  }
 }
--- a/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
+++ b/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
@@ -15,7 +15,8 @@
 /** Every key of the settings that is read, with what it is decoded to. */
 class SettingsFormatTest {
 
-    private static final String LINES = """
+  private static final String LINES =
+      """
             Classes.count=3
             Classes.0.Name=clip
             Classes.0.Semantics=pure
@@ -75,97 +76,196 @@
             Zones=hub,shed
             """;
 
-    private static final Profile CLIP = new Profile(Profile.Repeat.REISSUABLE, Profile.Group.ALL,
-            Duration.ofNanos(3_000_000_001L), Duration.ofNanos(1_500_000_002L), 1.6, true, Duration.ofSeconds(7));
-    private static final Profile PICK = new Profile(Profile.Repeat.NUMBERED, Profile.Group.ZONE, Duration.ofSeconds(4),
-            Duration.ofMillis(600), 0, false, Duration.ZERO);
-    private static final Profile ONCE = new Profile(Profile.Repeat.AT_MOST_ONCE, Profile.Group.CELL, Duration.ZERO,
-            Duration.ofMillis(700), 2.5, true, Duration.ofSeconds(8));
+  private static final Profile CLIP =
+      new Profile(
+          Profile.Repeat.REISSUABLE,
+          Profile.Group.ALL,
+          Duration.ofNanos(3_000_000_001L),
+          Duration.ofNanos(1_500_000_002L),
+          1.6,
+          true,
+          Duration.ofSeconds(7));
+  private static final Profile PICK =
+      new Profile(
+          Profile.Repeat.NUMBERED,
+          Profile.Group.ZONE,
+          Duration.ofSeconds(4),
+          Duration.ofMillis(600),
+          0,
+          false,
+          Duration.ZERO);
+  private static final Profile ONCE =
+      new Profile(
+          Profile.Repeat.AT_MOST_ONCE,
+          Profile.Group.CELL,
+          Duration.ZERO,
+          Duration.ofMillis(700),
+          2.5,
+          true,
+          Duration.ofSeconds(8));
 
-    @Test
-    void everyKeyOfTheLinesIsDecoded() throws Exception {
-        SettingsReader reader = SettingsReader.ofLines(LINES);
-        assertThat(reader.check()).isEmpty();
-        assertThat(reader.settings(77)).isEqualTo(new Settings(77, 1, 24, 5, List.of(0, 1), 8500, 994520, true, true,
-                true, true, true, Duration.ofMillis(500), 8,
+  @Test
+  void everyKeyOfTheLinesIsDecoded() throws Exception {
+    SettingsReader reader = SettingsReader.ofLines(LINES);
+    assertThat(reader.check()).isEmpty();
+    assertThat(reader.settings(77))
+        .isEqualTo(
+            new Settings(
+                77,
+                1,
+                24,
+                5,
+                List.of(0, 1),
+                8500,
+                994520,
+                true,
+                true,
+                true,
+                true,
+                true,
+                Duration.ofMillis(500),
+                8,
                 new Settings.ColdStart(0.22, Duration.ofSeconds(17), 3.5, Duration.ofSeconds(2)),
                 new Settings.ColdStart(0.064, Duration.ofSeconds(22), 2.25, Duration.ofSeconds(2)),
-                Duration.ofSeconds(6), Settings.Weights.LIVE));
-        assertThat(reader.profiles()).containsExactly(CLIP, PICK, ONCE);
-        assertThat(reader.profilesByName()).containsExactly(Map.entry("clip", CLIP),
-                Map.entry("pick", PICK), Map.entry("once", ONCE));
-        assertThat(reader.profileNames()).containsExactly("clip", "pick", "once");
-        assertThat(reader.longestCutOff()).isEqualTo(Duration.ofMillis(3500));
-        assertThat(reader.parentKind()).isEqualTo(1);
-        assertThat(reader.originKind()).isEqualTo(2);
-        assertThat(reader.zones()).containsExactly("hub", "shed");
-        assertThat(reader.kinds()).containsExactly("edge", "parent", "origin");
-        assertThat(reader.reportFields()).containsExactly("utilization", "outstanding");
-        assertThat(reader.mustAskForList()).isTrue();
-        assertThat(reader.mustAskWithin()).isEqualTo(Duration.ofSeconds(9));
-        assertThat(reader.mostInHand()).isEqualTo(20001);
-        assertThat(reader.mostOnConnection()).isEqualTo(101);
-        assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(410));
-        assertThat(reader.keepIdle()).isEqualTo(Duration.ofSeconds(15));
-    }
+                Duration.ofSeconds(6),
+                Settings.Weights.LIVE));
+    assertThat(reader.profiles()).containsExactly(CLIP, PICK, ONCE);
+    assertThat(reader.profilesByName())
+        .containsExactly(Map.entry("clip", CLIP), Map.entry("pick", PICK), Map.entry("once", ONCE));
+    assertThat(reader.profileNames()).containsExactly("clip", "pick", "once");
+    assertThat(reader.longestCutOff()).isEqualTo(Duration.ofMillis(3500));
+    assertThat(reader.parentKind()).isEqualTo(1);
+    assertThat(reader.originKind()).isEqualTo(2);
+    assertThat(reader.zones()).containsExactly("hub", "shed");
+    assertThat(reader.kinds()).containsExactly("edge", "parent", "origin");
+    assertThat(reader.reportFields()).containsExactly("utilization", "outstanding");
+    assertThat(reader.mustAskForList()).isTrue();
+    assertThat(reader.mustAskWithin()).isEqualTo(Duration.ofSeconds(9));
+    assertThat(reader.mostInHand()).isEqualTo(20001);
+    assertThat(reader.mostOnConnection()).isEqualTo(101);
+    assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(410));
+    assertThat(reader.keepIdle()).isEqualTo(Duration.ofSeconds(15));
+  }
 
-    @Test
-    void nothingGivenIsDecodedToTheDefaults() throws Exception {
-        SettingsReader reader = SettingsReader.ofLines("");
-        Settings.ColdStart start = new Settings.ColdStart(1, Duration.ZERO, 1, Duration.ofSeconds(1));
-        assertThat(reader.settings(5)).isEqualTo(new Settings(5, 0, 1, 1, List.of(), 0, 0, false, false, false, false,
-                false, null, 1, start, start, Duration.ofSeconds(60), Settings.Weights.OFF));
-        assertThat(reader.profiles()).isEmpty();
-        assertThat(reader.parentKind()).isEqualTo(-1);
-        assertThat(reader.originKind()).isEqualTo(-1);
-        assertThat(reader.reportFields()).isEmpty();
-        assertThat(reader.mustAskForList()).isFalse();
-        assertThat(reader.mustAskWithin()).isZero();
-        assertThat(reader.mostInHand()).isEqualTo(Integer.MAX_VALUE);
-        assertThat(reader.mostOnConnection()).isEqualTo(Integer.MAX_VALUE);
-        assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(400));
-        assertThat(reader.keepIdle()).isZero();
-        assertThat(reader.longestCutOff()).isZero();
-    }
+  @Test
+  void nothingGivenIsDecodedToTheDefaults() throws Exception {
+    SettingsReader reader = SettingsReader.ofLines("");
+    Settings.ColdStart start = new Settings.ColdStart(1, Duration.ZERO, 1, Duration.ofSeconds(1));
+    assertThat(reader.settings(5))
+        .isEqualTo(
+            new Settings(
+                5,
+                0,
+                1,
+                1,
+                List.of(),
+                0,
+                0,
+                false,
+                false,
+                false,
+                false,
+                false,
+                null,
+                1,
+                start,
+                start,
+                Duration.ofSeconds(60),
+                Settings.Weights.OFF));
+    assertThat(reader.profiles()).isEmpty();
+    assertThat(reader.parentKind()).isEqualTo(-1);
+    assertThat(reader.originKind()).isEqualTo(-1);
+    assertThat(reader.reportFields()).isEmpty();
+    assertThat(reader.mustAskForList()).isFalse();
+    assertThat(reader.mustAskWithin()).isZero();
+    assertThat(reader.mostInHand()).isEqualTo(Integer.MAX_VALUE);
+    assertThat(reader.mostOnConnection()).isEqualTo(Integer.MAX_VALUE);
+    assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(400));
+    assertThat(reader.keepIdle()).isZero();
+    assertThat(reader.longestCutOff()).isZero();
+  }
 
-    @Test
-    void wordsOfTheSettingsAreDecoded() throws Exception {
-        assertThat(settings("Weights=nominal").weights()).isEqualTo(Settings.Weights.NOMINAL);
-        assertThat(settings("Weights=rough").weights()).isEqualTo(Settings.Weights.ROUGH);
-        assertThat(settings("Weights=off").weights()).isEqualTo(Settings.Weights.OFF);
-        assertThat(settings("FamilyInfo.Neighbours=any").siblings()).isTrue();
-        assertThat(settings("FamilyInfo.Neighbours=off").siblings()).isFalse();
-        assertThat(settings("FamilyInfo.Says=hit").tellsSources()).isFalse();
-        assertThat(settings("Limits.MaxRetryAfterNs=5").longestComeBack()).isNull();
-        assertThat(SettingsReader.ofLines("Discovery=automatic").mustAskForList()).isFalse();
-    }
+  @Test
+  void wordsOfTheSettingsAreDecoded() throws Exception {
+    assertThat(settings("Weights=nominal").weights()).isEqualTo(Settings.Weights.NOMINAL);
+    assertThat(settings("Weights=rough").weights()).isEqualTo(Settings.Weights.ROUGH);
+    assertThat(settings("Weights=off").weights()).isEqualTo(Settings.Weights.OFF);
+    assertThat(settings("FamilyInfo.Neighbours=any").siblings()).isTrue();
+    assertThat(settings("FamilyInfo.Neighbours=off").siblings()).isFalse();
+    assertThat(settings("FamilyInfo.Says=hit").tellsSources()).isFalse();
+    assertThat(settings("Limits.MaxRetryAfterNs=5").longestComeBack()).isNull();
+    assertThat(SettingsReader.ofLines("Discovery=automatic").mustAskForList()).isFalse();
+  }
 
-    private static Settings settings(String line) throws Exception {
-        return SettingsReader.ofLines(line).settings(0);
-    }
+  private static Settings settings(String line) throws Exception {
+    return SettingsReader.ofLines(line).settings(0);
+  }
 
-    @Test
-    void configurationFileIsDecoded() throws Exception {
-        Config config = Config.read(Path.of("example/config.json").toString());
-        assertThat(config.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
-        assertThat(config.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
-        assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
-        assertThat(config.memory()).isEqualTo(192L * 1024 * 1024);
-        assertThat(config.descriptors()).isEqualTo(1024);
-        assertThat(config.known()).startsWith("{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,"
+  @Test
+  void configurationFileIsDecoded() throws Exception {
+    Config config = Config.read(Path.of("example/config.json").toString());
+    assertThat(config.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
+    assertThat(config.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
+    assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
+    assertThat(config.memory()).isEqualTo(192L * 1024 * 1024);
+    assertThat(config.descriptors()).isEqualTo(1024);
+    assertThat(config.known())
+        .startsWith(
+            "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,"
                 + "\"servers\":[{\"id\":\"s-0000000a\",\"addr\":\"127.0.0.1:7011\",\"zone\":\"shed\"");
-        SettingsReader reader = config.settings();
-        assertThat(reader.settings(config.seed())).isEqualTo(new Settings(0x8c1f30d27a5be964L, 1, 1, 1, List.of(0, 0),
-                8500, 994520, false, true, true, false, true, Duration.ofMillis(500), 8,
+    SettingsReader reader = config.settings();
+    assertThat(reader.settings(config.seed()))
+        .isEqualTo(
+            new Settings(
+                0x8c1f30d27a5be964L,
+                1,
+                1,
+                1,
+                List.of(0, 0),
+                8500,
+                994520,
+                false,
+                true,
+                true,
+                false,
+                true,
+                Duration.ofMillis(500),
+                8,
                 new Settings.ColdStart(0.22, Duration.ofSeconds(17), 3, Duration.ofSeconds(2)),
                 new Settings.ColdStart(0.064, Duration.ofSeconds(22), 2, Duration.ofSeconds(2)),
-                Duration.ofSeconds(6), Settings.Weights.OFF));
-        assertThat(reader.profilesByName()).containsExactly(
-                Map.entry("clip", new Profile(Profile.Repeat.REISSUABLE, Profile.Group.ALL,
-                        Duration.ofSeconds(3), Duration.ofMillis(1500), 1.6, true, Duration.ZERO)),
-                Map.entry("pick", new Profile(Profile.Repeat.NUMBERED, Profile.Group.ALL,
-                        Duration.ofSeconds(3), Duration.ofMillis(600), 0, false, Duration.ZERO)),
-                Map.entry("once", new Profile(Profile.Repeat.AT_MOST_ONCE, Profile.Group.CELL,
-                        Duration.ofSeconds(3), Duration.ofMillis(600), 0, false, Duration.ZERO)));
-    }
+                Duration.ofSeconds(6),
+                Settings.Weights.OFF));
+    assertThat(reader.profilesByName())
+        .containsExactly(
+            Map.entry(
+                "clip",
+                new Profile(
+                    Profile.Repeat.REISSUABLE,
+                    Profile.Group.ALL,
+                    Duration.ofSeconds(3),
+                    Duration.ofMillis(1500),
+                    1.6,
+                    true,
+                    Duration.ZERO)),
+            Map.entry(
+                "pick",
+                new Profile(
+                    Profile.Repeat.NUMBERED,
+                    Profile.Group.ALL,
+                    Duration.ofSeconds(3),
+                    Duration.ofMillis(600),
+                    0,
+                    false,
+                    Duration.ZERO)),
+            Map.entry(
+                "once",
+                new Profile(
+                    Profile.Repeat.AT_MOST_ONCE,
+                    Profile.Group.CELL,
+                    Duration.ofSeconds(3),
+                    Duration.ofMillis(600),
+                    0,
+                    false,
+                    Duration.ZERO)));
+  }
 }
--- a/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
@@ -14,38 +14,41 @@
 /** The simulator's frames byte for byte. */
 class SimulatorWireFormatTest {
 
-    private static final String PADDING = "00".repeat(40);
+  private static final String PADDING = "00".repeat(40);
 
-    private final Reply reply = new Reply();
+  private final Reply reply = new Reply();
 
-    /** A record written as its first bytes; the rest is zero. */
-    private static String record(String start) {
-        String bytes = start.replace(" ", "");
-        return bytes + PADDING.substring(bytes.length());
-    }
+  /** A record written as its first bytes; the rest is zero. */
+  private static String record(String start) {
+    String bytes = start.replace(" ", "");
+    return bytes + PADDING.substring(bytes.length());
+  }
 
-    private String flushed() throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        reply.flush(out);
-        return HexFormat.of().formatHex(out.toByteArray());
-    }
+  private String flushed() throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    reply.flush(out);
+    return HexFormat.of().formatHex(out.toByteArray());
+  }
 
-    @Test
-    void actionsKeepTheirBytes() throws Exception {
-        Cache cache = new Cache(0x01020304L);
-        Cache source = new Cache(0x0a0b0c0dL);
-        reply.trip(7, -2, new Trip(cache, cache, 0, null, true, false, null));
-        reply.trip(7, 3, new Trip(cache, source, 2, Duration.ofNanos(0x1122334455L), true, true, null));
-        reply.trip(7, 3, new Trip(cache, source, 0, Duration.ZERO, false, false, null));
-        reply.trip(7, 3, new Trip(cache, source, 0, null, false, true, null));
-        reply.recall(7, 3, 200);
-        reply.dismissal(7, 3, Duration.ofMillis(500));
-        reply.dismissal(7, 3, null);
-        reply.termination(7, 3);
-        reply.remind(0x0107, 5_000_000_000L, 1L << 62);
-        reply.observe(7);
-        reply.crash(7, "broken");
-        assertThat(flushed()).isEqualTo("0b000000" + "be010000"
+  @Test
+  void actionsKeepTheirBytes() throws Exception {
+    Cache cache = new Cache(0x01020304L);
+    Cache source = new Cache(0x0a0b0c0dL);
+    reply.trip(7, -2, new Trip(cache, cache, 0, null, true, false, null));
+    reply.trip(7, 3, new Trip(cache, source, 2, Duration.ofNanos(0x1122334455L), true, true, null));
+    reply.trip(7, 3, new Trip(cache, source, 0, Duration.ZERO, false, false, null));
+    reply.trip(7, 3, new Trip(cache, source, 0, null, false, true, null));
+    reply.recall(7, 3, 200);
+    reply.dismissal(7, 3, Duration.ofMillis(500));
+    reply.dismissal(7, 3, null);
+    reply.termination(7, 3);
+    reply.remind(0x0107, 5_000_000_000L, 1L << 62);
+    reply.observe(7);
+    reply.crash(7, "broken");
+    assertThat(flushed())
+        .isEqualTo(
+            "0b000000"
+                + "be010000"
                 + record("50 0700 feffffff 04030201")
                 + record("5c 0700 03000000 0d0c0b0a 04030201 5544332211000000 0a 02")
                 + record("5c 0700 03000000 0d0c0b0a 04030201 0100000000000000 00 00")
@@ -58,23 +61,25 @@
                 + record("5a 0700 01")
                 + record("59 0700 00000000 06000000")
                 + "62726f6b656e");
-        assertThat(flushed()).as("all begins anew").isEqualTo("0000000000000000");
-    }
+    assertThat(flushed()).as("all begins anew").isEqualTo("0000000000000000");
+  }
 
-    @Test
-    void eventFramesKeepTheirBytes() throws Exception {
-        String first = "11".repeat(11) + "02000000" + "03000000" + "22".repeat(37);
-        String second = "33".repeat(56);
-        byte[] bytes = HexFormat.of().parseHex("00f2052a01000000" + "76000000" + "02000000" + first + second
-                + "414248c3a94b");
-        ByteArrayInputStream in = new ByteArrayInputStream(bytes);
-        Frame frame = Frame.read(in);
-        assertThat(frame.clock).isEqualTo(5_000_000_000L);
-        assertThat(frame.count).isEqualTo(2);
-        byte[] record = new byte[56];
-        frame.record(1).get(record);
-        assertThat(HexFormat.of().formatHex(record)).isEqualTo(second);
-        assertThat(Frame.text(frame.tail(frame.record(0), 11, 1))).isEqualTo("H\u00e9");
-        assertThat(Frame.read(in)).isNull();
-    }
+  @Test
+  void eventFramesKeepTheirBytes() throws Exception {
+    String first = "11".repeat(11) + "02000000" + "03000000" + "22".repeat(37);
+    String second = "33".repeat(56);
+    byte[] bytes =
+        HexFormat.of()
+            .parseHex(
+                "00f2052a01000000" + "76000000" + "02000000" + first + second + "414248c3a94b");
+    ByteArrayInputStream in = new ByteArrayInputStream(bytes);
+    Frame frame = Frame.read(in);
+    assertThat(frame.clock).isEqualTo(5_000_000_000L);
+    assertThat(frame.count).isEqualTo(2);
+    byte[] record = new byte[56];
+    frame.record(1).get(record);
+    assertThat(HexFormat.of().formatHex(record)).isEqualTo(second);
+    assertThat(Frame.text(frame.tail(frame.record(0), 11, 1))).isEqualTo("H\u00e9");
+    assertThat(Frame.read(in)).isNull();
+  }
 }
