--- a/agreement/src/main/java/tamarindroute/agreement/Agreement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Agreement.java
@@ -12,13 +12,13 @@
 public interface Agreement {
 
   /** What became of a proposal. */
-  enum Fate {
+  enum ProposalStatus {
     /** It is agreed; the view's number tells which one has it. */
-    AGREED,
+    COMMITTED,
     /** It was read in its place in the order, and refused by the ledger; nothing has changed. */
-    REFUSED,
+    REJECTED,
     /** This voter does not lead; nothing has changed. */
-    ELSEWHERE,
+    NOT_LEADER,
     /**
      * It may be agreed yet or never; what is in the view tells. Proposed again, it changes nothing
      * twice.
@@ -28,30 +28,31 @@
     BUSY
   }
 
-  record Outcome(Fate fate, long view, String reason, Optional<Member> leader) {}
+  record ProposalResult(
+      ProposalStatus status, long viewNumber, String reason, Optional<Member> leader) {}
 
   /** What this voter knows of its group. */
-  record State(
-      boolean leads,
+  record GroupStatus(
+      boolean isLeader,
       Optional<Member> leader,
-      int reached,
+      int reachableVoters,
       List<Member> voters,
-      boolean changing,
-      Optional<Duration> noMajoritySince) {}
+      boolean reconfiguring,
+      Optional<Duration> noQuorumSince) {}
 
   /** This voter as its store knows it; an empty store made a new one. */
   Member self();
 
   /** Proposes; calls back once. */
-  void propose(Command command, Consumer<Outcome> outcome);
+  void propose(Command command, Consumer<ProposalResult> onResult);
 
   /** Reads the view as agreed after this call, under most voters' word; calls back once. */
-  void read(Consumer<Optional<View>> view);
+  void read(Consumer<Optional<MembershipView>> onView);
 
   /** The view as this voter has it; it may be old. */
-  View view();
+  MembershipView localView();
 
-  State state();
+  GroupStatus status();
 
   /**
    * The number of the lead that this voter knows of, its own or another's; a later one is greater.
@@ -62,7 +63,7 @@
    * Takes in a voter, or puts one out; one change at a time. A lost one is put out once its
    * successor is in.
    */
-  void change(Member voter, boolean in, Consumer<Outcome> outcome);
+  void changeVoters(Member voter, boolean add, Consumer<ProposalResult> onResult);
 
   /** Ends without a word; the store stays. */
   void close();
--- a/agreement/src/main/java/tamarindroute/agreement/Command.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Command.java
@@ -10,20 +10,22 @@
 public sealed interface Command {
 
   /** The view's number, or the entry's, that it was derived from. */
-  long from();
+  long baseNumber();
 
   /** Members that are out and in, together, derived from the view of this number. */
-  record Cut(long from, List<Member> out, List<Member> in) implements Command {
-    public Cut {
-      out = List.copyOf(out);
-      in = List.copyOf(in);
+  record MembershipChange(long baseNumber, List<Member> removed, List<Member> added)
+      implements Command {
+    public MembershipChange {
+      removed = List.copyOf(removed);
+      added = List.copyOf(added);
     }
   }
 
   /**
-   * Sets an entry; derived from {@link View#from}: what last changed it, or a view that has none.
+   * Sets an entry; derived from {@link MembershipView#baseNumber}: what last changed it, or a view
+   * that has none.
    */
-  record Put(String key, long from, String type, byte[] value) implements Command {
+  record Put(String key, long baseNumber, String type, byte[] value) implements Command {
     public Put {
       value = value.clone();
     }
@@ -35,19 +37,19 @@
   }
 
   /** Takes out an entry that was last changed at this number. */
-  record Remove(String key, long from) implements Command {}
+  record Remove(String key, long baseNumber) implements Command {}
 
   /** Who votes, told to all after the group has changed; derived from the view of this number. */
-  record Voters(long from, List<Member> voters) implements Command {
-    public Voters {
+  record SetVoters(long baseNumber, List<Member> voters) implements Command {
+    public SetVoters {
       voters = List.copyOf(voters);
     }
   }
 
   /** Changes nothing; a new leader's first word. */
-  record Nothing() implements Command {
+  record NoOp() implements Command {
     @Override
-    public long from() {
+    public long baseNumber() {
       return 0;
     }
   }
--- a/agreement/src/main/java/tamarindroute/agreement/View.java
+++ b/agreement/src/main/java/tamarindroute/agreement/MembershipView.java
@@ -9,40 +9,40 @@
 /**
  * What is agreed, numbered: each command that changes it raises the number by one. Immutable.
  *
- * @param group of the voters' founding; views of two groups are never compared
- * @param removed the number at which an entry was last taken out; one that is put where none was
- *     must be derived from this view or a later one, or a late double of an old proposal would
- *     bring back what was taken out
+ * @param groupId of the voters' founding; views of two groups are never compared
+ * @param lastRemovalNumber the number at which an entry was last taken out; one that is put where
+ *     none was must be derived from this view or a later one, or a late double of an old proposal
+ *     would bring back what was taken out
  * @param members who is in, in order
  * @param voters who votes, as last told by the group itself
  * @param entries of the subsystems, by key
  */
-public record View(
-    long group,
+public record MembershipView(
+    long groupId,
     long number,
-    long removed,
+    long lastRemovalNumber,
     List<Member> members,
     List<Member> voters,
-    SortedMap<String, Entry> entries) {
+    SortedMap<String, ReplicatedEntry> entries) {
 
-  public View {
+  public MembershipView {
     members = List.copyOf(members);
     voters = List.copyOf(voters);
     entries = Collections.unmodifiableSortedMap(new TreeMap<>(entries));
   }
 
   /** Before anything was agreed. */
-  public static View first(long group) {
-    return new View(group, 0, 0, List.of(), List.of(), new TreeMap<>());
+  public static MembershipView initial(long group) {
+    return new MembershipView(group, 0, 0, List.of(), List.of(), new TreeMap<>());
   }
 
   /** What a command that puts or removes this entry has to be derived from. */
-  public long from(String key) {
-    Entry held = entries.get(key);
-    return held == null ? number : held.changed();
+  public long baseNumber(String key) {
+    ReplicatedEntry entry = entries.get(key);
+    return entry == null ? number : entry.lastChangedNumber();
   }
 
-  public boolean has(Member member) {
+  public boolean contains(Member member) {
     return members.contains(member);
   }
 
--- a/agreement/src/main/java/tamarindroute/agreement/Entry.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ReplicatedEntry.java
@@ -6,16 +6,16 @@
  * What a subsystem has agreed under a key: opaque here, but for its type and the view's number that
  * last changed it.
  */
-public final class Entry {
+public final class ReplicatedEntry {
 
   private final String type;
   private final byte[] value;
-  private final long changed;
+  private final long lastChangedNumber;
 
-  public Entry(String type, byte[] value, long changed) {
+  public ReplicatedEntry(String type, byte[] value, long changed) {
     this.type = type;
     this.value = value.clone();
-    this.changed = changed;
+    this.lastChangedNumber = changed;
   }
 
   public String type() {
@@ -32,25 +32,25 @@
   }
 
   /** The view's number that last changed it; a change of it names this number. */
-  public long changed() {
-    return changed;
+  public long lastChangedNumber() {
+    return lastChangedNumber;
   }
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Entry that
+    return other instanceof ReplicatedEntry that
         && type.equals(that.type)
-        && changed == that.changed
+        && lastChangedNumber == that.lastChangedNumber
         && Arrays.equals(value, that.value);
   }
 
   @Override
   public int hashCode() {
-    return Arrays.hashCode(value) * 31 + Long.hashCode(changed);
+    return Arrays.hashCode(value) * 31 + Long.hashCode(lastChangedNumber);
   }
 
   @Override
   public String toString() {
-    return type + "(" + value.length + " bytes) of " + changed;
+    return type + "(" + value.length + " bytes) of " + lastChangedNumber;
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Chance.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/DeterministicRandom.java
@@ -5,22 +5,22 @@
 import java.util.zip.CRC32;
 
 /** The library's chance (how long it waits before it stands for election) from seed and counter. */
-final class Chance extends Random {
+final class DeterministicRandom extends Random {
 
   private static final long serialVersionUID = 1L;
 
-  private final long start;
-  private long count;
+  private final long seed;
+  private long counter;
 
-  Chance(long start) {
-    super(start);
-    this.start = start;
+  DeterministicRandom(long seed) {
+    super(seed);
+    this.seed = seed;
   }
 
   @Override
   protected int next(int bits) {
     CRC32 sum = new CRC32();
-    sum.update(ByteBuffer.allocate(16).putLong(start).putLong(count++).flip());
+    sum.update(ByteBuffer.allocate(16).putLong(seed).putLong(counter++).flip());
     return (int) sum.getValue() >>> 32 - bits;
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Owner.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoop.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** The one thread that all of this runs on, and its monotonic clock. */
-public interface Owner {
+public interface EventLoop {
 
   /** Runs it on the owner's thread, after what it is at, in the order given. */
   void execute(Runnable task);
--- a/agreement/src/main/java/tamarindroute/agreement/raft/OwnerClock.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopClock.java
@@ -9,15 +9,15 @@
  * The owner's monotonic time in the form the library asks for; the library compares its times to
  * each other only.
  */
-final class OwnerClock extends Clock {
+final class EventLoopClock extends Clock {
 
   /** The library takes 0 for never. */
-  static final long START = 1_000_000L;
+  static final long START_MILLIS = 1_000_000L;
 
-  private final Owner owner;
+  private final EventLoop eventLoop;
 
-  OwnerClock(Owner owner) {
-    this.owner = owner;
+  EventLoopClock(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
   }
 
   @Override
@@ -37,6 +37,6 @@
 
   @Override
   public long millis() {
-    return START + owner.now().toMillis();
+    return START_MILLIS + eventLoop.now().toMillis();
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/OwnerExecutor.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopExecutor.java
@@ -10,41 +10,42 @@
  * The library's tasks on the owner's thread, as long as the voter is up. A task that throws is
  * told, not passed on.
  */
-final class OwnerExecutor implements RaftNodeExecutor {
+final class EventLoopExecutor implements RaftNodeExecutor {
 
-  private final Owner owner;
-  private final BooleanSupplier up;
-  private final Consumer<RuntimeException> broken;
+  private final EventLoop eventLoop;
+  private final BooleanSupplier isRunning;
+  private final Consumer<RuntimeException> onFailure;
 
-  OwnerExecutor(Owner owner, BooleanSupplier up, Consumer<RuntimeException> broken) {
-    this.owner = owner;
-    this.up = up;
-    this.broken = broken;
+  EventLoopExecutor(
+      EventLoop eventLoop, BooleanSupplier isRunning, Consumer<RuntimeException> onFailure) {
+    this.eventLoop = eventLoop;
+    this.isRunning = isRunning;
+    this.onFailure = onFailure;
   }
 
   @Override
   public void execute(Runnable task) {
-    owner.execute(() -> run(task));
+    eventLoop.execute(() -> run(task));
   }
 
   @Override
   public void submit(Runnable task) {
-    owner.execute(() -> run(task));
+    eventLoop.execute(() -> run(task));
   }
 
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
-    owner.schedule(() -> run(task), Duration.ofNanos(unit.toNanos(delay)));
+    eventLoop.schedule(() -> run(task), Duration.ofNanos(unit.toNanos(delay)));
   }
 
   private void run(Runnable task) {
-    if (!up.getAsBoolean()) {
+    if (!isRunning.getAsBoolean()) {
       return;
     }
     try {
       task.run();
     } catch (RuntimeException thrown) {
-      broken.accept(thrown);
+      onFailure.accept(thrown);
     }
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Kept.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/PersistentRaftStore.java
@@ -16,36 +16,36 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import tamarindroute.agreement.Ledger;
+import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.agreement.proto.WGroup;
 import tamarindroute.agreement.proto.WKept;
 import tamarindroute.agreement.proto.WOffer;
 import tamarindroute.agreement.proto.WTerm;
-import tamarindroute.agreement.store.Medium;
 import tamarindroute.agreement.store.RecordLog;
-import tamarindroute.agreement.wire.Words;
+import tamarindroute.agreement.store.StorageMedium;
+import tamarindroute.agreement.wire.AgreementMessageCodec;
 import tamarindroute.membership.Member;
 
 /**
  * Owns what a voter keeps: who it is, whom it gave its vote, the log, the last snapshot; as
  * records, and in memory.
  */
-final class Kept implements RaftStore {
+final class PersistentRaftStore implements RaftStore {
 
   /** The file may grow by so much before it is written anew with only what still counts. */
-  private static final long GROWTH_MOST = 4L * 1024 * 1024;
+  private static final long MAX_GROWTH_BYTES = 4L * 1024 * 1024;
 
   private final RecordLog log;
-  private long group;
+  private long groupId;
   private WOffer pledge = WOffer.getDefaultInstance();
   private WKept self;
-  private WGroup initial;
+  private WGroup initialMembers;
   private WTerm term = WTerm.getDefaultInstance();
-  private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-  private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
-  private long rewritten;
+  private final TreeMap<Long, LogEntry> logEntries = new TreeMap<>();
+  private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshotChunks = new TreeMap<>();
+  private long compactedSizeBytes;
 
-  private Kept(RecordLog log) {
+  private PersistentRaftStore(RecordLog log) {
     this.log = log;
   }
 
@@ -53,117 +53,124 @@
    * Reads what there is; damage that no crash explains is told by an exception, and then nothing
    * may be voted.
    */
-  static Kept open(Medium medium) throws IOException {
-    Kept kept = new Kept(new RecordLog(medium));
-    for (byte[] record : kept.log.open()) {
-      kept.replay(record);
+  static PersistentRaftStore open(StorageMedium medium) throws IOException {
+    PersistentRaftStore store = new PersistentRaftStore(new RecordLog(medium));
+    for (byte[] record : store.log.open()) {
+      store.replay(record);
     }
-    kept.rewritten = kept.log.size();
-    return kept;
+    store.compactedSizeBytes = store.log.sizeBytes();
+    return store;
   }
 
   private void replay(byte[] record) throws IOException {
-    WKept words;
+    WKept proto;
     try {
-      words = WKept.parseFrom(record);
+      proto = WKept.parseFrom(record);
     } catch (InvalidProtocolBufferException unknown) {
       throw new IOException("a record of another form", unknown);
     }
-    switch (words.getWhatCase()) {
-      case PLEDGE -> pledge = words.getPledge();
-      case GROUP -> group = words.getGroup();
-      case SELF -> self = words;
-      case INITIAL -> initial = words.getInitial();
-      case TERM -> term = words.getTerm();
-      case ENTRY -> entries.put(words.getEntry().getIndex(), Wire.from(words.getEntry()));
-      case CHUNK -> hold(Wire.from(words.getChunk()));
-      case TRUNCATED_FROM -> entries.tailMap(words.getTruncatedFrom(), true).clear();
-      case TRUNCATED_UNTIL -> entries.headMap(words.getTruncatedUntil(), true).clear();
-      case CHUNKS_DELETED -> chunks.remove(words.getChunksDeleted());
+    switch (proto.getWhatCase()) {
+      case PLEDGE -> pledge = proto.getPledge();
+      case GROUP -> groupId = proto.getGroup();
+      case SELF -> self = proto;
+      case INITIAL -> initialMembers = proto.getInitial();
+      case TERM -> term = proto.getTerm();
+      case ENTRY ->
+          logEntries.put(proto.getEntry().getIndex(), RaftModelCodec.fromProto(proto.getEntry()));
+      case CHUNK -> addChunk(RaftModelCodec.fromProto(proto.getChunk()));
+      case TRUNCATED_FROM -> logEntries.tailMap(proto.getTruncatedFrom(), true).clear();
+      case TRUNCATED_UNTIL -> logEntries.headMap(proto.getTruncatedUntil(), true).clear();
+      case CHUNKS_DELETED -> snapshotChunks.remove(proto.getChunksDeleted());
       case WHAT_NOT_SET -> throw new IOException("a record that says nothing");
     }
   }
 
-  private void hold(SnapshotChunk chunk) {
-    chunks
+  private void addChunk(SnapshotChunk chunk) {
+    snapshotChunks
         .computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>())
         .put(chunk.getSnapshotChunkIndex(), chunk);
   }
 
   /** Who wrote it; empty if it is new. */
   Optional<Member> self() {
-    return runs() ? Optional.of(Wire.from(self.getSelf()).member()) : Optional.empty();
+    return hasGroup()
+        ? Optional.of(RaftModelCodec.fromProto(self.getSelf()).member())
+        : Optional.empty();
   }
 
   /** Who it is since its store was made, and whom it is bound to found with, if anyone. */
-  Optional<Member> pledged() {
-    return pledge.hasSelf() ? Optional.of(Words.from(pledge.getSelf())) : Optional.empty();
+  Optional<Member> pledgedSelf() {
+    return pledge.hasSelf()
+        ? Optional.of(AgreementMessageCodec.fromProto(pledge.getSelf()))
+        : Optional.empty();
   }
 
-  List<Member> bound() {
-    return Words.from(pledge.getBoundList(), Ledger.VOTERS_MOST);
+  List<Member> pledgedFounders() {
+    return AgreementMessageCodec.fromProto(pledge.getBoundList(), ViewTransitions.MAX_VOTERS);
   }
 
   /** Kept before it is told to anyone. */
   void pledge(Member who, List<Member> bound) throws IOException {
-    WOffer.Builder words = WOffer.newBuilder().setSelf(Words.to(who));
-    bound.forEach(one -> words.addBound(Words.to(one)));
-    pledge = words.build();
+    WOffer.Builder proto = WOffer.newBuilder().setSelf(AgreementMessageCodec.toProto(who));
+    bound.forEach(one -> proto.addBound(AgreementMessageCodec.toProto(one)));
+    pledge = proto.build();
     append(WKept.newBuilder().setPledge(pledge));
     log.force();
   }
 
-  long group() {
-    return group;
+  long groupId() {
+    return groupId;
   }
 
   /** A start that was cut off before all three were kept never gave a word. */
-  boolean runs() {
-    return group != 0 && self != null && initial != null;
+  boolean hasGroup() {
+    return groupId != 0 && self != null && initialMembers != null;
   }
 
   /** Begins anew, for this group. */
-  void begin(long newGroup) throws IOException {
+  void beginGroup(long newGroup) throws IOException {
     self = null;
-    initial = null;
+    initialMembers = null;
     term = WTerm.getDefaultInstance();
-    entries.clear();
-    chunks.clear();
-    group = newGroup;
-    rewrite();
+    logEntries.clear();
+    snapshotChunks.clear();
+    groupId = newGroup;
+    compact();
   }
 
-  RestoredRaftState restored() {
+  RestoredRaftState restoredState() {
     RaftEndpointPersistentState endpoint =
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createRaftEndpointPersistentStateBuilder()
-            .setLocalEndpoint(Wire.from(self.getSelf()))
+            .setLocalEndpoint(RaftModelCodec.fromProto(self.getSelf()))
             .setVoting(self.getVoting())
             .build();
     RaftTermPersistentState persistent =
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createRaftTermPersistentStateBuilder()
             .setTerm(term.getTerm())
-            .setVotedFor(term.hasVoted() ? Wire.from(term.getVoted()) : null)
+            .setVotedFor(term.hasVoted() ? RaftModelCodec.fromProto(term.getVoted()) : null)
             .build();
-    SnapshotEntry snapshot = snapshot();
+    SnapshotEntry snapshot = latestCompleteSnapshot();
     List<LogEntry> after = new ArrayList<>();
     long next = snapshot == null ? 1 : snapshot.getIndex() + 1;
-    for (LogEntry entry : entries.tailMap(next, true).values()) {
+    for (LogEntry entry : logEntries.tailMap(next, true).values()) {
       if (entry.getIndex() != next++) {
         throw new IllegalStateException("the kept log has a hole at " + (next - 1));
       }
       after.add(entry);
     }
-    return new RestoredRaftState(endpoint, Wire.from(initial), persistent, snapshot, after);
+    return new RestoredRaftState(
+        endpoint, RaftModelCodec.fromProto(initialMembers), persistent, snapshot, after);
   }
 
   /** The last snapshot of which every part is there. */
-  private SnapshotEntry snapshot() {
-    for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> one : chunks.descendingMap().entrySet()) {
+  private SnapshotEntry latestCompleteSnapshot() {
+    for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> one :
+        snapshotChunks.descendingMap().entrySet()) {
       SnapshotChunk first = one.getValue().firstEntry().getValue();
       if (one.getValue().size() == first.getSnapshotChunkCount()) {
-        return Wire.MODELS
+        return RaftModelCodec.MODEL_FACTORY
             .createSnapshotEntryBuilder()
             .setIndex(first.getIndex())
             .setTerm(first.getTerm())
@@ -175,8 +182,8 @@
     return null;
   }
 
-  private void append(WKept.Builder words) throws IOException {
-    log.append(words.build().toByteArray());
+  private void append(WKept.Builder proto) throws IOException {
+    log.append(proto.build().toByteArray());
   }
 
   @Override
@@ -184,7 +191,7 @@
       throws IOException {
     self =
         WKept.newBuilder()
-            .setSelf(Wire.to(endpoint.getLocalEndpoint()))
+            .setSelf(RaftModelCodec.toProto(endpoint.getLocalEndpoint()))
             .setVoting(endpoint.isVoting())
             .build();
     append(self.toBuilder());
@@ -193,92 +200,100 @@
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-    initial = Wire.to(members);
-    append(WKept.newBuilder().setInitial(initial));
+    initialMembers = RaftModelCodec.toProto(members);
+    append(WKept.newBuilder().setInitial(initialMembers));
     log.force();
   }
 
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-    WTerm.Builder words = WTerm.newBuilder().setTerm(state.getTerm());
+    WTerm.Builder proto = WTerm.newBuilder().setTerm(state.getTerm());
     if (state.getVotedFor() != null) {
-      words.setVoted(Wire.to(state.getVotedFor()));
+      proto.setVoted(RaftModelCodec.toProto(state.getVotedFor()));
     }
-    term = words.build();
+    term = proto.build();
     append(WKept.newBuilder().setTerm(term));
     log.force();
   }
 
   @Override
-  public void persistLogEntries(List<LogEntry> more) throws IOException {
-    for (LogEntry entry : more) {
-      entries.put(entry.getIndex(), entry);
-      append(WKept.newBuilder().setEntry(Wire.to(entry)));
+  public void persistLogEntries(List<LogEntry> newEntries) throws IOException {
+    for (LogEntry entry : newEntries) {
+      logEntries.put(entry.getIndex(), entry);
+      append(WKept.newBuilder().setEntry(RaftModelCodec.toProto(entry)));
     }
   }
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-    hold(chunk);
-    append(WKept.newBuilder().setChunk(Wire.to(chunk)));
+    addChunk(chunk);
+    append(WKept.newBuilder().setChunk(RaftModelCodec.toProto(chunk)));
   }
 
   @Override
   public void truncateLogEntriesFrom(long index) throws IOException {
-    entries.tailMap(index, true).clear();
+    logEntries.tailMap(index, true).clear();
     append(WKept.newBuilder().setTruncatedFrom(index));
   }
 
   @Override
   public void truncateLogEntriesUntil(long index) throws IOException {
-    entries.headMap(index, true).clear();
+    logEntries.headMap(index, true).clear();
     append(WKept.newBuilder().setTruncatedUntil(index));
   }
 
   @Override
   public void deleteSnapshotChunks(long index, int count) throws IOException {
-    chunks.remove(index);
+    snapshotChunks.remove(index);
     append(WKept.newBuilder().setChunksDeleted(index));
   }
 
   @Override
   public void flush() throws IOException {
-    if (log.size() - rewritten > GROWTH_MOST) {
-      rewrite();
+    if (log.sizeBytes() - compactedSizeBytes > MAX_GROWTH_BYTES) {
+      compact();
     } else {
       log.force();
     }
   }
 
   /** Only what still counts, in place of all. */
-  private void rewrite() throws IOException {
+  private void compact() throws IOException {
     List<byte[]> records = new ArrayList<>();
-    records.add(WKept.newBuilder().setGroup(group).build().toByteArray());
+    records.add(WKept.newBuilder().setGroup(groupId).build().toByteArray());
     if (pledge.hasSelf()) {
       records.add(WKept.newBuilder().setPledge(pledge).build().toByteArray());
     }
     if (self != null) {
       records.add(self.toByteArray());
     }
-    if (initial != null) {
-      records.add(WKept.newBuilder().setInitial(initial).build().toByteArray());
+    if (initialMembers != null) {
+      records.add(WKept.newBuilder().setInitial(initialMembers).build().toByteArray());
     }
     records.add(WKept.newBuilder().setTerm(term).build().toByteArray());
-    for (Collection<SnapshotChunk> parts : chunks.values().stream().map(TreeMap::values).toList()) {
+    for (Collection<SnapshotChunk> parts :
+        snapshotChunks.values().stream().map(TreeMap::values).toList()) {
       parts.forEach(
-          one -> records.add(WKept.newBuilder().setChunk(Wire.to(one)).build().toByteArray()));
+          one ->
+              records.add(
+                  WKept.newBuilder().setChunk(RaftModelCodec.toProto(one)).build().toByteArray()));
     }
-    entries
+    logEntries
         .values()
         .forEach(
-            one -> records.add(WKept.newBuilder().setEntry(Wire.to(one)).build().toByteArray()));
+            one ->
+                records.add(
+                    WKept.newBuilder()
+                        .setEntry(RaftModelCodec.toProto(one))
+                        .build()
+                        .toByteArray()));
     log.replace(records);
-    rewritten = log.size();
+    compactedSizeBytes = log.sizeBytes();
   }
 
   /** A write has failed: no word may be given any more. */
-  boolean failed() {
-    return log.failed();
+  boolean hasFailed() {
+    return log.hasFailed();
   }
 
   void close() throws IOException {
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftAgreement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftAgreement.java
@@ -26,11 +26,11 @@
 import java.util.zip.CRC32;
 import tamarindroute.agreement.Agreement;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.Ledger;
-import tamarindroute.agreement.View;
+import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.agreement.proto.WEnvelope;
-import tamarindroute.agreement.wire.Heard;
-import tamarindroute.agreement.wire.Words;
+import tamarindroute.agreement.wire.AgreementMessageCodec;
+import tamarindroute.agreement.wire.DecodedMessage;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -38,125 +38,126 @@
 final class RaftAgreement implements Agreement {
 
   /** The library counts in whole seconds; a leader speaks each second, */
-  private static final int HEARTBEAT_SECONDS = 1;
+  private static final int HEARTBEAT_PERIOD_SECONDS = 1;
 
   /** and is taken for lost after three of them were missed: a pause below that changes nothing. */
-  private static final int LOST_SECONDS = 3;
+  private static final int HEARTBEAT_TIMEOUT_SECONDS = 3;
 
   /** The least wait for votes; the library adds its chance to it. */
-  private static final int ELECTION_MILLIS = 500;
+  private static final int ELECTION_TIMEOUT_MILLIS = 500;
 
   /** Entries between snapshots: a restart replays at most about so many. */
-  private static final int SNAPSHOT_EVERY = 1_000;
+  private static final int SNAPSHOT_INTERVAL_ENTRIES = 1_000;
 
   /** Commands that are not agreed yet, at once; more are refused as busy. */
-  private static final int PENDING_MOST = 256;
+  private static final int MAX_PENDING_ENTRIES = 256;
 
   /**
    * A proposal or a reading that has heard nothing for so long is told so: two changes of the
    * leader.
    */
-  private static final Duration WAIT_MOST = Duration.ofSeconds(10);
+  private static final Duration OPERATION_TIMEOUT = Duration.ofSeconds(10);
 
   /**
    * Without a leader for so long, the library is begun anew from the store, as after a crash. Its
    * 0.7 never stands for election again once a trial vote was overtaken by the leader's return: two
    * such voters were leaderless for good.
    */
-  private static final Duration STUCK = Duration.ofSeconds(10);
+  private static final Duration LEADERLESS_RESTART_TIMEOUT = Duration.ofSeconds(10);
 
-  private static final Duration TICK = Duration.ofSeconds(HEARTBEAT_SECONDS);
+  private static final Duration TICK_PERIOD = Duration.ofSeconds(HEARTBEAT_PERIOD_SECONDS);
 
-  private final Owner owner;
-  private final Post post;
-  private final Kept kept;
+  private final EventLoop eventLoop;
+  private final VoterTransport transport;
+  private final PersistentRaftStore store;
   private final Member self;
-  private final long group;
-  private final Machine machine;
-  private RaftNode node;
-  private final Desk desk;
-  private final Consumer<State> changed;
-  private final QueryPolicy reading;
-  private State state;
-  private final Duration begun;
+  private final long groupId;
+  private final ViewStateMachine stateMachine;
+  private RaftNode raftNode;
+  private final ReadIndexService readIndexService;
+  private final Consumer<GroupStatus> onStatusChange;
+  private final QueryPolicy queryPolicy;
+  private GroupStatus status;
+  private final Duration startedAt;
   private boolean closed;
-  private boolean telling;
+  private boolean voterUpdateInProgress;
   private Optional<String> failure = Optional.empty();
 
   /**
    * In the place of one that was stuck: operators hear of one loss of the majority, not of many.
    */
-  void after(State before) {
-    state = before;
+  void continueFrom(GroupStatus before) {
+    status = before;
   }
 
   /** Goes on where the store ends, or begins with these founders. */
   RaftAgreement(
-      Owner owner,
-      Post post,
-      Kept kept,
+      EventLoop eventLoop,
+      VoterTransport transport,
+      PersistentRaftStore store,
       Member fresh,
       List<Member> founders,
-      Consumer<State> changed,
-      QueryPolicy reading)
+      Consumer<GroupStatus> onStatusChange,
+      QueryPolicy queryPolicy)
       throws IOException {
-    this.owner = owner;
-    this.post = post;
-    this.kept = kept;
-    this.group = group(founders);
-    this.machine = new Machine(group);
-    this.changed = changed;
-    this.reading = reading;
-    this.self = kept.self().orElse(fresh);
-    this.begun = owner.now();
-    this.state = new State(false, Optional.empty(), 0, List.of(), false, Optional.of(owner.now()));
+    this.eventLoop = eventLoop;
+    this.transport = transport;
+    this.store = store;
+    this.groupId = groupId(founders);
+    this.stateMachine = new ViewStateMachine(groupId);
+    this.onStatusChange = onStatusChange;
+    this.queryPolicy = queryPolicy;
+    this.self = store.self().orElse(fresh);
+    this.startedAt = eventLoop.now();
+    this.status =
+        new GroupStatus(false, Optional.empty(), 0, List.of(), false, Optional.of(eventLoop.now()));
     RaftNode.RaftNodeBuilder builder =
         RaftNode.newBuilder()
-            .setGroupId(group)
+            .setGroupId(groupId)
             .setConfig(config())
-            .setTransport(new Way())
-            .setExecutor(new OwnerExecutor(owner, () -> !ended(), this::broken))
-            .setStateMachine(machine)
-            .setStore(kept)
-            .setClock(new OwnerClock(owner))
-            .setRandom(new Chance(self.hashCode()))
-            .setModelFactory(Wire.MODELS);
-    if (kept.runs()) {
-      builder.setRestoredState(kept.restored());
+            .setTransport(new EnvelopeTransport())
+            .setExecutor(new EventLoopExecutor(eventLoop, () -> !hasEnded(), this::onTaskFailure))
+            .setStateMachine(stateMachine)
+            .setStore(store)
+            .setClock(new EventLoopClock(eventLoop))
+            .setRandom(new DeterministicRandom(self.hashCode()))
+            .setModelFactory(RaftModelCodec.MODEL_FACTORY);
+    if (store.hasGroup()) {
+      builder.setRestoredState(store.restoredState());
     } else {
-      kept.begin(group);
-      List<RaftEndpoint> seats = new ArrayList<>();
-      founders.forEach(one -> seats.add(new Seat(one)));
-      builder.setLocalEndpoint(new Seat(fresh)).setInitialGroupMembers(seats);
+      store.beginGroup(groupId);
+      List<RaftEndpoint> endpoints = new ArrayList<>();
+      founders.forEach(one -> endpoints.add(new VoterEndpoint(one)));
+      builder.setLocalEndpoint(new VoterEndpoint(fresh)).setInitialGroupMembers(endpoints);
     }
-    this.node = builder.build();
-    this.desk = new Desk(this, machine, post);
-    node.start();
-    owner.schedule(this::tick, TICK);
+    this.raftNode = builder.build();
+    this.readIndexService = new ReadIndexService(this, stateMachine, transport);
+    raftNode.start();
+    eventLoop.schedule(this::tick, TICK_PERIOD);
   }
 
   private static RaftConfig config() {
     return RaftConfig.newBuilder()
-        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
-        .setLeaderHeartbeatTimeoutSecs(LOST_SECONDS)
-        .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
-        .setAppendEntriesRequestBatchSize(Messages.ENTRIES_MOST - 1)
-        .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-        .setMaxPendingLogEntryCount(PENDING_MOST)
+        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_SECONDS)
+        .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_SECONDS)
+        .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MILLIS)
+        .setAppendEntriesRequestBatchSize(RaftMessageCodec.MAX_ENTRIES - 1)
+        .setCommitCountToTakeSnapshot(SNAPSHOT_INTERVAL_ENTRIES)
+        .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
         .setTransferSnapshotsFromFollowersEnabled(false)
-        .setRaftNodeReportPublishPeriodSecs(HEARTBEAT_SECONDS)
+        .setRaftNodeReportPublishPeriodSecs(HEARTBEAT_PERIOD_SECONDS)
         .build();
   }
 
   /** A group is known by its founders, so that no word goes over from one to another. */
-  private static long group(List<Member> founders) {
+  private static long groupId(List<Member> founders) {
     CRC32 low = new CRC32();
     CRC32 high = new CRC32();
     founders.stream()
         .sorted(Comparator.comparing(Member::address))
         .forEach(
             one -> {
-              byte[] words = Words.to(one).toByteArray();
+              byte[] words = AgreementMessageCodec.toProto(one).toByteArray();
               low.update(words);
               high.update(words.length);
               high.update(words);
@@ -168,33 +169,36 @@
    * A message has come; this address is that of whoever sealed it. What is not for this life is
    * dropped.
    */
-  void received(Address from, Heard heard) {
+  void onMessage(Address from, DecodedMessage decoded) {
     if (closed) {
       return;
     }
-    if (heard instanceof Heard.OfLibrary it) {
-      received(from, it);
-    } else if (heard instanceof Heard.Ask ask) {
-      desk.asked(from, ask);
-    } else if (heard instanceof Heard.Proposal proposal) {
+    if (decoded instanceof DecodedMessage.RaftEnvelope it) {
+      onMessage(from, it);
+    } else if (decoded instanceof DecodedMessage.ViewRequest ask) {
+      readIndexService.onViewRequest(from, ask);
+    } else if (decoded instanceof DecodedMessage.Proposal proposal) {
       propose(
           proposal.command(),
-          outcome -> post.send(from, Words.outcome(proposal.number(), outcome)));
+          outcome ->
+              transport.send(
+                  from,
+                  AgreementMessageCodec.encodeProposalReply(proposal.proposalNumber(), outcome)));
     }
   }
 
-  private void received(Address from, Heard.OfLibrary it) {
-    if (it.group() != group || !it.to().equals(self)) {
+  private void onMessage(Address from, DecodedMessage.RaftEnvelope it) {
+    if (it.groupId() != groupId || !it.recipient().equals(self)) {
       return;
     }
     RaftMessage message;
     try {
-      message = Messages.from(group, it.message());
-    } catch (Words.Unbelievable notOurs) {
+      message = RaftMessageCodec.fromProto(groupId, it.message());
+    } catch (AgreementMessageCodec.InvalidMessageException notOurs) {
       return;
     }
-    if (Seat.of(message.getSender()).address().equals(from)) {
-      node.handle(message);
+    if (VoterEndpoint.memberOf(message.getSender()).address().equals(from)) {
+      raftNode.handle(message);
     }
   }
 
@@ -204,52 +208,61 @@
   }
 
   @Override
-  public void propose(Command command, Consumer<Outcome> outcome) {
-    Optional<String> wrong =
-        Ledger.bounded(command)
+  public void propose(Command command, Consumer<ProposalResult> outcome) {
+    Optional<String> violation =
+        ViewTransitions.findViolation(command)
             .or(
                 () ->
-                    Words.to(command).getSerializedSize() > Words.COMMAND_MOST
-                        ? Optional.of("longer than " + Words.COMMAND_MOST + " bytes")
+                    AgreementMessageCodec.toProto(command).getSerializedSize()
+                            > AgreementMessageCodec.MAX_COMMAND_BYTES
+                        ? Optional.of(
+                            "longer than " + AgreementMessageCodec.MAX_COMMAND_BYTES + " bytes")
                         : Optional.empty());
-    if (wrong.isPresent()) {
+    if (violation.isPresent()) {
       outcome.accept(
-          new Outcome(Fate.REFUSED, machine.view().number(), wrong.get(), Optional.empty()));
+          new ProposalResult(
+              ProposalStatus.REJECTED,
+              stateMachine.view().number(),
+              violation.get(),
+              Optional.empty()));
       return;
     }
-    CompletableFuture<Ordered<Ledger.Step>> agreed = node.replicate(command);
-    once(
+    CompletableFuture<Ordered<ViewTransitions.Transition>> agreed = raftNode.replicate(command);
+    completeOnce(
         agreed,
         step ->
             outcome.accept(
-                new Outcome(
-                    step.refusal().isPresent() ? Fate.REFUSED : Fate.AGREED,
+                new ProposalResult(
+                    step.rejection().isPresent()
+                        ? ProposalStatus.REJECTED
+                        : ProposalStatus.COMMITTED,
                     step.view().number(),
-                    step.refusal().orElse(""),
+                    step.rejection().orElse(""),
                     Optional.of(self))),
-        failure -> outcome.accept(failed(failure)));
+        failure -> outcome.accept(toResult(failure)));
   }
 
-  private Outcome failed(Throwable failure) {
-    Fate fate = Fate.UNKNOWN;
+  private ProposalResult toResult(Throwable failure) {
+    ProposalStatus fate = ProposalStatus.UNKNOWN;
     if (failure instanceof NotLeaderException || failure instanceof IllegalStateException) {
-      fate = Fate.ELSEWHERE;
+      fate = ProposalStatus.NOT_LEADER;
     } else if (failure instanceof CannotReplicateException) {
-      fate = Fate.BUSY;
+      fate = ProposalStatus.BUSY;
     }
-    return new Outcome(
-        fate, machine.view().number(), String.valueOf(failure.getMessage()), leader());
+    return new ProposalResult(
+        fate, stateMachine.view().number(), String.valueOf(failure.getMessage()), leader());
   }
 
   @Override
-  public void read(Consumer<Optional<View>> view) {
-    CompletableFuture<Ordered<View>> read =
-        node.query(Machine.READ, reading, Optional.empty(), Optional.empty());
-    once(read, it -> view.accept(Optional.of(it)), failure -> view.accept(Optional.empty()));
+  public void read(Consumer<Optional<MembershipView>> view) {
+    CompletableFuture<Ordered<MembershipView>> read =
+        raftNode.query(ViewStateMachine.READ, queryPolicy, Optional.empty(), Optional.empty());
+    completeOnce(
+        read, it -> view.accept(Optional.of(it)), failure -> view.accept(Optional.empty()));
   }
 
   /** One of both is called, once, at the latest after the longest wait. */
-  private <T> void once(
+  private <T> void completeOnce(
       CompletableFuture<Ordered<T>> future, Consumer<T> done, Consumer<Throwable> failed) {
     boolean[] told = {false};
     future.whenComplete(
@@ -264,57 +277,60 @@
           }
         });
     if (!told[0]) {
-      owner.schedule(
+      eventLoop.schedule(
           () -> {
             if (!told[0]) {
               told[0] = true;
-              failed.accept(new IOException("nothing heard for " + WAIT_MOST));
+              failed.accept(new IOException("nothing heard for " + OPERATION_TIMEOUT));
             }
           },
-          WAIT_MOST);
+          OPERATION_TIMEOUT);
     }
   }
 
   @Override
-  public View view() {
-    return machine.view();
+  public MembershipView localView() {
+    return stateMachine.view();
   }
 
   @Override
-  public State state() {
-    return state;
+  public GroupStatus status() {
+    return status;
   }
 
   @Override
   public long term() {
-    return node.getTerm().getTerm();
+    return raftNode.getTerm().getTerm();
   }
 
   Optional<Member> leader() {
-    return Optional.ofNullable(node.getTerm().getLeaderEndpoint()).map(Seat::of);
+    return Optional.ofNullable(raftNode.getTerm().getLeaderEndpoint()).map(VoterEndpoint::memberOf);
   }
 
   /** First without a vote, so that it has caught up before it counts; then with one. */
   @Override
-  public void change(Member voter, boolean in, Consumer<Outcome> outcome) {
-    Seat seat = new Seat(voter);
-    RaftGroupMembers now = node.getCommittedMembers();
-    if (in == now.getVotingMembers().contains(seat) && (in || !now.getMembers().contains(seat))) {
-      outcome.accept(new Outcome(Fate.AGREED, machine.view().number(), "", leader()));
-    } else if (!in) {
-      step(seat, MembershipChangeMode.REMOVE_MEMBER, outcome);
-    } else if (now.getVotingMembers().size() >= Ledger.VOTERS_MOST) {
+  public void changeVoters(Member voter, boolean add, Consumer<ProposalResult> outcome) {
+    VoterEndpoint endpoint = new VoterEndpoint(voter);
+    RaftGroupMembers now = raftNode.getCommittedMembers();
+    if (add == now.getVotingMembers().contains(endpoint)
+        && (add || !now.getMembers().contains(endpoint))) {
       outcome.accept(
-          new Outcome(Fate.REFUSED, machine.view().number(), "too many voters", leader()));
-    } else if (now.getMembers().contains(seat)) {
-      step(seat, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, outcome);
+          new ProposalResult(ProposalStatus.COMMITTED, stateMachine.view().number(), "", leader()));
+    } else if (!add) {
+      changeMembership(endpoint, MembershipChangeMode.REMOVE_MEMBER, outcome);
+    } else if (now.getVotingMembers().size() >= ViewTransitions.MAX_VOTERS) {
+      outcome.accept(
+          new ProposalResult(
+              ProposalStatus.REJECTED, stateMachine.view().number(), "too many voters", leader()));
+    } else if (now.getMembers().contains(endpoint)) {
+      changeMembership(endpoint, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, outcome);
     } else {
-      step(
-          seat,
+      changeMembership(
+          endpoint,
           MembershipChangeMode.ADD_LEARNER,
           added -> {
-            if (added.fate() == Fate.AGREED) {
-              step(seat, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, outcome);
+            if (added.status() == ProposalStatus.COMMITTED) {
+              changeMembership(endpoint, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, outcome);
             } else {
               outcome.accept(added);
             }
@@ -322,37 +338,42 @@
     }
   }
 
-  private void step(Seat seat, MembershipChangeMode mode, Consumer<Outcome> outcome) {
-    long from = node.getCommittedMembers().getLogIndex();
-    once(
-        node.changeMembership(seat, mode, from),
-        members -> outcome.accept(new Outcome(Fate.AGREED, machine.view().number(), "", leader())),
-        failure -> outcome.accept(failed(failure)));
+  private void changeMembership(
+      VoterEndpoint endpoint, MembershipChangeMode mode, Consumer<ProposalResult> outcome) {
+    long from = raftNode.getCommittedMembers().getLogIndex();
+    completeOnce(
+        raftNode.changeMembership(endpoint, mode, from),
+        members ->
+            outcome.accept(
+                new ProposalResult(
+                    ProposalStatus.COMMITTED, stateMachine.view().number(), "", leader())),
+        failure -> outcome.accept(toResult(failure)));
   }
 
   private void tick() {
     if (closed) {
       return;
     }
-    if (ended()) {
-      state =
-          new State(
+    if (hasEnded()) {
+      status =
+          new GroupStatus(
               false,
               Optional.empty(),
               0,
-              voters(node.getCommittedMembers()),
+              voters(raftNode.getCommittedMembers()),
               false,
-              state.noMajoritySince().or(() -> Optional.of(owner.now())));
+              status.noQuorumSince().or(() -> Optional.of(eventLoop.now())));
       close();
-      changed.accept(state);
+      onStatusChange.accept(status);
       return;
     }
-    owner.schedule(this::tick, TICK);
-    node.getReport()
+    eventLoop.schedule(this::tick, TICK_PERIOD);
+    raftNode
+        .getReport()
         .whenComplete(
             (report, failure) -> {
               if (failure == null && !closed) {
-                told(report.getResult());
+                onReport(report.getResult());
               }
             });
   }
@@ -361,106 +382,113 @@
    * Put out of the group, its store can't be written, or the library failed: it votes and answers
    * no more.
    */
-  boolean ended() {
+  boolean hasEnded() {
     return closed
         || failure.isPresent()
-        || kept.failed()
-        || node != null && node.getStatus() == RaftNodeStatus.TERMINATED;
+        || store.hasFailed()
+        || raftNode != null && raftNode.getStatus() == RaftNodeStatus.TERMINATED;
   }
 
   /** Nobody leads, and this node has had its time to find one. */
-  boolean stuck() {
-    Duration since = state.noMajoritySince().orElse(owner.now());
-    return !ended()
-        && !state.leads()
-        && owner.now().compareTo(since.plus(STUCK)) >= 0
-        && owner.now().compareTo(begun.plus(STUCK)) >= 0;
+  boolean isStuck() {
+    Duration since = status.noQuorumSince().orElse(eventLoop.now());
+    return !hasEnded()
+        && !status.isLeader()
+        && eventLoop.now().compareTo(since.plus(LEADERLESS_RESTART_TIMEOUT)) >= 0
+        && eventLoop.now().compareTo(startedAt.plus(LEADERLESS_RESTART_TIMEOUT)) >= 0;
   }
 
   /** Gives the store back; nothing is said from here on. What was proposed here ends as unknown. */
-  State leave() {
+  GroupStatus releaseStore() {
     closed = true;
-    return state;
+    return status;
   }
 
   /** Nothing is known of what a step that failed has left behind, so none comes after it. */
-  private void broken(RuntimeException thrown) {
+  private void onTaskFailure(RuntimeException thrown) {
     failure = Optional.of(thrown.toString());
   }
 
   /** Why it ended, if by itself. */
   Optional<String> failure() {
-    return kept.failed() ? Optional.of("the store can't be written") : failure;
+    return store.hasFailed() ? Optional.of("the store can't be written") : failure;
   }
 
-  private void told(RaftNodeReport report) {
+  private void onReport(RaftNodeReport report) {
     boolean leads =
         report.getRole() == RaftRole.LEADER && report.getStatus() != RaftNodeStatus.TERMINATED;
-    long oldest =
-        owner.now().toMillis() + OwnerClock.START - TimeUnit.SECONDS.toMillis(LOST_SECONDS);
-    int reached = 1;
+    long oldestHeartbeat =
+        eventLoop.now().toMillis()
+            + EventLoopClock.START_MILLIS
+            - TimeUnit.SECONDS.toMillis(HEARTBEAT_TIMEOUT_SECONDS);
+    int reachableVoters = 1;
     for (RaftEndpoint voter : report.getEffectiveMembers().getVotingMembers()) {
       if (!voter.getId().equals(self)
-          && report.getHeartbeatTimestamps().getOrDefault(voter, 0L) >= oldest) {
-        reached++;
+          && report.getHeartbeatTimestamps().getOrDefault(voter, 0L) >= oldestHeartbeat) {
+        reachableVoters++;
       }
     }
-    boolean led =
+    boolean hasQuorum =
         leads
-            ? reached >= report.getEffectiveMembers().getMajorityQuorumSize()
-            : leader().isPresent() && report.getLeaderHeartbeatTimestamp().orElse(0L) >= oldest;
+            ? reachableVoters >= report.getEffectiveMembers().getMajorityQuorumSize()
+            : leader().isPresent()
+                && report.getLeaderHeartbeatTimestamp().orElse(0L) >= oldestHeartbeat;
     Optional<Duration> since =
-        led ? Optional.empty() : state.noMajoritySince().or(() -> Optional.of(owner.now()));
+        hasQuorum
+            ? Optional.empty()
+            : status.noQuorumSince().or(() -> Optional.of(eventLoop.now()));
     List<Member> voters = voters(report.getCommittedMembers());
-    State next =
-        new State(
+    GroupStatus next =
+        new GroupStatus(
             leads,
-            led ? leader() : Optional.empty(),
-            leads ? reached : 0,
+            hasQuorum ? leader() : Optional.empty(),
+            leads ? reachableVoters : 0,
             voters,
             report.getStatus() == RaftNodeStatus.UPDATING_RAFT_GROUP_MEMBER_LIST,
             since);
-    boolean news = !next.equals(state);
-    state = next;
-    if (news) {
-      changed.accept(next);
+    boolean statusChanged = !next.equals(status);
+    status = next;
+    if (statusChanged) {
+      onStatusChange.accept(next);
     }
-    tellVoters(leads, voters);
+    publishVoters(leads, voters);
   }
 
   /** The leader puts into the view who votes, whenever the group has changed. */
-  private void tellVoters(boolean leads, List<Member> voters) {
-    if (leads && !telling && !voters.equals(machine.view().voters())) {
-      telling = true;
-      propose(new Command.Voters(machine.view().number(), voters), outcome -> telling = false);
+  private void publishVoters(boolean leads, List<Member> voters) {
+    if (leads && !voterUpdateInProgress && !voters.equals(stateMachine.view().voters())) {
+      voterUpdateInProgress = true;
+      propose(
+          new Command.SetVoters(stateMachine.view().number(), voters),
+          outcome -> voterUpdateInProgress = false);
     }
   }
 
   private static List<Member> voters(RaftGroupMembers group) {
     return group.getVotingMembers().stream()
-        .map(Seat::of)
-        .sorted(Comparator.comparing(Member::address).thenComparingLong(Member::birth))
+        .map(VoterEndpoint::memberOf)
+        .sorted(Comparator.comparing(Member::address).thenComparingLong(Member::incarnation))
         .toList();
   }
 
   @Override
   public void close() {
     closed = true;
-    kept.closeQuietly();
+    store.closeQuietly();
   }
 
   /** The library's way out: each message in an envelope for one life of one voter. */
-  private final class Way implements Transport {
+  private final class EnvelopeTransport implements Transport {
     @Override
     public void send(RaftEndpoint to, RaftMessage message) {
-      if (!ended()) {
-        Member member = Seat.of(to);
-        post.send(
+      if (!hasEnded()) {
+        Member member = VoterEndpoint.memberOf(to);
+        transport.send(
             member.address(),
             WEnvelope.newBuilder()
-                .setGroup(group)
-                .setTo(Words.to(member))
-                .setRaft(Messages.to(message))
+                .setGroup(groupId)
+                .setTo(AgreementMessageCodec.toProto(member))
+                .setRaft(RaftMessageCodec.toProto(message))
                 .build()
                 .toByteArray());
       }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Messages.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftMessageCodec.java
@@ -12,70 +12,72 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
 import tamarindroute.agreement.proto.WRaft;
-import tamarindroute.agreement.wire.Words.Unbelievable;
+import tamarindroute.agreement.wire.AgreementMessageCodec.InvalidMessageException;
 
 /** The library's messages between voters, to words and back. */
-final class Messages {
+final class RaftMessageCodec {
 
   /**
    * Entries in one message; with the longest command it stays below the longest message. The
    * library sends one more than it is told to: told this number, its messages to a voter that had
    * missed a few were dropped, and it never caught up.
    */
-  static final int ENTRIES_MOST = 4;
+  static final int MAX_ENTRIES = 4;
 
-  private Messages() {}
+  private RaftMessageCodec() {}
 
-  static WRaft to(RaftMessage message) {
-    WRaft.Builder words =
-        WRaft.newBuilder().setSender(Wire.to(message.getSender())).setTerm(message.getTerm());
+  static WRaft toProto(RaftMessage message) {
+    WRaft.Builder proto =
+        WRaft.newBuilder()
+            .setSender(RaftModelCodec.toProto(message.getSender()))
+            .setTerm(message.getTerm());
     if (message instanceof AppendEntriesRequest it) {
-      words
+      proto
           .setKind(WRaft.Kind.APPEND_REQUEST)
           .setLogTerm(it.getPreviousLogTerm())
           .setLogIndex(it.getPreviousLogIndex())
           .setCommit(it.getCommitIndex())
           .setQuery(it.getQuerySequenceNumber())
           .setFlow(it.getFlowControlSequenceNumber());
-      it.getLogEntries().forEach(entry -> words.addEntries(Wire.to(entry)));
+      it.getLogEntries().forEach(entry -> proto.addEntries(RaftModelCodec.toProto(entry)));
     } else if (message instanceof AppendEntriesSuccessResponse it) {
-      words
+      proto
           .setKind(WRaft.Kind.APPEND_SUCCESS)
           .setLogIndex(it.getLastLogIndex())
           .setQuery(it.getQuerySequenceNumber())
           .setFlow(it.getFlowControlSequenceNumber());
     } else if (message instanceof AppendEntriesFailureResponse it) {
-      words
+      proto
           .setKind(WRaft.Kind.APPEND_FAILURE)
           .setLogIndex(it.getExpectedNextIndex())
           .setQuery(it.getQuerySequenceNumber())
           .setFlow(it.getFlowControlSequenceNumber());
     } else if (message instanceof InstallSnapshotRequest
         || message instanceof InstallSnapshotResponse) {
-      snapshot(message, words);
+      encodeSnapshotMessage(message, proto);
     } else {
-      vote(message, words);
+      encodeVoteMessage(message, proto);
     }
-    return words.build();
+    return proto.build();
   }
 
-  private static void snapshot(RaftMessage message, WRaft.Builder words) {
+  private static void encodeSnapshotMessage(RaftMessage message, WRaft.Builder proto) {
     if (message instanceof InstallSnapshotRequest it) {
-      words
+      proto
           .setKind(WRaft.Kind.SNAPSHOT_REQUEST)
           .setFlag(it.isSenderLeader())
           .setLogTerm(it.getSnapshotTerm())
           .setLogIndex(it.getSnapshotIndex())
           .setChunkNumber(it.getTotalSnapshotChunkCount())
-          .addAllSnapshotted(Wire.to(it.getSnapshottedMembers()))
-          .setGroup(Wire.to(it.getGroupMembersView()))
+          .addAllSnapshotted(RaftModelCodec.toProto(it.getSnapshottedMembers()))
+          .setGroup(RaftModelCodec.toProto(it.getGroupMembersView()))
           .setQuery(it.getQuerySequenceNumber())
           .setFlow(it.getFlowControlSequenceNumber());
       if (it.getSnapshotChunk() != null) {
-        words.setChunk(Wire.to(it.getSnapshotChunk()));
+        proto.setChunk(RaftModelCodec.toProto(it.getSnapshotChunk()));
       }
     } else if (message instanceof InstallSnapshotResponse it) {
-      words
+      proto
           .setKind(WRaft.Kind.SNAPSHOT_RESPONSE)
           .setLogIndex(it.getSnapshotIndex())
           .setChunkNumber(it.getRequestedSnapshotChunkIndex())
@@ -84,24 +86,24 @@
     }
   }
 
-  private static void vote(RaftMessage message, WRaft.Builder words) {
+  private static void encodeVoteMessage(RaftMessage message, WRaft.Builder proto) {
     if (message instanceof PreVoteRequest it) {
-      words
+      proto
           .setKind(WRaft.Kind.PRE_VOTE_REQUEST)
           .setLogTerm(it.getLastLogTerm())
           .setLogIndex(it.getLastLogIndex());
     } else if (message instanceof PreVoteResponse it) {
-      words.setKind(WRaft.Kind.PRE_VOTE_RESPONSE).setFlag(it.isGranted());
+      proto.setKind(WRaft.Kind.PRE_VOTE_RESPONSE).setFlag(it.isGranted());
     } else if (message instanceof VoteRequest it) {
-      words
+      proto
           .setKind(WRaft.Kind.VOTE_REQUEST)
           .setLogTerm(it.getLastLogTerm())
           .setLogIndex(it.getLastLogIndex())
           .setFlag(it.isSticky());
     } else if (message instanceof VoteResponse it) {
-      words.setKind(WRaft.Kind.VOTE_RESPONSE).setFlag(it.isGranted());
+      proto.setKind(WRaft.Kind.VOTE_RESPONSE).setFlag(it.isGranted());
     } else if (message instanceof TriggerLeaderElectionRequest it) {
-      words
+      proto
           .setKind(WRaft.Kind.TRIGGER_ELECTION)
           .setLogTerm(it.getLastLogTerm())
           .setLogIndex(it.getLastLogIndex());
@@ -111,117 +113,118 @@
     }
   }
 
-  static RaftMessage from(Object group, WRaft words) {
-    if (words.getEntriesCount() > ENTRIES_MOST || words.getTerm() < 0) {
-      throw new Unbelievable("message");
+  static RaftMessage fromProto(Object group, WRaft proto) {
+    if (proto.getEntriesCount() > MAX_ENTRIES || proto.getTerm() < 0) {
+      throw new InvalidMessageException("message");
     }
-    Seat sender = Wire.from(words.getSender());
-    return switch (words.getKind()) {
+    VoterEndpoint sender = RaftModelCodec.fromProto(proto.getSender());
+    return switch (proto.getKind()) {
       case APPEND_REQUEST ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createAppendEntriesRequestBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setPreviousLogTerm(words.getLogTerm())
-              .setPreviousLogIndex(words.getLogIndex())
-              .setCommitIndex(words.getCommit())
-              .setLogEntries(Wire.entries(words.getEntriesList()))
-              .setQuerySequenceNumber(words.getQuery())
-              .setFlowControlSequenceNumber(words.getFlow())
+              .setTerm(proto.getTerm())
+              .setPreviousLogTerm(proto.getLogTerm())
+              .setPreviousLogIndex(proto.getLogIndex())
+              .setCommitIndex(proto.getCommit())
+              .setLogEntries(RaftModelCodec.decodeEntries(proto.getEntriesList()))
+              .setQuerySequenceNumber(proto.getQuery())
+              .setFlowControlSequenceNumber(proto.getFlow())
               .build();
       case APPEND_SUCCESS ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createAppendEntriesSuccessResponseBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setLastLogIndex(words.getLogIndex())
-              .setQuerySequenceNumber(words.getQuery())
-              .setFlowControlSequenceNumber(words.getFlow())
+              .setTerm(proto.getTerm())
+              .setLastLogIndex(proto.getLogIndex())
+              .setQuerySequenceNumber(proto.getQuery())
+              .setFlowControlSequenceNumber(proto.getFlow())
               .build();
       case APPEND_FAILURE ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createAppendEntriesFailureResponseBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setExpectedNextIndex(words.getLogIndex())
-              .setQuerySequenceNumber(words.getQuery())
-              .setFlowControlSequenceNumber(words.getFlow())
+              .setTerm(proto.getTerm())
+              .setExpectedNextIndex(proto.getLogIndex())
+              .setQuerySequenceNumber(proto.getQuery())
+              .setFlowControlSequenceNumber(proto.getFlow())
               .build();
       case SNAPSHOT_REQUEST ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createInstallSnapshotRequestBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setSenderLeader(words.getFlag())
-              .setSnapshotTerm(words.getLogTerm())
-              .setSnapshotIndex(words.getLogIndex())
-              .setTotalSnapshotChunkCount(words.getChunkNumber())
-              .setSnapshotChunk(words.hasChunk() ? Wire.from(words.getChunk()) : null)
-              .setSnapshottedMembers(Wire.from(words.getSnapshottedList()))
-              .setGroupMembersView(Wire.from(words.getGroup()))
-              .setQuerySequenceNumber(words.getQuery())
-              .setFlowControlSequenceNumber(words.getFlow())
+              .setTerm(proto.getTerm())
+              .setSenderLeader(proto.getFlag())
+              .setSnapshotTerm(proto.getLogTerm())
+              .setSnapshotIndex(proto.getLogIndex())
+              .setTotalSnapshotChunkCount(proto.getChunkNumber())
+              .setSnapshotChunk(
+                  proto.hasChunk() ? RaftModelCodec.fromProto(proto.getChunk()) : null)
+              .setSnapshottedMembers(RaftModelCodec.fromProto(proto.getSnapshottedList()))
+              .setGroupMembersView(RaftModelCodec.fromProto(proto.getGroup()))
+              .setQuerySequenceNumber(proto.getQuery())
+              .setFlowControlSequenceNumber(proto.getFlow())
               .build();
       case SNAPSHOT_RESPONSE ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createInstallSnapshotResponseBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setSnapshotIndex(words.getLogIndex())
-              .setRequestedSnapshotChunkIndex(words.getChunkNumber())
-              .setQuerySequenceNumber(words.getQuery())
-              .setFlowControlSequenceNumber(words.getFlow())
+              .setTerm(proto.getTerm())
+              .setSnapshotIndex(proto.getLogIndex())
+              .setRequestedSnapshotChunkIndex(proto.getChunkNumber())
+              .setQuerySequenceNumber(proto.getQuery())
+              .setFlowControlSequenceNumber(proto.getFlow())
               .build();
       case PRE_VOTE_REQUEST ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createPreVoteRequestBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setLastLogTerm(words.getLogTerm())
-              .setLastLogIndex(words.getLogIndex())
+              .setTerm(proto.getTerm())
+              .setLastLogTerm(proto.getLogTerm())
+              .setLastLogIndex(proto.getLogIndex())
               .build();
       case PRE_VOTE_RESPONSE ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createPreVoteResponseBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setGranted(words.getFlag())
+              .setTerm(proto.getTerm())
+              .setGranted(proto.getFlag())
               .build();
       case VOTE_REQUEST ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createVoteRequestBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setLastLogTerm(words.getLogTerm())
-              .setLastLogIndex(words.getLogIndex())
-              .setSticky(words.getFlag())
+              .setTerm(proto.getTerm())
+              .setLastLogTerm(proto.getLogTerm())
+              .setLastLogIndex(proto.getLogIndex())
+              .setSticky(proto.getFlag())
               .build();
       case VOTE_RESPONSE ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createVoteResponseBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setGranted(words.getFlag())
+              .setTerm(proto.getTerm())
+              .setGranted(proto.getFlag())
               .build();
       case TRIGGER_ELECTION ->
-          Wire.MODELS
+          RaftModelCodec.MODEL_FACTORY
               .createTriggerLeaderElectionRequestBuilder()
               .setGroupId(group)
               .setSender(sender)
-              .setTerm(words.getTerm())
-              .setLastLogTerm(words.getLogTerm())
-              .setLastLogIndex(words.getLogIndex())
+              .setTerm(proto.getTerm())
+              .setLastLogTerm(proto.getLogTerm())
+              .setLastLogIndex(proto.getLogIndex())
               .build();
-      case NONE, UNRECOGNIZED -> throw new Unbelievable("kind");
+      case NONE, UNRECOGNIZED -> throw new InvalidMessageException("kind");
     };
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/Post.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/VoterTransport.java
@@ -7,11 +7,11 @@
  * out of order.
  */
 @FunctionalInterface
-public interface Post {
+public interface VoterTransport {
 
   /**
-   * At most {@link tamarindroute.agreement.wire.Words#MESSAGE_MOST} bytes; returns at once, and
-   * tells nothing back.
+   * At most {@link tamarindroute.agreement.wire.AgreementMessageCodec#MESSAGE_MOST} bytes; returns
+   * at once, and tells nothing back.
    */
   void send(Address to, byte[] message);
 }
--- a/agreement/src/main/java/tamarindroute/agreement/store/FileMedium.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/FileStorageMedium.java
@@ -11,38 +11,38 @@
 import java.nio.file.StandardOpenOption;
 
 /** A file, held by one process at a time through a lock beside it. */
-public final class FileMedium implements Medium {
+public final class FileStorageMedium implements StorageMedium {
 
   /** Longest file that is read: many times what is kept between two replacements. */
-  private static final long BYTES_MOST = 256L * 1024 * 1024;
+  private static final long MAX_FILE_BYTES = 256L * 1024 * 1024;
 
   private final Path path;
-  private final FileChannel guard;
+  private final FileChannel lockChannel;
   private FileChannel file;
 
-  public FileMedium(Path path) throws IOException {
+  public FileStorageMedium(Path path) throws IOException {
     this.path = path;
-    this.guard =
-        FileChannel.open(beside(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    FileLock lock = lock();
+    this.lockChannel =
+        FileChannel.open(sibling(".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock lock = tryLock();
     if (lock == null) {
-      guard.close();
+      lockChannel.close();
       throw new IOException(path + " is in use by another process");
     }
-    Files.deleteIfExists(beside(".new"));
+    Files.deleteIfExists(sibling(".new"));
     this.file = open();
     forceDirectory();
   }
 
-  private FileLock lock() throws IOException {
+  private FileLock tryLock() throws IOException {
     try {
-      return guard.tryLock();
+      return lockChannel.tryLock();
     } catch (OverlappingFileLockException inThisProcess) {
       return null;
     }
   }
 
-  private Path beside(String suffix) {
+  private Path sibling(String suffix) {
     return path.resolveSibling(path.getFileName() + suffix);
   }
 
@@ -55,8 +55,8 @@
 
   @Override
   public byte[] read() throws IOException {
-    if (Files.size(path) > BYTES_MOST) {
-      throw new IOException(path + " is longer than " + BYTES_MOST + " bytes");
+    if (Files.size(path) > MAX_FILE_BYTES) {
+      throw new IOException(path + " is longer than " + MAX_FILE_BYTES + " bytes");
     }
     return Files.readAllBytes(path);
   }
@@ -80,26 +80,27 @@
 
   @Override
   public void replace(byte[] bytes) throws IOException {
-    Path next = beside(".new");
-    try (FileChannel whole =
+    Path replacementPath = sibling(".new");
+    try (FileChannel replacementChannel =
         FileChannel.open(
-            next,
+            replacementPath,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
-      write(whole, bytes);
-      whole.force(true);
+      write(replacementChannel, bytes);
+      replacementChannel.force(true);
     }
     file.close();
-    Files.move(next, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(
+        replacementPath, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     forceDirectory();
     file = open();
   }
 
   private static void write(FileChannel to, byte[] bytes) throws IOException {
-    ByteBuffer rest = ByteBuffer.wrap(bytes);
-    while (rest.hasRemaining()) {
-      to.write(rest);
+    ByteBuffer remaining = ByteBuffer.wrap(bytes);
+    while (remaining.hasRemaining()) {
+      to.write(remaining);
     }
   }
 
@@ -114,6 +115,6 @@
   @Override
   public void close() throws IOException {
     file.close();
-    guard.close();
+    lockChannel.close();
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/store/RecordLog.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/RecordLog.java
@@ -17,120 +17,124 @@
 public final class RecordLog implements Closeable {
 
   /** Length, its checksum, the body's checksum. */
-  private static final int HEADER = 12;
+  private static final int HEADER_BYTES = 12;
 
   /**
    * Ends each record with a byte that is not zero, also after any one flipped bit: zeros there were
    * never written.
    */
-  private static final byte END = 0x5a;
+  private static final byte END_MARK = 0x5a;
 
   /** Longest body: the longest command, and what stands around it. */
-  public static final int BODY_MOST = 1024 * 1024;
+  public static final int MAX_BODY_BYTES = 1024 * 1024;
 
   /** Damage that no crash explains. */
-  public static final class Damaged extends IOException {
+  public static final class CorruptedLogException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Damaged(long at) {
-      super("damaged at byte " + at + "; the store must not be used");
+    CorruptedLogException(long offset) {
+      super("damaged at byte " + offset + "; the store must not be used");
     }
   }
 
-  private final Medium medium;
-  private long size;
-  private boolean failed;
+  private final StorageMedium medium;
+  private long sizeBytes;
+  private boolean hasFailed;
 
-  public RecordLog(Medium medium) {
+  public RecordLog(StorageMedium medium) {
     this.medium = medium;
   }
 
   /** All whole records, in order; what a crash tore off the end is cut off. Called once, first. */
   public List<byte[]> open() throws IOException {
-    byte[] all = medium.read();
+    byte[] content = medium.read();
     List<byte[]> records = new ArrayList<>();
-    int at = 0;
-    while (at < all.length) {
-      byte[] body = record(all, at);
+    int offset = 0;
+    while (offset < content.length) {
+      byte[] body = readRecord(content, offset);
       if (body == null) {
-        medium.truncate(at);
+        medium.truncate(offset);
         break;
       }
       records.add(body);
-      at += HEADER + body.length + 1;
+      offset += HEADER_BYTES + body.length + 1;
     }
-    size = at;
+    sizeBytes = offset;
     return records;
   }
 
   /** The record's body; null if it is the torn end. */
-  private static byte[] record(byte[] all, int at) throws Damaged {
-    if (all.length - at < HEADER) {
+  private static byte[] readRecord(byte[] content, int offset) throws CorruptedLogException {
+    if (content.length - offset < HEADER_BYTES) {
       return null;
     }
-    ByteBuffer from = ByteBuffer.wrap(all, at, all.length - at);
-    int length = from.getInt();
-    int ofLength = from.getInt();
-    int ofAll = from.getInt();
-    if (ofLength != checksum(all, at, 4) || length <= 0 || length > BODY_MOST) {
-      return tornOrDamaged(all, at);
+    ByteBuffer buffer = ByteBuffer.wrap(content, offset, content.length - offset);
+    int length = buffer.getInt();
+    int lengthChecksum = buffer.getInt();
+    int bodyChecksum = buffer.getInt();
+    if (lengthChecksum != checksum(content, offset, 4) || length <= 0 || length > MAX_BODY_BYTES) {
+      return tornOrDamaged(content, offset);
     }
-    if (from.remaining() <= length) {
+    if (buffer.remaining() <= length) {
       return null;
     }
-    if (all[at + HEADER + length] != END || ofAll != checksum(all, at + HEADER, length)) {
-      return tornOrDamaged(all, at);
+    if (content[offset + HEADER_BYTES + length] != END_MARK
+        || bodyChecksum != checksum(content, offset + HEADER_BYTES, length)) {
+      return tornOrDamaged(content, offset);
     }
     byte[] body = new byte[length];
-    from.get(body);
+    buffer.get(body);
     return body;
   }
 
   /** Torn if zeros reach from within its first record's end to the file's end; else damaged. */
-  private static byte[] tornOrDamaged(byte[] all, int at) throws Damaged {
-    int end = all.length;
-    while (end > at && all[end - 1] == 0) {
+  private static byte[] tornOrDamaged(byte[] content, int offset) throws CorruptedLogException {
+    int end = content.length;
+    while (end > offset && content[end - 1] == 0) {
       end--;
     }
-    boolean zerosOnly = end < all.length && (end - at < HEADER || endsWithin(all, at, end));
+    boolean zerosOnly =
+        end < content.length
+            && (end - offset < HEADER_BYTES || isWithinFirstRecord(content, offset, end));
     if (!zerosOnly) {
-      throw new Damaged(at);
+      throw new CorruptedLogException(offset);
     }
     return null;
   }
 
-  private static boolean endsWithin(byte[] all, int at, int end) {
-    ByteBuffer header = ByteBuffer.wrap(all, at, HEADER);
+  private static boolean isWithinFirstRecord(byte[] content, int offset, int end) {
+    ByteBuffer header = ByteBuffer.wrap(content, offset, HEADER_BYTES);
     int length = header.getInt();
-    boolean known = header.getInt() == checksum(all, at, 4) && length > 0 && length <= BODY_MOST;
-    return known && end <= at + HEADER + length;
+    boolean known =
+        header.getInt() == checksum(content, offset, 4) && length > 0 && length <= MAX_BODY_BYTES;
+    return known && end <= offset + HEADER_BYTES + length;
   }
 
-  private static int checksum(byte[] bytes, int at, int length) {
+  private static int checksum(byte[] bytes, int offset, int length) {
     CRC32 sum = new CRC32();
-    sum.update(bytes, at, length);
+    sum.update(bytes, offset, length);
     // A run of zeros must not be its own checksum.
     return (int) sum.getValue() ^ 0x7a3d19c5;
   }
 
-  static byte[] framed(byte[] body) throws IOException {
-    if (body.length == 0 || body.length > BODY_MOST) {
+  static byte[] frame(byte[] body) throws IOException {
+    if (body.length == 0 || body.length > MAX_BODY_BYTES) {
       throw new IOException("a record of " + body.length + " bytes");
     }
-    ByteBuffer record = ByteBuffer.allocate(HEADER + body.length + 1).putInt(body.length);
+    ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + body.length + 1).putInt(body.length);
     record
         .putInt(checksum(record.array(), 0, 4))
         .putInt(checksum(body, 0, body.length))
         .put(body)
-        .put(END);
+        .put(END_MARK);
     return record.array();
   }
 
   /** Written, not yet kept. */
   public void append(byte[] body) throws IOException {
-    byte[] record = framed(body);
+    byte[] record = frame(body);
     write(() -> medium.append(record));
-    size += record.length;
+    sizeBytes += record.length;
   }
 
   /** All that was appended is kept from here on. */
@@ -142,36 +146,36 @@
    * Whether anything could not be written: what is on the disk is no longer known, and no word may
    * be given.
    */
-  public boolean failed() {
-    return failed;
+  public boolean hasFailed() {
+    return hasFailed;
   }
 
   @FunctionalInterface
-  private interface Write {
+  private interface WriteOperation {
     void run() throws IOException;
   }
 
-  private void write(Write what) throws IOException {
-    if (failed) {
+  private void write(WriteOperation operation) throws IOException {
+    if (hasFailed) {
       throw new IOException("could not be written before");
     }
-    failed = true;
-    what.run();
-    failed = false;
+    hasFailed = true;
+    operation.run();
+    hasFailed = false;
   }
 
-  public long size() {
-    return size;
+  public long sizeBytes() {
+    return sizeBytes;
   }
 
   /** These records in place of all others. */
   public void replace(List<byte[]> bodies) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    ByteArrayOutputStream content = new ByteArrayOutputStream();
     for (byte[] body : bodies) {
-      all.writeBytes(framed(body));
+      content.writeBytes(frame(body));
     }
-    write(() -> medium.replace(all.toByteArray()));
-    size = all.size();
+    write(() -> medium.replace(content.toByteArray()));
+    sizeBytes = content.size();
   }
 
   @Override
--- a/agreement/src/main/java/tamarindroute/agreement/store/Medium.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/StorageMedium.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 
 /** Where bytes are kept; a file, or a test's that loses what was not forced. */
-public interface Medium extends Closeable {
+public interface StorageMedium extends Closeable {
 
   /** All that is there; empty where nothing is. */
   byte[] read() throws IOException;
--- a/agreement/src/test/java/tamarindroute/agreement/FoundingTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/BootstrapTest.java
@@ -15,14 +15,14 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-class FoundingTest {
+class BootstrapTest {
 
-  private static final List<Address> TOLD =
+  private static final List<Address> CONFIGURED_VOTERS =
       IntStream.range(0, 3).mapToObj(i -> new Address("v" + i, 1)).toList();
 
-  private static int groups;
+  private static int groupCount;
 
-  private record Sent(int to, Founding.Offer offer) {}
+  private record Sent(int to, Bootstrap.Offer offer) {}
 
   /**
    * Three voters whose offers are lost, late, doubled and out of order, and that lose their memory
@@ -30,24 +30,24 @@
    * memory that they founded with.
    */
   @Property(seed = "32", tries = 2_000)
-  void atMostOneGroupEverHasMostOfItsVoters(
+  void atMostOneGroupEverReachesQuorum(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> plays) {
-    List<Founding> voters = new ArrayList<>();
-    IntStream.range(0, 3).forEach(i -> voters.add(begun(i, 1)));
+    List<Bootstrap> voters = new ArrayList<>();
+    IntStream.range(0, 3).forEach(i -> voters.add(started(i, 1)));
     List<Sent> sent = new ArrayList<>();
     Set<List<Member>> ran = new HashSet<>();
     long birth = 1;
     for (int play : plays) {
       int who = play % 3;
       if (play == 99) {
-        voters.set(who, begun(who, ++birth));
+        voters.set(who, started(who, ++birth));
       } else if (play < 45 || sent.isEmpty()) {
         sent.add(new Sent((who + 1) % 3, voters.get(who).offer()));
         sent.add(new Sent((who + 2) % 3, voters.get(who).offer()));
       } else {
         Sent one = sent.get(sent.size() - 1 - play * 7 % Math.min(sent.size(), 14));
         Address from = one.offer().self().address();
-        voters.set(one.to(), voters.get(one.to()).heard(from, one.offer()));
+        voters.set(one.to(), voters.get(one.to()).receivedOffers(from, one.offer()));
       }
       voters.forEach(
           one -> one.founders().filter(all -> all.contains(one.self())).ifPresent(ran::add));
@@ -57,15 +57,16 @@
         }
       }
     }
-    groups += ran.size();
+    groupCount += ran.size();
   }
 
   @AfterContainer
   static void groupsRan() {
-    assertThat(groups).isGreaterThan(250);
+    assertThat(groupCount).isGreaterThan(250);
   }
 
-  private static Founding begun(int i, long birth) {
-    return Founding.of(new Member(TOLD.get(i), birth), TOLD, List.of(), false);
+  private static Bootstrap started(int i, long birth) {
+    return Bootstrap.of(
+        new Member(CONFIGURED_VOTERS.get(i), birth), CONFIGURED_VOTERS, List.of(), false);
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/Measure.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/AgreementBenchmark.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import tamarindroute.agreement.Agreement.Fate;
+import tamarindroute.agreement.Agreement.ProposalStatus;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.store.FileMedium;
-import tamarindroute.agreement.store.Medium;
-import tamarindroute.agreement.store.Memory;
+import tamarindroute.agreement.store.FileStorageMedium;
+import tamarindroute.agreement.store.InMemoryStorageMedium;
+import tamarindroute.agreement.store.StorageMedium;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -27,13 +27,13 @@
  * Three voters on one thread of one process, by the real clock: what a command costs, and what they
  * hold. No test.
  */
-final class Measure {
+final class AgreementBenchmark {
 
   private static final int COMMANDS = 2_000;
 
   private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
   private final long start = System.nanoTime();
-  private final Map<Address, Voter> voters = new HashMap<>();
+  private final Map<Address, RaftVoter> voters = new HashMap<>();
 
   public static void main(String[] args) throws Exception {
     System.out.println("classes before: " + classes() + ", heap " + heap() + " KiB");
@@ -43,7 +43,7 @@
     }
     for (boolean file : new boolean[] {false, true}) {
       for (int play = 0; play < 3; play++) {
-        new Measure().play(file);
+        new AgreementBenchmark().play(file);
       }
     }
   }
@@ -56,18 +56,18 @@
     long[] spans = new long[40];
     int outOfTouch = 0;
     for (int seed = 0; seed < spans.length; seed++) {
-      World world = new World(seed, voters);
+      SimulatedCluster world = new SimulatedCluster(seed, voters);
       world.awaitLeader();
-      world.loss = loss;
-      world.node(voters).hold(world.told());
-      world.run(Duration.ofSeconds(20 + world.chance(5)));
-      int refused = world.refusedActs;
-      World.Node old = world.awaitLeader();
-      long number = old.voter.view().number();
-      long from = world.micros;
+      world.lossPercent = loss;
+      world.node(voters).holdView(world.configuredVoters());
+      world.run(Duration.ofSeconds(20 + world.randomBelow(5)));
+      int refused = world.refusedActCount;
+      SimulatedCluster.Node old = world.awaitLeader();
+      long number = old.voter.localView().number();
+      long from = world.nowMicros;
       old.kill();
       List<Boolean> agreed = new ArrayList<>();
-      while (agreed.isEmpty() && world.micros < from + 120_000_000L) {
+      while (agreed.isEmpty() && world.nowMicros < from + 120_000_000L) {
         world
             .leader()
             .ifPresent(
@@ -76,15 +76,16 @@
                         new Command.Put("k", number, "t", new byte[9]),
                         outcome -> {
                           // Refused: one of these that was not heard of was agreed.
-                          if (outcome.fate() == Fate.AGREED || outcome.fate() == Fate.REFUSED) {
+                          if (outcome.status() == ProposalStatus.COMMITTED
+                              || outcome.status() == ProposalStatus.REJECTED) {
                             agreed.add(true);
                           }
                         }));
         world.run(Duration.ofMillis(50));
       }
-      spans[seed] = (world.micros - from) / 1_000;
+      spans[seed] = (world.nowMicros - from) / 1_000;
       world.run(Duration.ofSeconds(10));
-      outOfTouch += world.refusedActs > refused ? 1 : 0;
+      outOfTouch += world.refusedActCount > refused ? 1 : 0;
     }
     Arrays.sort(spans);
     System.out.println(
@@ -116,19 +117,20 @@
     List<Address> told =
         IntStream.range(0, 3).mapToObj(i -> new Address("10.0.0." + i, 1)).toList();
     for (Address one : told) {
-      Medium medium = file ? new FileMedium(directory.resolve(one.host())) : new Memory();
+      StorageMedium medium =
+          file ? new FileStorageMedium(directory.resolve(one.host())) : new InMemoryStorageMedium();
       thread.submit(() -> open(one, told, medium)).get();
     }
     while (thread
         .submit(
             () ->
                 voters.values().stream()
-                    .noneMatch(one -> one.state().leads() && one.view().number() > 0))
+                    .noneMatch(one -> one.status().isLeader() && one.localView().number() > 0))
         .get()) {
       Thread.sleep(20);
     }
-    Voter leader =
-        voters.values().stream().filter(one -> one.state().leads()).findFirst().orElseThrow();
+    RaftVoter leader =
+        voters.values().stream().filter(one -> one.status().isLeader()).findFirst().orElseThrow();
     System.out.println("three voters: classes " + classes() + ", heap " + heap() + " KiB");
     long[] spans = new long[COMMANDS];
     for (int i = 0; i < COMMANDS; i++) {
@@ -138,9 +140,9 @@
       thread.execute(
           () ->
               leader.propose(
-                  new Command.Put(key, leader.view().from(key), "t", new byte[200]),
+                  new Command.Put(key, leader.localView().baseNumber(key), "t", new byte[200]),
                   outcome -> {
-                    if (outcome.fate() == Fate.AGREED) {
+                    if (outcome.status() == ProposalStatus.COMMITTED) {
                       done.countDown();
                     }
                   }));
@@ -161,7 +163,7 @@
             + " a second with 64 under way; heap after "
             + heap()
             + " KiB");
-    voters.values().forEach(Voter::close);
+    voters.values().forEach(RaftVoter::close);
     thread.shutdownNow();
     try (var files = Files.list(directory)) {
       for (Path one : new ArrayList<>(files.toList())) {
@@ -171,7 +173,7 @@
     Files.delete(directory);
   }
 
-  private long together(Voter leader) throws Exception {
+  private long together(RaftVoter leader) throws Exception {
     CountDownLatch done = new CountDownLatch(COMMANDS);
     long from = System.nanoTime();
     thread.execute(
@@ -186,9 +188,9 @@
     return COMMANDS * 1_000_000_000L / (System.nanoTime() - from);
   }
 
-  private void next(Voter leader, String key, CountDownLatch done) {
+  private void next(RaftVoter leader, String key, CountDownLatch done) {
     leader.propose(
-        new Command.Put(key, leader.view().from(key), "t", new byte[200]),
+        new Command.Put(key, leader.localView().baseNumber(key), "t", new byte[200]),
         outcome -> {
           done.countDown();
           if (done.getCount() > 0) {
@@ -197,9 +199,10 @@
         });
   }
 
-  private Voter open(Address self, List<Address> told, Medium medium) throws IOException {
-    Owner owner =
-        new Owner() {
+  private RaftVoter open(Address self, List<Address> told, StorageMedium medium)
+      throws IOException {
+    EventLoop owner =
+        new EventLoop() {
           @Override
           public void execute(Runnable task) {
             if (!thread.isShutdown()) {
@@ -219,15 +222,15 @@
             return Duration.ofNanos(System.nanoTime() - start);
           }
         };
-    Post post =
+    VoterTransport post =
         (to, message) ->
             owner.execute(
                 () -> {
                   if (voters.containsKey(to)) {
-                    voters.get(to).received(self, message);
+                    voters.get(to).onMessage(self, message);
                   }
                 });
-    Voter voter = Voter.open(owner, post, medium, new Member(self, 1), told, state -> {});
+    RaftVoter voter = RaftVoter.open(owner, post, medium, new Member(self, 1), told, state -> {});
     voters.put(self, voter);
     return voter;
   }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
@@ -21,8 +21,8 @@
 import tamarindroute.agreement.proto.WEnvelope;
 import tamarindroute.agreement.proto.WLogEntry;
 import tamarindroute.agreement.proto.WRaft;
-import tamarindroute.agreement.wire.Heard;
-import tamarindroute.agreement.wire.Words;
+import tamarindroute.agreement.wire.AgreementMessageCodec;
+import tamarindroute.agreement.wire.DecodedMessage;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -31,16 +31,19 @@
 
   private static final HexFormat HEX = HexFormat.of();
   private static final Object GROUP = 77L;
-  private static final Seat FIRST = new Seat(new Member(new Address("10.0.0.1", 7000), 100));
-  private static final Seat SECOND = new Seat(new Member(new Address("10.0.0.2", 7000), 300));
-  private static final Seat THIRD = new Seat(new Member(new Address("v3", 1), 1_700_000_000_001L));
+  private static final VoterEndpoint FIRST =
+      new VoterEndpoint(new Member(new Address("10.0.0.1", 7000), 100));
+  private static final VoterEndpoint SECOND =
+      new VoterEndpoint(new Member(new Address("10.0.0.2", 7000), 300));
+  private static final VoterEndpoint THIRD =
+      new VoterEndpoint(new Member(new Address("v3", 1), 1_700_000_000_001L));
 
   private static Collection<RaftEndpoint> members(RaftEndpoint... members) {
     return new LinkedHashSet<>(List.of(members));
   }
 
   private static RaftGroupMembersView group() {
-    return Wire.MODELS
+    return RaftModelCodec.MODEL_FACTORY
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(12)
         .setMembers(members(FIRST, SECOND, THIRD))
@@ -49,7 +52,7 @@
   }
 
   private static LogEntry entry(long index, Object operation) {
-    return Wire.MODELS
+    return RaftModelCodec.MODEL_FACTORY
         .createLogEntryBuilder()
         .setIndex(index)
         .setTerm(3)
@@ -60,7 +63,7 @@
   private static LogEntry change(long index, MembershipChangeMode mode) {
     return entry(
         index,
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createUpdateRaftGroupMembersOpBuilder()
             .setMembers(members(FIRST, SECOND, THIRD))
             .setVotingMembers(members(FIRST, SECOND))
@@ -70,7 +73,7 @@
   }
 
   private static SnapshotChunk chunk() {
-    return Wire.MODELS
+    return RaftModelCodec.MODEL_FACTORY
         .createSnapshotChunkBuilder()
         .setIndex(500)
         .setTerm(3)
@@ -83,18 +86,18 @@
 
   private static void assertFormat(RaftMessage message, String hex)
       throws InvalidProtocolBufferException {
-    assertThat(HEX.formatHex(Messages.to(message).toByteArray())).isEqualTo(hex);
-    RaftMessage read = Messages.from(GROUP, WRaft.parseFrom(HEX.parseHex(hex)));
+    assertThat(HEX.formatHex(RaftMessageCodec.toProto(message).toByteArray())).isEqualTo(hex);
+    RaftMessage read = RaftMessageCodec.fromProto(GROUP, WRaft.parseFrom(HEX.parseHex(hex)));
     assertThat(read.getClass()).isEqualTo(message.getClass());
     assertThat(read.getGroupId()).isEqualTo(GROUP);
     assertThat(read.getSender()).isEqualTo(message.getSender());
-    assertThat(HEX.formatHex(Messages.to(read).toByteArray())).isEqualTo(hex);
+    assertThat(HEX.formatHex(RaftMessageCodec.toProto(read).toByteArray())).isEqualTo(hex);
   }
 
   @Test
   void preVoteRequestAndResponse() throws InvalidProtocolBufferException {
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createPreVoteRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -104,7 +107,7 @@
             .build(),
         "0801120f0a0831302e302e302e3110d83618641804200328f403");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createPreVoteResponseBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -113,7 +116,7 @@
             .build(),
         "0802120f0a0831302e302e302e3110d836186418044801");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createPreVoteResponseBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -126,7 +129,7 @@
   @Test
   void voteRequestAndResponse() throws InvalidProtocolBufferException {
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createVoteRequestBuilder()
             .setGroupId(GROUP)
             .setSender(THIRD)
@@ -137,7 +140,7 @@
             .build(),
         "0803120d0a02763310011881d095ffbc311804200328f4034801");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createVoteResponseBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -152,10 +155,10 @@
     List<LogEntry> entries =
         List.of(
             entry(501, new Command.Put("k", 2, "t", new byte[] {1})),
-            entry(502, new Command.Nothing()),
+            entry(502, new Command.NoOp()),
             change(503, MembershipChangeMode.ADD_LEARNER));
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createAppendEntriesRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -173,7 +176,7 @@
             + "ac02120d0a02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a10"
             + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc31");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createAppendEntriesRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -212,16 +215,17 @@
 
   private static void assertChange(MembershipChangeMode mode, String hex)
       throws InvalidProtocolBufferException {
-    assertThat(HEX.formatHex(Wire.to(change(503, mode)).toByteArray())).isEqualTo(hex);
-    LogEntry read = Wire.from(WLogEntry.parseFrom(HEX.parseHex(hex)));
+    assertThat(HEX.formatHex(RaftModelCodec.toProto(change(503, mode)).toByteArray()))
+        .isEqualTo(hex);
+    LogEntry read = RaftModelCodec.fromProto(WLogEntry.parseFrom(HEX.parseHex(hex)));
     assertThat(((UpdateRaftGroupMembersOp) read.getOperation()).getMode()).isEqualTo(mode);
-    assertThat(HEX.formatHex(Wire.to(read).toByteArray())).isEqualTo(hex);
+    assertThat(HEX.formatHex(RaftModelCodec.toProto(read).toByteArray())).isEqualTo(hex);
   }
 
   @Test
   void appendResponses() throws InvalidProtocolBufferException {
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createAppendEntriesSuccessResponseBuilder()
             .setGroupId(GROUP)
             .setSender(SECOND)
@@ -232,7 +236,7 @@
             .build(),
         "080612100a0831302e302e302e3210d83618ac02180428f70338064007");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createAppendEntriesFailureResponseBuilder()
             .setGroupId(GROUP)
             .setSender(SECOND)
@@ -247,7 +251,7 @@
   @Test
   void snapshotRequestAndResponse() throws InvalidProtocolBufferException {
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createInstallSnapshotRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -271,7 +275,7 @@
             + "02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a100a0831302e"
             + "302e302e3210d83618ac02");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createInstallSnapshotRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -291,7 +295,7 @@
             + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831"
             + "302e302e302e3110d83618641a100a0831302e302e302e3210d83618ac02");
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createInstallSnapshotResponseBuilder()
             .setGroupId(GROUP)
             .setSender(SECOND)
@@ -307,7 +311,7 @@
   @Test
   void triggerLeaderElectionRequest() throws InvalidProtocolBufferException {
     assertFormat(
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createTriggerLeaderElectionRequestBuilder()
             .setGroupId(GROUP)
             .setSender(FIRST)
@@ -324,8 +328,8 @@
         "084d12100a0831302e302e302e3210d83618ac021a170802120f0a0831302e302e302e31"
             + "10d836186418044801";
     WRaft message =
-        Messages.to(
-            Wire.MODELS
+        RaftMessageCodec.toProto(
+            RaftModelCodec.MODEL_FACTORY
                 .createPreVoteResponseBuilder()
                 .setGroupId(GROUP)
                 .setSender(FIRST)
@@ -335,28 +339,30 @@
     byte[] bytes =
         WEnvelope.newBuilder()
             .setGroup(77)
-            .setTo(Words.to(SECOND.member()))
+            .setTo(AgreementMessageCodec.toProto(SECOND.member()))
             .setRaft(message)
             .build()
             .toByteArray();
     assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
-    assertThat(Heard.of(HEX.parseHex(hex)))
-        .contains(new Heard.OfLibrary(77, SECOND.member(), message));
+    assertThat(DecodedMessage.decode(HEX.parseHex(hex)))
+        .contains(new DecodedMessage.RaftEnvelope(77, SECOND.member(), message));
   }
 
   /** The group's number follows from its founders: voters of two versions must compute the same. */
   @Test
   void groupNumberOfFounders() {
-    World world = new World(1, 3);
+    SimulatedCluster world = new SimulatedCluster(1, 3);
     world.awaitLeader();
-    Heard.OfLibrary message =
-        (Heard.OfLibrary) Heard.of(world.lastTo.get(World.address(0))).orElseThrow();
-    assertThat(message.group()).isEqualTo(4_784_654_027_431_817_514L);
+    DecodedMessage.RaftEnvelope message =
+        (DecodedMessage.RaftEnvelope)
+            DecodedMessage.decode(world.lastMessageTo.get(SimulatedCluster.address(0)))
+                .orElseThrow();
+    assertThat(message.groupId()).isEqualTo(4_784_654_027_431_817_514L);
   }
 
   @Test
   void electionTimeoutsAreDrawnFromTheSeed() {
-    Chance chance = new Chance(42);
+    DeterministicRandom chance = new DeterministicRandom(42);
     assertThat(List.of(chance.nextInt(), chance.nextInt(1_000), chance.nextInt(1_000)))
         .containsExactly(-77_315_224, 999, 562);
   }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
@@ -16,10 +16,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.Entry;
-import tamarindroute.agreement.View;
-import tamarindroute.agreement.store.Memory;
-import tamarindroute.agreement.wire.Words;
+import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ReplicatedEntry;
+import tamarindroute.agreement.store.InMemoryStorageMedium;
+import tamarindroute.agreement.wire.AgreementMessageCodec;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -57,8 +57,8 @@
 
   private static RaftGroupMembersView group() {
     Collection<RaftEndpoint> members =
-        new LinkedHashSet<>(List.of(new Seat(SELF), new Seat(OTHER)));
-    return Wire.MODELS
+        new LinkedHashSet<>(List.of(new VoterEndpoint(SELF), new VoterEndpoint(OTHER)));
+    return RaftModelCodec.MODEL_FACTORY
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(0)
         .setMembers(members)
@@ -67,7 +67,7 @@
   }
 
   private static LogEntry entry(long index) {
-    return Wire.MODELS
+    return RaftModelCodec.MODEL_FACTORY
         .createLogEntryBuilder()
         .setIndex(index)
         .setTerm(2)
@@ -76,7 +76,7 @@
   }
 
   private static SnapshotChunk chunk() {
-    return Wire.MODELS
+    return RaftModelCodec.MODEL_FACTORY
         .createSnapshotChunkBuilder()
         .setIndex(500)
         .setTerm(2)
@@ -92,7 +92,7 @@
   }
 
   /** The bytes that a step adds to the file. */
-  private static String added(Memory medium, Step step) throws IOException {
+  private static String added(InMemoryStorageMedium medium, Step step) throws IOException {
     int before = medium.read().length;
     step.run();
     byte[] after = medium.read();
@@ -101,19 +101,19 @@
 
   @Test
   void eachRecordAsWritten() throws IOException {
-    Memory medium = new Memory();
-    Kept kept = Kept.open(medium);
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
+    PersistentRaftStore kept = PersistentRaftStore.open(medium);
     assertThat(added(medium, () -> kept.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
-    kept.begin(77);
+    kept.beginGroup(77);
     assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN);
     assertThat(
             added(
                 medium,
                 () ->
                     kept.persistAndFlushLocalEndpoint(
-                        Wire.MODELS
+                        RaftModelCodec.MODEL_FACTORY
                             .createRaftEndpointPersistentStateBuilder()
-                            .setLocalEndpoint(new Seat(SELF))
+                            .setLocalEndpoint(new VoterEndpoint(SELF))
                             .setVoting(true)
                             .build())))
         .isEqualTo(ENDPOINT);
@@ -124,10 +124,10 @@
                 medium,
                 () ->
                     kept.persistAndFlushTerm(
-                        Wire.MODELS
+                        RaftModelCodec.MODEL_FACTORY
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(1)
-                            .setVotedFor(new Seat(OTHER))
+                            .setVotedFor(new VoterEndpoint(OTHER))
                             .build())))
         .isEqualTo(TERM_WITH_VOTE);
     assertThat(
@@ -135,7 +135,7 @@
                 medium,
                 () ->
                     kept.persistAndFlushTerm(
-                        Wire.MODELS
+                        RaftModelCodec.MODEL_FACTORY
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(2)
                             .setVotedFor(null)
@@ -151,7 +151,7 @@
 
   @Test
   void recordsAreReadBack() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     medium.append(
         HEX.parseHex(
             BEGIN
@@ -164,20 +164,20 @@
                 + TRUNCATED_FROM
                 + TRUNCATED_UNTIL
                 + CHUNKS_DELETED));
-    Kept kept = Kept.open(medium);
-    assertThat(kept.runs()).isTrue();
-    assertThat(kept.group()).isEqualTo(77);
+    PersistentRaftStore kept = PersistentRaftStore.open(medium);
+    assertThat(kept.hasGroup()).isTrue();
+    assertThat(kept.groupId()).isEqualTo(77);
     assertThat(kept.self()).contains(SELF);
-    assertThat(kept.pledged()).contains(SELF);
-    assertThat(kept.bound()).containsExactly(SELF, OTHER);
-    RestoredRaftState state = kept.restored();
+    assertThat(kept.pledgedSelf()).contains(SELF);
+    assertThat(kept.pledgedFounders()).containsExactly(SELF, OTHER);
+    RestoredRaftState state = kept.restoredState();
     assertThat(state.getLocalEndpointPersistentState().getLocalEndpoint())
-        .isEqualTo(new Seat(SELF));
+        .isEqualTo(new VoterEndpoint(SELF));
     assertThat(state.getLocalEndpointPersistentState().isVoting()).isTrue();
     assertThat(state.getTermPersistentState().getTerm()).isEqualTo(1);
-    assertThat(state.getTermPersistentState().getVotedFor()).isEqualTo(new Seat(OTHER));
+    assertThat(state.getTermPersistentState().getVotedFor()).isEqualTo(new VoterEndpoint(OTHER));
     assertThat(state.getInitialGroupMembers().getMembers())
-        .containsExactly(new Seat(SELF), new Seat(OTHER));
+        .containsExactly(new VoterEndpoint(SELF), new VoterEndpoint(OTHER));
     assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(500);
     assertThat(state.getLogEntries())
         .hasSize(1)
@@ -186,23 +186,23 @@
 
   @Test
   void pledgeAloneIsReadBack() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     medium.append(HEX.parseHex(PLEDGE));
-    Kept kept = Kept.open(medium);
-    assertThat(kept.runs()).isFalse();
-    assertThat(kept.pledged()).contains(SELF);
-    assertThat(kept.bound()).containsExactly(SELF, OTHER);
+    PersistentRaftStore kept = PersistentRaftStore.open(medium);
+    assertThat(kept.hasGroup()).isFalse();
+    assertThat(kept.pledgedSelf()).contains(SELF);
+    assertThat(kept.pledgedFounders()).containsExactly(SELF, OTHER);
   }
 
   /** Past its growth the file holds only what still counts, in a fixed order. */
   @Test
   void compactedFile() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     medium.append(
         HEX.parseHex(BEGIN + ENDPOINT + INITIAL_MEMBERS + TERM_WITHOUT_VOTE + ENTRY + CHUNK));
-    Kept kept = Kept.open(medium);
+    PersistentRaftStore kept = PersistentRaftStore.open(medium);
     LogEntry large =
-        Wire.MODELS
+        RaftModelCodec.MODEL_FACTORY
             .createLogEntryBuilder()
             .setIndex(502)
             .setTerm(2)
@@ -230,11 +230,12 @@
         "084d10041a0f0a0831302e302e302e3110d83618641a100a0831302e302e302e3210d836"
             + "18ac02220f0a0831302e302e302e3110d83618642a110a076c6576656c2f3112016c1a01"
             + "0520033002";
-    TreeMap<String, Entry> entries = new TreeMap<>();
-    entries.put("level/1", new Entry("l", new byte[] {5}, 3));
-    View view = new View(77, 4, 2, List.of(SELF, OTHER), List.of(SELF), entries);
-    assertThat(HEX.formatHex(Words.to(view).toByteArray())).isEqualTo(hex);
-    Machine machine = new Machine(1);
+    TreeMap<String, ReplicatedEntry> entries = new TreeMap<>();
+    entries.put("level/1", new ReplicatedEntry("l", new byte[] {5}, 3));
+    MembershipView view =
+        new MembershipView(77, 4, 2, List.of(SELF, OTHER), List.of(SELF), entries);
+    assertThat(HEX.formatHex(AgreementMessageCodec.toProto(view).toByteArray())).isEqualTo(hex);
+    ViewStateMachine machine = new ViewStateMachine(1);
     machine.installSnapshot(
         9,
         List.of(
--- a/agreement/src/test/java/tamarindroute/agreement/store/Memory.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/InMemoryStorageMedium.java
@@ -5,18 +5,19 @@
 import java.util.Arrays;
 
 /** A disk in memory that loses, at a crash, what was not forced. */
-public class Memory implements Medium {
+public class InMemoryStorageMedium implements StorageMedium {
 
   private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-  private int forced;
+  private int forcedBytes;
 
   /** Set: nothing more can be written. */
   public boolean full;
 
   /** After a crash: what was forced, and at most so many bytes more. */
-  public Memory crashed(int more) {
-    Memory after = new Memory();
-    after.replace(Arrays.copyOf(written.toByteArray(), Math.min(written.size(), forced + more)));
+  public InMemoryStorageMedium crashed(int more) {
+    InMemoryStorageMedium after = new InMemoryStorageMedium();
+    after.replace(
+        Arrays.copyOf(written.toByteArray(), Math.min(written.size(), forcedBytes + more)));
     return after;
   }
 
@@ -35,7 +36,7 @@
     if (full) {
       throw new IOException("disk full");
     }
-    forced = written.size();
+    forcedBytes = written.size();
   }
 
   @Override
@@ -47,7 +48,7 @@
   public void replace(byte[] bytes) {
     written.reset();
     written.writeBytes(bytes);
-    forced = bytes.length;
+    forcedBytes = bytes.length;
   }
 
   @Override
--- a/agreement/src/test/java/tamarindroute/agreement/store/RecordLogFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/RecordLogFormatTest.java
@@ -19,26 +19,26 @@
 
   @Test
   void appendedRecords() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
     for (byte[] body : BODIES) {
       log.append(body);
     }
     log.force();
     assertThat(HEX.formatHex(medium.read())).isEqualTo(FIRST + SECOND + THIRD);
-    assertThat(log.size()).isEqualTo(medium.read().length);
+    assertThat(log.sizeBytes()).isEqualTo(medium.read().length);
   }
 
   @Test
   void replacedRecordsAreWrittenInTheSameForm() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     new RecordLog(medium).replace(List.of(BODIES.get(1), BODIES.get(0)));
     assertThat(HEX.formatHex(medium.read())).isEqualTo(SECOND + FIRST);
   }
 
   @Test
   void recordsAreReadBack() throws IOException {
-    Memory medium = new Memory();
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     medium.append(HEX.parseHex(FIRST + SECOND + THIRD));
     assertThat(new RecordLog(medium).open()).containsExactlyElementsOf(BODIES);
   }
--- a/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
@@ -23,8 +23,8 @@
     return body;
   }
 
-  private static Memory written() throws IOException {
-    Memory medium = new Memory();
+  private static InMemoryStorageMedium written() throws IOException {
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
     for (int length : LENGTHS) {
       log.append(body(length));
@@ -33,16 +33,17 @@
     return medium;
   }
 
-  private static List<byte[]> opened(byte[] bytes, Memory medium) throws IOException {
+  private static List<byte[]> opened(byte[] bytes, InMemoryStorageMedium medium)
+      throws IOException {
     medium.replace(bytes);
     return new RecordLog(medium).open();
   }
 
   @Test
-  void cutAtEveryByteTheWholeRecordsBeforeAreThereAndNothingElse() throws IOException {
+  void truncationAtAnyByteKeepsExactlyTheCompleteRecords() throws IOException {
     byte[] all = written().read();
     for (int length = 0; length <= all.length; length++) {
-      Memory medium = new Memory();
+      InMemoryStorageMedium medium = new InMemoryStorageMedium();
       List<byte[]> records = opened(Arrays.copyOf(all, length), medium);
       int whole = 0;
       int end = 0;
@@ -60,58 +61,58 @@
 
   /** A crash may leave the file longer than what was written into it: zeros from some place on. */
   @Test
-  void zerosFromEveryByteOnAreATornEnd() throws IOException {
+  void zeroFilledTailIsTreatedAsTornRecord() throws IOException {
     byte[] all = written().read();
     int last = all.length - 13 - LENGTHS[3];
     for (int from = last; from < all.length; from++) {
       byte[] torn = Arrays.copyOf(Arrays.copyOf(all, from), all.length + 30);
-      assertThat(opened(torn, new Memory())).as("zeros from " + from).hasSize(3);
+      assertThat(opened(torn, new InMemoryStorageMedium())).as("zeros from " + from).hasSize(3);
     }
   }
 
   @Test
-  void everyFlippedBitRefusesToStart() throws IOException {
+  void anyFlippedBitIsReportedAsCorruption() throws IOException {
     byte[] all = written().read();
     for (int bit = 0; bit < all.length * 8; bit++) {
       byte[] flipped = all.clone();
       flipped[bit / 8] ^= (byte) (1 << bit % 8);
-      assertThatThrownBy(() -> opened(flipped, new Memory()))
+      assertThatThrownBy(() -> opened(flipped, new InMemoryStorageMedium()))
           .as("bit " + bit)
-          .isInstanceOf(RecordLog.Damaged.class);
+          .isInstanceOf(RecordLog.CorruptedLogException.class);
     }
   }
 
   @Test
-  void aFileIsKeptReplacedAndHeldByOne(@TempDir Path directory) throws IOException {
+  void fileIsPersistedReplacedAndLockedExclusively(@TempDir Path directory) throws IOException {
     Path path = directory.resolve("voter");
-    try (RecordLog log = new RecordLog(new FileMedium(path))) {
+    try (RecordLog log = new RecordLog(new FileStorageMedium(path))) {
       assertThat(log.open()).isEmpty();
       log.append(body(5));
       log.force();
-      assertThatThrownBy(() -> new FileMedium(path)).hasMessageContaining("in use");
+      assertThatThrownBy(() -> new FileStorageMedium(path)).hasMessageContaining("in use");
       log.replace(List.of(body(6), body(7)));
       log.append(body(8));
       log.force();
     }
     Files.write(path, new byte[] {0, 0, 0, 9, 1}, StandardOpenOption.APPEND);
     Files.write(directory.resolve("voter.new"), new byte[] {1});
-    try (RecordLog log = new RecordLog(new FileMedium(path))) {
+    try (RecordLog log = new RecordLog(new FileStorageMedium(path))) {
       assertThat(log.open()).containsExactly(body(6), body(7), body(8));
-      assertThat(log.size()).isEqualTo(Files.size(path));
+      assertThat(log.sizeBytes()).isEqualTo(Files.size(path));
     }
     assertThat(directory.resolve("voter.new")).doesNotExist();
   }
 
   /** After a failed write nothing more is taken: what is on the disk is not known. */
   @Test
-  void afterAFailedWriteNothingIsTaken() throws IOException {
-    Memory medium = new Memory();
+  void rejectsWritesAfterFailedWrite() throws IOException {
+    InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
     log.append(body(3));
     medium.full = true;
     assertThatThrownBy(log::force).hasMessage("disk full");
     medium.full = false;
-    assertThat(log.failed()).isTrue();
+    assertThat(log.hasFailed()).isTrue();
     assertThatThrownBy(() -> log.append(body(3))).isInstanceOf(IOException.class);
     assertThatThrownBy(log::force).isInstanceOf(IOException.class);
   }
--- /dev/null
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
@@ -0,0 +1,158 @@
+package tamarindroute.agreement.wire;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.google.protobuf.ByteString;
+import java.time.Duration;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.stream.IntStream;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.junit.jupiter.api.Test;
+import tamarindroute.agreement.Agreement.ProposalResult;
+import tamarindroute.agreement.Agreement.ProposalStatus;
+import tamarindroute.agreement.Command;
+import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ReplicatedEntry;
+import tamarindroute.agreement.ViewLease;
+import tamarindroute.agreement.ViewResponse;
+import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.proto.WAnswer;
+import tamarindroute.agreement.proto.WCommand;
+import tamarindroute.agreement.proto.WEnvelope;
+import tamarindroute.agreement.proto.WProposal;
+import tamarindroute.membership.Address;
+import tamarindroute.membership.Member;
+
+class AgreementMessageCodecTest {
+
+  private static final Member MEMBER = new Member(new Address("cache.example", 7000), 9);
+  private static final Command PUT = new Command.Put("window/1", 4, "w", new byte[] {0, 1});
+
+  private static ViewResponse sampleResponse() {
+    TreeMap<String, ReplicatedEntry> entries = new TreeMap<>();
+    entries.put("level/1", new ReplicatedEntry("l", new byte[] {5}, 3));
+    MembershipView view = new MembershipView(7, 4, 2, List.of(MEMBER), List.of(MEMBER), entries);
+    return new ViewResponse(
+        1, true, Optional.of(MEMBER), Duration.ofSeconds(10), 7, Optional.of(view), List.of());
+  }
+
+  @Test
+  void encodedMessagesDecodeToSameValues() {
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(sampleResponse())))
+        .contains(new DecodedMessage.ViewReply(sampleResponse()));
+    ViewResponse since =
+        new ViewResponse(
+            1,
+            true,
+            Optional.empty(),
+            Duration.ofSeconds(1),
+            7,
+            Optional.empty(),
+            List.of(
+                new Command.Remove("a", 3),
+                    new Command.MembershipChange(4, List.of(MEMBER), List.of()),
+                new Command.SetVoters(5, List.of(MEMBER)), new Command.NoOp()));
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(since)))
+        .contains(new DecodedMessage.ViewReply(since));
+    ProposalResult outcome =
+        new ProposalResult(ProposalStatus.REJECTED, 4, "why", Optional.of(MEMBER));
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeProposalReply(8, outcome)))
+        .contains(new DecodedMessage.ProposalReply(8, outcome));
+    assertThat(
+            DecodedMessage.decode(AgreementMessageCodec.encodeOffer(MEMBER, List.of(MEMBER), true)))
+        .contains(new DecodedMessage.BootstrapOffer(MEMBER, List.of(MEMBER), true));
+    DecodedMessage.Proposal proposal =
+        (DecodedMessage.Proposal)
+            DecodedMessage.decode(AgreementMessageCodec.encodeProposal(3, PUT)).orElseThrow();
+    assertThat(((Command.Put) proposal.command()).value()).containsExactly(0, 1);
+    ViewLease asked = ViewLease.initial(MEMBER).requestSent(Duration.ZERO);
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewRequest(asked)))
+        .contains(new DecodedMessage.ViewRequest(asked.requestNumber(), 0, 0));
+  }
+
+  /**
+   * Cut short or with bytes changed it is read whole, within bounds, or not at all; never is there
+   * an exception.
+   */
+  @Property(seed = "33", tries = 2_000)
+  void damagedMessagesAreNotDecodedOutOfLimits(
+      @ForAll @IntRange(max = 200) int length, @ForAll @IntRange(max = 255) int with) {
+    byte[] whole = AgreementMessageCodec.encodeViewReply(sampleResponse());
+    byte[] damaged = Arrays.copyOf(whole, Math.min(length, whole.length));
+    if (damaged.length > 0) {
+      damaged[with % damaged.length] ^= (byte) (1 + with % 255);
+    }
+    DecodedMessage.decode(damaged)
+        .ifPresent(
+            heard ->
+                assertThat(
+                        heard instanceof DecodedMessage.ViewReply it
+                            && (it.response().lease().isNegative()
+                                || it.response().lease().compareTo(ViewLease.MAX_LEASE) > 0))
+                    .isFalse());
+  }
+
+  @Test
+  void messagesBeyondLimitsAreNotDecoded() {
+    WCommand large =
+        WCommand.newBuilder()
+            .setKind(WCommand.Kind.PUT)
+            .setKey("k")
+            .setType("t")
+            .setValue(ByteString.copyFrom(new byte[ViewTransitions.MAX_VALUE_BYTES + 1]))
+            .build();
+    assertThat(
+            DecodedMessage.decode(
+                WEnvelope.newBuilder()
+                    .setProposal(WProposal.newBuilder().setCommand(large))
+                    .build()
+                    .toByteArray()))
+        .isEmpty();
+    WAnswer.Builder many = WAnswer.newBuilder();
+    IntStream.rangeClosed(0, AgreementMessageCodec.MAX_REPLAYED_COMMANDS)
+        .forEach(i -> many.addSince(AgreementMessageCodec.toProto(PUT)));
+    assertThat(DecodedMessage.decode(WEnvelope.newBuilder().setAnswer(many).build().toByteArray()))
+        .isEmpty();
+    WAnswer longer =
+        WAnswer.newBuilder().setLeaseMillis(ViewLease.MAX_LEASE.toMillis() + 1).build();
+    assertThat(
+            DecodedMessage.decode(WEnvelope.newBuilder().setAnswer(longer).build().toByteArray()))
+        .isEmpty();
+    assertThat(DecodedMessage.decode(new byte[AgreementMessageCodec.MAX_MESSAGE_BYTES + 1]))
+        .isEmpty();
+    assertThat(DecodedMessage.decode(new byte[0])).isEmpty();
+  }
+
+  /** The largest view there can be goes into one message. */
+  @Test
+  void largestViewFitsInOneMessage() {
+    String name = "x".repeat(ViewTransitions.MAX_NAME_LENGTH - 5);
+    List<Member> members =
+        IntStream.range(0, ViewTransitions.MAX_MEMBERS)
+            .mapToObj(i -> new Member(new Address(name + i, 65_000), Long.MAX_VALUE))
+            .toList();
+    TreeMap<String, ReplicatedEntry> entries = new TreeMap<>();
+    for (int i = 0; i < ViewTransitions.MAX_ENTRIES; i++) {
+      entries.put(
+          name + i,
+          new ReplicatedEntry(
+              name,
+              new byte[ViewTransitions.MAX_TOTAL_VALUE_BYTES / ViewTransitions.MAX_ENTRIES],
+              Long.MAX_VALUE));
+    }
+    MembershipView view =
+        new MembershipView(7, Long.MAX_VALUE, 2, members, List.of(MEMBER), entries);
+    ViewResponse answer =
+        new ViewResponse(
+            1, true, Optional.of(MEMBER), Duration.ofSeconds(10), 7, Optional.of(view), List.of());
+    assertThat(AgreementMessageCodec.encodeViewReply(answer).length)
+        .isLessThan(AgreementMessageCodec.MAX_MESSAGE_BYTES);
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(answer)))
+        .contains(new DecodedMessage.ViewReply(answer));
+  }
+}
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tamarindroute.agreement.Agreement.Fate;
-import tamarindroute.agreement.Agreement.Outcome;
-import tamarindroute.agreement.Answer;
+import tamarindroute.agreement.Agreement.ProposalResult;
+import tamarindroute.agreement.Agreement.ProposalStatus;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.Entry;
-import tamarindroute.agreement.Leased;
-import tamarindroute.agreement.View;
+import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ReplicatedEntry;
+import tamarindroute.agreement.ViewLease;
+import tamarindroute.agreement.ViewResponse;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -28,14 +28,14 @@
   private static final Member FIRST = new Member(new Address("10.0.0.1", 7000), 1_700_000_000_001L);
   private static final Member SECOND = new Member(new Address("v2.example", 65_535), 3);
 
-  private static View view() {
-    Map<String, Entry> entries =
+  private static MembershipView view() {
+    Map<String, ReplicatedEntry> entries =
         Map.of(
             "level/1",
-            new Entry("l", new byte[] {5, 0, -1}, 3),
+            new ReplicatedEntry("l", new byte[] {5, 0, -1}, 3),
             "window/2",
-            new Entry("w", new byte[0], 9));
-    return new View(
+            new ReplicatedEntry("w", new byte[0], 9));
+    return new MembershipView(
         7_000_000_007L, 9, 2, List.of(FIRST, SECOND), List.of(FIRST), new TreeMap<>(entries));
   }
 
@@ -43,35 +43,37 @@
     return HEX.formatHex(bytes);
   }
 
-  private static Heard decoded(String hex) {
-    return Heard.of(HEX.parseHex(hex)).orElseThrow();
+  private static DecodedMessage decoded(String hex) {
+    return DecodedMessage.decode(HEX.parseHex(hex)).orElseThrow();
   }
 
   @Test
   void viewRequestWithoutAndWithHeldView() {
-    Leased none = Leased.none(SECOND).asked(Duration.ZERO);
-    assertThat(hex(Words.ask(none))).isEqualTo("220508ca8db701");
-    assertThat(decoded("220508ca8db701")).isEqualTo(new Heard.Ask(none.number(), 0, 0));
-    Answer answer =
-        new Answer(
-            none.number(),
+    ViewLease none = ViewLease.initial(SECOND).requestSent(Duration.ZERO);
+    assertThat(hex(AgreementMessageCodec.encodeViewRequest(none))).isEqualTo("220508ca8db701");
+    assertThat(decoded("220508ca8db701"))
+        .isEqualTo(new DecodedMessage.ViewRequest(none.requestNumber(), 0, 0));
+    ViewResponse answer =
+        new ViewResponse(
+            none.requestNumber(),
             true,
             Optional.empty(),
             Duration.ofSeconds(10),
             7_000_000_007L,
             Optional.of(view()),
             List.of());
-    Leased held = none.answered(answer).asked(Duration.ofSeconds(3));
-    assertThat(hex(Words.ask(held))).isEqualTo("220d08cb8db70110878cee891a1809");
+    ViewLease held = none.onResponse(answer).requestSent(Duration.ofSeconds(3));
+    assertThat(hex(AgreementMessageCodec.encodeViewRequest(held)))
+        .isEqualTo("220d08cb8db70110878cee891a1809");
     assertThat(decoded("220d08cb8db70110878cee891a1809"))
-        .isEqualTo(new Heard.Ask(none.number() + 1, 7_000_000_007L, 9));
+        .isEqualTo(new DecodedMessage.ViewRequest(none.requestNumber() + 1, 7_000_000_007L, 9));
   }
 
   @Test
   void proposalOfEachCommand() {
-    assertProposal(new Command.Nothing(), "320508ac021200");
+    assertProposal(new Command.NoOp(), "320508ac021200");
     assertProposal(
-        new Command.Cut(4, List.of(FIRST), List.of(SECOND, FIRST)),
+        new Command.MembershipChange(4, List.of(FIRST), List.of(SECOND, FIRST)),
         "324908ac021244080110041a140a0831302e302e302e3110d8361881d095ffbc3122120a"
             + "0a76322e6578616d706c6510ffff03180322140a0831302e302e302e3110d8361881d095"
             + "ffbc31");
@@ -81,36 +83,42 @@
     assertProposal(
         new Command.Remove("window/1", 300), "321408ac02120f080310ac022a0877696e646f772f31");
     assertProposal(
-        new Command.Voters(5, List.of(FIRST, SECOND)),
+        new Command.SetVoters(5, List.of(FIRST, SECOND)),
         "323308ac02122e0804100522140a0831302e302e302e3110d8361881d095ffbc3122120a"
             + "0a76322e6578616d706c6510ffff031803");
   }
 
   private static void assertProposal(Command command, String hex) {
-    assertThat(hex(Words.proposal(300, command))).isEqualTo(hex);
-    Heard.Proposal proposal = (Heard.Proposal) decoded(hex);
-    assertThat(proposal.number()).isEqualTo(300);
+    assertThat(hex(AgreementMessageCodec.encodeProposal(300, command))).isEqualTo(hex);
+    DecodedMessage.Proposal proposal = (DecodedMessage.Proposal) decoded(hex);
+    assertThat(proposal.proposalNumber()).isEqualTo(300);
     assertThat(proposal.command()).isInstanceOf(command.getClass());
-    assertThat(proposal.command().from()).isEqualTo(command.from());
-    assertThat(hex(Words.proposal(proposal.number(), proposal.command()))).isEqualTo(hex);
+    assertThat(proposal.command().baseNumber()).isEqualTo(command.baseNumber());
+    assertThat(
+            hex(
+                AgreementMessageCodec.encodeProposal(
+                    proposal.proposalNumber(), proposal.command())))
+        .isEqualTo(hex);
   }
 
   @Test
   void bootstrapOffer() {
     String free = "42160a140a0831302e302e302e3110d8361881d095ffbc31";
-    assertThat(hex(Words.offer(FIRST, List.of(), false))).isEqualTo(free);
-    assertThat(decoded(free)).isEqualTo(new Heard.Offered(FIRST, List.of(), false));
+    assertThat(hex(AgreementMessageCodec.encodeOffer(FIRST, List.of(), false))).isEqualTo(free);
+    assertThat(decoded(free)).isEqualTo(new DecodedMessage.BootstrapOffer(FIRST, List.of(), false));
     String founded =
         "42420a140a0831302e302e302e3110d8361881d095ffbc3112140a0831302e302e302e31"
             + "10d8361881d095ffbc3112120a0a76322e6578616d706c6510ffff0318031801";
-    assertThat(hex(Words.offer(FIRST, List.of(FIRST, SECOND), true))).isEqualTo(founded);
-    assertThat(decoded(founded)).isEqualTo(new Heard.Offered(FIRST, List.of(FIRST, SECOND), true));
+    assertThat(hex(AgreementMessageCodec.encodeOffer(FIRST, List.of(FIRST, SECOND), true)))
+        .isEqualTo(founded);
+    assertThat(decoded(founded))
+        .isEqualTo(new DecodedMessage.BootstrapOffer(FIRST, List.of(FIRST, SECOND), true));
   }
 
   @Test
   void viewResponseWithFullView() {
     assertAnswer(
-        new Answer(
+        new ViewResponse(
             1,
             true,
             Optional.of(SECOND),
@@ -128,7 +136,7 @@
   @Test
   void viewResponseWithCommands() {
     assertAnswer(
-        new Answer(
+        new ViewResponse(
             2,
             true,
             Optional.of(FIRST),
@@ -136,8 +144,9 @@
             7,
             Optional.empty(),
             List.of(
-                new Command.Remove("a", 3), new Command.Cut(4, List.of(FIRST), List.of()),
-                new Command.Voters(5, List.of(FIRST)), new Command.Nothing())),
+                new Command.Remove("a", 3),
+                    new Command.MembershipChange(4, List.of(FIRST), List.of()),
+                new Command.SetVoters(5, List.of(FIRST)), new Command.NoOp())),
         "2a62080210011a140a0831302e302e302e3110d8361881d095ffbc31208f4e28073a0708"
             + "0310032a01613a1a080110041a140a0831302e302e302e3110d8361881d095ffbc313a1a"
             + "0804100522140a0831302e302e302e3110d8361881d095ffbc313a00");
@@ -146,14 +155,14 @@
   @Test
   void viewResponseOfVoterThatIsNotLeader() {
     assertAnswer(
-        Answer.elsewhere(3, Optional.of(FIRST)),
+        ViewResponse.notLeader(3, Optional.of(FIRST)),
         "2a1808031a140a0831302e302e302e3110d8361881d095ffbc31");
-    assertAnswer(Answer.elsewhere(3, Optional.empty()), "2a020803");
+    assertAnswer(ViewResponse.notLeader(3, Optional.empty()), "2a020803");
   }
 
-  private static void assertAnswer(Answer answer, String hex) {
-    assertThat(hex(Words.answer(answer))).isEqualTo(hex);
-    assertThat(decoded(hex)).isEqualTo(new Heard.Answered(answer));
+  private static void assertAnswer(ViewResponse answer, String hex) {
+    assertThat(hex(AgreementMessageCodec.encodeViewReply(answer))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ViewReply(answer));
   }
 
   @ParameterizedTest
@@ -165,26 +174,35 @@
     "4, 3a200808100418ac0222037768792a120a0a76322e6578616d706c6510ffff031803"
   })
   void proposalReplyOfEachStatus(int ordinal, String hex) {
-    Outcome outcome =
-        new Outcome(Fate.values()[ordinal], 300, ordinal == 0 ? "" : "why", Optional.of(SECOND));
-    assertThat(hex(Words.outcome(8, outcome))).isEqualTo(hex);
-    assertThat(decoded(hex)).isEqualTo(new Heard.Proposed(8, outcome));
+    ProposalResult outcome =
+        new ProposalResult(
+            ProposalStatus.values()[ordinal], 300, ordinal == 0 ? "" : "why", Optional.of(SECOND));
+    assertThat(hex(AgreementMessageCodec.encodeProposalReply(8, outcome))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ProposalReply(8, outcome));
   }
 
   @Test
   void statusesAreEncodedByTheirOrder() {
-    assertThat(Fate.values())
-        .containsExactly(Fate.AGREED, Fate.REFUSED, Fate.ELSEWHERE, Fate.UNKNOWN, Fate.BUSY);
+    assertThat(ProposalStatus.values())
+        .containsExactly(
+            ProposalStatus.COMMITTED,
+            ProposalStatus.REJECTED,
+            ProposalStatus.NOT_LEADER,
+            ProposalStatus.UNKNOWN,
+            ProposalStatus.BUSY);
   }
 
   @Test
   void proposalReplyWithoutLeaderAndWithLongReason() {
-    Outcome outcome = new Outcome(Fate.UNKNOWN, 0, "x".repeat(500), Optional.empty());
+    ProposalResult outcome =
+        new ProposalResult(ProposalStatus.UNKNOWN, 0, "x".repeat(500), Optional.empty());
     String prefix = "3a970308081003229003";
-    String hex = hex(Words.outcome(8, outcome));
+    String hex = hex(AgreementMessageCodec.encodeProposalReply(8, outcome));
     assertThat(hex).isEqualTo(prefix + "78".repeat(400));
     assertThat(decoded(hex))
         .isEqualTo(
-            new Heard.Proposed(8, new Outcome(Fate.UNKNOWN, 0, "x".repeat(400), Optional.empty())));
+            new DecodedMessage.ProposalReply(
+                8,
+                new ProposalResult(ProposalStatus.UNKNOWN, 0, "x".repeat(400), Optional.empty())));
   }
 }
--- a/bench/tamarindroute/bench/StandbyBench.java
+++ b/bench/tamarindroute/bench/StandbyBench.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
-import tamarindroute.host.Clock;
-import tamarindroute.net.Datagrams;
+import tamarindroute.host.EventLoop;
+import tamarindroute.net.DatagramTransport;
 import tamarindroute.standby.Endpoint;
 import tamarindroute.vrrp.Election;
 
@@ -43,17 +43,17 @@
 
   /** One gateway of a pair, on a thread of its own. */
   private static final class Gateway {
-    final Clock clock = new Clock();
-    final Datagrams datagrams = new Datagrams(clock);
+    final EventLoop eventLoop = new EventLoop();
+    final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final AtomicLong took = new AtomicLong();
     final AtomicBoolean dead = new AtomicBoolean();
 
     void start(InetSocketAddress own, InetSocketAddress peer, int priority, Duration interval)
         throws Exception {
       CountDownLatch started = new CountDownLatch(1);
-      clock.handOver(
+      eventLoop.execute(
           () -> {
-            Endpoint endpoint = new Endpoint(clock, datagrams, own, List.of(peer), null, 1);
+            Endpoint endpoint = new Endpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
             endpoint.add(
                 1,
                 priority,
@@ -84,7 +84,7 @@
 
     /** Its thread stands still for good and its socket is gone, as a killed process's. */
     void kill() {
-      clock.handOver(
+      eventLoop.execute(
           () -> {
             while (true) {
               java.util.concurrent.locks.LockSupport.park();
--- a/cli/src/main/java/tamarindroute/Main.java
+++ b/cli/src/main/java/tamarindroute/Main.java
@@ -28,7 +28,7 @@
     String alone = arguments.length == 1 ? arguments[0] : "";
     switch (alone) {
       case "serve", "wirehost" -> {
-        Log.form(Log.Form.SMALL);
+        Log.useFormat(Log.Format.SMALL);
         int code = Start.run(alone);
         if (code != 0) {
           System.exit(code);
--- a/cli/src/main/java/tamarindroute/cli/Ask.java
+++ b/cli/src/main/java/tamarindroute/cli/Ask.java
@@ -30,15 +30,15 @@
 import tamarindroute.config.ServiceSettings;
 import tamarindroute.dns.Frames;
 import tamarindroute.dns.Subnet;
-import tamarindroute.host.Clock;
+import tamarindroute.host.EventLoop;
 import tamarindroute.log.Log;
+import tamarindroute.net.BufferPool;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Datagrams;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Peer;
-import tamarindroute.net.Pool;
-import tamarindroute.net.Sockets;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.net.ConnectionHandler;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.net.SocketTransport;
+import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.resolver.Forwarder;
 import tamarindroute.start.Start;
 
@@ -109,48 +109,48 @@
       description = "how long to wait (default: 2000)")
   private int within;
 
-  private Clock clock;
+  private EventLoop eventLoop;
   private final CompletableFuture<byte[]> answer = new CompletableFuture<>();
 
   @Override
   public Integer call() throws IOException {
-    Log.form(Log.Form.SMALL);
+    Log.useFormat(Log.Format.SMALL);
     if (!ServiceSettings.numeric(server)) {
       throw new ParameterException(spec.commandLine(), "SERVER is no ADDRESS:PORT: " + server);
     }
     InetSocketAddress address = ServiceSettings.address(server);
     Message query = query();
-    clock = new Clock();
-    Datagrams datagrams = new Datagrams(clock);
-    Sockets sockets = new Sockets(clock, new Pool(MEMORY), DESCRIPTORS);
+    eventLoop = new EventLoop();
+    DatagramTransport datagrams = new DatagramTransport(eventLoop);
+    SocketTransport transport = new SocketTransport(eventLoop, new BufferPool(MEMORY), DESCRIPTORS);
     long from = System.nanoTime();
-    clock.handOver(
+    eventLoop.execute(
         () -> {
           if (tcp) {
-            stream(sockets, address, query);
+            stream(transport, address, query);
           } else {
-            datagrams.ask(
+            datagrams.query(
                 address,
                 query.toWire(),
-                new Datagrams.Waiting() {
+                new DatagramTransport.ReplyHandler() {
                   @Override
-                  public void came(byte[] bytes) {
+                  public void onReply(byte[] bytes) {
                     if (cut(bytes)) {
-                      stream(sockets, address, query);
+                      stream(transport, address, query);
                     } else {
                       answer.complete(bytes);
                     }
                   }
 
                   @Override
-                  public void ended(Ending ending) {
-                    answer.completeExceptionally(new IOException(ending.toString()));
+                  public void onClosed(CloseReason closeReason) {
+                    answer.completeExceptionally(new IOException(closeReason.toString()));
                   }
                 });
           }
         });
     int code = print(query, from);
-    sockets.shutDown();
+    transport.shutDown();
     datagrams.shutDown();
     System.out.flush();
     // The clock's thread goes on for good.
@@ -220,32 +220,32 @@
     }
   }
 
-  private void stream(Sockets sockets, InetSocketAddress address, Message query) {
-    new Peer() {
+  private void stream(SocketTransport transport, InetSocketAddress address, Message query) {
+    new ConnectionHandler() {
       private final Frames frames = new Frames(Message.MAXLENGTH);
-      private final Connection connection = sockets.connect(address, this);
+      private final Connection connection = transport.connect(address, this);
 
       @Override
-      public void opened() {
+      public void onOpened() {
         connection.write(Frames.frame(query.toWire()));
       }
 
       @Override
-      public void received(ByteBuffer bytes) {
+      public void onReceived(ByteBuffer bytes) {
         try {
           byte[] whole = frames.next(bytes);
           if (whole != null) {
             answer.complete(whole);
           }
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
           answer.completeExceptionally(e);
         }
         bytes.position(bytes.limit());
       }
 
       @Override
-      public void ended(Ending ending) {
-        answer.completeExceptionally(new IOException(ending.toString()));
+      public void onClosed(CloseReason closeReason) {
+        answer.completeExceptionally(new IOException(closeReason.toString()));
       }
     };
   }
--- a/cli/src/main/java/tamarindroute/cli/Commands.java
+++ b/cli/src/main/java/tamarindroute/cli/Commands.java
@@ -12,10 +12,10 @@
 import tamarindroute.config.ServiceSettings;
 import tamarindroute.config.UnusableException;
 import tamarindroute.log.Log;
-import tamarindroute.members.Members;
-import tamarindroute.members.MembersSettings;
+import tamarindroute.members.MemberConfiguration;
+import tamarindroute.members.MembershipService;
 import tamarindroute.nameserver.NameServer;
-import tamarindroute.policy.Brain;
+import tamarindroute.policy.RatioTestPolicy;
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.start.Start;
 
@@ -57,10 +57,10 @@
         paramLabel = "FORM",
         defaultValue = "plain",
         description = "how log lines are written: ${COMPLETION-CANDIDATES} (default: plain)")
-    private Log.Form form;
+    private Log.Format form;
 
     void choose() {
-      Log.form(form);
+      Log.useFormat(form);
     }
   }
 
@@ -91,7 +91,9 @@
     public Integer call() throws IOException {
       logging.choose();
       int code =
-          Start.run("serve", members == null ? null : new Members(MembersSettings.read(members)));
+          Start.run(
+              "serve",
+              members == null ? null : new MembershipService(MemberConfiguration.read(members)));
       return code == 0 ? GOES_ON : code;
     }
   }
@@ -124,7 +126,7 @@
     @Override
     public Integer call() throws IOException {
       logging.choose();
-      NameServer.start(file, Brain::new);
+      NameServer.start(file, RatioTestPolicy::new);
       return GOES_ON;
     }
   }
--- a/cli/src/main/java/tamarindroute/start/Start.java
+++ b/cli/src/main/java/tamarindroute/start/Start.java
@@ -1,9 +1,9 @@
 package tamarindroute.start;
 
 import java.io.IOException;
-import tamarindroute.gateway.Gateway;
-import tamarindroute.host.Companion;
-import tamarindroute.policy.Brain;
+import tamarindroute.gateway.GatewayServer;
+import tamarindroute.host.LifecycleComponent;
+import tamarindroute.policy.RatioTestPolicy;
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.wirehost.MalformedFrameException;
 import tamarindroute.wirehost.WireHost;
@@ -27,12 +27,12 @@
   }
 
   /** The same with what lives beside a gateway, or null. */
-  public static int run(String subcommand, Companion companion) {
+  public static int run(String subcommand, LifecycleComponent component) {
     try {
       if (subcommand.equals("serve")) {
-        Gateway.start(System.getenv("EDGE_CONFIG"), Brain::new, companion);
+        GatewayServer.start(System.getenv("EDGE_CONFIG"), RatioTestPolicy::new, component);
       } else {
-        new WireHost(Brain::new).serve(System.in, System.out);
+        new WireHost(RatioTestPolicy::new).serve(System.in, System.out);
       }
       return 0;
     } catch (MalformedFrameException e) {
--- a/cli/src/test/java/tamarindroute/cli/AgreedIT.java
+++ b/cli/src/test/java/tamarindroute/cli/AgreedIT.java
@@ -181,7 +181,7 @@
         .contains("tamarindroute.membership.Membership")
         .doesNotContain("io.microraft")
         .doesNotContain("tamarindroute.agreement")
-        .doesNotContain("tamarindroute.members.agreed.Mail");
+        .doesNotContain("tamarindroute.members.agreed.VoterMessageTransport");
     assertThat(processes.read("0.log")).doesNotContain("agreed:");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/MembersIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembersIT.java
@@ -127,7 +127,7 @@
             "serve"));
     processes.logged("alone.log", "warm: ");
     assertThat(processes.read("classes"))
-        .contains("tamarindroute.gateway.Gateway")
+        .contains("tamarindroute.gateway.GatewayServer")
         .doesNotContain("tamarindroute.member")
         .doesNotContain("com.google.protobuf");
   }
--- a/cli/src/test/java/tamarindroute/gateway/ScarceDescriptorsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
@@ -21,15 +21,15 @@
  * have theirs.
  */
 @Timeout(60)
-class ScarceDescriptorsIT extends GatewayRig {
+class DescriptorExhaustionIT extends GatewayHarness {
 
   /**
    * So many looks in a row, 10 ms apart, with no more open than the shares: the crowd has passed
    * the door.
    */
-  private static final int CALM = 10;
+  private static final int STABLE_SAMPLES = 10;
 
-  private long open() throws IOException {
+  private long openDescriptors() throws IOException {
     try (Stream<Path> all = Files.list(Path.of("/proc/" + gateway.pid() + "/fd"))) {
       return all.count();
     }
@@ -41,43 +41,43 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {256, 128})
-  void idleClientsLeaveTheFeedTheDoorAndTheCachesTheirs(int limit) throws Exception {
+  void idleClientsLeaveDescriptorsForFeedListenerAndCaches(int limit) throws Exception {
     descriptors = limit;
-    restartWithTheLeast();
-    long atRest = open();
+    restartWithMinimumMemory();
+    long atRest = openDescriptors();
     // What is not the program's own 64 is shared by both sides.
     int side = (limit - 64) / 2;
     List<Socket> idle = new ArrayList<>();
     long most = 0;
     int port = feed.port();
     feed.close();
-    logged("feed-lost");
+    awaitLogged("feed-lost");
     try {
       for (int i = 0; i < 2 * limit; i++) {
         Socket one = new Socket();
         idle.add(one);
         one.connect(address, 2000);
-        most = Math.max(most, open());
+        most = Math.max(most, openDescriptors());
       }
       // A client that comes in the midst of such a crowd may find the door shut.
-      for (int i = 0, calm = 0; i < 500 && calm < CALM; i++) {
-        calm = open() > atRest + side ? 0 : calm + 1;
+      for (int i = 0, stableSamples = 0; i < 500 && stableSamples < STABLE_SAMPLES; i++) {
+        stableSamples = openDescriptors() > atRest + side ? 0 : stableSamples + 1;
         TimeUnit.MILLISECONDS.sleep(10);
       }
-      assertThat(open()).isBetween((long) side, atRest + side);
+      assertThat(openDescriptors()).isBetween((long) side, atRest + side);
       try (ToyServer.Client client = client()) {
         for (int tag = 1; tag <= 10; tag++) {
-          assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
+          assertThat(status(call(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
         }
       }
       feed = new ToyServer.Feed(port);
-      next(feed.asked, "GET /v1/events?SUB=");
-      feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
-      next(feed.asked, "GET /v1/events?SUB=2");
+      nextCommand(feed.asked, "GET /v1/events?SUB=");
+      feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+      nextCommand(feed.asked, "GET /v1/events?SUB=2");
       first.seen.clear();
       try (ToyServer.Client client = client()) {
         for (int tag = 1; tag <= 10; tag++) {
-          assertThat(word(ask(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
+          assertThat(status(call(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
         }
       }
       assertThat(first.seen).isEmpty();
@@ -96,7 +96,7 @@
    * nothing ends.
    */
   @Test
-  void aDoorWithoutDescriptorsOpensAgainWhenThereAreSome() throws Exception {
+  void listenerRecoversWhenDescriptorsAreFreeAgain() throws Exception {
     int limit = 60;
     gateway.destroyForcibly().waitFor();
     descriptors = limit;
@@ -107,16 +107,16 @@
       idle.add(one);
       one.connect(address, 2000);
     }
-    for (int i = 0; i < 200 && open() < limit - 1; i++) {
+    for (int i = 0; i < 200 && openDescriptors() < limit - 1; i++) {
       TimeUnit.MILLISECONDS.sleep(10);
     }
-    assertThat(open()).as("none is left").isGreaterThanOrEqualTo(limit - 1);
+    assertThat(openDescriptors()).as("none is left").isGreaterThanOrEqualTo(limit - 1);
     for (Socket one : idle) {
       one.close();
     }
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 10; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
       }
     }
   }
--- a/cli/src/test/java/tamarindroute/gateway/FleetIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/FleetIT.java
@@ -24,7 +24,7 @@
  * many neighbours.
  */
 @Timeout(60)
-class FleetIT extends GatewayRig {
+class FleetIT extends GatewayHarness {
 
   private static final String SERVERS = "\"servers\": [";
 
@@ -50,7 +50,7 @@
   private void serves(String object) throws IOException {
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 5; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), object + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), object + tag))).isEqualTo("ACK");
       }
     }
   }
@@ -59,12 +59,12 @@
    * Where a process may start no other, a script that asks sed or dirname never comes to its end.
    */
   @Test
-  void itStartsAndServesWhereNoOtherProgramCanBeStarted() throws Exception {
+  void startsAndServesWhereNoOtherProgramCanBeStarted() throws Exception {
     gateway.destroyForcibly().waitFor();
     Path only = Files.createDirectory(folder.resolve("bin"));
     Files.createSymbolicLink(
         only.resolve("java"), Path.of(System.getProperty("java.home"), "bin", "java"));
-    path = only.toString();
+    programPath = only.toString();
     launch();
     serves("a");
     assertThat(Files.readAllLines(folder.resolve("err.log"))).isEmpty();
@@ -105,7 +105,7 @@
   @Test
   void listsOfAThousandCachesAndPurgesFitTheLeastMemory() throws Exception {
     rewrite(SERVERS, SERVERS + edges(0, 1024) + ",");
-    restartWithTheLeast();
+    restartWithMinimumMemory();
     serves("a");
     for (int i = 0; i < 1024; i++) {
       feed.tell(
@@ -124,10 +124,10 @@
             + edges(500, 2500)
             + ","
             + "{\"id\":\"s-0000000d\",\"state\":\"ready\"},{\"id\":\"s-0000000c\",\"state\":\"ready\"}]}}");
-    next(feed.asked, "GET /v1/events?SUB=1027");
+    nextCommand(feed.asked, "GET /v1/events?SUB=1027");
     serves("b");
     assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("defect", "unreadable");
-    assertThat(ofStatus("RssAnon")).isLessThan(32 * 1024);
+    assertThat(processStatus("RssAnon")).isLessThan(32 * 1024);
   }
 
   /**
@@ -135,14 +135,14 @@
    * are taken.
    */
   @Test
-  void anAnswerOfTheFeedThatIsTooLongLeavesTheOldList() throws Exception {
-    restartWithTheLeast();
+  void oversizedFeedResponseLeavesTheOldList() throws Exception {
+    restartWithMinimumMemory();
     feed.nonsense = "{\"n\":9,\"events\":[" + "x".repeat(3_000_000) + "]}";
-    logged("a body over");
+    awaitLogged("a body over");
     serves("a");
     feed.nonsense = null;
-    feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
-    next(feed.asked, "GET /v1/events?SUB=2");
+    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.asked, "GET /v1/events?SUB=2");
     first.seen.clear();
     serves("b");
     assertThat(first.seen).isEmpty();
@@ -154,9 +154,9 @@
    */
   @Test
   void aStartedGatewayLeavesRoomInTheLeastMemory() throws Exception {
-    restartWithTheLeast();
+    restartWithMinimumMemory();
     serves("a");
-    assertThat(ofStatus("RssAnon")).isLessThan(23 * 1024);
+    assertThat(processStatus("RssAnon")).isLessThan(23 * 1024);
   }
 
   /**
@@ -178,10 +178,10 @@
                 .collect(Collectors.joining(","))
             + ",");
     descriptors = 256;
-    restartWithTheLeast();
+    restartWithMinimumMemory();
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 1500; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), Integer.toHexString(0x7000 + tag))))
+        assertThat(status(call(client, String.valueOf(tag), Integer.toHexString(0x7000 + tag))))
             .isEqualTo("ACK");
       }
     }
@@ -193,13 +193,13 @@
    * for longest.
    */
   @Test
-  void aRequestThatIsComingInKeepsItsPlaceAtAFullDoor() throws Exception {
+  void requestBeingReadKeepsItsConnectionAtAFullListener() throws Exception {
     descriptors = 256;
-    restartWithTheLeast();
+    restartWithMinimumMemory();
     List<ToyServer.Client> stay = new ArrayList<>();
     try (ToyServer.Client half = client()) {
-      assertThat(word(ask(half, "1", "a"))).isEqualTo("ACK");
-      String fields = fields("b", 2000);
+      assertThat(status(call(half, "1", "a"))).isEqualTo("ACK");
+      String fields = callFields("b", 2000);
       String frame =
           "*5\r\n$8\r\nRPC.CALL\r\n$1\r\n2\r\n$4\r\nclip\r\n$"
               + fields.length()
@@ -211,10 +211,10 @@
           .write(frame.substring(0, 60).getBytes(StandardCharsets.US_ASCII));
       for (int i = 0; i < 140; i++) {
         stay.add(client());
-        assertThat(word(ask(stay.get(i), "1", "a"))).isEqualTo("ACK");
+        assertThat(status(call(stay.get(i), "1", "a"))).isEqualTo("ACK");
       }
       half.socket.getOutputStream().write(frame.substring(60).getBytes(StandardCharsets.US_ASCII));
-      assertThat(word(half.read())).isEqualTo("ACK");
+      assertThat(status(half.read())).isEqualTo("ACK");
     }
     for (ToyServer.Client client : stay) {
       client.close();
@@ -226,7 +226,7 @@
    * ends well.
    */
   @Test
-  void oneBadCacheAmongManyIdleOnesCostsNoView() throws Exception {
+  void oneBadCacheAmongManyIdleOnesCostsNoRequest() throws Exception {
     rewrite(
         SERVERS,
         SERVERS
@@ -239,12 +239,12 @@
       for (Mode bad : List.of(Mode.SILENT, Mode.RESET, Mode.LATE)) {
         second.mode = bad;
         for (int i = 0; i < 60; i++) {
-          assertThat(word(ask(client, String.valueOf(++tag), Integer.toHexString(0x9000 + tag))))
+          assertThat(status(call(client, String.valueOf(++tag), Integer.toHexString(0x9000 + tag))))
               .isIn("ACK", "NAK");
         }
       }
       second.mode = Mode.SERVE;
-      assertThat(word(ask(client, String.valueOf(++tag), "c"))).isEqualTo("ACK");
+      assertThat(status(call(client, String.valueOf(++tag), "c"))).isEqualTo("ACK");
     }
   }
 
@@ -253,22 +253,22 @@
    * each time.
    */
   @Test
-  void restartsUnderLoadLoseNothingThatWasTakenIn() throws Exception {
+  void restartsUnderLoadLoseNoAdmittedRequest() throws Exception {
     for (int round = 0; round < 4; round++) {
       int asked = 0;
       try (ToyServer.Client client = client()) {
         for (int i = 0; i < 3; i++) {
           for (int j = 0; j < 10; j++) {
-            client.call(String.valueOf(++asked), "clip", fields("a" + asked, 2000), "");
+            client.call(String.valueOf(++asked), "clip", callFields("a" + asked, 2000), "");
           }
           if (i < 2) {
-            hangUp();
+            sendHangUp();
           } else {
             gateway.destroy();
           }
         }
         for (int i = 0; i < asked; i++) {
-          assertThat(word(client.read())).isEqualTo("ACK");
+          assertThat(status(client.read())).isEqualTo("ACK");
         }
       }
       assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
@@ -309,12 +309,12 @@
         Files.writeString(
             config,
             text.replace("127.0.0.1:" + address.getPort(), "127.0.0.1:" + doors.get(i).getPort()));
-        gateways.add(program(config.toString()));
+        gateways.add(launchProgram(config.toString()));
       }
       for (int i = 0; i < fleet; i++) {
         address = doors.get(i);
         gateway = gateways.get(i);
-        green();
+        awaitReady();
         clients.add(client());
       }
       long from = System.currentTimeMillis();
@@ -324,14 +324,15 @@
           client.call(
               String.valueOf(tag),
               "clip",
-              fields(Integer.toHexString(0x100 + objects), 2500).replace("mem=1", "mem=850"),
+              callFields(Integer.toHexString(0x100 + requestCount), 2500)
+                  .replace("mem=1", "mem=850"),
               "");
         }
       }
       int served = 0;
       for (ToyServer.Client client : clients) {
         for (int tag = 1; tag <= 30; tag++) {
-          served += word(client.read()).equals("ACK") ? 1 : 0;
+          served += status(client.read()).equals("ACK") ? 1 : 0;
         }
         client.close();
       }
@@ -360,8 +361,8 @@
   private static final double FALL_SECONDS = 2;
 
   @Test
-  void anAddressInUseIsToldInOneLineAndEndsIt() throws Exception {
-    Process other = program(folder.resolve("config.json").toString());
+  void addressInUseIsReportedInOneLineAndEndsTheProgram() throws Exception {
+    Process other = launchProgram(folder.resolve("config.json").toString());
     assertThat(other.waitFor(10, TimeUnit.SECONDS)).isTrue();
     assertThat(other.exitValue()).isEqualTo(1);
     assertThat(Files.readAllLines(folder.resolve("err.log"))).hasSize(1);
--- a/cli/src/test/java/tamarindroute/gateway/GatewayRig.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
@@ -26,9 +26,9 @@
  * The program, started as the deployment file says, between toy caches, a toy feed and clients on
  * sockets. It owns what it starts and ends it; it must never hold what only one test needs.
  */
-abstract class GatewayRig {
+abstract class GatewayHarness {
 
-  static final String EDGE =
+  static final String EDGE_EVENT =
       "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"%s\","
           + "\"addr\":\"127.0.0.1:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"%s\",\"weight\":40,"
           + "\"started_ms\":0}]}}";
@@ -42,11 +42,11 @@
   ToyServer.Cache parent;
   InetSocketAddress address;
   Process gateway;
-  int objects;
+  int requestCount;
   int descriptors = 1024;
 
   /** Where programs are looked for; null for the same as here. */
-  String path;
+  String programPath;
 
   @BeforeEach
   void start() throws Exception {
@@ -72,16 +72,16 @@
   }
 
   void launch() throws Exception {
-    gateway = program(folder.resolve("config.json").toString());
-    green();
+    gateway = launchProgram(folder.resolve("config.json").toString());
+    awaitReady();
   }
 
   /** Waits until the gateway takes clients. */
-  void green() throws Exception {
-    try (ToyServer.Client front = waitForDoor()) {
+  void awaitReady() throws Exception {
+    try (ToyServer.Client front = awaitListener()) {
       for (int tag = 1; ; tag++) {
         front.send("RPC.HEALTH", tag, "");
-        if (word(front.read()).equals("GREEN")) {
+        if (status(front.read()).equals("GREEN")) {
           return;
         }
         TimeUnit.MILLISECONDS.sleep(20);
@@ -89,7 +89,7 @@
     }
   }
 
-  Process program(String config) throws IOException {
+  Process launchProgram(String config) throws IOException {
     Matcher run =
         Pattern.compile("(?m)^run = \"(.*)\" *#")
             .matcher(Files.readString(Path.of("deploy/balancer.toml")));
@@ -97,8 +97,8 @@
     ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + "; " + run.group(1));
     builder.environment().put("EDGE_CONFIG", config);
-    if (path != null) {
-      builder.environment().put("PATH", path);
+    if (programPath != null) {
+      builder.environment().put("PATH", programPath);
     }
     builder
         .redirectOutput(folder.resolve("out.log").toFile())
@@ -106,7 +106,7 @@
     return builder.start();
   }
 
-  ToyServer.Client waitForDoor() throws Exception {
+  ToyServer.Client awaitListener() throws Exception {
     while (true) {
       assertThat(gateway.isAlive()).isTrue();
       try {
@@ -130,9 +130,9 @@
     return new ToyServer.Client(address);
   }
 
-  String fields(String object, int budget) {
+  String callFields(String object, int budget) {
     return "rid="
-        + id(Integer.toHexString(0x1000 + ++objects))
+        + id(Integer.toHexString(0x1000 + ++requestCount))
         + ",budget="
         + budget
         + ",obj="
@@ -140,7 +140,7 @@
         + ",piece=0,lot=17,mem=1";
   }
 
-  static String word(List<byte[]> answer) {
+  static String status(List<byte[]> answer) {
     return new String(answer.get(1), StandardCharsets.UTF_8);
   }
 
@@ -148,13 +148,13 @@
     return new String(answer.get(0), StandardCharsets.UTF_8);
   }
 
-  List<byte[]> ask(ToyServer.Client client, String tag, String object) throws IOException {
-    client.call(tag, "clip", fields(object, 2000), "");
+  List<byte[]> call(ToyServer.Client client, String tag, String object) throws IOException {
+    client.call(tag, "clip", callFields(object, 2000), "");
     return client.read();
   }
 
   /** The next command at a cache that starts so; others are passed over. */
-  static String next(BlockingQueue<String> seen, String start) throws InterruptedException {
+  static String nextCommand(BlockingQueue<String> seen, String start) throws InterruptedException {
     while (true) {
       String command = seen.poll(10, TimeUnit.SECONDS);
       assertThat(command).as("a command that starts with " + start).isNotNull();
@@ -164,17 +164,17 @@
     }
   }
 
-  void mode(Mode mode) {
+  void setMode(Mode mode) {
     first.mode = mode;
     second.mode = mode;
   }
 
-  void hangUp() throws Exception {
+  void sendHangUp() throws Exception {
     assertThat(new ProcessBuilder("kill", "-HUP", String.valueOf(gateway.pid())).start().waitFor())
         .isZero();
   }
 
-  String logged(String text) throws Exception {
+  String awaitLogged(String text) throws Exception {
     for (int i = 0; i < 500 && !Files.readString(folder.resolve("out.log")).contains(text); i++) {
       TimeUnit.MILLISECONDS.sleep(20);
     }
@@ -182,7 +182,7 @@
     return text;
   }
 
-  long ofStatus(String name) throws IOException {
+  long processStatus(String name) throws IOException {
     return Files.readAllLines(Path.of("/proc/" + gateway.pid() + "/status")).stream()
         .filter(line -> line.startsWith(name))
         .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
@@ -190,7 +190,7 @@
         .orElseThrow();
   }
 
-  void restartWithTheLeast() throws Exception {
+  void restartWithMinimumMemory() throws Exception {
     gateway.destroyForcibly().waitFor();
     Path config = folder.resolve("config.json");
     Files.writeString(
--- a/cli/src/test/java/tamarindroute/gateway/GatewayIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayIT.java
@@ -25,14 +25,14 @@
 
 /** One gateway: what comes, what goes wrong around it, and its limits. */
 @Timeout(60)
-class GatewayIT extends GatewayRig {
+class GatewayIT extends GatewayHarness {
 
   @Test
-  void aViewIsServedWholeAndItsFieldsGoOnUnchanged() throws Exception {
+  void requestIsServedWholeAndItsFieldsAreForwardedUnchanged() throws Exception {
     try (ToyServer.Client client = client()) {
-      List<byte[]> answer = ask(client, "7", "7f3a9c21e0b4d655");
+      List<byte[]> answer = call(client, "7", "7f3a9c21e0b4d655");
       assertThat(tag(answer)).isEqualTo("7");
-      assertThat(word(answer)).isEqualTo("ACK");
+      assertThat(status(answer)).isEqualTo("ACK");
       assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf("7f3a9c21e0b4d655", 2000));
       client.call(
           "8",
@@ -40,11 +40,11 @@
           "rid=%s,budget=900,obj=%s,piece=3,lot=1,token=%s"
               .formatted(id("abc"), id("5"), id("ff").repeat(2)),
           new byte[] {1, '\r', '\n', 0});
-      assertThat(word(client.read())).isEqualTo("ACK");
+      assertThat(status(client.read())).isEqualTo("ACK");
     }
-    String write = next(first.seen, "");
+    String write = nextCommand(first.seen, "");
     while (!write.contains("lane=pick")) {
-      write = first.seen.isEmpty() ? next(second.seen, "") : next(first.seen, "");
+      write = first.seen.isEmpty() ? nextCommand(second.seen, "") : nextCommand(first.seen, "");
     }
     assertThat(write)
         .startsWith("ASK " + id("abc") + " lane=pick,name=" + id("5") + ",piece=3,ttl=")
@@ -54,12 +54,12 @@
   }
 
   @Test
-  void aCopyThatTheClientHoldsIsNotSentAgain() throws Exception {
+  void copyThatTheClientHoldsIsNotSentAgain() throws Exception {
     try (ToyServer.Client client = client()) {
-      ask(client, "1", "5");
-      client.call("2", "clip", fields("5", 2000) + ",ver=d" + id("5").substring(1), "");
+      call(client, "1", "5");
+      client.call("2", "clip", callFields("5", 2000) + ",ver=d" + id("5").substring(1), "");
       List<byte[]> answer = client.read();
-      assertThat(word(answer)).isEqualTo("ACK");
+      assertThat(status(answer)).isEqualTo("ACK");
       assertThat(new String(answer.get(2), StandardCharsets.UTF_8)).contains("unchanged=1");
       assertThat(answer.get(3)).isEmpty();
     }
@@ -67,12 +67,12 @@
 
   /** What comes behind a command that takes no body is nobody's: not the next call's. */
   @Test
-  void theBodyOfACommandWithoutUseForItIsDropped() throws Exception {
+  void bodyOfACommandWithoutUseForItIsDropped() throws Exception {
     try (ToyServer.Client client = client()) {
       client.send("RPC.HEALTH", 1, "", "x", "astray");
-      assertThat(word(client.read())).isEqualTo("GREEN");
-      client.call("2", "pick", fields("5", 2000) + ",token=" + id("7").repeat(2), "mine");
-      assertThat(word(client.read())).isEqualTo("ACK");
+      assertThat(status(client.read())).isEqualTo("GREEN");
+      client.call("2", "pick", callFields("5", 2000) + ",token=" + id("7").repeat(2), "mine");
+      assertThat(status(client.read())).isEqualTo("ACK");
     }
     assertThat(
             caches.stream().flatMap(cache -> cache.seen.stream()).filter(c -> c.startsWith("ASK")))
@@ -86,26 +86,26 @@
    */
   @Test
   void onlyACopyThatACacheHasNamedIsCalledCurrent() throws Exception {
-    mode(Mode.UNCHANGED);
+    setMode(Mode.UNCHANGED);
     try (ToyServer.Client client = client()) {
-      assertThat(word(ask(client, "1", "5"))).isIn("FAIL", "NAK");
-      client.call("2", "clip", fields("6", 2000) + ",ver=" + id("6"), "");
-      assertThat(word(client.read())).isIn("FAIL", "NAK");
-      client.call("3", "clip", fields("7", 2000) + ",ver=" + id("0"), "");
+      assertThat(status(call(client, "1", "5"))).isIn("FAIL", "NAK");
+      client.call("2", "clip", callFields("6", 2000) + ",ver=" + id("6"), "");
+      assertThat(status(client.read())).isIn("FAIL", "NAK");
+      client.call("3", "clip", callFields("7", 2000) + ",ver=" + id("0"), "");
       List<byte[]> answer = client.read();
-      assertThat(word(answer)).isEqualTo("ACK");
+      assertThat(status(answer)).isEqualTo("ACK");
       assertThat(new String(answer.get(2), StandardCharsets.UTF_8)).contains("unchanged=1");
     }
   }
 
   @Test
-  void manyViewsOnOneConnectionAreEachAnsweredOnceWhateverTheirFramesArrivalInPieces()
-      throws Exception {
+  void pipelinedRequestsAreEachAnsweredOnceHoweverFramesArrive() throws Exception {
     try (ToyServer.Client client = client()) {
       List<Integer> open = new ArrayList<>();
       for (int tag = 1; tag <= 32; tag++) {
         byte[] frame =
-            ToyServer.frame("RPC.CALL", tag, "clip", fields(Integer.toHexString(tag), 2000), "");
+            ToyServer.frame(
+                "RPC.CALL", tag, "clip", callFields(Integer.toHexString(tag), 2000), "");
         for (byte b : tag % 8 == 0 ? frame : new byte[0]) {
           client.socket.getOutputStream().write(b);
         }
@@ -117,7 +117,7 @@
       while (!open.isEmpty()) {
         List<byte[]> answer = client.read();
         int tag = Integer.parseInt(tag(answer));
-        assertThat(word(answer)).isEqualTo("ACK");
+        assertThat(status(answer)).isEqualTo("ACK");
         assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id(Integer.toHexString(tag)), 2000));
         assertThat(open.remove((Integer) tag)).isTrue();
       }
@@ -125,8 +125,8 @@
   }
 
   @Test
-  void aCancelledViewIsGivenUpAtItsCacheAndGetsNoAnswer() throws Exception {
-    mode(Mode.SILENT);
+  void cancelledRequestIsCancelledAtItsCacheAndGetsNoResponse() throws Exception {
+    setMode(Mode.SILENT);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
@@ -135,20 +135,20 @@
           "");
       BlockingQueue<String> seen = seenAnywhere();
       client.send("RPC.CANCEL", "1");
-      assertThat(next(seen, "QUIT")).isEqualTo("QUIT " + id("c1"));
-      mode(Mode.SERVE);
-      assertThat(tag(ask(client, "2", "6"))).isEqualTo("2");
+      assertThat(nextCommand(seen, "QUIT")).isEqualTo("QUIT " + id("c1"));
+      setMode(Mode.SERVE);
+      assertThat(tag(call(client, "2", "6"))).isEqualTo("2");
     }
   }
 
   @Test
-  void anAnswerThatComesAfterItsCancelGoesNowhere() throws Exception {
-    mode(Mode.LATE);
+  void responseAfterItsCancelIsDropped() throws Exception {
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client()) {
-      client.call("1", "clip", fields("5", 2000), "");
-      next(seenAnywhere(), "ASK");
+      client.call("1", "clip", callFields("5", 2000), "");
+      nextCommand(seenAnywhere(), "ASK");
       client.send("RPC.CANCEL", "1");
-      List<byte[]> answer = ask(client, "2", "5");
+      List<byte[]> answer = call(client, "2", "5");
       assertThat(tag(answer)).isEqualTo("2");
       assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
     }
@@ -166,12 +166,12 @@
    */
   @ParameterizedTest
   @EnumSource(Mode.class)
-  void eachViewGetsOneAnswerWhateverTheCachesDo(Mode mode) throws Exception {
+  void eachRequestGetsOneResponseWhateverTheCachesDo(Mode mode) throws Exception {
     caches.forEach(cache -> cache.mode = mode);
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 20; tag++) {
         client.call(
-            String.valueOf(tag), tag % 5 == 0 ? "once" : "clip", fields("a" + tag, 700), "");
+            String.valueOf(tag), tag % 5 == 0 ? "once" : "clip", callFields("a" + tag, 700), "");
       }
       List<String> open = new ArrayList<>();
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(700 + 300);
@@ -179,9 +179,9 @@
         List<byte[]> answer = client.read();
         assertThat(open).doesNotContain(tag(answer));
         open.add(tag(answer));
-        assertThat(word(answer)).isIn("ACK", "NAK", "FAIL");
+        assertThat(status(answer)).isIn("ACK", "NAK", "FAIL");
         if (mode == Mode.SERVE) {
-          assertThat(word(answer)).isEqualTo("ACK");
+          assertThat(status(answer)).isEqualTo("ACK");
         }
       }
       assertThat(System.nanoTime()).isLessThan(end);
@@ -190,24 +190,24 @@
   }
 
   @Test
-  void aRefusedConnectionIsNoLossWhereAnotherCacheIsLeft() throws Exception {
+  void refusedConnectionIsNoLossWhereAnotherCacheIsLeft() throws Exception {
     first.close();
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 10; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
       }
     }
   }
 
   @Test
-  void aClientThatSendsNoMoreStillGetsItsAnswers() throws Exception {
-    mode(Mode.LATE);
+  void halfClosedClientStillGetsItsResponses() throws Exception {
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client()) {
-      client.call("1", "clip", fields("5", 2000), "");
-      client.call("2", "clip", fields("6", 2000), "");
+      client.call("1", "clip", callFields("5", 2000), "");
+      client.call("2", "clip", callFields("6", 2000), "");
       client.socket.shutdownOutput();
-      assertThat(word(client.read())).isEqualTo("ACK");
-      assertThat(word(client.read())).isEqualTo("ACK");
+      assertThat(status(client.read())).isEqualTo("ACK");
+      assertThat(status(client.read())).isEqualTo("ACK");
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
     }
   }
@@ -216,33 +216,33 @@
    * A machine that vanished leaves its connections open; only new ones tell that it is there again.
    */
   @Test
-  void aConnectionThatHasGoneSilentIsNotUsedAgain() throws Exception {
+  void silentConnectionIsNotUsedAgain() throws Exception {
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 8; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "f" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "f" + tag))).isEqualTo("ACK");
       }
       caches.forEach(ToyServer.Cache::muteOpen);
       for (int tag = 11; tag <= 18; tag++) {
-        client.call(String.valueOf(tag), "clip", fields("f" + tag, 200), "");
+        client.call(String.valueOf(tag), "clip", callFields("f" + tag, 200), "");
       }
       for (int i = 0; i < 8; i++) {
         client.read();
       }
       List<String> words = new ArrayList<>();
       for (int tag = 21; tag <= 28; tag++) {
-        words.add(word(ask(client, String.valueOf(tag), "f" + tag)));
+        words.add(status(call(client, String.valueOf(tag), "f" + tag)));
       }
       assertThat(words).contains("ACK");
     }
   }
 
   @Test
-  void anUnsafeViewThatMayHaveRunIsNeverSentAgainNorRefused() throws Exception {
+  void nonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected() throws Exception {
     caches.forEach(cache -> cache.mode = Mode.RESET);
     try (ToyServer.Client client = client()) {
       client.call(
           "1", "once", "rid=%s,budget=900,obj=%s,piece=0,lot=1".formatted(id("e1"), id("5")), "x");
-      assertThat(word(client.read())).isEqualTo("FAIL");
+      assertThat(status(client.read())).isEqualTo("FAIL");
     }
     long asks =
         caches.stream()
@@ -257,37 +257,37 @@
    * lost so.
    */
   @Test
-  void aLargeAnswerThatBreaksInTheMidstCostsNeitherItsConnectionNorAnyOtherView() throws Exception {
+  void largeResponseThatBreaksCostsNeitherConnectionNorOtherRequests() throws Exception {
     first.size = 200_000;
     second.size = 200_000;
     try (ToyServer.Client client = client()) {
-      assertThat(ask(client, "1", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
-      mode(Mode.HALF);
-      assertThat(word(ask(client, "2", "5"))).isIn("FAIL", "NAK");
-      mode(Mode.SERVE);
-      assertThat(ask(client, "3", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
+      assertThat(call(client, "1", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
+      setMode(Mode.HALF);
+      assertThat(status(call(client, "2", "5"))).isIn("FAIL", "NAK");
+      setMode(Mode.SERVE);
+      assertThat(call(client, "3", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
     }
   }
 
   /** Half answers that fill the buffers between them must not wait for one another. */
   @Test
-  void manyLargeAnswersAtOnceAllComeThroughTheLeastMemory() throws Exception {
-    restartWithTheLeast();
+  void manyLargeResponsesFitTheMinimumMemory() throws Exception {
+    restartWithMinimumMemory();
     first.size = 240_000;
     second.size = 240_000;
     List<ToyServer.Client> clients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       clients.add(client());
       for (int tag = 1; tag <= 6; tag++) {
-        clients.get(i).call(String.valueOf(tag), "clip", fields("5", 9000), "");
+        clients.get(i).call(String.valueOf(tag), "clip", callFields("5", 9000), "");
       }
     }
     int served = 0;
     for (ToyServer.Client client : clients) {
       for (int tag = 1; tag <= 6; tag++) {
         List<byte[]> answer = client.read();
-        served += word(answer).equals("ACK") ? 1 : 0;
-        assertThat(word(answer).equals("NAK") || answer.get(3).length == 240_000).isTrue();
+        served += status(answer).equals("ACK") ? 1 : 0;
+        assertThat(status(answer).equals("NAK") || answer.get(3).length == 240_000).isTrue();
       }
       client.close();
     }
@@ -297,31 +297,31 @@
 
   /** What is open behind an answer that stopped short would else wait in vain until its cut-off. */
   @Test
-  void anAnswerThatStopsShortCostsItsConnectionAndNoView() throws Exception {
+  void stalledResponseCostsItsConnectionAndNoRequest() throws Exception {
     try (ToyServer.Client client = client()) {
       first.mode = Mode.STOP;
       for (int tag = 1; tag <= 12; tag++) {
-        client.call(String.valueOf(tag), "clip", fields("5" + tag, 2500), "");
+        client.call(String.valueOf(tag), "clip", callFields("5" + tag, 2500), "");
       }
       for (int tag = 1; tag <= 12; tag++) {
-        assertThat(word(client.read())).isEqualTo("ACK");
+        assertThat(status(client.read())).isEqualTo("ACK");
       }
     }
-    assertThat(logged("STALLED")).isNotEmpty();
+    assertThat(awaitLogged("STALLED")).isNotEmpty();
   }
 
   /** A client that reads nothing must not stop another one. */
   @Test
-  void aSlowClientBlocksNoOther() throws Exception {
+  void slowClientBlocksNoOther() throws Exception {
     first.size = 240_000;
     second.size = 240_000;
     try (ToyServer.Client slow = client();
         ToyServer.Client other = client()) {
       for (int tag = 1; tag <= 32; tag++) {
-        slow.call(String.valueOf(tag), "clip", fields("5", 2000), "");
+        slow.call(String.valueOf(tag), "clip", callFields("5", 2000), "");
       }
       for (int tag = 1; tag <= 20; tag++) {
-        assertThat(ask(other, String.valueOf(tag), "6").get(3)).hasSize(240_000);
+        assertThat(call(other, String.valueOf(tag), "6").get(3)).hasSize(240_000);
       }
     }
   }
@@ -337,12 +337,12 @@
         "*2\r\n$10\r\nRPC.HEALTH\r\n$2\r\n-1\r\n",
         "*5\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$4\r\nclip\r\n" + "$0\r\n\r\n$999999\r\n"
       })
-  void aMalformedFrameEndsItsConnectionAlone(String bytes) throws Exception {
+  void malformedFrameEndsOnlyItsConnection(String bytes) throws Exception {
     try (ToyServer.Client bad = client();
         ToyServer.Client good = client()) {
       bad.socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
       assertThatThrownBy(bad::read).isInstanceOfAny(EOFException.class, SocketException.class);
-      assertThat(word(ask(good, "1", "5"))).isEqualTo("ACK");
+      assertThat(status(call(good, "1", "5"))).isEqualTo("ACK");
     }
     assertThat(Files.readString(folder.resolve("out.log"))).contains("client-unreadable");
   }
@@ -370,15 +370,15 @@
         "rid=ID,budget=900,obj=ID,token=7",
         "rid=ID,rid=ID,budget=900,obj=ID"
       })
-  void badFieldsCostTheirViewAlone(String fields) throws Exception {
+  void badFieldsCostOnlyTheirRequest(String fields) throws Exception {
     try (ToyServer.Client client = client()) {
       client.call("1", "clip", fields.replace("ID", id("5")), "");
-      assertThat(word(client.read())).isEqualTo("NAK");
-      client.call("2", "clip,x", fields("5", 900), "");
-      assertThat(word(client.read())).isEqualTo("NAK");
-      client.call("3", "pick", fields("5", 900), "");
-      assertThat(word(client.read())).isEqualTo("NAK");
-      assertThat(word(ask(client, "4", "5"))).isEqualTo("ACK");
+      assertThat(status(client.read())).isEqualTo("NAK");
+      client.call("2", "clip,x", callFields("5", 900), "");
+      assertThat(status(client.read())).isEqualTo("NAK");
+      client.call("3", "pick", callFields("5", 900), "");
+      assertThat(status(client.read())).isEqualTo("NAK");
+      assertThat(status(call(client, "4", "5"))).isEqualTo("ACK");
     }
     assertThat(
             caches.stream().flatMap(cache -> cache.seen.stream()).filter(c -> c.startsWith("ASK")))
@@ -391,22 +391,22 @@
    */
   @Test
   void anOpenIdIsNotTakenTwiceAndAFloodIsRefused() throws Exception {
-    mode(Mode.LATE);
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client();
         ToyServer.Client other = client()) {
       client.call("1", "clip", "rid=%s,budget=2000,obj=%s".formatted(id("77"), id("5")), "");
-      next(seenAnywhere(), "ASK " + id("77"));
+      nextCommand(seenAnywhere(), "ASK " + id("77"));
       other.call("1", "clip", "rid=%s,budget=2000,obj=%s".formatted(id("77"), id("6")), "");
-      assertThat(word(other.read())).isEqualTo("NAK");
+      assertThat(status(other.read())).isEqualTo("NAK");
       assertThat(client.read().get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
-      mode(Mode.SILENT);
+      setMode(Mode.SILENT);
       for (int tag = 2; tag <= 60; tag++) {
-        other.call(String.valueOf(tag), "clip", fields("5", 400), "");
+        other.call(String.valueOf(tag), "clip", callFields("5", 400), "");
       }
       for (int tag = 34; tag <= 60; tag++) {
         List<byte[]> answer = other.read();
         assertThat(tag(answer)).isEqualTo(String.valueOf(tag));
-        assertThat(word(answer)).isEqualTo("NAK");
+        assertThat(status(answer)).isEqualTo("NAK");
       }
     }
     try (ToyServer.Client client = client()) {
@@ -416,7 +416,7 @@
       assertThatThrownBy(
               () -> {
                 for (int tag = 1; tag <= 200; tag++) {
-                  assertThat(word(client.read())).isEqualTo("NAK");
+                  assertThat(status(client.read())).isEqualTo("NAK");
                 }
               })
           .isInstanceOfAny(EOFException.class, SocketException.class);
@@ -434,7 +434,7 @@
         "*5\r\n$8\r\nRPC.CALL\r\n",
         "*5\r\n$8\r\nRPC.CALL\r\n$1\r\n9\r\n$4\r\nclip\r\n$0\r\n\r\n$9\r\nhalf"
       })
-  void silenceHoldsNoConnection(String bytes) throws Exception {
+  void silentClientHoldsNoConnection(String bytes) throws Exception {
     try (ToyServer.Client client = client()) {
       long start = System.nanoTime();
       client.socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
@@ -444,37 +444,37 @@
   }
 
   @Test
-  void aDrainToldByTheFeedIsKeptAndALaterCacheUnderAnOldAddressIsAnother() throws Exception {
-    feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
-    next(feed.asked, "GET /v1/events?SUB=2");
+  void drainFromTheFeedIsKeptAndAReusedAddressIsAnotherCache() throws Exception {
+    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.asked, "GET /v1/events?SUB=2");
     try (ToyServer.Client client = client()) {
       first.seen.clear();
       for (int tag = 1; tag <= 20; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "c" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "c" + tag))).isEqualTo("ACK");
       }
       assertThat(first.seen).isEmpty();
-      feed.tell(EDGE.formatted("s-0000000a", first.port(), "gone"));
-      feed.tell(EDGE.formatted("s-0000000e", first.port(), "ready"));
-      next(feed.asked, "GET /v1/events?SUB=4");
+      feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "gone"));
+      feed.tell(EDGE_EVENT.formatted("s-0000000e", first.port(), "ready"));
+      nextCommand(feed.asked, "GET /v1/events?SUB=4");
       for (int tag = 21; tag <= 60; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "d" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "d" + tag))).isEqualTo("ACK");
       }
       assertThat(first.seen).isNotEmpty();
     }
   }
 
   @Test
-  void aPurgeToldByTheFeedBoundsTheAgeOfCopies() throws Exception {
+  void purgeFromTheFeedBoundsTheAgeOfCopies() throws Exception {
     long at = System.currentTimeMillis();
     feed.tell("{\"n\":N,\"purge\":{\"key\":\"" + id("5") + "\",\"at\":" + at + "}}");
     feed.tell("{\"n\":N,\"purge\":{\"group\":40,\"at\":" + at + "}}");
-    next(feed.asked, "GET /v1/events?SUB=3");
+    nextCommand(feed.asked, "GET /v1/events?SUB=3");
     try (ToyServer.Client client = client()) {
-      ask(client, "1", "5");
+      call(client, "1", "5");
       client.call(
           "2", "clip", "rid=%s,budget=900,obj=%s,piece=0,lot=40".formatted(id("99"), id("6")), "");
       client.read();
-      ask(client, "3", "7");
+      call(client, "3", "7");
     }
     for (String object : List.of("5", "6", "7")) {
       String seen =
@@ -496,7 +496,7 @@
    * on.
    */
   @Test
-  void aFeedThatFailsIsAskedAgainWhileTheLastListHolds() throws Exception {
+  void failedFeedIsPolledAgainWhileTheLastListHolds() throws Exception {
     for (String nonsense :
         List.of(
             "{]",
@@ -506,20 +506,20 @@
             "{\"n\":2,\"events\":[{\"n\":2,\"members\":{\"servers\":[{\"id\":\"s-0000000a\",\"state\":\"odd\"}]}}]}")) {
       feed.asked.clear();
       feed.nonsense = nonsense;
-      feed.tell(EDGE.formatted("s-0000000f", 1, "gone"));
-      next(feed.asked, "GET");
-      next(feed.asked, "GET");
+      feed.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+      nextCommand(feed.asked, "GET");
+      nextCommand(feed.asked, "GET");
       try (ToyServer.Client client = client()) {
-        assertThat(word(ask(client, "1", "5"))).as(nonsense).isEqualTo("ACK");
+        assertThat(status(call(client, "1", "5"))).as(nonsense).isEqualTo("ACK");
       }
     }
     feed.nonsense = null;
-    feed.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
-    next(feed.asked, "GET /v1/events?SUB=7");
+    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.asked, "GET /v1/events?SUB=7");
     try (ToyServer.Client client = client()) {
       first.seen.clear();
       for (int tag = 1; tag <= 20; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
       }
       assertThat(first.seen).isEmpty();
     }
@@ -530,68 +530,68 @@
    * stay.
    */
   @Test
-  void onHangUpTheFeedIsTakenUpElsewhereAndNoEventIsMissed() throws Exception {
-    feed.tell(EDGE.formatted("s-0000000f", 1, "gone"));
-    next(feed.asked, "GET /v1/events?SUB=2");
+  void onHangUpTheFeedMovesAndNoEventIsMissed() throws Exception {
+    feed.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+    nextCommand(feed.asked, "GET /v1/events?SUB=2");
     Path config = folder.resolve("config.json");
     String old = Files.readString(config);
-    mode(Mode.LATE);
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client();
         ToyServer.Feed elsewhere = new ToyServer.Feed(0)) {
-      client.call("1", "clip", fields("5", 2000), "");
-      elsewhere.tell(EDGE.formatted("s-0000000f", 1, "gone"));
-      elsewhere.tell(EDGE.formatted("s-0000000a", first.port(), "draining"));
+      client.call("1", "clip", callFields("5", 2000), "");
+      elsewhere.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+      elsewhere.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
       Files.writeString(
           config,
           old.replace("127.0.0.1:" + feed.port(), "127.0.0.1:" + elsewhere.port())
               .replace("\"sockets\"", "\"sockets\":512,\"former\""));
-      hangUp();
-      hangUp();
-      assertThat(next(elsewhere.asked, "GET")).startsWith("GET /v1/events?SUB=2");
-      next(elsewhere.asked, "GET /v1/events?SUB=3");
-      assertThat(word(client.read())).isEqualTo("ACK");
-      mode(Mode.SERVE);
+      sendHangUp();
+      sendHangUp();
+      assertThat(nextCommand(elsewhere.asked, "GET")).startsWith("GET /v1/events?SUB=2");
+      nextCommand(elsewhere.asked, "GET /v1/events?SUB=3");
+      assertThat(status(client.read())).isEqualTo("ACK");
+      setMode(Mode.SERVE);
       first.seen.clear();
       for (int tag = 2; tag <= 20; tag++) {
-        assertThat(word(ask(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
+        assertThat(status(call(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
       }
       assertThat(first.seen).isEmpty();
-      logged("not before the next start: limits");
+      awaitLogged("not before the next start: limits");
       Files.writeString(config, old.substring(0, old.length() / 2));
-      hangUp();
-      logged("the old one holds");
-      assertThat(word(ask(client, "21", "f"))).isEqualTo("ACK");
+      sendHangUp();
+      awaitLogged("the old one holds");
+      assertThat(status(call(client, "21", "f"))).isEqualTo("ACK");
     }
     assertThat(gateway.isAlive()).isTrue();
   }
 
   @Test
-  void onTermAllThatWasTakenIsAnsweredBeforeTheEnd() throws Exception {
-    mode(Mode.LATE);
+  void onTermAllAdmittedRequestsAreAnsweredBeforeTheEnd() throws Exception {
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client()) {
-      client.call("1", "clip", fields("5", 2500), "");
+      client.call("1", "clip", callFields("5", 2500), "");
       gateway.destroy();
       try (ToyServer.Client late = client()) {
-        late.call("1", "clip", fields("6", 2500), "");
-        assertThat(word(client.read())).isEqualTo("ACK");
-        assertThat(word(late.read())).isEqualTo("ACK");
+        late.call("1", "clip", callFields("6", 2500), "");
+        assertThat(status(client.read())).isEqualTo("ACK");
+        assertThat(status(late.read())).isEqualTo("ACK");
       }
     }
     assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
   }
 
   @Test
-  void aRestartForgetsEverythingAndServes() throws Exception {
-    mode(Mode.SILENT);
+  void restartForgetsEverythingAndServes() throws Exception {
+    setMode(Mode.SILENT);
     try (ToyServer.Client client = client()) {
-      client.call("1", "clip", fields("5", 2500), "");
+      client.call("1", "clip", callFields("5", 2500), "");
       gateway.destroyForcibly().waitFor();
       assertThatThrownBy(client::read).isInstanceOfAny(EOFException.class, SocketException.class);
     }
-    mode(Mode.SERVE);
+    setMode(Mode.SERVE);
     launch();
     try (ToyServer.Client client = client()) {
-      assertThat(word(ask(client, "1", "5"))).isEqualTo("ACK");
+      assertThat(status(call(client, "1", "5"))).isEqualTo("ACK");
     }
   }
 
@@ -600,9 +600,9 @@
    * other.
    */
   @Test
-  void theSmallestLimitsAreKeptUnderACrowd() throws Exception {
+  void smallestLimitsAreKeptUnderLoad() throws Exception {
     descriptors = 256;
-    restartWithTheLeast();
+    restartWithMinimumMemory();
     List<ToyServer.Client> crowd = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       crowd.add(client());
@@ -614,12 +614,12 @@
       if (i % 30 == 0) {
         try (ToyServer.Client client = client()) {
           for (int tag = 1; tag <= 20; tag++) {
-            assertThat(word(ask(client, String.valueOf(tag), "7" + tag))).isEqualTo("ACK");
+            assertThat(status(call(client, String.valueOf(tag), "7" + tag))).isEqualTo("ACK");
           }
         }
       }
     }
-    assertThat(ofStatus("RssAnon")).isLessThan(32 * 1024);
+    assertThat(processStatus("RssAnon")).isLessThan(32 * 1024);
     for (ToyServer.Client client : crowd) {
       client.close();
     }
@@ -634,26 +634,26 @@
     List<ToyServer.Client> clients = new ArrayList<>();
     for (int i = 0; i < 1100; i++) {
       clients.add(client());
-      assertThat(word(ask(clients.get(i), "1", "5"))).isEqualTo("ACK");
+      assertThat(status(call(clients.get(i), "1", "5"))).isEqualTo("ACK");
     }
-    assertThat(ofStatus("VmRSS")).isLessThan(192 * 1024);
+    assertThat(processStatus("VmRSS")).isLessThan(192 * 1024);
     for (ToyServer.Client client : clients) {
       client.close();
     }
     try (ToyServer.Client client = client()) {
-      assertThat(word(ask(client, "1", "5"))).isEqualTo("ACK");
+      assertThat(status(call(client, "1", "5"))).isEqualTo("ACK");
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"missing", "", "not json", "{}", "{\"listen\":\"here\"}"})
-  void aConfigurationThatCannotBeUsedIsToldInOneLine(String text) throws Exception {
+  void invalidConfigurationIsReportedInOneLine(String text) throws Exception {
     stop();
     Path config = folder.resolve("bad.json");
     if (!text.equals("missing")) {
       Files.writeString(config, text);
     }
-    gateway = program(config.toString());
+    gateway = launchProgram(config.toString());
     assertThat(gateway.waitFor(10, TimeUnit.SECONDS)).isTrue();
     assertThat(gateway.exitValue()).isNotZero();
     assertThat(Files.readAllLines(folder.resolve("err.log"))).hasSize(1);
--- a/cli/src/test/java/tamarindroute/gateway/OddSettingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
@@ -14,7 +14,7 @@
 
 /** The program itself with odd settings: one line and its end, or a start that serves. */
 @Timeout(60)
-class OddSettingsIT extends GatewayRig {
+class InvalidSettingsIT extends GatewayHarness {
 
   private String with(String old, String now) throws Exception {
     String text = Files.readString(folder.resolve("config.json"));
@@ -35,11 +35,11 @@
         "\"HubOf\": [0, 0] | \"HubOf\": [-1, -1] | HubOf is -1",
         "\"feed\": \"127 | \"feed\": \"x.127 | feed is x.127"
       })
-  void whatCannotBeUsedEndsTheStartWithOneLineThatNamesIt(String old, String now, String told)
+  void invalidSettingIsNamedInOneLineAndEndsTheStart(String old, String now, String expectedMessage)
       throws Exception {
     Path config = Files.writeString(folder.resolve("bad.json"), with(old, now));
     gateway.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
-    gateway = program(config.toString());
+    gateway = launchProgram(config.toString());
     assertThat(gateway.waitFor(10, TimeUnit.SECONDS)).isTrue();
     assertThat(gateway.exitValue()).isEqualTo(3);
     assertThat(Files.readAllLines(folder.resolve("err.log")))
@@ -47,7 +47,7 @@
         .first()
         .asString()
         .startsWith("serve: malformed settings: ")
-        .contains(told);
+        .contains(expectedMessage);
   }
 
   /**
@@ -55,7 +55,7 @@
    * is a field's.
    */
   @Test
-  void whatIsOddButUsableIsServed() throws Exception {
+  void unusualButUsableSettingsAreServed() throws Exception {
     String odd =
         with("\"servers\": [", "\"servers\": [7, {\"id\": \"s-9\"},")
             .replaceFirst("\"weight\": 40", "\"weight\": -40")
@@ -66,9 +66,9 @@
     Files.writeString(folder.resolve("config.json"), odd);
     launch();
     try (ToyServer.Client client = client()) {
-      for (String profile : List.of("a clip", "rid")) {
-        client.call("1", profile, fields("5", 2000), "");
-        assertThat(word(client.read())).as(profile + "\n" + logs()).isEqualTo("ACK");
+      for (String requestClass : List.of("a clip", "rid")) {
+        client.call("1", requestClass, callFields("5", 2000), "");
+        assertThat(status(client.read())).as(requestClass + "\n" + logs()).isEqualTo("ACK");
       }
     }
     assertThat(logs())
