--- a/cli/src/test/java/tamarindroute/gateway/EndingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -21,13 +21,13 @@
  * What ends at the client's side, and the gateway's own end: each way out pays what is still owed.
  */
 @Timeout(60)
-class EndingsIT extends GatewayRig {
+class ShutdownIT extends GatewayHarness {
 
   /**
    * What the gateway's one selecting thread was told before is with its owner when two answers have
    * come.
    */
-  private void caughtUp() throws Exception {
+  private void awaitEventLoopCaughtUp() throws Exception {
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 2; tag++) {
         client.send("RPC.HEALTH", tag, "");
@@ -36,7 +36,7 @@
     }
   }
 
-  private ToyServer.Cache asked(String id) throws InterruptedException {
+  private ToyServer.Cache awaitCacheAskedFor(String id) throws InterruptedException {
     while (true) {
       for (ToyServer.Cache cache : caches) {
         if (cache.seen.stream().anyMatch(command -> command.startsWith("ASK " + id))) {
@@ -47,7 +47,7 @@
     }
   }
 
-  private long asks(String id) {
+  private long countAsks(String id) {
     return caches.stream()
         .flatMap(cache -> cache.seen.stream())
         .filter(c -> c.startsWith("ASK " + id))
@@ -61,15 +61,15 @@
 
   /** Nonsense ends what may come, not what was taken before it. */
   @Test
-  void whatIsOpenBesideAMalformedFrameIsAnswered() throws Exception {
-    mode(Mode.LATE);
+  void requestsOpenBesideAMalformedFrameAreAnswered() throws Exception {
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
           "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d1"), id("5")),
           "");
-      asked(id("d1"));
+      awaitCacheAskedFor(id("d1"));
       client
           .socket
           .getOutputStream()
@@ -80,36 +80,36 @@
       assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
     }
-    logged("client-unreadable");
+    awaitLogged("client-unreadable");
   }
 
   /** An attempt that breaks when its client has closed is not made good by another. */
   @Test
-  void noFurtherAttemptIsBegunForAClientThatClosed() throws Exception {
+  void noFurtherAttemptStartsForAClientThatClosed() throws Exception {
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 8; tag++) {
-        ask(client, String.valueOf(tag), "a" + tag);
+        call(client, String.valueOf(tag), "a" + tag);
       }
     }
-    mode(Mode.SILENT);
+    setMode(Mode.SILENT);
     ToyServer.Client client = client();
     client.call(
         "1",
         "clip",
         "rid=%s,budget=5000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d2"), id("5")),
         "");
-    ToyServer.Cache at = asked(id("d2"));
+    ToyServer.Cache at = awaitCacheAskedFor(id("d2"));
     client.close();
-    caughtUp();
+    awaitEventLoopCaughtUp();
     at.close();
-    logged("cache-lost");
-    mode(Mode.SERVE);
+    awaitLogged("cache-lost");
+    setMode(Mode.SERVE);
     try (ToyServer.Client other = client()) {
       for (int tag = 1; tag <= 8; tag++) {
-        assertThat(word(ask(other, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
+        assertThat(status(call(other, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
       }
     }
-    assertThat(asks(id("d2"))).isEqualTo(1);
+    assertThat(countAsks(id("d2"))).isEqualTo(1);
   }
 
   /**
@@ -117,7 +117,7 @@
    * it.
    */
   @Test
-  void whatIsAnsweredAtTheEndIsSentOnNoMoreAndRefusedWhereThatIsHarmless() throws Exception {
+  void pendingRequestsAtShutdownAreNotRetriedAndRejectedWhereHarmless() throws Exception {
     caches.forEach(cache -> cache.mode = Mode.SILENT);
     try (ToyServer.Client client = client()) {
       client.call(
@@ -130,14 +130,14 @@
           "once",
           "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d4"), id("6")),
           "");
-      asked(id("d3"));
-      asked(id("d4"));
+      awaitCacheAskedFor(id("d3"));
+      awaitCacheAskedFor(id("d4"));
       long from = System.nanoTime();
       gateway.destroy();
       List<byte[]> one = client.read();
       List<byte[]> two = client.read();
-      assertThat(word(tag(one).equals("1") ? one : two)).isEqualTo("NAK");
-      assertThat(word(tag(one).equals("2") ? one : two)).isEqualTo("FAIL");
+      assertThat(status(tag(one).equals("1") ? one : two)).isEqualTo("NAK");
+      assertThat(status(tag(one).equals("2") ? one : two)).isEqualTo("FAIL");
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
       assertThat(millisTo(gateway, from)).isGreaterThan(3400);
     }
@@ -148,7 +148,7 @@
     assertThat(stop.find()).as(log).isTrue();
     assertThat(Integer.parseInt(stop.group(1))).isBetween(3500, 3700);
     assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("defect");
-    assertThat(asks(id("d4"))).isEqualTo(1);
+    assertThat(countAsks(id("d4"))).isEqualTo(1);
   }
 
   /**
@@ -156,17 +156,17 @@
    * on.
    */
   @Test
-  void whatComesAfterTheDoorIsShutIsRefusedAndNotSentOn() throws Exception {
-    mode(Mode.SILENT);
+  void requestsAfterTheListenerClosesAreRejected() throws Exception {
+    setMode(Mode.SILENT);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
           "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d5"), id("5")),
           "");
-      asked(id("d5"));
+      awaitCacheAskedFor(id("d5"));
       gateway.destroy();
-      awaitShut();
+      awaitListenerClosed();
       String refused = null;
       for (int tag = 2; tag <= 30 && refused == null; tag++) {
         client.call(
@@ -177,16 +177,16 @@
             "");
         client.send("RPC.HEALTH", 100 + tag, "");
         List<byte[]> answer = client.read();
-        refused = word(answer).equals("NAK") ? tag(answer) : null;
+        refused = status(answer).equals("NAK") ? tag(answer) : null;
       }
       assertThat(refused).isNotNull();
-      assertThat(word(client.read())).isEqualTo("RED");
-      assertThat(asks(id("e" + (100 + Integer.parseInt(refused))))).isZero();
+      assertThat(status(client.read())).isEqualTo("RED");
+      assertThat(countAsks(id("e" + (100 + Integer.parseInt(refused))))).isZero();
     }
     assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
   }
 
-  private void awaitShut() throws Exception {
+  private void awaitListenerClosed() throws Exception {
     for (int i = 0; i < 400; i++) {
       try {
         client().close();
@@ -203,10 +203,10 @@
    * as quick.
    */
   @Test
-  void aRestingClientIsClosedInOrderAndTheEndIsQuick() throws Exception {
+  void idleClientIsClosedInOrderAndShutdownIsQuick() throws Exception {
     try (ToyServer.Client resting = client();
         ToyServer.Client silent = client()) {
-      ask(resting, "1", "5");
+      call(resting, "1", "5");
       long from = System.nanoTime();
       gateway.destroy();
       assertThatThrownBy(resting::read).isInstanceOf(EOFException.class);
@@ -223,9 +223,9 @@
 
   /** A client that neither closes nor reads does not hold the gateway to its last moment. */
   @Test
-  void aClientThatNeverClosesDoesNotHoldTheEnd() throws Exception {
+  void clientThatNeverClosesDoesNotDelayShutdown() throws Exception {
     try (ToyServer.Client resting = client()) {
-      ask(resting, "1", "5");
+      call(resting, "1", "5");
       long from = System.nanoTime();
       gateway.destroy();
       assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
@@ -234,22 +234,22 @@
   }
 
   @Test
-  void furtherSignalsInTheMidstOfTheEndChangeNothing() throws Exception {
-    mode(Mode.LATE);
+  void furtherSignalsDuringShutdownChangeNothing() throws Exception {
+    setMode(Mode.LATE);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
           "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d6"), id("5")),
           "");
-      asked(id("d6"));
+      awaitCacheAskedFor(id("d6"));
       long from = System.nanoTime();
       gateway.destroy();
-      hangUp();
+      sendHangUp();
       gateway.destroy();
-      hangUp();
-      assertThat(word(client.read())).isEqualTo("ACK");
-      assertThat(word(ask(client, "2", "6"))).isEqualTo("ACK");
+      sendHangUp();
+      assertThat(status(client.read())).isEqualTo("ACK");
+      assertThat(status(call(client, "2", "6"))).isEqualTo("ACK");
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
       client.close();
       assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
--- a/decision/src/main/java/tamarindroute/decision/Cache.java
+++ b/decision/src/main/java/tamarindroute/decision/Cache.java
@@ -11,30 +11,30 @@
     ORIGIN
   }
 
-  public enum Standing {
+  public enum Availability {
     READY,
     DRAINING,
     GONE
   }
 
   /** The same at every gateway and across restarts; for placement only. */
-  public final long mark;
+  public final long stableId;
 
   public Tier tier = Tier.EDGE;
-  public Standing standing = Standing.READY;
+  public Availability availability = Availability.READY;
   public int zone;
   public int cell;
 
   /** When its process started; null means long ago. */
-  public Duration upSince;
+  public Duration startedAt;
 
   public double weight = 1;
 
-  public Cache(long mark) {
-    this.mark = mark;
+  public Cache(long stableId) {
+    this.stableId = stableId;
   }
 
-  public boolean ready() {
-    return standing == Standing.READY;
+  public boolean isReady() {
+    return availability == Availability.READY;
   }
 }
--- a/decision/src/main/java/tamarindroute/decision/Answer.java
+++ b/decision/src/main/java/tamarindroute/decision/Decision.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /** What a gateway does with a view next. */
-public sealed interface Answer
-    permits Trip, Answer.NotYet, Answer.Recall, Answer.Dismissal, Answer.Termination {
+public sealed interface Decision
+    permits Attempt, Decision.Wait, Decision.Cancel, Decision.Reject, Decision.Fail {
 
   /** Nothing for now; the view stays in hand. */
-  record NotYet() implements Answer {}
+  record Wait() implements Decision {}
 
   /** Stop waiting for this trip; its outcome still comes. */
-  record Recall(Trip trip) implements Answer {}
+  record Cancel(Attempt attempt) implements Decision {}
 
   /** The final answer that a new try is harmless; comeBack is null where nothing is advised. */
-  record Dismissal(Duration comeBack) implements Answer {}
+  record Reject(Duration retryAfter) implements Decision {}
 
   /** The final answer that promises nothing. */
-  record Termination() implements Answer {}
+  record Fail() implements Decision {}
 }
--- a/decision/src/main/java/tamarindroute/decision/Outcome.java
+++ b/decision/src/main/java/tamarindroute/decision/Outcome.java
@@ -4,40 +4,44 @@
 
 /** How a trip came back; sourceWait is null where it is not told. */
 public record Outcome(
-    Result result, Detail detail, Duration took, Duration sourceWait, boolean closed) {
+    Result result,
+    Detail detail,
+    Duration duration,
+    Duration sourceWait,
+    boolean requestCompleted) {
 
   public enum Result {
-    HONOURED(false),
-    ERRED(false),
-    TURNED_AWAY(true),
+    SERVED(false),
+    FAILED(false),
+    REJECTED(true),
     TIMED_OUT(false),
-    UNREACHED(true),
-    BROKEN(false),
-    RECALLED(false),
+    CONNECT_FAILED(true),
+    CONNECTION_LOST(false),
+    CANCELLED(false),
     NOT_SENT(true),
     /** It came to the cache, which did not run it: its time was over. */
-    EXPIRED(true),
-    MISSED(true);
+    DEADLINE_EXCEEDED(true),
+    MISS(true);
 
     /** Whether it proves that the view did not run. */
-    public final boolean provesNotRun;
+    public final boolean provesNotExecuted;
 
-    Result(boolean provesNotRun) {
-      this.provesNotRun = provesNotRun;
+    Result(boolean provesNotExecuted) {
+      this.provesNotExecuted = provesNotExecuted;
     }
   }
 
   public enum Detail {
-    UNTOLD,
+    UNKNOWN,
     HIT,
     FILLED,
     FROM_ORIGIN,
-    JOINED,
-    OLD,
+    COALESCED,
+    STALE,
     SOURCE_REFUSED,
     SOURCE_FAILED,
-    SOURCE_LACKS,
-    NO_ROOM_FOR_FILL,
+    SOURCE_MISS,
+    FILL_CAPACITY_EXHAUSTED,
     ORIGIN_FAILED
   }
 }
--- a/decision/src/main/java/tamarindroute/numeric/Hashing.java
+++ b/decision/src/main/java/tamarindroute/numeric/Hashing.java
@@ -6,8 +6,8 @@
 /** Hashes for placement, and draws that repeat with their seed. */
 public final class Hashing {
 
-  private static final double DRAWS = 0x1p32;
-  private static final double FRACTIONS = 0x1p53;
+  private static final double CRC_RANGE = 0x1p32;
+  private static final double FRACTION_RANGE = 0x1p53;
   private static final int FRACTION_SHIFT = 11;
 
   private Hashing() {}
@@ -24,13 +24,13 @@
 
   /** The hash as a fraction between 0 and 1, neither of them included. */
   public static double fraction(long hash) {
-    return ((hash >>> FRACTION_SHIFT) + 0.5) / FRACTIONS;
+    return ((hash >>> FRACTION_SHIFT) + 0.5) / FRACTION_RANGE;
   }
 
   /** The draw of this number under this seed, between 0 and 1. */
-  public static double draw(long seed, long number) {
+  public static double pseudoRandom(long seed, long number) {
     CRC32 crc = new CRC32();
     crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(number).flip());
-    return (crc.getValue() + 0.5) / DRAWS;
+    return (crc.getValue() + 0.5) / CRC_RANGE;
   }
 }
--- a/facts/src/main/java/tamarindroute/facts/EventLog.java
+++ b/facts/src/main/java/tamarindroute/facts/EventLog.java
@@ -14,99 +14,101 @@
 public final class EventLog {
 
   /** The feed's changes are a few words each. */
-  static final int MOST_EVENT_BYTES = 8 << 10;
+  static final int MAX_EVENT_BYTES = 8 << 10;
 
   /** A thousand caches at some 200 bytes each. */
-  static final int MOST_LIST_BYTES = 256 << 10;
+  static final int MAX_SNAPSHOT_BYTES = 256 << 10;
 
   /** All changes together: what a gateway of 32 MB can spare. */
-  static final int MOST_BYTES = 512 << 10;
+  static final int MAX_TOTAL_BYTES = 512 << 10;
 
-  static final int MOST_EVENTS = 4096;
+  static final int MAX_EVENTS = 4096;
 
   /** What is held of one number; no payload where two were told. */
-  private record Entry(Payload payload, Duration bornAt) {
+  private record StoredEvent(Payload payload, Duration observedAt) {
 
-    Entry or(Entry other) {
+    StoredEvent merge(StoredEvent other) {
       boolean same = payload != null && payload.equals(other.payload);
-      return new Entry(same ? payload : null, later(bornAt, other.bornAt));
+      return new StoredEvent(same ? payload : null, later(observedAt, other.observedAt));
     }
   }
 
   /** One payload to be applied. */
-  public record Item(long number, Payload payload, Duration age) {}
+  public record PendingEvent(long number, Payload payload, Duration age) {}
 
   /**
    * What to apply, in this order.
    *
-   * @param list all that holds at its number, to be taken in place of all before, or null
-   * @param missing the first number that later ones are known of and which is not held or not
+   * @param snapshot all that holds at its number, to be taken in place of all before, or null
+   * @param firstMissing the first number that later ones are known of and which is not held or not
    *     believed; 0 for none
    */
-  public record Next(Item list, List<Item> changes, long missing) {}
+  public record Updates(PendingEvent snapshot, List<PendingEvent> changes, long firstMissing) {}
 
   private final String feed;
   private long generation;
-  private long listNumber;
-  private Entry list;
+  private long snapshotNumber;
+  private StoredEvent snapshot;
 
   /** Up to here changes fell out for want of room: known to be missing, and not taken again. */
-  private long floor;
+  private long evictedUpTo;
 
-  private final TreeMap<Long, Entry> changes = new TreeMap<>();
-  private int bytes;
+  private final TreeMap<Long, StoredEvent> changes = new TreeMap<>();
+  private int totalBytes;
 
   EventLog(String feed) {
     this.feed = feed;
   }
 
   /** Whether it was new here. */
-  boolean told(Fact.Event event, Duration bornAt) {
+  boolean add(Fact.Event event, Duration observedAt) {
     if (!event.feed().equals(feed) || event.generation() < generation) {
       return false;
     }
     if (event.generation() > generation) {
       generation = event.generation();
-      list = null;
-      listNumber = 0;
-      floor = 0;
+      snapshot = null;
+      snapshotNumber = 0;
+      evictedUpTo = 0;
       changes.clear();
-      bytes = 0;
+      totalBytes = 0;
     }
-    Entry told = new Entry(event.payload(), bornAt);
-    return event.list() ? list(event.number(), told) : change(event.number(), told);
+    StoredEvent received = new StoredEvent(event.payload(), observedAt);
+    return event.snapshot()
+        ? snapshot(event.number(), received)
+        : addChange(event.number(), received);
   }
 
-  private boolean list(long number, Entry told) {
-    if (number < listNumber) {
+  private boolean snapshot(long number, StoredEvent received) {
+    if (number < snapshotNumber) {
       return false;
     }
-    Entry before = number == listNumber ? list : null;
-    list = before == null ? told : before.or(told);
-    listNumber = number;
+    StoredEvent before = number == snapshotNumber ? snapshot : null;
+    snapshot = before == null ? received : before.merge(received);
+    snapshotNumber = number;
     while (!changes.isEmpty() && changes.firstKey() <= number) {
-      bytes -= size(changes.pollFirstEntry().getValue());
+      totalBytes -= size(changes.pollFirstEntry().getValue());
     }
     return before == null;
   }
 
-  private boolean change(long number, Entry told) {
-    if (number <= listNumber || number <= floor) {
+  private boolean addChange(long number, StoredEvent received) {
+    if (number <= snapshotNumber || number <= evictedUpTo) {
       return false;
     }
-    Entry before = changes.get(number);
-    Entry merged = before == null ? told : before.or(told);
+    StoredEvent before = changes.get(number);
+    StoredEvent merged = before == null ? received : before.merge(received);
     changes.put(number, merged);
-    bytes += size(merged) - (before == null ? 0 : size(before));
-    while (changes.size() > MOST_EVENTS || bytes > MOST_BYTES) {
+    totalBytes += size(merged) - (before == null ? 0 : size(before));
+    while (changes.size() > MAX_EVENTS || totalBytes > MAX_TOTAL_BYTES) {
       // The oldest: whoever lacks it finds the gap, and the next list closes it.
-      floor = changes.firstKey();
-      bytes -= size(changes.pollFirstEntry().getValue());
+      evictedUpTo = changes.firstKey();
+      totalBytes -= size(changes.pollFirstEntry().getValue());
     }
     return before == null;
   }
 
-  private static int size(Entry entry) {
+  private static int size(StoredEvent entry) {
     return entry.payload == null ? 0 : entry.payload.size();
   }
 
@@ -115,25 +117,25 @@
   }
 
   /** What follows on what was applied up to this number; never an older state over a newer one. */
-  public Next after(long applied, Duration now) {
-    Item base = null;
+  public Updates updatesAfter(long applied, Duration now) {
+    PendingEvent base = null;
     long last = applied;
-    if (list != null && list.payload != null && listNumber > applied) {
-      base = new Item(listNumber, list.payload, now.minus(list.bornAt));
-      last = listNumber;
+    if (snapshot != null && snapshot.payload != null && snapshotNumber > applied) {
+      base = new PendingEvent(snapshotNumber, snapshot.payload, now.minus(snapshot.observedAt));
+      last = snapshotNumber;
     }
-    List<Item> next = new ArrayList<>();
-    Entry entry = changes.get(last + 1);
+    List<PendingEvent> next = new ArrayList<>();
+    StoredEvent entry = changes.get(last + 1);
     while (entry != null && entry.payload != null) {
       last++;
-      next.add(new Item(last, entry.payload, now.minus(entry.bornAt)));
+      next.add(new PendingEvent(last, entry.payload, now.minus(entry.observedAt)));
       entry = changes.get(last + 1);
     }
-    return new Next(base, List.copyOf(next), last < highest() ? last + 1 : 0);
+    return new Updates(base, List.copyOf(next), last < highestKnown() ? last + 1 : 0);
   }
 
-  private long highest() {
-    return changes.isEmpty() ? Math.max(listNumber, floor) : changes.lastKey();
+  private long highestKnown() {
+    return changes.isEmpty() ? Math.max(snapshotNumber, evictedUpTo) : changes.lastKey();
   }
 
   public long generation() {
@@ -141,8 +143,8 @@
   }
 
   /** Up to here nothing is missing. */
-  public long whole() {
-    long last = listNumber;
+  public long contiguousUpTo() {
+    long last = snapshotNumber;
     while (changes.containsKey(last + 1)) {
       last++;
     }
@@ -150,10 +152,10 @@
   }
 
   /** Numbers of which two payloads were told. */
-  public List<Long> notBelieved() {
+  public List<Long> conflictingNumbers() {
     List<Long> numbers = new ArrayList<>();
-    if (list != null && list.payload == null) {
-      numbers.add(listNumber);
+    if (snapshot != null && snapshot.payload == null) {
+      numbers.add(snapshotNumber);
     }
     changes.forEach(
         (number, entry) -> {
@@ -165,23 +167,31 @@
   }
 
   /** At most so many, in order, for one who has all up to this number. */
-  List<Map.Entry<Fact.Event, Duration>> since(long generationThere, long whole, int most) {
+  List<Map.Entry<Fact.Event, Duration>> eventsSince(
+      long peerGeneration, long peerContiguousUpTo, int maxEvents) {
     long after =
-        generationThere == generation ? whole : generationThere > generation ? Long.MAX_VALUE : 0;
+        peerGeneration == generation
+            ? peerContiguousUpTo
+            : peerGeneration > generation ? Long.MAX_VALUE : 0;
     List<Map.Entry<Fact.Event, Duration>> events = new ArrayList<>();
-    if (list != null && list.payload != null && listNumber > after && events.size() < most) {
+    if (snapshot != null
+        && snapshot.payload != null
+        && snapshotNumber > after
+        && events.size() < maxEvents) {
       events.add(
-          Map.entry(new Fact.Event(feed, generation, listNumber, true, list.payload), list.bornAt));
+          Map.entry(
+              new Fact.Event(feed, generation, snapshotNumber, true, snapshot.payload),
+              snapshot.observedAt));
     }
-    for (Map.Entry<Long, Entry> one : changes.tailMap(after, false).entrySet()) {
-      if (events.size() >= most) {
+    for (Map.Entry<Long, StoredEvent> one : changes.tailMap(after, false).entrySet()) {
+      if (events.size() >= maxEvents) {
         break;
       }
       if (one.getValue().payload != null) {
         events.add(
             Map.entry(
                 new Fact.Event(feed, generation, one.getKey(), false, one.getValue().payload),
-                one.getValue().bornAt));
+                one.getValue().observedAt));
       }
     }
     return events;
@@ -189,6 +199,6 @@
 
   @Override
   public String toString() {
-    return generation + " " + listNumber + " " + list + " " + floor + " " + changes;
+    return generation + " " + snapshotNumber + " " + snapshot + " " + evictedUpTo + " " + changes;
   }
 }
--- a/facts/src/main/java/tamarindroute/facts/Spread.java
+++ b/facts/src/main/java/tamarindroute/facts/FanoutPolicy.java
@@ -11,18 +11,18 @@
  * fleets; else to a few, twice, a tenth of a second apart. Each that hears does the same, so that
  * after r rounds up to 12^r have it: three for 500.
  */
-public final class Spread {
+public final class FanoutPolicy {
 
   /** All of them get it at once up to here: 64 datagrams. */
-  static final int ALL = 64;
+  static final int DIRECT_LIMIT = 64;
 
   /**
    * Of those that heard of a push with 12 others each a share of e^-24 is missed by both, or e^-19
    * at 20% loss; lost ones are healed by exchange.
    */
-  static final int FEW = 12;
+  static final int FANOUT = 12;
 
-  private Spread() {}
+  private FanoutPolicy() {}
 
   /**
    * To whom. The alive ones in the same order at each call.
@@ -33,13 +33,13 @@
   public static List<Address> targets(List<Address> alive, Address self, long seed, int turn) {
     List<Address> others = new ArrayList<>(alive);
     others.remove(self);
-    if (others.size() <= ALL) {
+    if (others.size() <= DIRECT_LIMIT) {
       return others;
     }
     List<Address> chosen = new ArrayList<>();
-    for (int i = 0; i < FEW; i++) {
+    for (int i = 0; i < FANOUT; i++) {
       // A further draw among those that are left, so that none is chosen twice.
-      chosen.add(others.remove((int) (draw(seed, turn * FEW + i) % others.size())));
+      chosen.add(others.remove((int) (draw(seed, turn * FANOUT + i) % others.size())));
     }
     return chosen;
   }
--- a/facts/src/test/java/tamarindroute/facts/FactsTest.java
+++ b/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
@@ -25,7 +25,7 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-class FactsTest {
+class FactStoreTest {
 
   private static final String FEED = "feed:1";
 
@@ -60,8 +60,8 @@
             sequence,
             age,
             kind == 0
-                ? new Fact.InHand(cache, sequence)
-                : new Fact.Health(
+                ? new Fact.WorkInFlight(cache, sequence)
+                : new Fact.CacheHealth(
                     cache, sequence % 10, sequence % 2 == 0, now.minus(at(sequence - 9))));
       }
       return new Fact(
@@ -71,7 +71,10 @@
           event(
               sequence,
               kind == 3,
-              kind + "of" + sequence + (origin.birth() == 2 && sequence == 4 ? "other" : "")));
+              kind
+                  + "of"
+                  + sequence
+                  + (origin.incarnation() == 2 && sequence == 4 ? "other" : "")));
     }
   }
 
@@ -90,19 +93,19 @@
         .ofMaxSize(25);
   }
 
-  private static Facts holding(List<Copy> copies, long seed) {
-    Facts facts = new Facts(member(0, 1), FEED);
+  private static FactStore holding(List<Copy> copies, long seed) {
+    FactStore facts = new FactStore(member(0, 1), FEED);
     Random chance = new Random(seed);
     for (Copy copy : copies) {
       // Told at some time later; what it says of ages has grown by as much.
       Duration now = at(12 + chance.nextInt(30));
-      facts.told(List.of(copy.told(now)), now);
+      facts.receive(List.of(copy.told(now)), now);
     }
     return facts;
   }
 
   @Property(seed = "7", tries = 500)
-  void orderDoublingAndTheTimeOfTellingChangeNothing(
+  void orderDuplicationAndDelayDoNotAffectState(
       @ForAll("copies") List<Copy> copies, @ForAll long seed) {
     List<Copy> other = new ArrayList<>(copies);
     other.addAll(copies.subList(0, copies.size() / 2));
@@ -112,60 +115,62 @@
   }
 
   @Provide
-  Arbitrary<Regard> regards() {
+  Arbitrary<CacheOpinion> regards() {
     return Combinators.combine(
             Arbitraries.integers().between(0, 9),
             Arbitraries.of(true, false),
             Arbitraries.integers().between(0, 50).injectNull(0.2))
-        .as((doubt, up, upFor) -> new Regard(doubt, up, upFor == null ? null : at(upFor)));
+        .as((doubt, up, upFor) -> new CacheOpinion(doubt, up, upFor == null ? null : at(upFor)));
   }
 
   @Property(seed = "7", tries = 500)
-  void joinedThoughtsAreNeverBetterThanEitherAndJoinInAnyOrder(
-      @ForAll("regards") Regard a, @ForAll("regards") Regard b, @ForAll("regards") Regard c) {
-    assertThat(a.and(b)).isEqualTo(b.and(a));
-    assertThat(a.and(b).and(c)).isEqualTo(a.and(b.and(c)));
-    assertThat(a.and(a)).isEqualTo(a);
-    assertThat(a.and(Regard.NOTHING)).isEqualTo(a);
-    assertThat(a.and(b).doubt()).isGreaterThanOrEqualTo(a.doubt());
-    assertThat(a.up() || !a.and(b).up()).isTrue();
-    assertThat(a.upFor() == null || a.and(b).upFor().compareTo(a.upFor()) <= 0).isTrue();
+  void mergedOpinionIsNeverBetterAndMergeIsCommutative(
+      @ForAll("regards") CacheOpinion a,
+      @ForAll("regards") CacheOpinion b,
+      @ForAll("regards") CacheOpinion c) {
+    assertThat(a.merge(b)).isEqualTo(b.merge(a));
+    assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
+    assertThat(a.merge(a)).isEqualTo(a);
+    assertThat(a.merge(CacheOpinion.NEUTRAL)).isEqualTo(a);
+    assertThat(a.merge(b).failureEvidence()).isGreaterThanOrEqualTo(a.failureEvidence());
+    assertThat(a.up() || !a.merge(b).up()).isTrue();
+    assertThat(a.uptime() == null || a.merge(b).uptime().compareTo(a.uptime()) <= 0).isTrue();
   }
 
   /** Over two ways, each of up to what is held to be its bound, and with time held in between. */
   @Property(seed = "7", tries = 500)
-  void agesAreNeverTooYoungAndTimesUpNeverTooLong(
+  void agesAreNeverUnderstatedNorUptimesOverstated(
       @ForAll @DoubleRange(max = 1) double way,
       @ForAll @DoubleRange(max = 1) double secondWay,
       @ForAll @IntRange(max = 20) int heldThere,
       @ForAll @IntRange(max = 30) int heldHere,
       @ForAll @IntRange(max = 99) int upFor,
       @ForAll @IntRange(max = 9) int doubt) {
-    Facts first = new Facts(member(1, 1), FEED);
-    Facts second = new Facts(member(2, 1), FEED);
-    Facts third = new Facts(member(3, 1), FEED);
+    FactStore first = new FactStore(member(1, 1), FEED);
+    FactStore second = new FactStore(member(2, 1), FEED);
+    FactStore third = new FactStore(member(3, 1), FEED);
     // Each has a clock of its own: they are 1,000 and 2,000 s apart.
-    first.own(new Fact.Health(5, doubt, false, at(upFor)), at(0));
-    second.told(
-        member(1, 1).address(), first.toSend(member(2, 1).address(), at(0), 9), at(1000 + way));
-    Parcel passed = second.toSend(member(3, 1).address(), at(1000 + way + heldThere), 9);
+    first.recordOwn(new Fact.CacheHealth(5, doubt, false, at(upFor)), at(0));
+    second.receive(
+        member(1, 1).address(), first.deltaFor(member(2, 1).address(), at(0), 9), at(1000 + way));
+    FactDelta passed = second.deltaFor(member(3, 1).address(), at(1000 + way + heldThere), 9);
     double heard = 2000 + way + heldThere + secondWay;
-    third.told(member(2, 1).address(), passed, at(heard));
-    Regard there = third.others(5, at(heard + heldHere));
+    third.receive(member(2, 1).address(), passed, at(heard));
+    CacheOpinion there = third.peerOpinion(5, at(heard + heldHere));
 
     double age = way + heldThere + secondWay + heldHere;
-    assertThat(there.doubt())
+    assertThat(there.failureEvidence())
         .isLessThanOrEqualTo(doubt * Math.exp(-age / 20) + 1e-9)
         .isGreaterThanOrEqualTo(age + 2 < 60 ? doubt * Math.exp(-(age + 2) / 20) - 1e-9 : 0);
     assertThat(there.up() || age <= 20).as("down is believed no longer than evidence is").isTrue();
-    assertThat(there.upFor())
+    assertThat(there.uptime())
         .isLessThanOrEqualTo(at(upFor + age))
         .isGreaterThanOrEqualTo(at(upFor + age - 2.001));
   }
 
   /** The feed's state after a number is all changes up to it; a list says it whole. */
   @Property(seed = "7", tries = 500)
-  void whatIsAppliedIsAStateOfTheFeedAndNeverAnOlderOne(
+  void updatesFollowTheFeedAndNeverGoBackwards(
       @ForAll @IntRange(max = 12) int applied,
       @ForAll long seed,
       @ForAll @DoubleRange(min = 0.3, max = 1) double had) {
@@ -180,20 +185,21 @@
     for (int number : order) {
       if (chance.nextDouble() < had) {
         boolean list = chance.nextInt(5) == 0;
-        log.told(event(number, list, list ? "all of " + number : "" + number), at(0));
+        log.add(event(number, list, list ? "all of " + number : "" + number), at(0));
         (list ? lists : changes).add((long) number);
         known = Math.max(known, number);
       }
     }
     long list = lists.stream().mapToLong(one -> one).max().orElse(0);
     long state = applied;
-    EventLog.Next next = log.after(applied, at(1));
-    if (next.list() != null) {
-      assertThat(next.list().number()).isGreaterThan(state).isEqualTo(list);
-      assertThat(next.list().payload()).isEqualTo(payload("all of " + next.list().number()));
-      state = next.list().number();
+    EventLog.Updates next = log.updatesAfter(applied, at(1));
+    if (next.snapshot() != null) {
+      assertThat(next.snapshot().number()).isGreaterThan(state).isEqualTo(list);
+      assertThat(next.snapshot().payload())
+          .isEqualTo(payload("all of " + next.snapshot().number()));
+      state = next.snapshot().number();
     }
-    for (EventLog.Item item : next.changes()) {
+    for (EventLog.PendingEvent item : next.changes()) {
       state++;
       assertThat(item.number()).isEqualTo(state);
       assertThat(item.payload()).isEqualTo(payload("" + state));
@@ -201,78 +207,85 @@
     for (long number = state + 1; number <= known && lowestLacking == Long.MAX_VALUE; number++) {
       lowestLacking = changes.contains(number) && number > list ? Long.MAX_VALUE : number;
     }
-    assertThat(next.missing()).isEqualTo(state < known ? state + 1 : 0);
+    assertThat(next.firstMissing()).isEqualTo(state < known ? state + 1 : 0);
     assertThat(state >= known || lowestLacking == state + 1)
         .as("stops at what is missing alone")
         .isTrue();
   }
 
   @Test
-  void twoPayloadsForOneNumberAreNotBelievedUntilAListPassesOverThem() {
+  void conflictingPayloadsAreWithheldUntilNextSnapshot() {
     EventLog log = new EventLog(FEED);
-    log.told(event(1, true, "all"), at(0));
-    log.told(event(2, false, "drain a"), at(0));
-    log.told(event(2, false, "drain b"), at(0));
-    log.told(event(2, false, "drain a"), at(0));
-    log.told(event(3, false, "purge"), at(0));
+    log.add(event(1, true, "all"), at(0));
+    log.add(event(2, false, "drain a"), at(0));
+    log.add(event(2, false, "drain b"), at(0));
+    log.add(event(2, false, "drain a"), at(0));
+    log.add(event(3, false, "purge"), at(0));
 
-    assertThat(log.after(1, at(1))).isEqualTo(new EventLog.Next(null, List.of(), 2));
-    assertThat(log.notBelieved()).containsExactly(2L);
-    log.told(event(3, true, "all"), at(0));
-    assertThat(log.after(1, at(1)).list().number()).isEqualTo(3);
-    assertThat(log.notBelieved()).isEmpty();
-    log.told(new Fact.Event(FEED, 1, 1, true, payload("anew")), at(0));
-    log.told(event(4, false, "of the former numbers"), at(0));
-    assertThat(log.whole()).isEqualTo(1);
+    assertThat(log.updatesAfter(1, at(1))).isEqualTo(new EventLog.Updates(null, List.of(), 2));
+    assertThat(log.conflictingNumbers()).containsExactly(2L);
+    log.add(event(3, true, "all"), at(0));
+    assertThat(log.updatesAfter(1, at(1)).snapshot().number()).isEqualTo(3);
+    assertThat(log.conflictingNumbers()).isEmpty();
+    log.add(new Fact.Event(FEED, 1, 1, true, payload("anew")), at(0));
+    log.add(event(4, false, "of the former numbers"), at(0));
+    assertThat(log.contiguousUpTo()).isEqualTo(1);
   }
 
   @Test
-  void floodsAreBoundedAndNoEventGivesWayToAnOpinion() {
-    Facts facts = new Facts(member(0, 1), FEED);
-    facts.told(
+  void floodIsBoundedAndOpinionsNeverEvictEvents() {
+    FactStore facts = new FactStore(member(0, 1), FEED);
+    facts.receive(
         List.of(
             new Fact(member(1, 1), 1, at(0), event(1, true, "all")),
             new Fact(member(1, 1), 2, at(0), event(2, false, "drain"))),
         at(100));
-    for (int i = 1; i <= 3 * Life.MOST; i++) {
+    for (int i = 1; i <= 3 * IncarnationFacts.MAX_FACTS; i++) {
       for (int origin = 1; origin <= 12; origin++) {
-        facts.told(
+        facts.receive(
             List.of(
                 new Fact(
                     member(origin, 1),
                     i,
                     at(0),
-                    i % 8 != 1 ? new Fact.InHand(i, 1) : new Fact.Health(i, 1, true, null))),
+                    i % 8 != 1
+                        ? new Fact.WorkInFlight(i, 1)
+                        : new Fact.CacheHealth(i, 1, true, null))),
             at(100 + i / 1e3));
       }
     }
-    Parcel all = facts.toSend(member(99, 1).address(), at(107), Integer.MAX_VALUE);
-    int held = all.parts().stream().mapToInt(part -> part.facts().size()).sum();
+    FactDelta all = facts.deltaFor(member(99, 1).address(), at(107), Integer.MAX_VALUE);
+    int held = all.ranges().stream().mapToInt(part -> part.facts().size()).sum();
 
-    assertThat(held).isLessThanOrEqualTo(Facts.MOST_FACTS);
-    assertThat(facts.events().after(1, at(107)).changes()).hasSize(1);
-    assertThat(facts.others(1, at(107)).doubt()).as("the oldest opinion stays").isPositive();
-    assertThat(facts.inHand(2)).as("the oldest work in hand falls out first").isZero();
+    assertThat(held).isLessThanOrEqualTo(FactStore.MAX_FACTS);
+    assertThat(facts.events().updatesAfter(1, at(107)).changes()).hasSize(1);
+    assertThat(facts.peerOpinion(1, at(107)).failureEvidence())
+        .as("the oldest opinion stays")
+        .isPositive();
+    assertThat(facts.peerWorkInFlight(2)).as("the oldest work in hand falls out first").isZero();
     for (int number = 3; number < 20_000; number++) {
-      facts.own(event(number, false, "x".repeat(100)), at(108));
+      facts.recordOwn(event(number, false, "x".repeat(100)), at(108));
     }
-    assertThat(facts.events().after(2, at(108)).missing()).as("a gap is known as one").isEqualTo(3);
-    assertThat(facts.told(List.of(new Fact(member(1, 1), 3, at(0), event(3, false, "x"))), at(109)))
+    assertThat(facts.events().updatesAfter(2, at(108)).firstMissing())
+        .as("a gap is known as one")
+        .isEqualTo(3);
+    assertThat(
+            facts.receive(List.of(new Fact(member(1, 1), 3, at(0), event(3, false, "x"))), at(109)))
         .as("what fell out is not taken and passed on again")
         .isEmpty();
   }
 
   @Test
-  void aFormerLifesWordsCountNoMore() {
-    Facts facts = new Facts(member(0, 1), FEED);
-    Fact old = new Fact(member(1, 1), 9, at(0), new Fact.InHand(5, 7));
-    facts.told(List.of(old), at(10));
-    assertThat(facts.inHand(5)).isEqualTo(7);
-    facts.began(member(1, 2), at(11));
-    assertThat(facts.inHand(5)).isZero();
-    facts.toSend(member(2, 1).address(), at(30), 9);
-    facts.told(List.of(new Fact(member(1, 1), 9, at(20), new Fact.InHand(5, 7))), at(30));
-    assertThat(facts.inHand(5)).isZero();
+  void factsOfPreviousIncarnationAreDiscarded() {
+    FactStore facts = new FactStore(member(0, 1), FEED);
+    Fact old = new Fact(member(1, 1), 9, at(0), new Fact.WorkInFlight(5, 7));
+    facts.receive(List.of(old), at(10));
+    assertThat(facts.peerWorkInFlight(5)).isEqualTo(7);
+    facts.onIncarnation(member(1, 2), at(11));
+    assertThat(facts.peerWorkInFlight(5)).isZero();
+    facts.deltaFor(member(2, 1).address(), at(30), 9);
+    facts.receive(List.of(new Fact(member(1, 1), 9, at(20), new Fact.WorkInFlight(5, 7))), at(30));
+    assertThat(facts.peerWorkInFlight(5)).isZero();
   }
 
   /**
@@ -280,21 +293,23 @@
    * from nobody.
    */
   @Test
-  void aHoleIsHealed() {
+  void lostDeltaIsSentAgain() {
     Address one = member(1, 1).address();
     Address other = member(2, 1).address();
-    Facts sends = new Facts(member(1, 1), FEED);
-    Facts hears = new Facts(member(2, 1), FEED);
-    sends.told(other, hears.toSend(one, at(1), 9), at(1));
-    sends.own(new Fact.InHand(1, 10), at(1));
-    sends.toSend(other, at(1), 9);
-    sends.own(new Fact.InHand(2, 20), at(1));
-    hears.told(one, sends.toSend(other, at(1), 9), at(1));
+    FactStore sends = new FactStore(member(1, 1), FEED);
+    FactStore hears = new FactStore(member(2, 1), FEED);
+    sends.receive(other, hears.deltaFor(one, at(1), 9), at(1));
+    sends.recordOwn(new Fact.WorkInFlight(1, 10), at(1));
+    sends.deltaFor(other, at(1), 9);
+    sends.recordOwn(new Fact.WorkInFlight(2, 20), at(1));
+    hears.receive(one, sends.deltaFor(other, at(1), 9), at(1));
 
-    assertThat(List.of(hears.inHand(1), hears.inHand(2))).containsExactly(0.0, 20.0);
-    sends.told(other, hears.toSend(one, at(1), 9), at(1));
-    hears.told(one, sends.toSend(other, at(1), 9), at(1));
-    assertThat(List.of(hears.inHand(1), hears.inHand(2))).containsExactly(10.0, 20.0);
+    assertThat(List.of(hears.peerWorkInFlight(1), hears.peerWorkInFlight(2)))
+        .containsExactly(0.0, 20.0);
+    sends.receive(other, hears.deltaFor(one, at(1), 9), at(1));
+    hears.receive(one, sends.deltaFor(other, at(1), 9), at(1));
+    assertThat(List.of(hears.peerWorkInFlight(1), hears.peerWorkInFlight(2)))
+        .containsExactly(10.0, 20.0);
   }
 
   /**
@@ -303,26 +318,26 @@
    */
   @ParameterizedTest
   @CsvSource({"1", "2", "3"})
-  void whatWasLostIsHealedByExchange(long seed) {
+  void lostFactsAreRecoveredByExchange(long seed) {
     Random chance = new Random(seed);
-    List<Facts> fleet = new ArrayList<>();
+    List<FactStore> fleet = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
-      fleet.add(new Facts(member(i, 1), FEED));
+      fleet.add(new FactStore(member(i, 1), FEED));
       for (int cache = 0; cache < 30; cache++) {
-        fleet.get(i).own(new Fact.Health(cache, i % 10, true, at(cache)), at(1));
+        fleet.get(i).recordOwn(new Fact.CacheHealth(cache, i % 10, true, at(cache)), at(1));
       }
     }
-    fleet.get(0).own(event(1, true, "all"), at(1));
-    fleet.get(0).own(event(2, false, "drain"), at(1));
+    fleet.get(0).recordOwn(event(1, true, "all"), at(1));
+    fleet.get(0).recordOwn(event(2, false, "drain"), at(1));
     int round = 0;
     for (;
         round < 60
             && !fleet.stream()
                 .allMatch(
                     one ->
-                        one.events().whole() == 2
-                            && one.others(29, at(2)).doubt() > 7
-                            && one.toSend(member(99, 1).address(), at(2), 9999).parts().stream()
+                        one.events().contiguousUpTo() == 2
+                            && one.peerOpinion(29, at(2)).failureEvidence() > 7
+                            && one.deltaFor(member(99, 1).address(), at(2), 9999).ranges().stream()
                                     .mapToInt(part -> part.facts().size())
                                     .sum()
                                 == 24 * 30);
@@ -331,9 +346,9 @@
       for (int from = 0; from < fleet.size(); from++) {
         for (int i = 0; i < 2; i++) {
           int to = chance.nextInt(fleet.size());
-          Parcel sent = fleet.get(from).toSend(member(to, 1).address(), now, 100);
+          FactDelta sent = fleet.get(from).deltaFor(member(to, 1).address(), now, 100);
           if (to != from && chance.nextDouble() > 0.3) {
-            fleet.get(to).told(member(from, 1).address(), sent, now);
+            fleet.get(to).receive(member(from, 1).address(), sent, now);
           }
         }
       }
@@ -347,7 +362,7 @@
    */
   @ParameterizedTest
   @CsvSource({"48, 2", "128, 4", "500, 5"})
-  void anUrgentFactReachesAllInFewRounds(int size, int most) {
+  void urgentFactReachesAllMembersInFewRounds(int size, int most) {
     List<Address> alive = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       alive.add(member(i, 1).address());
@@ -362,7 +377,7 @@
         for (int i = 0; i < size; i++) {
           int turn = round - heardIn[i];
           if (heardIn[i] > 0 && (turn == 0 || turn == 1)) {
-            for (Address to : Spread.targets(alive, alive.get(i), seed * 1000L + i, turn)) {
+            for (Address to : FanoutPolicy.targets(alive, alive.get(i), seed * 1000L + i, turn)) {
               int place = alive.indexOf(to);
               if (heardIn[place] == 0 && chance.nextInt(5) > 0) {
                 heardIn[place] = round + 1;
--- a/facts/src/test/java/tamarindroute/shares/Fleet.java
+++ b/facts/src/test/java/tamarindroute/shares/SimulatedFleet.java
@@ -17,65 +17,67 @@
  * late, lost and doubled, random one-way cuts, stops, restarts, and a lead that moves. What the
  * living may use is summed up at every step.
  */
-final class Fleet {
+final class SimulatedFleet {
 
   /** Whether the machines of the killed still stand, so that they refuse. */
-  record Plan(int size, int killed, boolean machinesStand, long most, int restarted, long seed) {}
+  record Plan(int size, int killed, boolean machinesStand, long limit, int restarted, long seed) {}
 
   /**
    * Seconds after the kill, and the part of the whole that the living may use; the most ever in
    * use.
    */
-  record Played(Map<Integer, Double> used, double mostEver) {}
+  record Result(Map<Integer, Double> used, double maxEver) {}
 
-  static final Duration STEP = Duration.ofMillis(50);
+  static final Duration STEP_DURATION = Duration.ofMillis(50);
   private static final int KILL_AT = 300;
   private static final int END = KILL_AT + 900;
 
   private final Plan plan;
-  private final Bound bound;
-  private final Random chance;
-  private final List<Holder> holders = new ArrayList<>();
-  private final List<Dealer> dealers = new ArrayList<>();
+  private final SharedQuota quota;
+  private final Random random;
+  private final List<LeaseHolder> holders = new ArrayList<>();
+  private final List<QuotaAllocator> allocators = new ArrayList<>();
   private final boolean[] dead;
   private final int[] stoppedUntil;
   private final int[] cutOutUntil;
   private final int[] cutInUntil;
   private final TreeMap<Integer, List<Runnable>> due = new TreeMap<>();
   private int leader;
-  private long view = 1;
-  private int leadUntil;
+  private long term = 1;
+  private int leadsUntil;
   private int step;
 
-  Fleet(Plan plan) {
+  SimulatedFleet(Plan plan) {
     this.plan = plan;
-    bound = new Bound(plan.size, plan.most, Bound.LENGTH, Bound.QUIET);
-    chance = new Random(plan.seed);
+    quota =
+        new SharedQuota(
+            plan.size, plan.limit, SharedQuota.LEASE_DURATION, SharedQuota.QUIET_PERIOD);
+    random = new Random(plan.seed);
     dead = new boolean[plan.size];
     stoppedUntil = new int[plan.size];
     cutOutUntil = new int[plan.size];
     cutInUntil = new int[plan.size];
     for (int i = 0; i < plan.size; i++) {
-      holders.add(Holder.started(new Member(ModelCheck.address(i), 1), bound, now()));
-      dealers.add(fresh());
+      holders.add(LeaseHolder.startedAt(new Member(QuotaModelChecker.address(i), 1), quota, now()));
+      allocators.add(fresh());
     }
   }
 
-  Played play() {
+  Result play() {
     Map<Integer, Double> used = new HashMap<>();
     double most = 0;
     for (step = 0; step < END; step++) {
       faults();
-      lead();
+      updateLeadership();
       for (Runnable event : due.getOrDefault(step, List.of())) {
         event.run();
       }
       due.remove(step);
       for (int i = 0; i < plan.size; i++) {
-        if (runs(i) && now().compareTo(holders.get(i).due()) >= 0) {
-          Holder.Step asked = holders.get(i).asking(now());
+        if (runs(i) && now().compareTo(holders.get(i).nextRequestAt()) >= 0) {
+          LeaseHolder.Step asked = holders.get(i).request(now());
           holders.set(i, asked.holder());
-          send(i, leader, asked.word());
+          send(i, leader, asked.message());
         }
       }
       if (step % 20 == 0) {
@@ -84,28 +86,30 @@
       long sum =
           IntStream.range(0, plan.size)
               .filter(i -> !dead[i])
-              .mapToLong(i -> holders.get(i).share(now()).part())
+              .mapToLong(i -> holders.get(i).usableShare(now()).share())
               .sum();
-      most = Math.max(most, (double) sum / Bound.WHOLE);
+      most = Math.max(most, (double) sum / SharedQuota.FULL_QUOTA);
       if ((step - KILL_AT) % 20 == 0) {
-        used.put((step - KILL_AT) / 20, (double) sum / Bound.WHOLE);
+        used.put((step - KILL_AT) / 20, (double) sum / SharedQuota.FULL_QUOTA);
       }
     }
-    return new Played(used, most);
+    return new Result(used, most);
   }
 
   private Duration now() {
-    return STEP.multipliedBy(step);
+    return STEP_DURATION.multipliedBy(step);
   }
 
   private boolean runs(int i) {
     return !dead[i] && step >= stoppedUntil[i];
   }
 
-  private Dealer fresh() {
-    return Dealer.started(
-        bound,
-        IntStream.range(0, plan.size).mapToObj(ModelCheck::address).collect(Collectors.toSet()));
+  private QuotaAllocator fresh() {
+    return QuotaAllocator.initial(
+        quota,
+        IntStream.range(0, plan.size)
+            .mapToObj(QuotaModelChecker::address)
+            .collect(Collectors.toSet()));
   }
 
   private void faults() {
@@ -114,26 +118,26 @@
       dead[i] = true;
     }
     // One cut begins a second, for up to 8 s, one way; one stop each three seconds, for up to 6 s.
-    if (chance.nextInt(20) == 0) {
-      (chance.nextBoolean() ? cutOutUntil : cutInUntil)[chance.nextInt(plan.size)] =
-          step + chance.nextInt(160);
+    if (random.nextInt(20) == 0) {
+      (random.nextBoolean() ? cutOutUntil : cutInUntil)[random.nextInt(plan.size)] =
+          step + random.nextInt(160);
     }
-    if (chance.nextInt(60) == 0) {
-      stoppedUntil[chance.nextInt(plan.size)] = step + chance.nextInt(120);
+    if (random.nextInt(60) == 0) {
+      stoppedUntil[random.nextInt(plan.size)] = step + random.nextInt(120);
     }
     if (step > KILL_AT + 640
         && step % 20 == 0
         && step / 20 - (KILL_AT + 640) / 20 <= plan.restarted) {
-      int i = chance.nextInt(plan.killed);
+      int i = random.nextInt(plan.killed);
       if (dead[i]) {
         dead[i] = false;
         holders.set(
             i,
-            Holder.started(
-                new Member(ModelCheck.address(i), holders.get(i).self().birth() + 1),
-                bound,
+            LeaseHolder.startedAt(
+                new Member(QuotaModelChecker.address(i), holders.get(i).self().incarnation() + 1),
+                quota,
                 now()));
-        dealers.set(i, fresh());
+        allocators.set(i, fresh());
       }
     }
   }
@@ -141,20 +145,26 @@
   /**
    * The lead is renewed each half second for 3 s; once it is over, another takes it a second later.
    */
-  private void lead() {
+  private void updateLeadership() {
     if (runs(leader)
         && step % 10 == 0
         && cutOutUntil[leader] <= step
-        && (step < leadUntil || step == 0)) {
-      leadUntil = step + 60;
-      dealers.set(leader, dealers.get(leader).leads(view, STEP.multipliedBy(leadUntil), now()));
-    } else if (step > leadUntil + 20) {
-      int next = chance.nextInt(plan.size);
+        && (step < leadsUntil || step == 0)) {
+      leadsUntil = step + 60;
+      allocators.set(
+          leader,
+          allocators.get(leader).onLeadership(term, STEP_DURATION.multipliedBy(leadsUntil), now()));
+    } else if (step > leadsUntil + 20) {
+      int next = random.nextInt(plan.size);
       if (runs(next)) {
         leader = next;
-        view++;
-        leadUntil = step + 60;
-        dealers.set(leader, dealers.get(leader).leads(view, STEP.multipliedBy(leadUntil), now()));
+        term++;
+        leadsUntil = step + 60;
+        allocators.set(
+            leader,
+            allocators
+                .get(leader)
+                .onLeadership(term, STEP_DURATION.multipliedBy(leadsUntil), now()));
       }
     }
   }
@@ -167,24 +177,24 @@
     int from = leader;
     Duration sent = now();
     for (int i = 0; runs(from) && plan.machinesStand && i < plan.size; i++) {
-      Address address = ModelCheck.address(i);
-      if (dead[i] && !dealers.get(from).places().get(address).holds(sent)) {
+      Address address = QuotaModelChecker.address(i);
+      if (dead[i] && !allocators.get(from).slots().get(address).holdsLease(sent)) {
         at(
-            1 + chance.nextInt(4),
+            1 + random.nextInt(4),
             from,
-            () -> dealers.set(from, dealers.get(from).refused(address, sent)));
+            () -> allocators.set(from, allocators.get(from).onConnectionRefused(address, sent)));
       }
     }
   }
 
-  private void send(int from, int to, Word word) {
-    if (cutOutUntil[from] > step || cutInUntil[to] > step || chance.nextInt(20) == 0) {
+  private void send(int from, int to, LeaseMessage message) {
+    if (cutOutUntil[from] > step || cutInUntil[to] > step || random.nextInt(20) == 0) {
       return;
     }
-    for (int copies = chance.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
+    for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
       // Up to 150 ms, one in fifty far later.
-      int way = chance.nextInt(50) == 0 ? chance.nextInt(100) : chance.nextInt(3);
-      at(1 + way, to, () -> heard(to, word));
+      int way = random.nextInt(50) == 0 ? random.nextInt(100) : random.nextInt(3);
+      at(1 + way, to, () -> deliver(to, message));
     }
   }
 
@@ -201,15 +211,15 @@
             });
   }
 
-  private void heard(int to, Word word) {
-    if (word instanceof Word.Grant grant) {
-      holders.set(to, holders.get(to).granted(grant));
+  private void deliver(int to, LeaseMessage message) {
+    if (message instanceof LeaseMessage.Grant grant) {
+      holders.set(to, holders.get(to).onGrant(grant));
       return;
     }
-    Dealer.Step dealt = dealers.get(to).told(word, now());
-    dealers.set(to, dealt.dealer());
+    QuotaAllocator.Step dealt = allocators.get(to).onMessage(message, now());
+    allocators.set(to, dealt.allocator());
     if (dealt.grant() != null) {
-      send(to, word.holder().address().port() - 1, dealt.grant());
+      send(to, message.holder().address().port() - 1, dealt.grant());
     }
   }
 }
--- a/members/src/main/java/tamarindroute/members/Birth.java
+++ b/members/src/main/java/tamarindroute/members/IncarnationFile.java
@@ -11,47 +11,48 @@
  * makes a good first guess: whoever remembers a later life here says so, and a greater birth is
  * taken then.
  */
-final class Birth {
+final class IncarnationFile {
 
   /** A number and its line's end. */
-  private static final int LARGEST = 32;
+  private static final int MAX_FILE_BYTES = 32;
 
   private final Path file;
 
   /** Without a file, null, nothing is remembered over a start. */
-  Birth(Path file) {
+  IncarnationFile(Path file) {
     this.file = file;
   }
 
   /** Past the last one that the file tells, whatever the clock says. */
   long propose(long wallMillis) {
-    long guess = Math.max(1, wallMillis);
+    long proposal = Math.max(1, wallMillis);
     if (file == null || !Files.exists(file)) {
-      return guess;
+      return proposal;
     }
     try {
-      String text = Files.size(file) > LARGEST ? "" : Files.readString(file).strip();
+      String text = Files.size(file) > MAX_FILE_BYTES ? "" : Files.readString(file).strip();
       if (text.matches("\\d{1,18}")) {
-        return Math.max(guess, Long.parseLong(text) + 1);
+        return Math.max(proposal, Long.parseLong(text) + 1);
       }
-      Log.line("members", file + " tells no birth: the clock's is proposed");
+      Log.info("members", file + " tells no birth: the clock's is proposed");
     } catch (IOException e) {
-      Log.line("members", file + " can't be read, the clock's birth is proposed: " + e);
+      Log.info("members", file + " can't be read, the clock's birth is proposed: " + e);
     }
-    return guess;
+    return proposal;
   }
 
   /** Whole or not at all; a start without it is one without the file. */
-  void keep(long birth) {
+  void store(long incarnation) {
     if (file == null) {
       return;
     }
-    Path fresh = file.resolveSibling(file.getFileName() + ".new");
+    Path temporary = file.resolveSibling(file.getFileName() + ".new");
     try {
-      Files.writeString(fresh, birth + "\n");
-      Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.writeString(temporary, incarnation + "\n");
+      Files.move(
+          temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
-      Log.line("members", "the birth can't be kept in " + file + ": " + e);
+      Log.info("members", "the birth can't be kept in " + file + ": " + e);
     }
   }
 }
--- a/members/src/test/java/tamarindroute/members/Town.java
+++ b/members/src/test/java/tamarindroute/members/MemberCluster.java
@@ -18,27 +18,27 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import tamarindroute.host.Clock;
-import tamarindroute.members.agreed.Agreed;
+import tamarindroute.host.EventLoop;
+import tamarindroute.members.agreed.AgreedViewService;
 import tamarindroute.membership.Action;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
-import tamarindroute.membership.Settings;
-import tamarindroute.membership.Standing;
-import tamarindroute.net.Datagrams;
-import tamarindroute.protocol.Seal;
+import tamarindroute.membership.MemberState;
+import tamarindroute.membership.MembershipSettings;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.protocol.MessageAuthenticator;
 
 /**
  * Some members in one process, each with a thread and a socket of its own, and ways between that
  * can be cut.
  */
-final class Town implements AutoCloseable {
+final class MemberCluster implements AutoCloseable {
 
   static final byte[] KEY = new byte[32];
 
   /** Longer than a busy machine's pauses, so that nobody is taken for dead by them. */
-  static final Settings FAST =
-      new Settings(
+  static final MembershipSettings FAST_SETTINGS =
+      new MembershipSettings(
           Duration.ofMillis(400),
           Duration.ofMillis(50),
           Duration.ofMillis(1_000),
@@ -49,75 +49,81 @@
           24,
           65_536,
           8_192,
-          Settings.Guards.ALL);
+          MembershipSettings.Guards.ALL);
 
   /** One member, and all that it was told. */
   final class Node {
-    final Clock clock = new Clock();
-    final Datagrams datagrams = new Datagrams(clock);
-    final Map<Address, List<Standing>> told = Collections.synchronizedMap(new HashMap<>());
-    final Endpoint endpoint;
-    Agreed agreed;
+    final EventLoop eventLoop = new EventLoop();
+    final DatagramTransport datagrams = new DatagramTransport(eventLoop);
+    final Map<Address, List<MemberState>> reportedStates =
+        Collections.synchronizedMap(new HashMap<>());
+    final MembershipEndpoint endpoint;
+    AgreedViewService agreedViews;
 
-    Node(MembersSettings settings, long wallMillis, Path store) throws Exception {
+    Node(MemberConfiguration settings, long wallMillis, Path voterStore) throws Exception {
       endpoint =
           on(
-              clock,
+              eventLoop,
               () ->
-                  new Endpoint(
-                      clock,
+                  new MembershipEndpoint(
+                      eventLoop,
                       datagrams,
                       settings,
                       wallMillis,
-                      new Endpoint.Listener() {
+                      new MembershipEndpoint.Listener() {
                         @Override
-                        public void became(Member about, Standing standing) {
-                          told.computeIfAbsent(
+                        public void onStateChanged(Member about, MemberState state) {
+                          reportedStates
+                              .computeIfAbsent(
                                   about.address(),
                                   a -> Collections.synchronizedList(new ArrayList<>()))
-                              .add(standing);
+                              .add(state);
                         }
 
                         @Override
-                        public void agreement(Member from, byte[] bytes) {
-                          if (agreed != null) {
-                            agreed.received(from, bytes);
+                        public void onAgreementMessage(Member from, byte[] bytes) {
+                          if (agreedViews != null) {
+                            agreedViews.onPayload(from, bytes);
                           }
                         }
                       }));
       on(
-          clock,
+          eventLoop,
           () -> {
             endpoint.start();
             if (!settings.voters().isEmpty()) {
-              agreed =
-                  new Agreed(
-                      clock, settings.name(), settings.voters(), store, new Beside(endpoint));
-              agreed.start();
+              agreedViews =
+                  new AgreedViewService(
+                      eventLoop,
+                      settings.advertisedAddress(),
+                      settings.voters(),
+                      voterStore,
+                      new EndpointTransport(endpoint));
+              agreedViews.tick();
             }
             return null;
           });
     }
 
-    Map<Member, Standing> members() throws Exception {
-      return on(clock, () -> Map.copyOf(endpoint.members()));
+    Map<Member, MemberState> members() throws Exception {
+      return on(eventLoop, () -> Map.copyOf(endpoint.members()));
     }
 
-    Standing standing(Node other) throws Exception {
+    MemberState stateOf(Node other) throws Exception {
       return members().get(other.self());
     }
 
     Member self() throws Exception {
-      return on(clock, endpoint::self);
+      return on(eventLoop, endpoint::self);
     }
 
-    Action.Condition touch() throws Exception {
-      return on(clock, endpoint::touch).condition();
+    Action.Connectivity connectivity() throws Exception {
+      return on(eventLoop, endpoint::localStatus).connectivity();
     }
 
     void leave() throws Exception {
       on(
-          clock,
+          eventLoop,
           () -> {
             endpoint.leave();
             return null;
@@ -127,11 +133,11 @@
     /** Its socket is gone and it says nothing more. */
     void kill() throws Exception {
       datagrams.shutDown();
-      if (agreed != null) {
+      if (agreedViews != null) {
         on(
-            clock,
+            eventLoop,
             () -> {
-              agreed.close();
+              agreedViews.close();
               return null;
             });
       }
@@ -141,17 +147,17 @@
   }
 
   /** One directed way that can be cut; each datagram is sent twice, as a network may. */
-  final class Way implements AutoCloseable {
+  final class LossyProxy implements AutoCloseable {
     private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    volatile boolean cut;
+    volatile boolean blocked;
 
     /** Of a hundred datagrams so many are lost. */
-    volatile int loss;
+    volatile int lossPercent;
 
-    private final Random random = new Random(ways.size());
-    volatile int passed;
+    private final Random random = new Random(proxies.size());
+    volatile int forwardedCount;
 
-    Way(InetSocketAddress to) throws IOException {
+    LossyProxy(InetSocketAddress to) throws IOException {
       Thread pump =
           new Thread(
               () -> {
@@ -160,8 +166,8 @@
                   while (true) {
                     packet.setLength(5_000);
                     socket.receive(packet);
-                    if (!cut && random.nextInt(100) >= loss) {
-                      passed++;
+                    if (!blocked && random.nextInt(100) >= lossPercent) {
+                      forwardedCount++;
                       packet.setSocketAddress(to);
                       socket.send(packet);
                       socket.send(packet);
@@ -174,10 +180,10 @@
               "way");
       pump.setDaemon(true);
       pump.start();
-      ways.add(this);
+      proxies.add(this);
     }
 
-    InetSocketAddress by() {
+    InetSocketAddress address() {
       return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
     }
 
@@ -187,67 +193,68 @@
     }
   }
 
-  final List<InetSocketAddress> places = new ArrayList<>();
+  final List<InetSocketAddress> addresses = new ArrayList<>();
   final List<Node> nodes = new ArrayList<>();
-  private final List<Way> ways = new ArrayList<>();
+  private final List<LossyProxy> proxies = new ArrayList<>();
 
   /** So many of the first places vote, and keep what they agree here. */
   int voters;
 
   Path folder;
 
-  Town(int size) throws IOException {
-    List<DatagramSocket> held = new ArrayList<>();
+  MemberCluster(int size) throws IOException {
+    List<DatagramSocket> reserved = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      held.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-      places.add(new InetSocketAddress("127.0.0.1", held.get(i).getLocalPort()));
+      reserved.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+      addresses.add(new InetSocketAddress("127.0.0.1", reserved.get(i).getLocalPort()));
     }
-    held.forEach(DatagramSocket::close);
+    reserved.forEach(DatagramSocket::close);
   }
 
-  Node start(int place, long wallMillis, byte[] key, Map<Address, InetSocketAddress> through)
+  Node start(
+      int index, long wallMillis, byte[] key, Map<Address, InetSocketAddress> addressOverrides)
       throws Exception {
-    Address own = MembersSettings.address(places.get(place));
+    Address self = MemberConfiguration.toAddress(addresses.get(index));
     List<Address> seeds =
         new ArrayList<>(
-            places.subList(0, Math.min(2, places.size())).stream()
-                .map(MembersSettings::address)
+            addresses.subList(0, Math.min(2, addresses.size())).stream()
+                .map(MemberConfiguration::toAddress)
                 .toList());
-    seeds.remove(own);
+    seeds.remove(self);
     Node node =
         new Node(
-            new MembersSettings(
-                places.get(place),
-                own,
+            new MemberConfiguration(
+                addresses.get(index),
+                self,
                 null,
-                new Seal(Map.of(1, key), 1),
+                new MessageAuthenticator(Map.of(1, key), 1),
                 seeds,
-                places.subList(0, voters).stream().map(MembersSettings::address).toList(),
-                through,
-                FAST),
+                addresses.subList(0, voters).stream().map(MemberConfiguration::toAddress).toList(),
+                addressOverrides,
+                FAST_SETTINGS),
             wallMillis,
-            folder == null ? null : folder.resolve(place + ".agreed"));
+            folder == null ? null : folder.resolve(index + ".agreed"));
     nodes.add(node);
     return node;
   }
 
-  Node start(int place) throws Exception {
-    return start(place, 1_000, KEY, Map.of());
+  Node start(int index) throws Exception {
+    return start(index, 1_000, KEY, Map.of());
   }
 
   /** Waits until each holds all others alive and is in touch. */
-  void together() throws Exception {
+  void awaitAllConnected() throws Exception {
     for (Node node : nodes) {
       for (Node other : nodes) {
         if (node != other) {
-          await(() -> node.standing(other) == Standing.ALIVE);
+          awaitTrue(() -> node.stateOf(other) == MemberState.ALIVE);
         }
       }
-      await(() -> node.touch() == Action.Condition.IN_TOUCH);
+      awaitTrue(() -> node.connectivity() == Action.Connectivity.IN_TOUCH);
     }
   }
 
-  static void await(Callable<Boolean> holds) throws Exception {
+  static void awaitTrue(Callable<Boolean> holds) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
     while (!holds.call()) {
       assertThat(System.nanoTime()).as("in time").isLessThan(end);
@@ -255,9 +262,9 @@
     }
   }
 
-  static <T> T on(Clock clock, Callable<T> task) throws Exception {
+  static <T> T on(EventLoop eventLoop, Callable<T> task) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
-    clock.handOver(
+    eventLoop.execute(
         () -> {
           try {
             result.complete(task.call());
@@ -271,12 +278,12 @@
   @Override
   public void close() {
     for (Node node : nodes) {
-      if (node.agreed != null) {
-        node.clock.handOver(node.agreed::close);
+      if (node.agreedViews != null) {
+        node.eventLoop.execute(node.agreedViews::close);
       }
-      node.clock.handOver(node.endpoint::leave);
-      node.clock.handOver(node.datagrams::shutDown);
+      node.eventLoop.execute(node.endpoint::leave);
+      node.eventLoop.execute(node.datagrams::shutDown);
     }
-    ways.forEach(Way::close);
+    proxies.forEach(LossyProxy::close);
   }
 }
--- a/members/src/test/java/tamarindroute/members/MembersSettingsTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
@@ -16,15 +16,15 @@
 import tamarindroute.membership.Address;
 
 /** Settings files, sound and not. */
-class MembersSettingsTest {
+class MemberConfigurationTest {
 
   @TempDir Path folder;
 
-  private String sound;
+  private String valid;
 
   @BeforeEach
   void example() throws IOException {
-    sound = Files.readString(Path.of("deploy/members.xml"));
+    valid = Files.readString(Path.of("deploy/members.xml"));
     Files.writeString(folder.resolve("members.key"), "0123456789abcdef".repeat(4) + "\n");
   }
 
@@ -35,43 +35,43 @@
   private List<String> faults(String text) throws IOException {
     Path file = file(text);
     UnusableException e =
-        catchThrowableOfType(UnusableException.class, () -> MembersSettings.read(file));
+        catchThrowableOfType(UnusableException.class, () -> MemberConfiguration.read(file));
     assertThat(e).as("refused").isNotNull();
     return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
   }
 
   @Test
-  void theExampleIsSound() throws IOException {
-    MembersSettings settings = MembersSettings.read(file(sound));
-    assertThat(settings.name()).isEqualTo(new Address("127.0.0.1", 9001));
+  void exampleFileIsValid() throws IOException {
+    MemberConfiguration settings = MemberConfiguration.read(file(valid));
+    assertThat(settings.advertisedAddress()).isEqualTo(new Address("127.0.0.1", 9001));
     assertThat(settings.seeds())
         .containsExactly(new Address("127.0.0.1", 9002), new Address("127.0.0.1", 9003));
-    assertThat(settings.state()).isEqualTo(folder.resolve("members.birth"));
-    assertThat(settings.membership().period()).isEqualTo(Duration.ofSeconds(1));
+    assertThat(settings.incarnationFile()).isEqualTo(folder.resolve("members.birth"));
+    assertThat(settings.membershipSettings().probePeriod()).isEqualTo(Duration.ofSeconds(1));
   }
 
   @Test
-  void waysKeysAndTimesAreBound() throws IOException {
-    MembersSettings settings =
-        MembersSettings.read(
+  void overridesKeysAndTimingsAreRead() throws IOException {
+    MemberConfiguration settings =
+        MemberConfiguration.read(
             file(
-                sound
+                valid
                     .replace("probe=\"PT1S\" pause=\"PT3S\"", "probe=\"PT0.2S\" pause=\"PT2S\"")
                     .replace(
                         "<timing",
                         "<voter address=\"[::1]:9003\"/><way to=\"127.0.0.1:9002\" by=\"127.0.0.1:19002\"/><timing")));
-    assertThat(settings.ways())
+    assertThat(settings.addressOverrides())
         .containsEntry(new Address("127.0.0.1", 9002), new InetSocketAddress("127.0.0.1", 19002));
     assertThat(settings.voters()).containsExactly(new Address("0:0:0:0:0:0:0:1", 9003));
-    assertThat(settings.membership().timeout()).isEqualTo(Duration.ofMillis(25));
-    assertThat(settings.membership().pause()).isEqualTo(Duration.ofSeconds(2));
+    assertThat(settings.membershipSettings().probeTimeout()).isEqualTo(Duration.ofMillis(25));
+    assertThat(settings.membershipSettings().toleratedPause()).isEqualTo(Duration.ofSeconds(2));
   }
 
   @Test
-  void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
+  void allFaultsAreReportedAtOnceWithTheirPositions() throws IOException {
     assertThat(
             faults(
-                sound.replace("PT3S", "3").replace("<seed address=\"127.0.0.1:9002\"/>", "<sed/>")))
+                valid.replace("PT3S", "3").replace("<seed address=\"127.0.0.1:9002\"/>", "<sed/>")))
         .hasSize(3)
         .allMatch(fault -> fault.matches("(?s)\\d+:\\d+: .*"))
         .anyMatch(fault -> fault.startsWith("8:9: "))
@@ -79,7 +79,7 @@
     Files.writeString(folder.resolve("members.key"), "0123456789abcdef");
     assertThat(
             faults(
-                sound
+                valid
                     .replace("name=\"127.0.0.1:9001\"", "")
                     .replace("listen=\"127.0.0.1:9001\"", "listen=\"0.0.0.0:9001\"")
                     .replace("address=\"127.0.0.1:9002\"", "address=\"127.0.0.1:99999\"")
@@ -96,22 +96,22 @@
   }
 
   @Test
-  void aBirthIsPastTheLastOneKeptThoughTheClockWentBack() throws IOException {
-    Path kept = folder.resolve("birth");
-    assertThat(new Birth(kept).propose(5_000)).isEqualTo(5_000);
-    new Birth(kept).keep(5_000);
-    assertThat(new Birth(kept).propose(4_000)).isEqualTo(5_001);
-    assertThat(new Birth(kept).propose(6_000)).isEqualTo(6_000);
-    Files.writeString(kept, "no birth");
-    assertThat(new Birth(kept).propose(4_000)).isEqualTo(4_000);
+  void proposedIncarnationExceedsTheStoredOneThoughTheClockWentBack() throws IOException {
+    Path stored = folder.resolve("birth");
+    assertThat(new IncarnationFile(stored).propose(5_000)).isEqualTo(5_000);
+    new IncarnationFile(stored).store(5_000);
+    assertThat(new IncarnationFile(stored).propose(4_000)).isEqualTo(5_001);
+    assertThat(new IncarnationFile(stored).propose(6_000)).isEqualTo(6_000);
+    Files.writeString(stored, "no birth");
+    assertThat(new IncarnationFile(stored).propose(4_000)).isEqualTo(4_000);
   }
 
   @Test
-  void aVoterKeepsWhatItAgreesBesideItsStateFile() throws IOException {
-    String votes = sound.replace("<timing", "<voter address=\"127.0.0.1:9001\"/><timing");
-    assertThat(MembersSettings.read(file(votes)).store())
+  void voterStoreIsBesideTheIncarnationFile() throws IOException {
+    String withVoter = valid.replace("<timing", "<voter address=\"127.0.0.1:9001\"/><timing");
+    assertThat(MemberConfiguration.read(file(withVoter)).voterStore())
         .isEqualTo(folder.resolve("members.birth.agreed"));
-    assertThat(faults(votes.replace(" state=\"members.birth\"", "")))
+    assertThat(faults(withVoter.replace(" state=\"members.birth\"", "")))
         .singleElement()
         .asString()
         .startsWith("3:")
--- a/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
@@ -12,12 +12,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tamarindroute.members.wire.Letter;
+import tamarindroute.members.wire.MemberMessage;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
-import tamarindroute.membership.Settings;
-import tamarindroute.net.Timers;
-import tamarindroute.protocol.Seal;
+import tamarindroute.membership.MembershipSettings;
+import tamarindroute.net.Scheduler;
+import tamarindroute.protocol.MessageAuthenticator;
 
 /**
  * Sealed datagrams, the incarnation file, the settings file and feed event checksums, pinned as
@@ -34,8 +34,8 @@
 
   @TempDir Path folder;
 
-  private static Seal seal() {
-    return new Seal(
+  private static MessageAuthenticator seal() {
+    return new MessageAuthenticator(
         Map.of(
             5,
             HexFormat.of()
@@ -45,11 +45,13 @@
 
   @Test
   void datagramsAreSealedWithKeyIdIncarnationCounterAndHmac() throws Exception {
-    Letter message =
-        Letter.of(
-            new Member(new Address("127.0.0.1", 9002), 7), 0, new Letter.Facts(new byte[] {1}));
-    Post sender = new Post(seal(), 2);
-    Post receiver = new Post(seal(), 2);
+    MemberMessage message =
+        MemberMessage.of(
+            new Member(new Address("127.0.0.1", 9002), 7),
+            0,
+            new MemberMessage.FactsPayload(new byte[] {1}));
+    SealedChannel sender = new SealedChannel(seal(), 2);
+    SealedChannel receiver = new SealedChannel(seal(), 2);
     for (String datagram : SEALED) {
       assertThat(HexFormat.of().formatHex(sender.seal(message))).isEqualTo(datagram);
       assertThat(
@@ -57,7 +59,7 @@
                   .open(
                       HexFormat.of().parseHex(datagram),
                       new Member(new Address("127.0.0.1", 9001), 5))
-                  .letter())
+                  .message())
           .isEqualTo(message);
     }
   }
@@ -65,11 +67,11 @@
   @Test
   void incarnationFileHoldsOneDecimalNumberAndALineEnd() throws Exception {
     Path file = folder.resolve("members.birth");
-    new Birth(file).keep(1_700_000_000_123L);
+    new IncarnationFile(file).store(1_700_000_000_123L);
     assertThat(Files.readString(file)).isEqualTo("1700000000123\n");
     assertThat(folder).isDirectoryNotContaining("glob:**.new");
     Files.writeString(file, " 42\r\n");
-    assertThat(new Birth(file).propose(7)).isEqualTo(43);
+    assertThat(new IncarnationFile(file).propose(7)).isEqualTo(43);
   }
 
   @Test
@@ -93,90 +95,92 @@
                   <limits bytes="8192" members="6000"/>
                 </members>
                 """);
-    MembersSettings settings = MembersSettings.read(file);
-    assertThat(settings.listen()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
-    assertThat(settings.name()).isEqualTo(new Address("10.0.0.1", 9101));
-    assertThat(settings.state()).isEqualTo(folder.resolve("s.birth"));
+    MemberConfiguration settings = MemberConfiguration.read(file);
+    assertThat(settings.listenAddress()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
+    assertThat(settings.advertisedAddress()).isEqualTo(new Address("10.0.0.1", 9101));
+    assertThat(settings.incarnationFile()).isEqualTo(folder.resolve("s.birth"));
     assertThat(settings.seal().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
     assertThat(settings.seeds()).containsExactly(new Address("10.0.0.2", 9101));
     assertThat(settings.voters())
         .containsExactly(new Address("10.0.0.1", 9101), new Address("0:0:0:0:0:0:0:1", 9101));
-    assertThat(settings.ways())
+    assertThat(settings.addressOverrides())
         .containsExactly(
             Map.entry(new Address("10.0.0.2", 9101), new InetSocketAddress("127.0.0.1", 19002)));
-    Settings usual = Settings.USUAL;
-    assertThat(settings.membership())
+    MembershipSettings defaults = MembershipSettings.DEFAULTS;
+    assertThat(settings.membershipSettings())
         .isEqualTo(
-            new Settings(
+            new MembershipSettings(
                 Duration.ofSeconds(2),
                 Duration.ofMillis(150),
                 Duration.ofMinutes(1),
-                usual.indirect(),
-                usual.observers(),
-                usual.low(),
-                usual.high(),
-                usual.rumours(),
+                defaults.indirectProbes(),
+                defaults.suspectProbers(),
+                defaults.lowWatermark(),
+                defaults.highWatermark(),
+                defaults.maxUpdatesPerMessage(),
                 8_192,
                 6_000,
-                usual.guards()));
+                defaults.guards()));
   }
 
   @Test
   void aFeedEventGoesAsItsCompactJsonWithTheChecksumOfTheOneBefore() {
-    List<Letter.Body> sent = new ArrayList<>();
+    List<MemberMessage.Payload> sent = new ArrayList<>();
     long[] last = {0};
-    FeedNews.Reader reader =
-        new FeedNews.Reader() {
+    FeedEventReplicator.FeedFollower reader =
+        new FeedEventReplicator.FeedFollower() {
           @Override
-          public long last() {
+          public long lastNumber() {
             return last[0];
           }
 
           @Override
-          public boolean told(long number, String event) {
+          public boolean apply(long number, String event) {
             return false;
           }
         };
-    Timers timers =
-        new Timers() {
+    Scheduler scheduler =
+        new Scheduler() {
           @Override
           public Duration now() {
             return Duration.ZERO;
           }
 
           @Override
-          public void handOver(Runnable task) {}
+          public void execute(Runnable task) {}
 
           @Override
-          public Runnable after(Duration span, Runnable task) {
+          public Runnable schedule(Duration span, Runnable task) {
             return () -> {};
           }
         };
     Member other = new Member(new Address("127.0.0.1", 9002), 1);
-    FeedNews news =
-        new FeedNews(
+    FeedEventReplicator feedReplicator =
+        new FeedEventReplicator(
             new Address("127.0.0.1", 9001),
             reader,
-            timers,
-            new FeedNews.Others() {
+            scheduler,
+            new FeedEventReplicator.Peers() {
               @Override
-              public List<Member> alive() {
+              public List<Member> liveOthers() {
                 return new ArrayList<>();
               }
 
               @Override
-              public void send(Member to, Letter.Body body) {
-                sent.add(body);
+              public void send(Member to, MemberMessage.Payload payload) {
+                sent.add(payload);
               }
             });
     last[0] = 2;
-    news.read(
+    feedReplicator.onFeedText(
         "{ \"n\": 2, \"events\": [ {\"n\": 1, \"purge\": {\"key\": \"a\"}}, {\"n\": 2, \"drain\": \"b\"} ]}");
-    news.taken(other, new Letter.News(1, List.of()));
+    feedReplicator.onFeedEvents(other, new MemberMessage.FeedEventsPayload(1, List.of()));
     // The CRC-32 of {"n":1,"purge":{"key":"a"}}.
     assertThat(sent)
         .containsExactly(
-            new Letter.News(
-                2, List.of(new Letter.Event(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}"))));
+            new MemberMessage.FeedEventsPayload(
+                2,
+                List.of(
+                    new MemberMessage.FeedEvent(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}"))));
   }
 }
--- a/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
@@ -19,7 +19,8 @@
 
   @Test
   void shortMessageIsOneFragmentWithItsHead() {
-    List<Outbox.Piece> fragments = new Outbox().put(TO, new byte[] {7, -1});
+    List<FragmentSendQueue.Fragment> fragments =
+        new FragmentSendQueue().enqueue(TO, new byte[] {7, -1});
     assertThat(fragments).hasSize(1);
     assertThat(HexFormat.of().formatHex(fragments.get(0).bytes()))
         .isEqualTo("00000000000000010000000107ff");
@@ -35,14 +36,17 @@
     String second = "0102030405060708" + "0001" + "0003" + "02".repeat(3_840);
     String third = "0102030405060708" + "0002" + "0003" + "03";
     List<String> expected = List.of(first, second, third);
-    Pieces pieces = new Pieces();
+    MessageFragmenter fragmenter = new MessageFragmenter();
     Optional<byte[]> whole = Optional.empty();
     for (int place = 0; place < 3; place++) {
-      assertThat(HexFormat.of().formatHex(Pieces.cut(message, 0x0102030405060708L, place)))
+      assertThat(
+              HexFormat.of()
+                  .formatHex(MessageFragmenter.fragment(message, 0x0102030405060708L, place)))
           .isEqualTo(expected.get(place));
       assertThat(whole).isEmpty();
       whole =
-          pieces.taken(FROM, HexFormat.of().parseHex(expected.get(place)), Duration.ofSeconds(1));
+          fragmenter.onFragment(
+              FROM, HexFormat.of().parseHex(expected.get(place)), Duration.ofSeconds(1));
     }
     assertThat(whole).hasValue(message);
   }
--- a/members/src/test/java/tamarindroute/members/agreed/CuttingTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
@@ -15,19 +15,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.Ledger;
-import tamarindroute.agreement.View;
+import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
-import tamarindroute.membership.Standing;
+import tamarindroute.membership.MemberState;
 
-class CuttingTest {
+class ViewChangeBatcherTest {
 
   private static final Member SELF = member(0, 1);
-  private final Map<Member, Standing> others = new HashMap<>();
-  private View view = View.first(7);
-  private Cutting cutting = Cutting.none(Duration.ZERO);
-  private final List<Command.Cut> cuts = new ArrayList<>();
+  private final Map<Member, MemberState> others = new HashMap<>();
+  private MembershipView view = MembershipView.initial(7);
+  private ViewChangeBatcher batcher = ViewChangeBatcher.initial(Duration.ZERO);
+  private final List<Command.MembershipChange> changes = new ArrayList<>();
   private long millis;
 
   private static Member member(int i, long birth) {
@@ -37,63 +37,63 @@
   /** Steps each quarter of a second; a cut is agreed at once. */
   private void run(Duration span) {
     for (long end = millis + span.toMillis(); millis < end; millis += 250) {
-      Cutting.Step step = cutting.step(view, SELF, others, Duration.ofMillis(millis));
-      cutting = step.next();
-      step.cut()
+      ViewChangeBatcher.Step step = batcher.step(view, SELF, others, Duration.ofMillis(millis));
+      batcher = step.next();
+      step.change()
           .ifPresent(
               cut -> {
-                Ledger.Step agreed = Ledger.apply(view, cut);
-                assertThat(agreed.refusal()).isEqualTo(Optional.empty());
+                ViewTransitions.Transition agreed = ViewTransitions.apply(view, cut);
+                assertThat(agreed.rejection()).isEqualTo(Optional.empty());
                 view = agreed.view();
-                cuts.add(cut);
+                changes.add(cut);
               });
     }
   }
 
   @Example
-  void manyThatComeAndGoTogetherAreOneCut() {
-    IntStream.rangeClosed(1, 50).forEach(i -> others.put(member(i, 1), Standing.ALIVE));
+  void simultaneousChangesAreOneBatch() {
+    IntStream.rangeClosed(1, 50).forEach(i -> others.put(member(i, 1), MemberState.ALIVE));
     run(Duration.ofSeconds(3));
-    assertThat(cuts).hasSize(1);
+    assertThat(changes).hasSize(1);
     assertThat(view.members()).hasSize(51);
     // Found dead one after the other, a few each quarter of a second.
     for (int i = 1; i <= 30; i++) {
-      others.put(member(i, 1), i % 2 == 0 ? Standing.AWAY : Standing.LEFT);
+      others.put(member(i, 1), i % 2 == 0 ? MemberState.AWAY : MemberState.LEFT);
       run(Duration.ofMillis(i % 5 == 0 ? 250 : 0));
     }
     run(Duration.ofSeconds(3));
-    assertThat(cuts).hasSize(2);
-    assertThat(cuts.get(1).out()).hasSize(30);
+    assertThat(changes).hasSize(2);
+    assertThat(changes.get(1).removed()).hasSize(30);
     assertThat(view.members()).hasSize(21).contains(SELF);
   }
 
   @Example
-  void whoFlapsNeitherGetsInNorHoldsOthersUp() {
-    others.put(member(1, 1), Standing.ALIVE);
+  void flappingMemberIsNotAdmittedAndDelaysNobody() {
+    others.put(member(1, 1), MemberState.ALIVE);
     for (int i = 0; i < 40; i++) {
-      others.put(member(2, 1), i % 2 == 0 ? Standing.ALIVE : Standing.SUSPECT);
-      others.put(member(3, 1), i % 2 == 1 ? Standing.ALIVE : Standing.SUSPECT);
+      others.put(member(2, 1), i % 2 == 0 ? MemberState.ALIVE : MemberState.SUSPECT);
+      others.put(member(3, 1), i % 2 == 1 ? MemberState.ALIVE : MemberState.SUSPECT);
       run(Duration.ofMillis(500));
     }
     assertThat(view.members()).containsExactly(SELF, member(1, 1));
-    assertThat(cuts).hasSize(1);
+    assertThat(changes).hasSize(1);
   }
 
   @Example
-  void aLaterLifeTakesTheEarliersPlaceAndWhoNobodyKnowsGoesAfterLong() {
-    others.put(member(1, 1), Standing.ALIVE);
-    others.put(member(2, 1), Standing.ALIVE);
+  void laterIncarnationReplacesTheEarlierAndUnknownMembersAreRemovedLate() {
+    others.put(member(1, 1), MemberState.ALIVE);
+    others.put(member(2, 1), MemberState.ALIVE);
     run(Duration.ofSeconds(3));
     others.remove(member(1, 1));
     others.remove(member(2, 1));
-    others.put(member(1, 9), Standing.ALIVE);
+    others.put(member(1, 9), MemberState.ALIVE);
     run(Duration.ofSeconds(3));
     assertThat(view.members()).containsExactly(SELF, member(1, 9), member(2, 1));
     run(Duration.ofSeconds(25));
     assertThat(view.members()).as("not yet").contains(member(2, 1));
     run(Duration.ofSeconds(5));
     assertThat(view.members()).containsExactly(SELF, member(1, 9));
-    assertThat(cuts).hasSize(3);
+    assertThat(changes).hasSize(3);
   }
 
   /**
@@ -101,29 +101,33 @@
    * it holds.
    */
   @Property(seed = "30", tries = 200)
-  void cutsAreAlwaysSoundBoundedAndEndWhereMembershipIs(@ForAll @IntRange(max = 1 << 30) int seed) {
+  void changesAreValidAndPacedAndConvergeToTheMembership(
+      @ForAll @IntRange(max = 1 << 30) int seed) {
     Random random = new Random(seed);
     others.clear();
-    cuts.clear();
-    view = View.first(7);
+    changes.clear();
+    view = MembershipView.initial(7);
     millis = 0;
-    cutting = Cutting.none(Duration.ZERO);
+    batcher = ViewChangeBatcher.initial(Duration.ZERO);
     for (int turn = 0; turn < 60; turn++) {
       int place = 1 + random.nextInt(6);
       long birth = 1 + random.nextInt(3);
-      others.put(member(place, birth), Standing.values()[random.nextInt(5)]);
+      others.put(member(place, birth), MemberState.values()[random.nextInt(5)]);
       if (random.nextInt(4) == 0) {
         others.remove(member(place, birth));
       }
       run(Duration.ofMillis(250L * random.nextInt(12)));
     }
-    assertThat(cuts.size()).isLessThanOrEqualTo((int) (millis / Cutting.BETWEEN.toMillis()) + 1);
-    others.replaceAll((one, standing) -> one.birth() == 3 ? Standing.ALIVE : Standing.AWAY);
+    assertThat(changes.size())
+        .isLessThanOrEqualTo(
+            (int) (millis / ViewChangeBatcher.MIN_PROPOSAL_INTERVAL.toMillis()) + 1);
+    others.replaceAll(
+        (one, state) -> one.incarnation() == 3 ? MemberState.ALIVE : MemberState.AWAY);
     run(Duration.ofSeconds(70));
     List<Member> alive = new ArrayList<>(List.of(SELF));
     others.forEach(
-        (one, standing) -> {
-          if (standing == Standing.ALIVE) {
+        (one, state) -> {
+          if (state == MemberState.ALIVE) {
             alive.add(one);
           }
         });
--- a/members/src/test/java/tamarindroute/members/shares/LeadingTest.java
+++ b/members/src/test/java/tamarindroute/members/shares/LeaderLeaseTest.java
@@ -15,24 +15,24 @@
  * Leads of voters that come and go at any pace: proofs are late, the word that one leads is old,
  * and no two overlap.
  */
-class LeadingTest {
+class LeaderLeaseTest {
 
   /** Takes no word; the tests read what is proven. */
-  private static final class Nobody implements Lead {
+  private static final class NoOpLeaderStatus implements LeaderStatus {
     @Override
-    public void leads(long number, Duration until) {}
+    public void onLeadership(long number, Duration until) {}
 
     @Override
-    public void leadsNoMore() {}
+    public void onLeadershipLost() {}
 
     @Override
-    public void leader(Member who) {}
+    public void onLeaderKnown(Member who) {}
 
     @Override
-    public void heard(Member who) {}
+    public void onMemberSeen(Member who) {}
 
     @Override
-    public void gone(Address place, boolean agreed) {}
+    public void onDecommissioned(Address place, boolean agreed) {}
   }
 
   private record Span(int who, long from, long until) {}
@@ -44,11 +44,11 @@
   /**
    * In each term one of three leads; a reading asked for while it does is answered up to 4 s later.
    */
-  private static List<Span> play(int seed, long wait) {
+  private static List<Span> simulate(int seed, long wait) {
     Random random = new Random(seed);
-    List<Leading> voters = new ArrayList<>();
+    List<LeaderLease> voters = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      voters.add(new Leading(new Nobody()));
+      voters.add(new LeaderLease(new NoOpLeaderStatus()));
     }
     List<Span> spans = new ArrayList<>();
     long now = 0;
@@ -60,7 +60,7 @@
         long sent = now - random.nextInt(300);
         long answered =
             now + (random.nextInt(10) == 0 ? random.nextInt(4_000) : random.nextInt(50));
-        Optional<Duration> until = voters.get(who).proven(term, ms(sent + wait), ms(answered));
+        Optional<Duration> until = voters.get(who).confirm(term, ms(sent + wait), ms(answered));
         if (until.isPresent() && until.get().toMillis() - wait > answered) {
           spans.add(new Span(who, answered, until.get().toMillis() - wait));
         }
@@ -79,10 +79,10 @@
   }
 
   @Test
-  void noTwoLeadAtOnceAndWhoStaysDoesLead() {
+  void leadershipsNeverOverlapAndAStableLeaderLeads() {
     int led = 0;
     for (int seed = 0; seed < 200; seed++) {
-      List<Span> spans = play(seed, 0);
+      List<Span> spans = simulate(seed, 0);
       assertThat(overlap(spans)).as("seed %s", seed).isFalse();
       led += spans.size();
     }
@@ -91,10 +91,10 @@
 
   /** The check finds two that lead at once where one does not wait for the other's time. */
   @Test
-  void withoutTheWaitTwoLeadAtOnce() {
+  void withoutTheWaitLeadershipsOverlap() {
     boolean found = false;
     for (int seed = 0; seed < 200; seed++) {
-      found |= overlap(play(seed, Leading.LENGTH.toMillis() + 100));
+      found |= overlap(simulate(seed, LeaderLease.DURATION.toMillis() + 100));
     }
     assertThat(found).isTrue();
   }
--- a/members/src/test/java/tamarindroute/members/wire/EnvelopesTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageCodecTest.java
@@ -18,18 +18,18 @@
 import tamarindroute.members.wire.form.Envelope;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
+import tamarindroute.membership.MemberState;
+import tamarindroute.membership.MembershipUpdate;
 import tamarindroute.membership.Message;
-import tamarindroute.membership.Rumour;
-import tamarindroute.membership.Standing;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /** Letters there and back, and what damage makes of them. */
-class EnvelopesTest {
+class MemberMessageCodecTest {
 
   private static final Member SELF = new Member(new Address("127.0.0.1", 9001), 17);
 
   @Provide
-  Arbitrary<Letter> letters() {
+  Arbitrary<MemberMessage> messages() {
     Arbitrary<Address> addresses =
         Combinators.combine(
                 Arbitraries.of("127.0.0.1", "10.20.30.40", "::1", "fe80:0:0:0:1234:5678:9abc:def0"),
@@ -37,10 +37,10 @@
             .as(Address::new);
     Arbitrary<Long> numbers = Arbitraries.longs().between(0, Long.MAX_VALUE);
     Arbitrary<Member> members = Combinators.combine(addresses, numbers).as(Member::new);
-    Arbitrary<Rumour> rumours =
-        Combinators.combine(members, Arbitraries.of(Standing.values()), numbers, addresses)
-            .as(Rumour::new);
-    Arbitrary<Letter> said =
+    Arbitrary<MembershipUpdate> rumours =
+        Combinators.combine(members, Arbitraries.of(MemberState.values()), numbers, addresses)
+            .as(MembershipUpdate::new);
+    Arbitrary<MemberMessage> said =
         Combinators.combine(
                 Arbitraries.of(Message.Kind.values()),
                 members,
@@ -49,31 +49,32 @@
                 members,
                 rumours.list().ofMaxSize(24))
             .as(Message::new)
-            .map(Letter::of);
+            .map(MemberMessage::of);
     Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(3000);
-    Arbitrary<Letter.Lease> leases =
+    Arbitrary<MemberMessage.LeasePayload> leases =
         Combinators.combine(
                 Arbitraries.integers().between(0, Integer.MAX_VALUE),
-                Arbitraries.of(Letter.LeaseKind.values()),
+                Arbitraries.of(MemberMessage.LeaseKind.values()),
                 numbers,
                 numbers,
                 numbers,
                 Arbitraries.integers()
                     .between(0, Integer.MAX_VALUE)
                     .map(ms -> Duration.ofMillis(ms)))
-            .as(Letter.Lease::new);
+            .as(MemberMessage.LeasePayload::new);
     return Arbitraries.oneOf(
         said,
-        Combinators.combine(members, numbers, leases).as((m, n, l) -> Letter.of(m, n, l)),
+        Combinators.combine(members, numbers, leases).as((m, n, l) -> MemberMessage.of(m, n, l)),
         Combinators.combine(members, numbers, bytes)
-            .as((m, n, b) -> Letter.of(m, n, new Letter.Facts(b))),
+            .as((m, n, b) -> MemberMessage.of(m, n, new MemberMessage.FactsPayload(b))),
         Combinators.combine(members, numbers, bytes)
-            .as((m, n, b) -> Letter.of(m, n, new Letter.Agreement(b))));
+            .as((m, n, b) -> MemberMessage.of(m, n, new MemberMessage.AgreementPayload(b))));
   }
 
   @Property(tries = 500, seed = "28")
-  void whatIsWrittenIsReadAsItWas(@ForAll("letters") Letter letter) throws MalformedException {
-    assertThat(Envelopes.read(Envelopes.write(letter))).isEqualTo(letter);
+  void messagesSurviveARoundTrip(@ForAll("letters") MemberMessage message)
+      throws MalformedMessageException {
+    assertThat(MemberMessageCodec.decode(MemberMessageCodec.encode(message))).isEqualTo(message);
   }
 
   /**
@@ -81,72 +82,84 @@
    * again.
    */
   @Property(tries = 2000, seed = "281")
-  void damageIsRefusedOrWithinBounds(
-      @ForAll("letters") Letter letter, @ForAll int place, @ForAll byte flip, @ForAll boolean cut)
-      throws MalformedException {
-    byte[] bytes = Envelopes.write(letter);
+  void damagedBytesAreRejectedOrDecodeWithinBounds(
+      @ForAll("letters") MemberMessage message,
+      @ForAll int place,
+      @ForAll byte flip,
+      @ForAll boolean cut)
+      throws MalformedMessageException {
+    byte[] bytes = MemberMessageCodec.encode(message);
     int at = Math.floorMod(place, bytes.length);
     byte[] damaged = cut ? Arrays.copyOf(bytes, at) : bytes;
     if (!cut) {
       damaged[at] ^= flip;
     }
-    refusedOrWithinBounds(damaged);
+    assertRejectedOrWithinBounds(damaged);
   }
 
   @Property(tries = 2000, seed = "282")
-  void noiseIsRefusedOrWithinBounds(@ForAll byte[] noise) throws MalformedException {
-    refusedOrWithinBounds(noise);
+  void randomBytesAreRejectedOrDecodeWithinBounds(@ForAll byte[] noise)
+      throws MalformedMessageException {
+    assertRejectedOrWithinBounds(noise);
   }
 
-  private static void refusedOrWithinBounds(byte[] bytes) throws MalformedException {
-    Letter read;
+  private static void assertRejectedOrWithinBounds(byte[] bytes) throws MalformedMessageException {
+    MemberMessage read;
     try {
-      read = Envelopes.read(bytes);
-    } catch (MalformedException e) {
+      read = MemberMessageCodec.decode(bytes);
+    } catch (MalformedMessageException e) {
       assertThat(e.getMessage()).isNotBlank();
       return;
     }
-    assertThat(Envelopes.read(Envelopes.write(read))).isEqualTo(read);
+    assertThat(MemberMessageCodec.decode(MemberMessageCodec.encode(read))).isEqualTo(read);
   }
 
   @Test
-  void theLastRumoursStayOutWhereAllHaveNoRoom() throws MalformedException {
+  void lastUpdatesAreLeftOutWhenTheMessageIsFull() throws MalformedMessageException {
     Address far = new Address("fe80:1111:2222:3333:1234:5678:9abc:def0", 65_535);
-    List<Rumour> many =
+    List<MembershipUpdate> many =
         Collections.nCopies(
-            64, new Rumour(new Member(far, Long.MAX_VALUE), Standing.ALIVE, Long.MAX_VALUE, far));
+            64,
+            new MembershipUpdate(
+                new Member(far, Long.MAX_VALUE), MemberState.ALIVE, Long.MAX_VALUE, far));
     byte[] bytes =
-        Envelopes.write(Letter.of(new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, many)));
-    assertThat(bytes.length).isBetween(Envelopes.LARGEST - 150, Envelopes.LARGEST);
-    Message read = ((Letter.Said) Envelopes.read(bytes).body()).message();
-    assertThat(read.rumours()).hasSizeBetween(30, 63).allMatch(many.get(0)::equals);
-    List<Rumour> near =
+        MemberMessageCodec.encode(
+            MemberMessage.of(new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, many)));
+    assertThat(bytes.length)
+        .isBetween(
+            MemberMessageCodec.MAX_MESSAGE_BYTES - 150, MemberMessageCodec.MAX_MESSAGE_BYTES);
+    Message read =
+        ((MemberMessage.MembershipPayload) MemberMessageCodec.decode(bytes).payload()).message();
+    assertThat(read.updates()).hasSizeBetween(30, 63).allMatch(many.get(0)::equals);
+    List<MembershipUpdate> near =
         Collections.nCopies(
             64,
-            new Rumour(
+            new MembershipUpdate(
                 new Member(new Address("192.168.111.222", 65_535), 1_800_000_000_000L),
-                Standing.ALIVE,
+                MemberState.ALIVE,
                 1_000,
                 new Address("192.168.111.222", 65_535)));
     Message all = new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, near);
-    assertThat(Envelopes.read(Envelopes.write(Letter.of(all))).body())
-        .isEqualTo(new Letter.Said(all));
+    assertThat(
+            MemberMessageCodec.decode(MemberMessageCodec.encode(MemberMessage.of(all))).payload())
+        .isEqualTo(new MemberMessage.MembershipPayload(all));
   }
 
   @Test
-  void eachBoundIsKept() throws Exception {
+  void everyBoundIsEnforced() throws Exception {
     Envelope sound =
         Envelope.parseFrom(
-            Envelopes.write(
-                Letter.of(
+            MemberMessageCodec.encode(
+                MemberMessage.of(
                     new Message(
                         Message.Kind.PROBE,
                         SELF,
                         0,
                         3,
                         SELF,
-                        List.of(new Rumour(SELF, Standing.AWAY, 1, SELF.address()))))));
-    Envelopes.read(sound.toByteArray());
+                        List.of(
+                            new MembershipUpdate(SELF, MemberState.AWAY, 1, SELF.address()))))));
+    MemberMessageCodec.decode(sound.toByteArray());
     List<Envelope.Builder> wrong = new ArrayList<>();
     wrong.add(sound.toBuilder().setLevel(2).setHighest(2));
     wrong.add(sound.toBuilder().setLowest(2));
@@ -178,12 +191,13 @@
         changed(
             sound, envelope -> envelope.getMembershipBuilder().getRumoursBuilder(0).clearAbout()));
     for (Envelope.Builder one : wrong) {
-      assertThatThrownBy(() -> Envelopes.read(one.build().toByteArray()))
+      assertThatThrownBy(() -> MemberMessageCodec.decode(one.build().toByteArray()))
           .as(one.toString())
-          .isInstanceOf(MalformedException.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
-    assertThatThrownBy(() -> Envelopes.read(new byte[Envelopes.LARGEST + 1]))
-        .isInstanceOf(MalformedException.class)
+    assertThatThrownBy(
+            () -> MemberMessageCodec.decode(new byte[MemberMessageCodec.MAX_MESSAGE_BYTES + 1]))
+        .isInstanceOf(MalformedMessageException.class)
         .hasMessageContaining("longer");
   }
 
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
+import tamarindroute.membership.MemberState;
+import tamarindroute.membership.MembershipUpdate;
 import tamarindroute.membership.Message;
-import tamarindroute.membership.Rumour;
-import tamarindroute.membership.Standing;
 
 /** The wire format of each member message, pinned byte for byte. */
 class MemberMessageFixtureTest {
@@ -60,28 +60,32 @@
                 + "303a303a303a303a313a323a333a3410ffff0318111004180322093132372e302e302e3128a946",
             "3251080b10ac021a1a0a12666538303a303a303a303a313a323a333a3410ffff031811222e0a1a0a12666538"
                 + "303a303a303a303a313a323a333a3410ffff0318111005180322093132372e302e302e3128a946");
-    for (Standing state : Standing.values()) {
+    for (MemberState state : MemberState.values()) {
       messages.add(
           Arguments.of(
               swim(
                   Message.Kind.GOSSIP,
                   OTHER,
-                  List.of(new Rumour(OTHER, state, 3, SENDER.address()))),
+                  List.of(new MembershipUpdate(OTHER, state, 3, SENDER.address()))),
               HEAD + states.get(state.ordinal())));
     }
     messages.add(
-        Arguments.of(letter(new Letter.Facts(new byte[] {1, -1, 127})), HEAD + "3a0301ff7f"));
+        Arguments.of(
+            letter(new MemberMessage.FactsPayload(new byte[] {1, -1, 127})), HEAD + "3a0301ff7f"));
+    messages.add(
+        Arguments.of(
+            letter(new MemberMessage.AgreementPayload(new byte[] {0, -128})), HEAD + "42020080"));
     messages.add(
-        Arguments.of(letter(new Letter.Agreement(new byte[] {0, -128})), HEAD + "42020080"));
-    messages.add(Arguments.of(letter(new Letter.News(41, List.of())), HEAD + "4a020829"));
+        Arguments.of(
+            letter(new MemberMessage.FeedEventsPayload(41, List.of())), HEAD + "4a020829"));
     messages.add(
         Arguments.of(
             letter(
-                new Letter.News(
+                new MemberMessage.FeedEventsPayload(
                     42,
                     List.of(
-                        new Letter.Event(41, 0xFEDC_BA98L, "{\"n\":41}"),
-                        new Letter.Event(42, 1, "{\"n\":42}")))),
+                        new MemberMessage.FeedEvent(41, 0xFEDC_BA98L, "{\"n\":41}"),
+                        new MemberMessage.FeedEvent(42, 1, "{\"n\":42}")))),
             HEAD
                 + "4a26082a121208291098f5f2f60f1a087b226e223a34317d120e082a10011a087b226e223a34327d"));
     List<String> leases =
@@ -91,43 +95,46 @@
             "52140802100318fbd095ffbc3120052890a10f30b817",
             "52140802100418fbd095ffbc3120052890a10f30b817",
             "52140802100518fbd095ffbc3120052890a10f30b817");
-    for (Letter.LeaseKind kind : Letter.LeaseKind.values()) {
+    for (MemberMessage.LeaseKind kind : MemberMessage.LeaseKind.values()) {
       messages.add(
           Arguments.of(
               letter(
-                  new Letter.Lease(
+                  new MemberMessage.LeasePayload(
                       2, kind, 1_700_000_000_123L, 5, 250_000, Duration.ofMillis(3_000))),
               HEAD + leases.get(kind.ordinal())));
     }
     return messages;
   }
 
-  private static Letter swim(Message.Kind kind, Member about, List<Rumour> updates) {
-    return Letter.of(new Message(kind, SENDER, 9, 300, about, updates));
+  private static MemberMessage swim(
+      Message.Kind kind, Member about, List<MembershipUpdate> updates) {
+    return MemberMessage.of(new Message(kind, SENDER, 9, 300, about, updates));
   }
 
-  private static Letter letter(Letter.Body body) {
-    return Letter.of(SENDER, 9, body);
+  private static MemberMessage letter(MemberMessage.Payload payload) {
+    return MemberMessage.of(SENDER, 9, payload);
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void messageIsWrittenAndReadAsTheseBytes(Letter message, String hex) throws Exception {
-    assertThat(HexFormat.of().formatHex(Envelopes.write(message))).isEqualTo(hex);
-    assertThat(Envelopes.read(HexFormat.of().parseHex(hex))).isEqualTo(message);
+  void messageIsWrittenAndReadAsTheseBytes(MemberMessage message, String hex) throws Exception {
+    assertThat(HexFormat.of().formatHex(MemberMessageCodec.encode(message))).isEqualTo(hex);
+    assertThat(MemberMessageCodec.decode(HexFormat.of().parseHex(hex))).isEqualTo(message);
   }
 
   @Test
   void unknownTargetIncarnationIsLeftOut() {
-    Letter message = Letter.of(SENDER, 0, new Letter.Facts("x".getBytes(StandardCharsets.UTF_8)));
-    assertThat(HexFormat.of().formatHex(Envelopes.write(message)))
+    MemberMessage message =
+        MemberMessage.of(
+            SENDER, 0, new MemberMessage.FactsPayload("x".getBytes(StandardCharsets.UTF_8)));
+    assertThat(HexFormat.of().formatHex(MemberMessageCodec.encode(message)))
         .isEqualTo("08011001180122150a093132372e302e302e3110a94618fbd095ffbc313a0178");
   }
 
   @Test
   void enumOrderIsTheOrderOfTheFixtures() {
     assertThat(Arrays.stream(Message.Kind.values()).map(Enum::ordinal)).hasSize(11);
-    assertThat(Standing.values()).hasSize(5);
-    assertThat(Letter.LeaseKind.values()).hasSize(5);
+    assertThat(MemberState.values()).hasSize(5);
+    assertThat(MemberMessage.LeaseKind.values()).hasSize(5);
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/Action.java
+++ b/membership/src/main/java/tamarindroute/membership/Action.java
@@ -9,19 +9,19 @@
   record Send(Address to, Message message) implements Action {}
 
   /** Another member's standing is a new one here. */
-  record Became(Member about, Standing standing) implements Action {}
+  record StateChanged(Member member, MemberState state) implements Action {}
 
   /** One's own condition is a new one. */
-  record Touch(State state) implements Action {}
+  record StatusChanged(LocalStatus status) implements Action {}
 
   /**
    * It took a greater birth, as a later life than its own was here before; what it said before
    * counts no more.
    */
-  record Reborn(Member self) implements Action {}
+  record IncarnationRaised(Member self) implements Action {}
 
   /** How one stands to the others. */
-  enum Condition {
+  enum Connectivity {
     JOINING,
     IN_TOUCH,
     PAUSED,
@@ -32,17 +32,17 @@
   /**
    * One's own condition.
    *
-   * @param span for PAUSED: how long it did not run; else zero
+   * @param pausedFor for PAUSED: how long it did not run; else zero
    */
-  record State(Condition condition, Duration span) {
+  record LocalStatus(Connectivity connectivity, Duration pausedFor) {
 
-    static State of(Condition condition) {
-      return new State(condition, Duration.ZERO);
+    static LocalStatus of(Connectivity condition) {
+      return new LocalStatus(condition, Duration.ZERO);
     }
 
     /** Whether what is held of the others may be acted on. */
-    public boolean inTouch() {
-      return condition == Condition.IN_TOUCH;
+    public boolean isConnected() {
+      return connectivity == Connectivity.IN_TOUCH;
     }
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/Standing.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberState.java
@@ -1,7 +1,7 @@
 package tamarindroute.membership;
 
 /** What is held of a member; a later one outweighs an earlier one of the same incarnation. */
-public enum Standing {
+public enum MemberState {
   JOINING,
   ALIVE,
   SUSPECT,
--- a/membership/src/main/java/tamarindroute/membership/Membership.java
+++ b/membership/src/main/java/tamarindroute/membership/Membership.java
@@ -20,61 +20,72 @@
    * Rumours go out so many times a period, to so many others. Five were too few: one of 100,000
    * missed a refutation.
    */
-  private static final int ROUNDS = 8;
+  private static final int GOSSIP_ROUNDS_PER_PERIOD = 8;
 
-  private static final int FANOUT = 3;
+  private static final int GOSSIP_FANOUT = 3;
 
   /** Whoever goes says so to so many; they pass it on. */
-  private static final int FAREWELLS = 8;
-
-  private final Own own;
-  private final Sends sends;
-  private final SelfWatch watch;
-  private final Suspicion suspicion;
-  private final Prober prober;
-  private final Exchange exchange;
-  private final Joining joining;
-  private final Words words;
-  private long roundAt;
-  private long periodAt;
+  private static final int LEAVE_FANOUT = 8;
+
+  private final StepContext context;
+  private final OutboundMessages outbound;
+  private final LocalHealthMonitor localHealth;
+  private final SuspicionTracker suspicions;
+  private final FailureDetector failureDetector;
+  private final StateExchange stateExchange;
+  private final JoinProtocol joinProtocol;
+  private final UpdatePrecedence updatePrecedence;
+  private long nextGossipNanos;
+  private long nextPeriodNanos;
 
   /**
    * Begins at this moment of the monotonic clock; the birth is only a proposal
    * (docs/membership-design.md).
    */
-  public Membership(Settings settings, Member self, List<Address> seeds, Duration now) {
-    this(settings, self, seeds, now, new Draws(Draws.seedOf(self)), Long.MAX_VALUE / 2);
+  public Membership(MembershipSettings settings, Member self, List<Address> seeds, Duration now) {
+    this(
+        settings,
+        self,
+        seeds,
+        now,
+        new DeterministicRandom(DeterministicRandom.seedFor(self)),
+        Long.MAX_VALUE / 2);
   }
 
   Membership(
-      Settings settings, Member self, List<Address> seeds, Duration now, Draws draws, long wrap) {
-    if (self.birth() <= 0 || self.birth() > Words.MOST) {
+      MembershipSettings settings,
+      Member self,
+      List<Address> seeds,
+      Duration now,
+      DeterministicRandom random,
+      long requestIdLimit) {
+    if (self.incarnation() <= 0 || self.incarnation() > UpdatePrecedence.MAX_COUNTER) {
       throw new IllegalArgumentException("birth out of bounds: " + self);
     }
-    own = new Own(settings, self, draws, wrap, now.toNanos());
-    sends = new Sends(own);
-    watch = new SelfWatch(own);
-    suspicion = new Suspicion(own, watch);
-    prober = new Prober(own, sends, watch, suspicion);
-    exchange = new Exchange(own, sends);
-    joining = new Joining(own, sends, watch, seeds);
-    words = new Words(own, sends, watch, suspicion);
-    roundAt = own.now;
-    periodAt = own.now + draws.below(1_000) * own.period / 1_000;
-    watch.dueAt(own.now);
+    context = new StepContext(settings, self, random, requestIdLimit, now.toNanos());
+    outbound = new OutboundMessages(context);
+    localHealth = new LocalHealthMonitor(context);
+    suspicions = new SuspicionTracker(context, localHealth);
+    failureDetector = new FailureDetector(context, outbound, localHealth, suspicions);
+    stateExchange = new StateExchange(context, outbound);
+    joinProtocol = new JoinProtocol(context, outbound, localHealth, seeds);
+    updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
+    nextGossipNanos = context.nowNanos;
+    nextPeriodNanos = context.nowNanos + random.nextInt(1_000) * context.periodNanos / 1_000;
+    localHealth.nextStepNanos(context.nowNanos);
   }
 
   private Membership(Membership other) {
-    own = other.own.copy();
-    sends = other.sends.copy(own);
-    watch = other.watch.copy(own);
-    suspicion = new Suspicion(own, watch);
-    prober = other.prober.copy(own, sends, watch, suspicion);
-    exchange = other.exchange.copy(own, sends);
-    joining = other.joining.copy(own, sends, watch);
-    words = new Words(own, sends, watch, suspicion);
-    roundAt = other.roundAt;
-    periodAt = other.periodAt;
+    context = other.context.copy();
+    outbound = other.outbound.copy(context);
+    localHealth = other.localHealth.copy(context);
+    suspicions = new SuspicionTracker(context, localHealth);
+    failureDetector = other.failureDetector.copy(context, outbound, localHealth, suspicions);
+    stateExchange = other.stateExchange.copy(context, outbound);
+    joinProtocol = other.joinProtocol.copy(context, outbound, localHealth);
+    updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
+    nextGossipNanos = other.nextGossipNanos;
+    nextPeriodNanos = other.nextPeriodNanos;
   }
 
   /** The same state, on its own from here on. */
@@ -86,236 +97,260 @@
    * Nothing is left to be passed on or asked for; simulations begin so, as if all had been said
    * long ago.
    */
-  void forget() {
-    own.rumours.clear();
-    exchange.wantNothing();
+  void clearPending() {
+    context.gossipQueue.clear();
+    stateExchange.requestNothing();
   }
 
-  long sinceLast(long number) {
-    return own.sinceLast(number);
+  long requestIdAge(long requestId) {
+    return context.requestIdAge(requestId);
   }
 
   /** All that decides what it will do, its times relative to now: equal keys have equal futures. */
-  Object key(Duration now) {
-    long at = now.toNanos();
+  Object stateKey(Duration now) {
+    long nowNanos = now.toNanos();
     return List.of(
-        own.key(at),
-        sends.sayOwnWord,
-        watch.key(at),
-        prober.key(at),
-        exchange.key(),
-        joining.key(at),
-        roundAt - at,
-        periodAt - at);
+        context.stateKey(nowNanos),
+        outbound.attachSelfUpdate,
+        localHealth.stateKey(nowNanos),
+        failureDetector.stateKey(nowNanos),
+        stateExchange.stateKey(),
+        joinProtocol.stateKey(nowNanos),
+        nextGossipNanos - nowNanos,
+        nextPeriodNanos - nowNanos);
   }
 
   /** A message that was read whole and proven to be a peer's. */
-  public List<Action> told(Message message, Duration now) {
-    begin(now);
+  public List<Action> onMessage(Message message, Duration now) {
+    beginStep(now);
     // What is meant for another life of this address is not heard by this one.
-    boolean mine =
-        message.toBirth() == own.self.birth()
-            || message.toBirth() == 0 && message.kind() == Message.Kind.JOIN;
-    if (!watch.isLeft() && mine && words.sound(message)) {
-      heard(message);
+    boolean addressedToSelf =
+        message.targetIncarnation() == context.self.incarnation()
+            || message.targetIncarnation() == 0 && message.kind() == Message.Kind.JOIN;
+    if (!localHealth.isLeft() && addressedToSelf && updatePrecedence.isValid(message)) {
+      accept(message);
     }
-    return end();
+    return endStep();
   }
 
   /** Time has passed: at the latest when wake told. */
   public List<Action> tick(Duration now) {
-    begin(now);
-    return end();
+    beginStep(now);
+    return endStep();
   }
 
   /** It goes in order; nothing it is told counts any more. */
   public List<Action> leave(Duration now) {
-    begin(now);
-    if (!watch.isLeft()) {
-      Rumour word = new Rumour(own.self, Standing.LEFT, own.incarnation, own.self.address());
-      for (Entry entry : own.roll.some(FAREWELLS, null, own.draws)) {
-        sends.send(Message.Kind.LEAVE, entry.member, 0, own.self, List.of(word), true);
+    beginStep(now);
+    if (!localHealth.isLeft()) {
+      MembershipUpdate selfUpdate =
+          new MembershipUpdate(
+              context.self, MemberState.LEFT, context.refutation, context.self.address());
+      for (MemberEntry entry :
+          context.memberTable.randomAlive(LEAVE_FANOUT, null, context.random)) {
+        outbound.send(Message.Kind.LEAVE, entry.member, 0, context.self, List.of(selfUpdate), true);
       }
-      prober.clear();
-      watch.left();
+      failureDetector.clear();
+      localHealth.left();
     }
-    return end();
+    return endStep();
   }
 
   /** The span until the next tick is due; zero where it is overdue. */
-  public Duration wake(Duration now) {
-    return Duration.ofNanos(Math.max(0, dueAt() - now.toNanos()));
+  public Duration untilNextTick(Duration now) {
+    return Duration.ofNanos(Math.max(0, nextDueNanos() - now.toNanos()));
   }
 
-  private long dueAt() {
-    if (watch.isLeft()) {
+  private long nextDueNanos() {
+    if (localHealth.isLeft()) {
       return Long.MAX_VALUE / 2;
     }
-    return Math.min(Math.min(roundAt, periodAt), Math.min(prober.dueAt(), joining.dueAt()));
+    return Math.min(
+        Math.min(nextGossipNanos, nextPeriodNanos),
+        Math.min(failureDetector.nextDueNanos(), joinProtocol.nextDueNanos()));
   }
 
-  private void begin(Duration now) {
-    own.now = Math.max(own.now, now.toNanos());
-    long late = watch.late(own.now);
-    if (watch.paused(own.now)) {
-      watch.didNotRun(late);
-      prober.clear();
-      own.rumours.dropReports(own.self.address());
-      watch.announce();
-      suspicion.restart();
-      own.roll.some(FANOUT, null, own.draws).forEach(prober::probe);
-      periodAt = own.now + own.period;
+  private void beginStep(Duration now) {
+    context.nowNanos = Math.max(context.nowNanos, now.toNanos());
+    long overdueNanos = localHealth.overdueNanos(context.nowNanos);
+    if (localHealth.isPaused(context.nowNanos)) {
+      localHealth.recordPause(overdueNanos);
+      failureDetector.clear();
+      context.gossipQueue.dropReports(context.self.address());
+      localHealth.reportChange();
+      suspicions.restartTimeouts();
+      context
+          .memberTable
+          .randomAlive(GOSSIP_FANOUT, null, context.random)
+          .forEach(failureDetector::probe);
+      nextPeriodNanos = context.nowNanos + context.periodNanos;
     } else {
-      prober.shift(late);
+      failureDetector.postpone(overdueNanos);
     }
-    sends.sayOwnWord = watch.accused(own.now);
+    outbound.attachSelfUpdate = localHealth.isAccused(context.nowNanos);
   }
 
-  private List<Action> end() {
-    if (!watch.isLeft()) {
-      due();
+  private List<Action> endStep() {
+    if (!localHealth.isLeft()) {
+      runDueTasks();
     }
-    watch.dueAt(dueAt());
-    if (watch.announce()) {
-      suspicion.restart();
+    localHealth.nextStepNanos(nextDueNanos());
+    if (localHealth.reportChange()) {
+      suspicions.restartTimeouts();
     }
-    return own.taken();
+    return context.drainActions();
   }
 
-  private void due() {
-    joining.due();
-    prober.due();
-    if (own.now >= periodAt) {
-      periodAt = own.now + own.period;
-      period();
+  private void runDueTasks() {
+    joinProtocol.runIfDue();
+    failureDetector.advanceDueProbes();
+    if (context.nowNanos >= nextPeriodNanos) {
+      nextPeriodNanos = context.nowNanos + context.periodNanos;
+      runPeriod();
     }
-    if (own.now >= roundAt) {
-      roundAt = own.now + own.period / ROUNDS;
-      round();
+    if (context.nowNanos >= nextGossipNanos) {
+      nextGossipNanos = context.nowNanos + context.periodNanos / GOSSIP_ROUNDS_PER_PERIOD;
+      runGossipRound();
     }
   }
 
-  private void period() {
-    probe(own.roll.next(own.draws));
-    probe(own.roll.successor((int) Draws.hash(own.self), own.self.address()));
-    probe(watch.teller() == null ? null : own.roll.find(watch.teller()));
-    Entry away = own.roll.someAway(own.draws);
-    if (away != null) {
+  private void runPeriod() {
+    probeIfLive(context.memberTable.nextToProbe(context.random));
+    probeIfLive(
+        context.memberTable.successor(
+            (int) DeterministicRandom.memberHash(context.self), context.self.address()));
+    probeIfLive(
+        localHealth.oldestAccuser() == null
+            ? null
+            : context.memberTable.find(localHealth.oldestAccuser()));
+    MemberEntry faulty = context.memberTable.randomFaulty(context.random);
+    if (faulty != null) {
       // It may be there again, or may hear this one and not be heard: then it learns so by this.
-      sends.send(Message.Kind.PROBE, away.member, 0, own.self);
+      outbound.send(Message.Kind.PROBE, faulty.member, 0, context.self);
     }
-    suspicion.drawn().forEach(prober::probe);
-    exchange.period();
-    words.expire();
-    if (watch.alone() && watch.isJoined()) {
+    suspicions.selectedForProbing().forEach(failureDetector::probe);
+    stateExchange.exchangeRandomPart();
+    updatePrecedence.expireJoining();
+    if (localHealth.isAlone() && localHealth.isJoined()) {
       // Nobody to ask whether this one is in touch.
-      watch.answered();
+      localHealth.recordAnswer();
     }
   }
 
-  private void probe(Entry entry) {
-    if (entry != null && entry.live()) {
-      prober.probe(entry);
+  private void probeIfLive(MemberEntry entry) {
+    if (entry != null && entry.isLive()) {
+      failureDetector.probe(entry);
     }
   }
 
-  private void round() {
-    suspicion.due();
-    exchange.round();
-    if (!own.rumours.isEmpty()) {
-      for (Entry entry : own.roll.some(FANOUT, null, own.draws)) {
-        sends.send(Message.Kind.GOSSIP, entry.member, 0, own.self);
+  private void runGossipRound() {
+    suspicions.evaluate();
+    stateExchange.requestMissing();
+    if (!context.gossipQueue.isEmpty()) {
+      for (MemberEntry entry :
+          context.memberTable.randomAlive(GOSSIP_FANOUT, null, context.random)) {
+        outbound.send(Message.Kind.GOSSIP, entry.member, 0, context.self);
       }
     }
   }
 
-  private void heard(Message message) {
+  private void accept(Message message) {
     if (message.kind() == Message.Kind.SUPERSEDED) {
-      superseded(message.about());
+      onSuperseded(message.subject());
       return;
     }
-    Entry from = words.sender(message);
-    if (from == null) {
+    MemberEntry senderEntry = updatePrecedence.resolveSender(message);
+    if (senderEntry == null) {
       return;
     }
-    List<Rumour> answer = words.takeAll(message) ? List.of(own.ownWord()) : List.of();
-    if (words.laterLife() != null) {
-      superseded(words.laterLife());
+    List<MembershipUpdate> selfUpdates =
+        updatePrecedence.applyAll(message) ? List.of(context.selfUpdate()) : List.of();
+    if (updatePrecedence.laterIncarnation() != null) {
+      onSuperseded(updatePrecedence.laterIncarnation());
       return;
     }
-    answer(message, from, answer);
+    dispatch(message, senderEntry, selfUpdates);
   }
 
-  private void answer(Message message, Entry from, List<Rumour> word) {
+  private void dispatch(
+      Message message, MemberEntry senderEntry, List<MembershipUpdate> selfUpdate) {
     Member sender = message.from();
     switch (message.kind()) {
-      case PROBE -> sends.send(Message.Kind.ACK, sender, message.number(), own.self, word, true);
-      case ACK -> prober.answered(message);
-      case PROBE_FOR -> prober.probeFor(message.about(), sender, message.number());
-      case NACK -> prober.refused(message);
-      case JOIN -> welcome(message);
-      case WELCOME -> welcomed(message);
-      case EXCHANGE -> exchange.asked(message);
-      case EXCHANGE_BACK -> exchange.answered(message);
+      case PROBE ->
+          outbound.send(
+              Message.Kind.ACK, sender, message.requestId(), context.self, selfUpdate, true);
+      case ACK -> failureDetector.onAck(message);
+      case PROBE_FOR ->
+          failureDetector.probeOnBehalf(message.subject(), sender, message.requestId());
+      case NACK -> failureDetector.onNack(message);
+      case JOIN -> onJoin(message);
+      case WELCOME -> onWelcome(message);
+      case EXCHANGE -> stateExchange.onRequest(message);
+      case EXCHANGE_BACK -> stateExchange.onReply(message);
       case LEAVE -> {
-        if (from.standing != Standing.LEFT) {
-          words.left(from, from.incarnation);
+        if (senderEntry.state != MemberState.LEFT) {
+          updatePrecedence.markLeft(senderEntry, senderEntry.refutation);
         }
       }
       case GOSSIP, SUPERSEDED -> {}
     }
   }
 
-  private void welcome(Message message) {
-    if (watch.at(own.now).condition() != Action.Condition.PAUSED) {
-      sends.send(
-          Message.Kind.WELCOME, message.from(), exchange.parts(), own.self, words.welcome(), false);
+  private void onJoin(Message message) {
+    if (localHealth.statusAt(context.nowNanos).connectivity() != Action.Connectivity.PAUSED) {
+      outbound.send(
+          Message.Kind.WELCOME,
+          message.from(),
+          stateExchange.partCount(),
+          context.self,
+          updatePrecedence.welcomeUpdates(),
+          false);
     }
   }
 
-  private void welcomed(Message message) {
-    if (!watch.isJoined()) {
-      watch.joined();
-      exchange.wantAll(message.number());
-      own.rumours.put(own.ownWord());
+  private void onWelcome(Message message) {
+    if (!localHealth.isJoined()) {
+      localHealth.joined();
+      stateExchange.requestAll(message.requestId());
+      context.gossipQueue.enqueue(context.selfUpdate());
     }
   }
 
   /** A later life than this one was here, as a clock was set back: past it, and in anew. */
-  private void superseded(Member later) {
-    if (!own.isSelf(later.address())
-        || later.birth() < own.self.birth()
-        || later.birth() >= Words.MOST) {
+  private void onSuperseded(Member laterMember) {
+    if (!context.isSelf(laterMember.address())
+        || laterMember.incarnation() < context.self.incarnation()
+        || laterMember.incarnation() >= UpdatePrecedence.MAX_COUNTER) {
       return;
     }
-    own.self = new Member(own.self.address(), later.birth() + 1);
-    own.incarnation = 0;
-    prober.clear();
-    watch.reborn();
-    joining.again();
-    own.act(new Action.Reborn(own.self));
+    context.self = new Member(context.self.address(), laterMember.incarnation() + 1);
+    context.refutation = 0;
+    failureDetector.clear();
+    localHealth.onNewIncarnation();
+    joinProtocol.restart();
+    context.emit(new Action.IncarnationRaised(context.self));
   }
 
   /** All others that are remembered, with their standing. */
-  public Map<Member, Standing> members() {
-    Map<Member, Standing> members = new LinkedHashMap<>();
-    own.roll.all().forEach(entry -> members.put(entry.member, entry.standing));
+  public Map<Member, MemberState> members() {
+    Map<Member, MemberState> members = new LinkedHashMap<>();
+    context.memberTable.entries().forEach(entry -> members.put(entry.member, entry.state));
     return members;
   }
 
   /** Those held alive or suspect, and oneself. */
-  public List<Member> alive() {
-    List<Member> alive = new ArrayList<>(List.of(own.self));
-    own.roll.live().forEach(entry -> alive.add(entry.member));
-    return alive;
+  public List<Member> liveMembers() {
+    List<Member> live = new ArrayList<>(List.of(context.self));
+    context.memberTable.liveEntries().forEach(entry -> live.add(entry.member));
+    return live;
   }
 
   public Member self() {
-    return own.self;
+    return context.self;
   }
 
   /** One's own condition at this very moment, whatever timers ran: asked before acting. */
-  public Action.State touch(Duration now) {
-    return watch.at(Math.max(own.now, now.toNanos()));
+  public Action.LocalStatus localStatus(Duration now) {
+    return localHealth.statusAt(Math.max(context.nowNanos, now.toNanos()));
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/Rumour.java
+++ b/membership/src/main/java/tamarindroute/membership/MembershipUpdate.java
@@ -6,4 +6,5 @@
  *
  * @param observer who found it out by itself; the same observer counts once towards a cut
  */
-public record Rumour(Member about, Standing standing, long incarnation, Address observer) {}
+public record MembershipUpdate(
+    Member member, MemberState state, long refutation, Address observer) {}
--- a/membership/src/main/java/tamarindroute/membership/Message.java
+++ b/membership/src/main/java/tamarindroute/membership/Message.java
@@ -6,14 +6,19 @@
  * What members say to each other of who is there; bounded by what carries it and read whole before
  * it counts.
  *
- * @param toBirth the life it is meant for; 0 where the sender does not know it. Another life must
- *     not take it
- * @param number of the probe, of the part of an exchange
- * @param about whom it is about: the target of an indirect probe, the remembered life in
+ * @param targetIncarnation the life it is meant for; 0 where the sender does not know it. Another
+ *     life must not take it
+ * @param requestId of the probe, of the part of an exchange
+ * @param subject whom it is about: the target of an indirect probe, the remembered life in
  *     SUPERSEDED; else the sender
  */
 public record Message(
-    Kind kind, Member from, long toBirth, long number, Member about, List<Rumour> rumours) {
+    Kind kind,
+    Member from,
+    long targetIncarnation,
+    long requestId,
+    Member subject,
+    List<MembershipUpdate> updates) {
 
   public enum Kind {
     /** Are you there? */
@@ -40,6 +45,6 @@
   }
 
   public Message {
-    rumours = List.copyOf(rumours);
+    updates = List.copyOf(updates);
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/ScheduleTest.java
+++ b/membership/src/test/java/tamarindroute/membership/FaultScheduleTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Every schedule, with two seeds each. */
-class ScheduleTest {
+class FaultScheduleTest {
 
   static Stream<String> schedules() throws java.io.IOException {
     try (Stream<Path> files = Files.list(Path.of("membership/src/test/resources/schedules"))) {
@@ -24,11 +24,11 @@
 
   @ParameterizedTest
   @MethodSource("schedules")
-  void holds(String name) {
+  void scheduleHolds(String name) {
     for (long seed : List.of(1L, 2L)) {
-      Schedule.Outcome outcome = new Schedule(name).play(seed, machine -> machine);
+      FaultSchedule.Outcome outcome = new FaultSchedule(name).play(seed, machine -> machine);
       assertThat(outcome.unmet()).as("%s, seed %d", name, seed).isEmpty();
-      assertThat(outcome.checker().breaches).as("%s, seed %d", name, seed).isEmpty();
+      assertThat(outcome.checker().violations).as("%s, seed %d", name, seed).isEmpty();
     }
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
@@ -17,16 +17,19 @@
 
   @Test
   void hashOfAMemberAndMixOfTwo() {
-    assertThat(Draws.hash(ONE)).isEqualTo(4_159_021_764L);
-    assertThat(Draws.mixed(Draws.hash(ONE), Draws.hash(OTHER))).isEqualTo(427_753_566_010_787_572L);
+    assertThat(DeterministicRandom.memberHash(ONE)).isEqualTo(4_159_021_764L);
+    assertThat(
+            DeterministicRandom.mix(
+                DeterministicRandom.memberHash(ONE), DeterministicRandom.memberHash(OTHER)))
+        .isEqualTo(427_753_566_010_787_572L);
   }
 
   @Test
   void drawsFromTheSeedOfAMember() {
-    Draws draws = new Draws(Draws.seedOf(ONE));
+    DeterministicRandom random = new DeterministicRandom(DeterministicRandom.seedFor(ONE));
     List<Integer> drawn = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      drawn.add(draws.below(1_000));
+      drawn.add(random.nextInt(1_000));
     }
     assertThat(drawn).containsExactly(790, 977, 468, 812, 345);
   }
--- a/membership/src/test/java/tamarindroute/membership/MembershipTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipTest.java
@@ -10,33 +10,40 @@
 /** One machine by itself: what it says at a moment, and its bounds. */
 class MembershipTest {
 
-  private static final Address HERE = new Address("10.0.0.1", 7_000);
+  private static final Address SELF_ADDRESS = new Address("10.0.0.1", 7_000);
   private static final Member PEER = new Member(new Address("10.0.0.2", 7_000), 900);
 
   /** A process that was stopped and asks before any timer of its has run. */
   @Test
-  void whoeverAsksHearsOfThePauseBeforeAnyEvent() {
+  void statusReportsAPauseBeforeAnyEventIsHandled() {
     Membership membership =
-        new Membership(Settings.USUAL, new Member(HERE, 7), List.of(), Duration.ZERO);
+        new Membership(
+            MembershipSettings.DEFAULTS, new Member(SELF_ADDRESS, 7), List.of(), Duration.ZERO);
     membership.tick(Duration.ZERO);
-    assertThat(membership.touch(Duration.ofMillis(200)).condition())
-        .isEqualTo(Action.Condition.IN_TOUCH);
-    Action.State later = membership.touch(Duration.ofSeconds(4));
-    assertThat(later.condition()).isEqualTo(Action.Condition.PAUSED);
-    assertThat(later.span()).isGreaterThan(Duration.ofSeconds(3));
-    assertThat(membership.tick(Duration.ofSeconds(4)).get(0)).isInstanceOf(Action.Touch.class);
+    assertThat(membership.localStatus(Duration.ofMillis(200)).connectivity())
+        .isEqualTo(Action.Connectivity.IN_TOUCH);
+    Action.LocalStatus status = membership.localStatus(Duration.ofSeconds(4));
+    assertThat(status.connectivity()).isEqualTo(Action.Connectivity.PAUSED);
+    assertThat(status.pausedFor()).isGreaterThan(Duration.ofSeconds(3));
+    assertThat(membership.tick(Duration.ofSeconds(4)).get(0))
+        .isInstanceOf(Action.StatusChanged.class);
   }
 
   @Test
-  void aWordThatItsBirthIsOldIsTakenOnceAndOnlyByTheLifeItIsMeantFor() {
+  void supersededMessageIsAcceptedOnceAndOnlyByItsTargetIncarnation() {
     Membership membership =
-        new Membership(Settings.USUAL, new Member(HERE, 7), List.of(PEER.address()), Duration.ZERO);
-    Message old = new Message(Message.Kind.SUPERSEDED, PEER, 7, 1, new Member(HERE, 50), List.of());
-    assertThat(membership.told(old, Duration.ofMillis(1)))
-        .contains(new Action.Reborn(new Member(HERE, 51)));
-    assertThat(membership.told(old, Duration.ofMillis(2)))
-        .noneMatch(Action.Reborn.class::isInstance);
-    assertThat(membership.self().birth()).isEqualTo(51);
+        new Membership(
+            MembershipSettings.DEFAULTS,
+            new Member(SELF_ADDRESS, 7),
+            List.of(PEER.address()),
+            Duration.ZERO);
+    Message superseded =
+        new Message(Message.Kind.SUPERSEDED, PEER, 7, 1, new Member(SELF_ADDRESS, 50), List.of());
+    assertThat(membership.onMessage(superseded, Duration.ofMillis(1)))
+        .contains(new Action.IncarnationRaised(new Member(SELF_ADDRESS, 51)));
+    assertThat(membership.onMessage(superseded, Duration.ofMillis(2)))
+        .noneMatch(Action.IncarnationRaised.class::isInstance);
+    assertThat(membership.self().incarnation()).isEqualTo(51);
   }
 
   /**
@@ -44,51 +51,68 @@
    * close together.
    */
   @Test
-  void asksForItsWayInWithinABudget() {
+  void joinAttemptsStayWithinTheirBudget() {
     Membership membership =
-        new Membership(Settings.USUAL, new Member(HERE, 7), List.of(PEER.address()), Duration.ZERO);
-    List<Duration> tries = new ArrayList<>();
+        new Membership(
+            MembershipSettings.DEFAULTS,
+            new Member(SELF_ADDRESS, 7),
+            List.of(PEER.address()),
+            Duration.ZERO);
+    List<Duration> attempts = new ArrayList<>();
     Duration now = Duration.ZERO;
     while (now.compareTo(Duration.ofMinutes(10)) < 0) {
       Duration at = now;
       membership.tick(now).stream()
           .filter(Action.Send.class::isInstance)
-          .forEach(send -> tries.add(at));
-      now = now.plus(membership.wake(now)).plusMillis(1);
+          .forEach(send -> attempts.add(at));
+      now = now.plus(membership.untilNextTick(now)).plusMillis(1);
     }
-    assertThat(tries).hasSizeBetween(20, 40);
-    for (int i = 1; i < tries.size(); i++) {
-      assertThat(tries.get(i).minus(tries.get(i - 1)))
+    assertThat(attempts).hasSizeBetween(20, 40);
+    for (int i = 1; i < attempts.size(); i++) {
+      assertThat(attempts.get(i).minus(attempts.get(i - 1)))
           .isGreaterThanOrEqualTo(Duration.ofMillis(250));
     }
-    assertThat(membership.touch(now).condition()).isEqualTo(Action.Condition.JOINING);
+    assertThat(membership.localStatus(now).connectivity()).isEqualTo(Action.Connectivity.JOINING);
   }
 
   /** One more than fit: it is not taken up and not answered; the longest gone give way. */
   @Test
-  void beyondItsBoundNobodyIsTakenUpUntilOneIsGone() {
-    Settings u = Settings.USUAL;
-    Settings two =
-        new Settings(u.period(), u.timeout(), u.pause(), 3, 12, 2, 5, 24, 65_536, 2, u.guards());
-    Membership membership = new Membership(two, new Member(HERE, 7), List.of(), Duration.ZERO);
+  void fullTableAdmitsNobodyUntilAMemberHasLeft() {
+    MembershipSettings defaults = MembershipSettings.DEFAULTS;
+    MembershipSettings twoMembers =
+        new MembershipSettings(
+            defaults.probePeriod(),
+            defaults.probeTimeout(),
+            defaults.toleratedPause(),
+            3,
+            12,
+            2,
+            5,
+            24,
+            65_536,
+            2,
+            defaults.guards());
+    Membership membership =
+        new Membership(twoMembers, new Member(SELF_ADDRESS, 7), List.of(), Duration.ZERO);
     for (int i = 2; i < 5; i++) {
       Member other = new Member(new Address("10.0.0." + i, 7_000), 1);
-      membership.told(
+      membership.onMessage(
           new Message(Message.Kind.JOIN, other, 0, 1, other, List.of()), Duration.ofMillis(i));
     }
     assertThat(membership.members()).hasSize(2);
-    Member gone = new Member(new Address("10.0.0.2", 7_000), 1);
-    membership.told(
-        new Message(Message.Kind.LEAVE, gone, 7, 0, gone, List.of()), Duration.ofMillis(6));
-    Member next = new Member(new Address("10.0.0.9", 7_000), 1);
+    Member departed = new Member(new Address("10.0.0.2", 7_000), 1);
+    membership.onMessage(
+        new Message(Message.Kind.LEAVE, departed, 7, 0, departed, List.of()), Duration.ofMillis(6));
+    Member joining = new Member(new Address("10.0.0.9", 7_000), 1);
     assertThat(
-            membership.told(
-                new Message(Message.Kind.JOIN, next, 0, 1, next, List.of()), Duration.ofMillis(7)))
+            membership.onMessage(
+                new Message(Message.Kind.JOIN, joining, 0, 1, joining, List.of()),
+                Duration.ofMillis(7)))
         .anyMatch(
             action ->
                 action instanceof Action.Send send
                     && send.message().kind() == Message.Kind.WELCOME);
-    assertThat(membership.members()).hasSize(2).containsKey(next).doesNotContainKey(gone);
+    assertThat(membership.members()).hasSize(2).containsKey(joining).doesNotContainKey(departed);
   }
 
   /**
@@ -96,33 +120,34 @@
    * are lost.
    */
   @Test
-  void aNewcomerLearnsOfAll() {
-    Sim sim = new Sim(Settings.USUAL, 12, 3).acquainted();
+  void newMemberLearnsOfAllOthersByStateExchange() {
+    MembershipSimulator simulator =
+        new MembershipSimulator(MembershipSettings.DEFAULTS, 12, 3).startJoined();
     List<Member> many = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
       many.add(new Member(new Address("10.9." + i / 250 + "." + i % 250, 7_000), 1));
     }
-    Membership newcomer = sim.nodes.get(11).membership;
+    Membership newcomer = simulator.nodes.get(11).membership;
     for (int node = 0; node < 11; node++) {
-      for (Member one : many) {
-        Membership membership = sim.nodes.get(node).membership;
-        membership.told(
+      for (Member member : many) {
+        Membership membership = simulator.nodes.get(node).membership;
+        membership.onMessage(
             new Message(
                 Message.Kind.GOSSIP,
                 newcomer.self(),
-                membership.self().birth(),
+                membership.self().incarnation(),
                 0,
                 newcomer.self(),
-                List.of(new Rumour(one, Standing.LEFT, 0, one.address()))),
-            sim.own(sim.nodes.get(node)));
+                List.of(new MembershipUpdate(member, MemberState.LEFT, 0, member.address()))),
+            simulator.localTime(simulator.nodes.get(node)));
       }
-      sim.nodes.get(node).membership.forget();
+      simulator.nodes.get(node).membership.clearPending();
     }
-    sim.kill(11);
-    sim.loss = 0.2;
-    sim.start(11, 5_000);
-    sim.run(Duration.ofSeconds(20));
-    many.removeAll(sim.nodes.get(11).membership.members().keySet());
+    simulator.kill(11);
+    simulator.loss = 0.2;
+    simulator.start(11, 5_000);
+    simulator.run(Duration.ofSeconds(20));
+    many.removeAll(simulator.nodes.get(11).membership.members().keySet());
     assertThat(many).isEmpty();
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/DoorTest.java
+++ b/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
@@ -11,15 +11,17 @@
  * The first members' way in, when each was stopped for a while before it was in, as starts on a
  * busy machine are.
  */
-class DoorTest {
+class SimultaneousJoinTest {
 
   @Test
-  void thoseWhoWereAllStoppedBeforeTheyWereInLetEachOtherIn() {
+  void membersAllPausedBeforeJoiningStillJoinEachOther() {
     List<Address> seeds = List.of(new Address("a", 1), new Address("b", 2), new Address("c", 3));
     List<Membership> members = new ArrayList<>();
     seeds.forEach(
-        one ->
-            members.add(new Membership(Settings.USUAL, new Member(one, 1), seeds, Duration.ZERO)));
+        address ->
+            members.add(
+                new Membership(
+                    MembershipSettings.DEFAULTS, new Member(address, 1), seeds, Duration.ZERO)));
     // Their first step comes late, as far as a period goes: all hold themselves for stopped.
     for (int millis = 400; millis < 5_000; millis += 20) {
       Duration now = Duration.ofMillis(millis);
@@ -27,15 +29,15 @@
       members.forEach(member -> actions.addAll(member.tick(now)));
       while (!actions.isEmpty()) {
         if (actions.remove(0) instanceof Action.Send send) {
-          actions.addAll(members.get(send.to().port() - 1).told(send.message(), now));
+          actions.addAll(members.get(send.to().port() - 1).onMessage(send.message(), now));
         }
       }
     }
     for (Membership member : members) {
-      assertThat(member.touch(Duration.ofMillis(5_000)).inTouch())
+      assertThat(member.localStatus(Duration.ofMillis(5_000)).isConnected())
           .as(member.self().toString())
           .isTrue();
-      assertThat(member.alive()).hasSize(3);
+      assertThat(member.liveMembers()).hasSize(3);
     }
   }
 }
--- /dev/null
+++ b/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
@@ -0,0 +1,60 @@
+package tamarindroute.membership;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/**
+ * A thousand members, a fifth of all messages lost each way, ten killed, twenty stopped for up to
+ * what is stated.
+ */
+class ThousandMembersTest {
+
+  @Test
+  void failedMembersAreKnownToAllWithinTenPeriodsAndNoOthersAreDeclaredFaulty() {
+    int count = 1_000;
+    MembershipSimulator simulator =
+        new MembershipSimulator(MembershipSettings.DEFAULTS, count, 28).startJoined();
+    simulator.loss = 0.2;
+    simulator.duplication = 0.05;
+    simulator.maxDelayNanos = Duration.ofMillis(60).toNanos();
+    InvariantChecker checker =
+        new InvariantChecker(simulator, MembershipSettings.DEFAULTS.toleratedPause());
+    Map<Address, Set<Integer>> observersByAddress = new HashMap<>();
+    simulator.observers.add(
+        (node, actions) ->
+            actions.forEach(
+                action -> {
+                  if (action instanceof Action.StateChanged became
+                      && became.state() == MemberState.AWAY) {
+                    observersByAddress
+                        .computeIfAbsent(became.member().address(), a -> new HashSet<>())
+                        .add(node);
+                  }
+                }));
+    simulator.run(Duration.ofSeconds(2));
+    for (int i = 10; i < 20; i++) {
+      simulator.kill(i);
+    }
+    for (int i = 20; i < 40; i++) {
+      int index = i;
+      Duration span = Duration.ofMillis(150L * (i - 19));
+      simulator.schedule(
+          Duration.ofMillis(100L * (i - 20)),
+          () -> {
+            checker.onPause(index, span);
+            simulator.pause(index, span);
+          });
+    }
+    simulator.run(MembershipSettings.DEFAULTS.probePeriod().multipliedBy(10));
+    assertThat(checker.violations).isEmpty();
+    assertThat(observersByAddress.keySet()).hasSize(10);
+    assertThat(observersByAddress.values())
+        .allSatisfy(observers -> assertThat(observers).hasSize(count - 10));
+  }
+}
--- a/net/src/main/java/tamarindroute/log/LibraryLines.java
+++ b/net/src/main/java/tamarindroute/log/LibraryLines.java
@@ -7,12 +7,12 @@
 /** The guard for what libraries write through logback: one line a second of each logger's. */
 public final class LibraryLines extends Filter<ILoggingEvent> {
 
-  private final Guard guard = new Guard();
+  private final LogRateLimiter rateLimiter = new LogRateLimiter();
 
   @Override
   public FilterReply decide(ILoggingEvent event) {
-    return event.getLoggerName().equals(Log.NAME)
-            || guard.pass(event.getLoggerName(), event.getTimeStamp()) >= 0
+    return event.getLoggerName().equals(Log.LOGGER_NAME)
+            || rateLimiter.admit(event.getLoggerName(), event.getTimeStamp()) >= 0
         ? FilterReply.NEUTRAL
         : FilterReply.DENY;
   }
--- a/net/src/main/java/tamarindroute/log/Log.java
+++ b/net/src/main/java/tamarindroute/log/Log.java
@@ -14,84 +14,84 @@
 public final class Log {
 
   /** The program's own logger; all others are libraries'. */
-  static final String NAME = "tamarindroute";
+  static final String LOGGER_NAME = "tamarindroute";
 
-  static final String TOPIC = "topic";
+  static final String TOPIC_KEY = "topic";
 
   /** How many lines of the topic were left out since the last one. */
-  static final String LEFT_OUT = "left_out";
+  static final String SUPPRESSED_KEY = "left_out";
 
   /** Which provider writes, and in which form. */
-  public enum Form {
+  public enum Format {
     SMALL,
     PLAIN,
     JSON
   }
 
   /** A change each of a few dozen members at once; what thousands do at once is counted. */
-  private static final int CHANGES = 64;
+  private static final int MAX_CHANGES_PER_WINDOW = 64;
 
-  private static final Guard GUARD = new Guard();
+  private static final LogRateLimiter RATE_LIMITER = new LogRateLimiter();
 
   private Log() {}
 
   /** Chooses who writes; before the first line, else it has no effect. */
-  public static void form(Form form) {
+  public static void useFormat(Format format) {
     System.setProperty("slf4j.internal.verbosity", "WARN");
     System.setProperty(
         "slf4j.provider",
-        form == Form.SMALL
-            ? Small.class.getName()
+        format == Format.SMALL
+            ? MinimalLogProvider.class.getName()
             : "ch.qos.logback.classic.spi.LogbackServiceProvider");
     System.setProperty(
-        "logback.configurationFile", form == Form.JSON ? "logback-json.xml" : "logback.xml");
+        "logback.configurationFile", format == Format.JSON ? "logback-json.xml" : "logback.xml");
   }
 
   /** SLF4J is asked for at the first line, so that a form can be chosen before. */
-  private static final class Behind {
-    static final Logger LOGGER = LoggerFactory.getLogger(NAME);
+  private static final class LoggerHolder {
+    static final Logger LOGGER = LoggerFactory.getLogger(LOGGER_NAME);
   }
 
   /** One line: the topic and the particulars. */
-  public static void line(String topic, Object particulars) {
-    event(topic, particulars);
+  public static void info(String topic, Object particulars) {
+    infoWithFields(topic, particulars);
   }
 
   /** One line with named values: a name, its value, and so on. */
-  public static void event(String topic, Object particulars, Object... named) {
-    write(GUARD.pass(topic), topic, particulars, named);
+  public static void infoWithFields(String topic, Object particulars, Object... fields) {
+    write(RATE_LIMITER.admit(topic), topic, particulars, fields);
   }
 
   /**
    * One line of a topic whose lines are changes that differ from each other: some a second pass.
    */
   public static void change(String topic, Object particulars) {
-    write(GUARD.passSome(topic, CHANGES), topic, particulars);
+    write(RATE_LIMITER.admitUpTo(topic, MAX_CHANGES_PER_WINDOW), topic, particulars);
   }
 
-  private static void write(int leftOut, String topic, Object particulars, Object... named) {
-    if (leftOut < 0) {
+  private static void write(int suppressed, String topic, Object particulars, Object... fields) {
+    if (suppressed < 0) {
       return;
     }
-    LoggingEventBuilder event = Behind.LOGGER.atInfo().addKeyValue(TOPIC, topic);
-    for (int i = 0; i + 1 < named.length; i += 2) {
-      event = event.addKeyValue(String.valueOf(named[i]), named[i + 1]);
+    LoggingEventBuilder event = LoggerHolder.LOGGER.atInfo().addKeyValue(TOPIC_KEY, topic);
+    for (int i = 0; i + 1 < fields.length; i += 2) {
+      event = event.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
     }
-    if (leftOut > 0) {
-      event = event.addKeyValue(LEFT_OUT, leftOut);
+    if (suppressed > 0) {
+      event = event.addKeyValue(SUPPRESSED_KEY, suppressed);
     }
     event.log(String.valueOf(particulars));
   }
 
   /** A failure of the program's own: its kind and the first place it passed. */
   public static void defect(Throwable failure) {
-    line("defect", told(failure, 1));
+    info("defect", describe(failure, 1));
   }
 
-  static String told(Throwable failure, int places) {
+  static String describe(Throwable failure, int frames) {
     return failure
         + Arrays.stream(failure.getStackTrace())
-            .limit(places)
+            .limit(frames)
             .map(place -> " at " + place)
             .collect(Collectors.joining());
   }
--- a/net/src/main/java/tamarindroute/log/Small.java
+++ b/net/src/main/java/tamarindroute/log/MinimalLogProvider.java
@@ -20,52 +20,53 @@
  * has the figures): plain lines on standard output, of libraries only warnings. It must never do
  * more; the others use logback.
  */
-public final class Small implements SLF4JServiceProvider {
+public final class MinimalLogProvider implements SLF4JServiceProvider {
 
-  private static final class Lines extends LegacyAbstractLogger implements LoggingEventAware {
+  private static final class MinimalLogger extends LegacyAbstractLogger
+      implements LoggingEventAware {
 
     private static final long serialVersionUID = 1L;
 
-    private final boolean own;
+    private final boolean isProgramLogger;
 
-    Lines(String name) {
+    MinimalLogger(String name) {
       this.name = name;
-      this.own = name.equals(Log.NAME);
+      this.isProgramLogger = name.equals(Log.LOGGER_NAME);
     }
 
     @Override
     public void log(LoggingEvent event) {
-      if (!own) {
-        library(event.getMessage(), event.getThrowable());
+      if (!isProgramLogger) {
+        logLibraryMessage(event.getMessage(), event.getThrowable());
         return;
       }
       StringBuilder line = new StringBuilder().append(System.currentTimeMillis()).append(' ');
-      StringBuilder named = new StringBuilder();
-      Object leftOut = null;
+      StringBuilder fields = new StringBuilder();
+      Object suppressed = null;
       List<KeyValuePair> pairs = event.getKeyValuePairs();
       for (KeyValuePair pair : pairs == null ? List.<KeyValuePair>of() : pairs) {
-        if (pair.key.equals(Log.TOPIC)) {
+        if (pair.key.equals(Log.TOPIC_KEY)) {
           line.append(pair.value).append(": ");
-        } else if (pair.key.equals(Log.LEFT_OUT)) {
-          leftOut = pair.value;
+        } else if (pair.key.equals(Log.SUPPRESSED_KEY)) {
+          suppressed = pair.value;
         } else {
-          named.append(' ').append(pair.key).append('=').append(pair.value);
+          fields.append(' ').append(pair.key).append('=').append(pair.value);
         }
       }
       line.append(event.getMessage())
-          .append(named)
-          .append(leftOut == null ? "" : " (+" + leftOut + ")");
+          .append(fields)
+          .append(suppressed == null ? "" : " (+" + suppressed + ")");
       System.out.println(line);
     }
 
-    private static void library(String text, Throwable thrown) {
-      Log.line("library", text + (thrown == null ? "" : " " + Log.told(thrown, 6)));
+    private static void logLibraryMessage(String text, Throwable thrown) {
+      Log.info("library", text + (thrown == null ? "" : " " + Log.describe(thrown, 6)));
     }
 
     @Override
     protected void handleNormalizedLoggingCall(
         Level level, Marker marker, String pattern, Object[] arguments, Throwable thrown) {
-      library(MessageFormatter.basicArrayFormat(pattern, arguments), thrown);
+      logLibraryMessage(MessageFormatter.basicArrayFormat(pattern, arguments), thrown);
     }
 
     @Override
@@ -85,7 +86,7 @@
 
     @Override
     public boolean isInfoEnabled() {
-      return own;
+      return isProgramLogger;
     }
 
     @Override
@@ -99,17 +100,17 @@
     }
   }
 
-  private final ILoggerFactory loggers = Lines::new;
-  private final IMarkerFactory markers = new BasicMarkerFactory();
+  private final ILoggerFactory loggerFactory = MinimalLogger::new;
+  private final IMarkerFactory markerFactory = new BasicMarkerFactory();
 
   @Override
   public ILoggerFactory getLoggerFactory() {
-    return loggers;
+    return loggerFactory;
   }
 
   @Override
   public IMarkerFactory getMarkerFactory() {
-    return markers;
+    return markerFactory;
   }
 
   @Override
--- a/net/src/main/java/tamarindroute/net/Pool.java
+++ b/net/src/main/java/tamarindroute/net/BufferPool.java
@@ -13,61 +13,65 @@
  * counted, so that whoever would hold bytes for long can ask first whether there is room. It must
  * never block, nor give a buffer out twice: a second free of the same buffer does nothing.
  */
-public final class Pool implements IoBufferAllocator {
+public final class BufferPool implements IoBufferAllocator {
 
   /**
    * An answer's mean bytes fit in a few; small enough that a hundred connections' reads weigh
    * little.
    */
-  public static final int SIZE = 16 * 1024;
+  public static final int BUFFER_BYTES = 16 * 1024;
 
-  private final int most;
+  private final int maxBuffers;
   private final ConcurrentLinkedQueue<ByteBuffer> free = new ConcurrentLinkedQueue<>();
-  private final Bound spare;
-  private final AtomicInteger out = new AtomicInteger();
-  private volatile Runnable roomAgain = () -> {};
+  private final PermitCounter freePermits;
+  private final AtomicInteger buffersInUse = new AtomicInteger();
+  private volatile Runnable capacityListener = () -> {};
 
   /**
    * A quarter of the memory told may be in buffers, or a third of the heap, which is the smaller
    * one if little is.
    */
-  public Pool(long memory) {
-    this.most = (int) (Math.min(memory / 4, Runtime.getRuntime().maxMemory() / 3) / SIZE);
-    this.spare = new Bound(most);
+  public BufferPool(long memoryBytes) {
+    this.maxBuffers =
+        (int) (Math.min(memoryBytes / 4, Runtime.getRuntime().maxMemory() / 3) / BUFFER_BYTES);
+    this.freePermits = new PermitCounter(maxBuffers);
   }
 
   /** Whether bytes may be held that need not be: some room is kept for reads and final answers. */
-  public boolean hasRoom() {
-    return hasRoomFor(0);
+  public boolean hasCapacity() {
+    return hasCapacityFor(0);
   }
 
   /** Whether so many bytes more may be held that need not be. */
-  public boolean hasRoomFor(long bytes) {
-    return out.get() + (bytes + SIZE - 1) / SIZE < roomy();
+  public boolean hasCapacityFor(long bytes) {
+    return buffersInUse.get() + (bytes + BUFFER_BYTES - 1) / BUFFER_BYTES < capacityThreshold();
   }
 
   /** So many out, there is no more room. */
-  private int roomy() {
-    return most * 3 / 4;
+  private int capacityThreshold() {
+    return maxBuffers * 3 / 4;
   }
 
   /** Called on any thread when there is room again after there was none. */
-  public void whenRoom(Runnable wake) {
-    roomAgain = wake;
+  public void onCapacityAvailable(Runnable listener) {
+    capacityListener = listener;
   }
 
-  IoBuffer take() {
+  IoBuffer acquire() {
     ByteBuffer bytes = free.poll();
     if (bytes != null) {
-      spare.leave();
+      freePermits.release();
     }
-    out.incrementAndGet();
-    return new Pooled(bytes == null ? ByteBuffer.allocate(SIZE) : bytes.clear(), true);
+    buffersInUse.incrementAndGet();
+    return new PooledBuffer(
+        bytes == null ? ByteBuffer.allocate(BUFFER_BYTES) : bytes.clear(), true);
   }
 
   @Override
   public IoBuffer allocate(int capacity, boolean direct) {
-    return capacity == SIZE ? take() : new Pooled(ByteBuffer.allocate(capacity), false);
+    return capacity == BUFFER_BYTES
+        ? acquire()
+        : new PooledBuffer(ByteBuffer.allocate(capacity), false);
   }
 
   @Override
@@ -77,7 +81,7 @@
 
   @Override
   public IoBuffer wrap(ByteBuffer bytes) {
-    return new Pooled(bytes, false);
+    return new PooledBuffer(bytes, false);
   }
 
   /**
@@ -87,22 +91,22 @@
   @Override
   public void dispose() {}
 
-  private final class Pooled extends AbstractIoBuffer {
+  private final class PooledBuffer extends AbstractIoBuffer {
 
     private ByteBuffer bytes;
-    private final AtomicBoolean held;
+    private final AtomicBoolean inUse;
 
-    Pooled(ByteBuffer bytes, boolean pooled) {
-      super(Pool.this, bytes.capacity());
+    PooledBuffer(ByteBuffer bytes, boolean pooled) {
+      super(BufferPool.this, bytes.capacity());
       this.bytes = bytes;
-      this.held = new AtomicBoolean(pooled);
+      this.inUse = new AtomicBoolean(pooled);
     }
 
     /** A view of another's bytes; only the other gives them back. */
-    Pooled(Pooled parent, ByteBuffer bytes) {
+    PooledBuffer(PooledBuffer parent, ByteBuffer bytes) {
       super(parent);
       this.bytes = bytes;
-      this.held = new AtomicBoolean();
+      this.inUse = new AtomicBoolean();
     }
 
     @Override
@@ -117,17 +121,17 @@
 
     @Override
     protected IoBuffer duplicate0() {
-      return new Pooled(this, bytes.duplicate());
+      return new PooledBuffer(this, bytes.duplicate());
     }
 
     @Override
     protected IoBuffer slice0() {
-      return new Pooled(this, bytes.slice());
+      return new PooledBuffer(this, bytes.slice());
     }
 
     @Override
     protected IoBuffer asReadOnlyBuffer0() {
-      return new Pooled(this, bytes.asReadOnlyBuffer());
+      return new PooledBuffer(this, bytes.asReadOnlyBuffer());
     }
 
     @Override
@@ -147,16 +151,16 @@
 
     @Override
     public void free() {
-      if (held.compareAndSet(true, false)) {
+      if (inUse.compareAndSet(true, false)) {
         // In one step: one taken between a look and this would fill the pool, and room again be
         // told to none.
-        int left = out.decrementAndGet();
+        int remainingInUse = buffersInUse.decrementAndGet();
         // What a rush took beyond the share goes back to the heap.
-        if (bytes.capacity() == SIZE && spare.enter()) {
+        if (bytes.capacity() == BUFFER_BYTES && freePermits.tryAcquire()) {
           free.add(bytes);
         }
-        if (left == roomy() - 1) {
-          roomAgain.run();
+        if (remainingInUse == capacityThreshold() - 1) {
+          capacityListener.run();
         }
       }
     }
--- a/net/src/main/java/tamarindroute/net/Ending.java
+++ b/net/src/main/java/tamarindroute/net/CloseReason.java
@@ -7,41 +7,41 @@
  * it: the one place where the network's words become the module's. It must never hold anything else
  * of a connection.
  */
-public enum Ending {
+public enum CloseReason {
   /** The other side's machine answered that nobody listens. */
-  REFUSED(Result.UNREACHED),
+  REFUSED(Result.CONNECT_FAILED),
   /** The machine could not be reached at all. */
-  UNREACHABLE(Result.UNREACHED),
+  UNREACHABLE(Result.CONNECT_FAILED),
   /** No connection came up in the time of the settings. */
-  NOT_UP_IN_TIME(Result.UNREACHED),
+  TIMED_OUT(Result.CONNECT_FAILED),
   /** This gateway has no descriptor left for it. */
   NO_DESCRIPTOR(Result.NOT_SENT),
   /** While the request waited for its connection, it came to be unwanted there. */
-  OVERTAKEN(Result.NOT_SENT),
+  NO_LONGER_WANTED(Result.NOT_SENT),
   /** The other side closed in order, with trips out. */
-  CLOSED(Result.BROKEN),
+  CLOSED(Result.CONNECTION_LOST),
   /** The other side's process died, or its machine dropped the connection. */
-  RESET(Result.BROKEN),
+  RESET(Result.CONNECTION_LOST),
   /** The other side stopped in the midst of an answer. */
-  STALLED(Result.BROKEN),
+  STALLED(Result.CONNECTION_LOST),
   /** What came could not be read. */
-  UNREADABLE(Result.BROKEN),
+  PROTOCOL_ERROR(Result.CONNECTION_LOST),
   /** This gateway closed it: it was idle, or is not wanted any more. */
-  LET_GO(Result.RECALLED);
+  CLOSED_LOCALLY(Result.CANCELLED);
 
-  private final Result ifWritten;
+  private final Result resultIfWritten;
 
-  Ending(Result ifWritten) {
-    this.ifWritten = ifWritten;
+  CloseReason(Result resultIfWritten) {
+    this.resultIfWritten = resultIfWritten;
   }
 
   /** What became of a trip; one that was not written whole to the connection cannot have run. */
   public Result result(boolean written) {
-    if (written || ifWritten.provesNotRun) {
-      return ifWritten;
+    if (written || resultIfWritten.provesNotExecuted) {
+      return resultIfWritten;
     }
     // Whoever let it go did so for reasons of their own, which say nothing against the cache.
-    return this == LET_GO ? Result.NOT_SENT : Result.UNREACHED;
+    return this == CLOSED_LOCALLY ? Result.NOT_SENT : Result.CONNECT_FAILED;
   }
 
   /**
@@ -49,7 +49,7 @@
    * by then, and tells of it only afterwards; an end from the other side is told after the last
    * that left.
    */
-  boolean fromHere() {
-    return this == STALLED || this == UNREADABLE || this == LET_GO;
+  boolean isLocal() {
+    return this == STALLED || this == PROTOCOL_ERROR || this == CLOSED_LOCALLY;
   }
 }
--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -23,61 +23,61 @@
    * Reads handed over and not used up, past which no more are made: four buffers keep a stream
    * flowing.
    */
-  private static final int MOST_READS = 4;
+  private static final int MAX_UNCONSUMED_READS = 4;
 
   /**
    * What was written to a client leaves within the longest time that one waits for an answer, or
    * never.
    */
-  private static final Duration LEAVES_WITHIN = Duration.ofSeconds(3);
+  private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(3);
 
   /**
    * Requests that cross a close come within 50 ms, by the protocol; this allows for a busy machine.
    */
-  private static final Duration LINGERS = Duration.ofMillis(200);
+  private static final Duration LINGER_TIMEOUT = Duration.ofMillis(200);
 
   /**
    * More than a client can have on its way: 32 requests of 48,000 bytes. Past it, it floods and
    * does not listen.
    */
-  private static final int MOST_THROWN = 2 * 1024 * 1024;
+  private static final int MAX_DISCARDED_BYTES = 2 * 1024 * 1024;
 
   /**
    * A client may shut its side and wait; one that is gone must have begun no attempt after 0.1 s.
    * This is half.
    */
-  private static final long LEFT_AFTER_NANOS = 50_000_000;
+  private static final long ABANDONED_AFTER_NANOS = 50_000_000;
 
   /** Behind a connection that is not let in: what it sends goes nowhere. */
-  private static final Peer NOBODY =
-      new Peer() {
+  private static final ConnectionHandler DISCARDING_HANDLER =
+      new ConnectionHandler() {
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
           bytes.position(bytes.limit());
         }
 
         @Override
-        public void ended(Ending ending) {}
+        public void onClosed(CloseReason closeReason) {}
       };
 
-  private final Sockets sockets;
+  private final SocketTransport transport;
   private final boolean fromClient;
-  Peer peer = NOBODY;
+  ConnectionHandler handler = DISCARDING_HANDLER;
   private volatile IoSession session;
-  private final AtomicInteger reads = new AtomicInteger();
-  private final ArrayDeque<Read> unused = new ArrayDeque<>();
-  private Duration readAt = Duration.ZERO;
+  private final AtomicInteger unconsumedReadCount = new AtomicInteger();
+  private final ArrayDeque<Read> unconsumedReads = new ArrayDeque<>();
+  private Duration receivedAt = Duration.ZERO;
   private volatile boolean paused;
-  private boolean using;
-  private boolean over;
-  private Ending ending;
-  private volatile long written;
+  private boolean consuming;
+  private boolean finished;
+  private CloseReason pendingCloseReason;
+  private volatile long bytesWritten;
 
   /**
    * Counted by whoever finds a write done: MINA's thread, or the owner's where that was sooner than
    * its listener.
    */
-  private final AtomicLong left = new AtomicLong();
+  private final AtomicLong bytesSent = new AtomicLong();
 
   /** What comes is of no use to anyone; MINA's thread throws it away. */
   private volatile boolean discarding;
@@ -89,18 +89,18 @@
    * Since when the other side is known to send no more, and whether all is over; set on MINA's
    * thread.
    */
-  private volatile long inputOverAt;
+  private volatile long inputClosedAtNanos;
 
-  private volatile boolean inputOver;
-  private volatile boolean gone;
-  private boolean outputShut;
-  private long thrown;
+  private volatile boolean inputClosed;
+  private volatile boolean sessionClosed;
+  private boolean outputShutDown;
+  private long discardedBytes;
   private Runnable lingerTimer = () -> {};
 
-  private record Read(IoBuffer bytes, Duration at) {}
+  private record Read(IoBuffer bytes, Duration receivedAt) {}
 
-  Connection(Sockets sockets, boolean fromClient) {
-    this.sockets = sockets;
+  Connection(SocketTransport transport, boolean fromClient) {
+    this.transport = transport;
     this.fromClient = fromClient;
   }
 
@@ -122,12 +122,12 @@
 
   /** Writes a pooled buffer, which is freed when it has left. */
   private void write(IoBuffer buffer) {
-    if (over || session == null) {
+    if (finished || session == null) {
       buffer.free();
       return;
     }
     int length = buffer.remaining();
-    written += length;
+    bytesWritten += length;
     // Also where it never leaves: what is queued when a connection ends is told to the future
     // alone. Counted before
     // it is freed, for from then on it is another's, with a limit of its own.
@@ -137,42 +137,42 @@
             (IoFutureListener<WriteFuture>)
                 done -> {
                   if (done.isWritten()) {
-                    left.addAndGet(length);
+                    bytesSent.addAndGet(length);
                   }
                   buffer.free();
                 });
   }
 
   /** The other side's address, once the connection is up; null where it has gone already. */
-  public InetSocketAddress remote() {
+  public InetSocketAddress remoteAddress() {
     return session == null ? null : (InetSocketAddress) session.getRemoteAddress();
   }
 
   /**
    * When the bytes that the peer is being given came; a backlog of this gateway's own lies between.
    */
-  public Duration readAt() {
-    return readAt;
+  public Duration receivedAt() {
+    return receivedAt;
   }
 
   /** Where the bytes written so far end; compare with hasLeft. */
-  public long written() {
-    return written;
+  public long bytesWritten() {
+    return bytesWritten;
   }
 
   /** Whether all bytes up to this end were given to the machine. */
-  public boolean hasLeft(long end) {
-    return left.get() >= end;
+  public boolean isSent(long end) {
+    return bytesSent.get() >= end;
   }
 
   /** The bytes written that have not left. */
-  public long waiting() {
-    return written - left.get();
+  public long unsentBytes() {
+    return bytesWritten - bytesSent.get();
   }
 
   /** Whether bytes have come that the peer has not been given. */
-  public boolean hasUnused() {
-    return reads.get() > 0;
+  public boolean hasUnconsumedBytes() {
+    return unconsumedReadCount.get() > 0;
   }
 
   public boolean paused() {
@@ -181,7 +181,7 @@
 
   /** No further bytes are wanted for now. */
   public void pause() {
-    if (!paused && !over) {
+    if (!paused && !finished) {
       paused = true;
       session.suspendRead();
     }
@@ -190,7 +190,7 @@
   public void resume() {
     if (paused) {
       paused = false;
-      use();
+      consume();
     }
   }
 
@@ -199,8 +199,8 @@
    * once. A client's connection lingers then: a close over unread bytes would reset it, and answers
    * on their way go with that.
    */
-  public void close(Ending why, boolean flush) {
-    if (over) {
+  public void close(CloseReason reason, boolean flush) {
+    if (finished) {
       return;
     }
     // One that is still coming up is closed when it is up. MINA's cancel must not be used: where it
@@ -209,13 +209,13 @@
     // thread
     // ends too early, and later connects come up at the other side but never here.
     if (session != null && flush && fromClient) {
-      linger();
+      startLingering();
     } else if (session != null && flush) {
       session.closeOnFlush();
     } else if (session != null) {
       session.closeNow();
     }
-    end(why);
+    finish(reason);
   }
 
   /** What comes from now on is thrown away, at no cost to the owner; its end is told as ever. */
@@ -226,19 +226,20 @@
   /**
    * Whether nobody is there to be served: all is over, or the other side's end came a while ago.
    */
-  public boolean isLeft() {
-    return gone || inputOver && System.nanoTime() - inputOverAt > LEFT_AFTER_NANOS;
+  public boolean isAbandoned() {
+    return sessionClosed
+        || inputClosed && System.nanoTime() - inputClosedAtNanos > ABANDONED_AFTER_NANOS;
   }
 
   /**
    * Each side tells the other by a flag and then looks at the other's, so that one of both sees.
    */
-  private void linger() {
+  private void startLingering() {
     discarding = true;
     lingering = true;
-    sockets.lingers(this);
-    lingerTimer = sockets.after(LEAVES_WITHIN, this::cut);
-    if (inputOver) {
+    transport.addLingering(this);
+    lingerTimer = transport.schedule(FLUSH_TIMEOUT, this::closeNow);
+    if (inputClosed) {
       session.closeOnFlush();
     } else {
       session.resumeRead();
@@ -246,60 +247,60 @@
   }
 
   /** Ends a lingering at once. */
-  void cut() {
+  void closeNow() {
     session.closeNow();
   }
 
   /** On MINA's thread: whether this side's end is due, once: all that was written has left. */
-  boolean shutsOutput() {
-    if (!lingering || inputOver || outputShut || left.get() < written) {
+  boolean claimOutputShutdown() {
+    if (!lingering || inputClosed || outputShutDown || bytesSent.get() < bytesWritten) {
       return false;
     }
-    outputShut = true;
-    sockets.handOver(
+    outputShutDown = true;
+    transport.execute(
         () -> {
           lingerTimer.run();
-          if (!gone) {
-            lingerTimer = sockets.after(LINGERS, this::cut);
+          if (!sessionClosed) {
+            lingerTimer = transport.schedule(LINGER_TIMEOUT, this::closeNow);
           }
         });
     return true;
   }
 
   /** On MINA's thread: the other side sends no more; true where this side waited for just that. */
-  boolean inputIsOver() {
-    inputOverAt = System.nanoTime();
-    inputOver = true;
+  boolean onInputClosed() {
+    inputClosedAtNanos = System.nanoTime();
+    inputClosed = true;
     return lingering;
   }
 
   /** On MINA's thread: the session is no more. */
-  void isGone() {
-    gone = true;
+  void onSessionClosed() {
+    sessionClosed = true;
   }
 
   /** On MINA's thread: whether these bytes go nowhere. */
-  boolean throwsAway(int bytes) {
+  boolean discardsInput(int bytes) {
     if (!discarding) {
       return false;
     }
     if (lingering) {
-      thrown += bytes;
-      if (thrown > MOST_THROWN && left.get() >= written) {
-        cut();
+      discardedBytes += bytes;
+      if (discardedBytes > MAX_DISCARDED_BYTES && bytesSent.get() >= bytesWritten) {
+        closeNow();
       }
     }
     return true;
   }
 
   /** On the owner's thread: the connection is up, unless it was given up meanwhile. */
-  void up(IoSession opened) {
-    if (over) {
+  void onSessionOpened(IoSession opened) {
+    if (finished) {
       opened.closeNow();
       return;
     }
     session = opened;
-    peer.opened();
+    handler.onOpened();
   }
 
   /**
@@ -307,105 +308,105 @@
    * behind is too late to stop a flood. The owner counts down and then looks whether they rest, so
    * one of both sees the other.
    */
-  void reading(IoSession from) {
-    if (reads.incrementAndGet() >= mostReads()) {
+  void throttleReads(IoSession from) {
+    if (unconsumedReadCount.incrementAndGet() >= maxUnconsumedReads()) {
       from.suspendRead();
-      if (reads.get() < mostReads() && !paused || lingering) {
+      if (unconsumedReadCount.get() < maxUnconsumedReads() && !paused || lingering) {
         from.resumeRead();
       }
     }
   }
 
-  private int mostReads() {
-    return sockets.pool().hasRoom() ? MOST_READS : 1;
+  private int maxUnconsumedReads() {
+    return transport.bufferPool().hasCapacity() ? MAX_UNCONSUMED_READS : 1;
   }
 
   /** On MINA's thread, after a write: whether it was the last and this side's end is due. */
-  boolean endDue() {
-    return lingering && left.get() >= written;
+  boolean isOutputShutdownDue() {
+    return lingering && bytesSent.get() >= bytesWritten;
   }
 
-  void received(IoBuffer buffer, Duration at) {
-    unused.add(new Read(buffer, at));
-    use();
+  void onReceived(IoBuffer buffer, Duration at) {
+    unconsumedReads.add(new Read(buffer, at));
+    consume();
   }
 
-  private void use() {
-    if (using) {
+  private void consume() {
+    if (consuming) {
       return;
     }
-    using = true;
-    while (!unused.isEmpty() && !paused) {
-      Read first = unused.peek();
-      readAt = first.at();
-      if (!over) {
-        given(first.bytes().buf());
+    consuming = true;
+    while (!unconsumedReads.isEmpty() && !paused) {
+      Read first = unconsumedReads.peek();
+      receivedAt = first.receivedAt();
+      if (!finished) {
+        deliver(first.bytes().buf());
       }
-      if (over || !first.bytes().hasRemaining()) {
-        unused.poll().bytes().free();
-        reads.decrementAndGet();
+      if (finished || !first.bytes().hasRemaining()) {
+        unconsumedReads.poll().bytes().free();
+        unconsumedReadCount.decrementAndGet();
       }
     }
-    using = false;
+    consuming = false;
     if (!paused
-        && !over
+        && !finished
         && session != null
         && session.isReadSuspended()
-        && reads.get() < mostReads()) {
+        && unconsumedReadCount.get() < maxUnconsumedReads()) {
       session.resumeRead();
     }
-    if (ending != null && unused.isEmpty()) {
-      end(ending);
+    if (pendingCloseReason != null && unconsumedReads.isEmpty()) {
+      finish(pendingCloseReason);
     }
   }
 
   /** A defect in who reads costs this connection, not the buffers nor the other connections. */
-  private void given(ByteBuffer bytes) {
+  private void deliver(ByteBuffer bytes) {
     try {
-      peer.received(bytes);
+      handler.onReceived(bytes);
     } catch (RuntimeException e) {
       Log.defect(e);
-      close(Ending.UNREADABLE, false);
+      close(CloseReason.PROTOCOL_ERROR, false);
     }
   }
 
   /** The other side is gone; what it sent before is used first. */
-  void lost(Ending why) {
+  void onSessionLost(CloseReason reason) {
     lingerTimer.run();
-    if (ending == null) {
-      ending = why;
-      use();
+    if (pendingCloseReason == null) {
+      pendingCloseReason = reason;
+      consume();
     }
   }
 
-  private void end(Ending why) {
-    if (over) {
+  private void finish(CloseReason reason) {
+    if (finished) {
       return;
     }
-    over = true;
-    if (!using) {
-      unused.forEach(read -> read.bytes().free());
-      unused.clear();
+    finished = true;
+    if (!consuming) {
+      unconsumedReads.forEach(read -> read.bytes().free());
+      unconsumedReads.clear();
     }
     paused = false;
-    sockets.ended(this);
-    peer.ended(why);
+    transport.onConnectionClosed(this);
+    handler.onClosed(reason);
   }
 
   /** Copies bytes into buffers of the pool. */
-  public static void copy(ByteBuffer bytes, Pool pool, ArrayDeque<IoBuffer> to) {
+  public static void copy(ByteBuffer bytes, BufferPool bufferPool, ArrayDeque<IoBuffer> to) {
     while (bytes.hasRemaining()) {
       IoBuffer last = to.peekLast();
       if (last == null || last.limit() == last.capacity()) {
-        last = pool.take();
+        last = bufferPool.acquire();
         last.limit(0);
         to.add(last);
       }
       int at = last.limit();
-      int some = Math.min(bytes.remaining(), last.capacity() - at);
-      last.limit(at + some);
-      last.buf().put(at, bytes, bytes.position(), some);
-      bytes.position(bytes.position() + some);
+      int length = Math.min(bytes.remaining(), last.capacity() - at);
+      last.limit(at + length);
+      last.buf().put(at, bytes, bytes.position(), length);
+      bytes.position(bytes.position() + length);
     }
   }
 }
--- a/net/src/main/java/tamarindroute/net/Peer.java
+++ b/net/src/main/java/tamarindroute/net/ConnectionHandler.java
@@ -7,31 +7,31 @@
  * What is behind a connection, called on the owner's thread only. It must never block, nor keep the
  * bytes given.
  */
-public interface Peer {
+public interface ConnectionHandler {
 
   /** The connection is up. */
-  default void opened() {}
+  default void onOpened() {}
 
   /** Bytes came; all are used up, unless the connection is paused meanwhile. */
-  void received(ByteBuffer bytes);
+  void onReceived(ByteBuffer bytes);
 
   /** Nothing has come for the time that a client's connection may be idle. */
-  default void idle() {}
+  default void onIdle() {}
 
   /**
    * Since when it is of no use, so that it may be let go for another client; null while it is of
    * use.
    */
-  default Duration uselessSince() {
+  default Duration idleSince() {
     return null;
   }
 
   /** The other side sends no more; it may still read, or be gone. */
-  default void inputClosed() {}
+  default void onInputClosed() {}
 
   /** Nobody comes any more: it goes as soon as nothing is owed on it. */
-  default void doorShut() {}
+  default void onListenerClosed() {}
 
   /** The connection is over, once and finally. */
-  void ended(Ending ending);
+  void onClosed(CloseReason closeReason);
 }
--- a/net/src/main/java/tamarindroute/net/Datagrams.java
+++ b/net/src/main/java/tamarindroute/net/DatagramTransport.java
@@ -29,52 +29,52 @@
  * sent from a fresh port each and answered to it. It hands all over to the owner's thread and drops
  * what that can't keep up with; it must never read what a datagram says, nor keep one.
  */
-public final class Datagrams {
+public final class DatagramTransport {
 
   /**
    * Queries are small, answers with EDNS rarely over 4 KB; what is longer comes cut and unreadable.
    */
-  private static final int LONGEST = 4096;
+  private static final int MAX_DATAGRAM_BYTES = 4096;
 
   /**
    * What waits for the owner's thread: some tens of milliseconds of its work. Past it a flood is
    * dropped unread.
    */
-  private static final int MOST_WAITING = 2000;
+  private static final int MAX_QUEUED = 2000;
 
   /** MINA keeps a session for each sender; forged senders would fill memory with them. */
-  private static final int MOST_SENDERS = 1024;
+  private static final int MAX_SENDERS = 1024;
 
   /** Sockets for questions of our own that are open at once. */
-  private static final int MOST_ASKING = 128;
+  private static final int MAX_PENDING_QUERIES = 128;
 
   /** What the kernel keeps for us through a pause of some tens of milliseconds. */
-  private static final int KERNEL_BUFFER = 1 << 20;
+  private static final int KERNEL_BUFFER_BYTES = 1 << 20;
 
   /** Takes datagrams in; on the owner's thread. */
-  public interface Taker {
-    void taken(byte[] bytes, InetSocketAddress from, Duration at, Consumer<byte[]> answer);
+  public interface DatagramHandler {
+    void onDatagram(byte[] bytes, InetSocketAddress from, Duration at, Consumer<byte[]> answer);
   }
 
   /** Waits for the answers to one datagram sent; on the owner's thread. */
-  public interface Waiting {
+  public interface ReplyHandler {
 
     /** Some datagram came from where ours went to. */
-    void came(byte[] bytes);
+    void onReply(byte[] bytes);
 
     /** No answer can come any more: nobody listens there, or no socket could be had. */
-    void ended(Ending ending);
+    void onClosed(CloseReason closeReason);
   }
 
-  private final Timers timers;
+  private final Scheduler scheduler;
   private NioDatagramAcceptor acceptor;
   private NioDatagramConnector connector;
-  private final Bound waiting = new Bound(MOST_WAITING);
+  private final PermitCounter queuePermits = new PermitCounter(MAX_QUEUED);
   private final AtomicInteger dropped = new AtomicInteger();
-  private int asking;
+  private int pendingQueries;
 
-  public Datagrams(Timers timers) {
-    this.timers = timers;
+  public DatagramTransport(Scheduler scheduler) {
+    this.scheduler = scheduler;
   }
 
   /** How many datagrams were dropped unread so far. */
@@ -83,56 +83,56 @@
   }
 
   /** Takes in what comes to this address. */
-  public void listen(InetSocketAddress address, Taker taker) throws IOException {
+  public void listen(InetSocketAddress address, DatagramHandler handler) throws IOException {
     if (acceptor == null) {
       acceptor = new NioDatagramAcceptor();
-      acceptor.setSessionRecycler(new Senders());
+      acceptor.setSessionRecycler(new RecentSenders());
       configure(acceptor.getSessionConfig());
-      acceptor.getSessionConfig().setReceiveBufferSize(KERNEL_BUFFER);
-      acceptor.getSessionConfig().setSendBufferSize(KERNEL_BUFFER);
+      acceptor.getSessionConfig().setReceiveBufferSize(KERNEL_BUFFER_BYTES);
+      acceptor.getSessionConfig().setSendBufferSize(KERNEL_BUFFER_BYTES);
       acceptor.getSessionConfig().setReuseAddress(false);
-      acceptor.setHandler(new Listening(taker));
+      acceptor.setHandler(new ListenerSessionHandler(handler));
     }
     acceptor.bind(address);
   }
 
   private static void configure(DatagramSessionConfig config) {
-    config.setReadBufferSize(LONGEST);
-    config.setMaxReadBufferSize(LONGEST);
-    config.setMinReadBufferSize(LONGEST);
+    config.setReadBufferSize(MAX_DATAGRAM_BYTES);
+    config.setMaxReadBufferSize(MAX_DATAGRAM_BYTES);
+    config.setMinReadBufferSize(MAX_DATAGRAM_BYTES);
   }
 
   /** On MINA's thread: hands a datagram over, or drops it unread where too many wait. */
-  private void handOver(Object message, Consumer<byte[]> to) {
-    if (!waiting.enter()) {
+  private void dispatch(Object message, Consumer<byte[]> to) {
+    if (!queuePermits.tryAcquire()) {
       dropped.incrementAndGet();
       return;
     }
     IoBuffer buffer = (IoBuffer) message;
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
-    timers.handOver(
+    scheduler.execute(
         () -> {
-          waiting.leave();
+          queuePermits.release();
           to.accept(bytes);
         });
   }
 
-  private final class Listening extends IoHandlerAdapter {
+  private final class ListenerSessionHandler extends IoHandlerAdapter {
 
-    private final Taker taker;
+    private final DatagramHandler handler;
 
-    Listening(Taker taker) {
-      this.taker = taker;
+    ListenerSessionHandler(DatagramHandler handler) {
+      this.handler = handler;
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      Duration at = timers.now();
-      handOver(
+      Duration at = scheduler.now();
+      dispatch(
           message,
           bytes ->
-              taker.taken(
+              handler.onDatagram(
                   bytes,
                   (InetSocketAddress) session.getRemoteAddress(),
                   at,
@@ -141,7 +141,7 @@
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      Log.line("net", cause);
+      Log.info("net", cause);
     }
   }
 
@@ -149,19 +149,19 @@
    * The latest senders; the oldest goes for a new one. Answers leave at once, so nothing of it is
    * under way.
    */
-  private static final class Senders implements IoSessionRecycler {
+  private static final class RecentSenders implements IoSessionRecycler {
 
     private final Map<SocketAddress, IoSession> sessions =
-        new LinkedHashMap<>(MOST_SENDERS, 0.75f, true);
+        new LinkedHashMap<>(MAX_SENDERS, 0.75f, true);
 
     @Override
     public synchronized void put(IoSession session) {
       sessions.put(session.getRemoteAddress(), session);
-      if (sessions.size() > MOST_SENDERS) {
+      if (sessions.size() > MAX_SENDERS) {
         Iterator<IoSession> oldest = sessions.values().iterator();
-        IoSession out = oldest.next();
+        IoSession evicted = oldest.next();
         oldest.remove();
-        out.closeOnFlush();
+        evicted.closeOnFlush();
       }
     }
 
@@ -181,7 +181,7 @@
     try {
       acceptor.newSession(to, from).write(IoBuffer.wrap(bytes));
     } catch (RuntimeException e) {
-      Log.line("net", e);
+      Log.info("net", e);
     }
   }
 
@@ -189,107 +189,109 @@
    * Sends a datagram from a fresh port, of the machine's choice, and waits there; run what is
    * returned to end it.
    */
-  public Runnable ask(InetSocketAddress to, byte[] bytes, Waiting who) {
-    if (asking >= MOST_ASKING) {
-      timers.handOver(() -> who.ended(Ending.NO_DESCRIPTOR));
+  public Runnable query(InetSocketAddress to, byte[] bytes, ReplyHandler handler) {
+    if (pendingQueries >= MAX_PENDING_QUERIES) {
+      scheduler.execute(() -> handler.onClosed(CloseReason.NO_DESCRIPTOR));
       return () -> {};
     }
     if (connector == null) {
       connector =
           new NioDatagramConnector(new SimpleIoProcessorPool<NioSession>(NioProcessor.class, 1));
       configure(connector.getSessionConfig());
-      connector.setHandler(new Asking());
+      connector.setHandler(new QuerySessionHandler());
     }
-    asking++;
-    Question question = new Question(who, bytes);
+    pendingQueries++;
+    PendingQuery query = new PendingQuery(handler, bytes);
     try {
       ConnectFuture future =
-          connector.connect(to, (session, made) -> session.setAttribute(Question.class, question));
+          connector.connect(to, (session, made) -> session.setAttribute(PendingQuery.class, query));
       future.addListener(
           (IoFutureListener<ConnectFuture>)
               done -> {
                 if (done.getException() != null) {
-                  timers.handOver(() -> question.end(Ending.UNREACHABLE));
+                  scheduler.execute(() -> query.fail(CloseReason.UNREACHABLE));
                 }
               });
     } catch (RuntimeException e) {
-      timers.handOver(() -> question.end(Ending.UNREACHABLE));
+      scheduler.execute(() -> query.fail(CloseReason.UNREACHABLE));
     }
-    return question::quit;
+    return query::cancel;
   }
 
-  private final class Question {
+  private final class PendingQuery {
 
-    private final Waiting who;
+    private final ReplyHandler handler;
     private final byte[] bytes;
     private IoSession session;
-    private boolean over;
+    private boolean finished;
 
-    Question(Waiting who, byte[] bytes) {
-      this.who = who;
+    PendingQuery(ReplyHandler handler, byte[] bytes) {
+      this.handler = handler;
       this.bytes = bytes;
     }
 
-    private void up(IoSession opened) {
+    private void onSessionOpened(IoSession opened) {
       session = opened;
-      if (over) {
+      if (finished) {
         opened.closeNow();
       } else {
         opened.write(IoBuffer.wrap(bytes));
       }
     }
 
-    private void quit() {
-      if (!over) {
-        over = true;
-        asking--;
+    private void cancel() {
+      if (!finished) {
+        finished = true;
+        pendingQueries--;
         if (session != null) {
           session.closeNow();
         }
       }
     }
 
-    private void end(Ending ending) {
-      if (!over) {
-        quit();
-        who.ended(ending);
+    private void fail(CloseReason closeReason) {
+      if (!finished) {
+        cancel();
+        handler.onClosed(closeReason);
       }
     }
   }
 
-  private final class Asking extends IoHandlerAdapter {
+  private final class QuerySessionHandler extends IoHandlerAdapter {
 
-    private Question of(IoSession session) {
-      return (Question) session.getAttribute(Question.class);
+    private PendingQuery queryOf(IoSession session) {
+      return (PendingQuery) session.getAttribute(PendingQuery.class);
     }
 
     @Override
     public void sessionOpened(IoSession session) {
-      Question question = of(session);
-      timers.handOver(() -> question.up(session));
+      PendingQuery query = queryOf(session);
+      scheduler.execute(() -> query.onSessionOpened(session));
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      Question question = of(session);
-      handOver(
+      PendingQuery query = queryOf(session);
+      dispatch(
           message,
           bytes -> {
-            if (!question.over) {
-              question.who.came(bytes);
+            if (!query.finished) {
+              query.handler.onReply(bytes);
             }
           });
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      Question question = of(session);
+      PendingQuery query = queryOf(session);
       // A network that is down on this side fails as IOException too; that is no other machine's
       // word.
-      timers.handOver(
+      scheduler.execute(
           () ->
-              question.end(
-                  cause instanceof PortUnreachableException ? Ending.REFUSED : Ending.UNREACHABLE));
+              query.fail(
+                  cause instanceof PortUnreachableException
+                      ? CloseReason.REFUSED
+                      : CloseReason.UNREACHABLE));
     }
   }
 
