--- a/net/src/main/java/tamarindroute/net/Sockets.java
+++ b/net/src/main/java/tamarindroute/net/SocketTransport.java
@@ -37,34 +37,34 @@
  * the shares of descriptors. It hands all that happens over to the owner's thread and must never do
  * anything else on MINA's.
  */
-public final class Sockets extends IoHandlerAdapter {
+public final class SocketTransport extends IoHandlerAdapter {
 
-  private static final String CONNECTION = "connection";
-  private static final String WHY = "why";
+  private static final String CONNECTION_ATTRIBUTE = "connection";
+  private static final String CLOSE_REASON_ATTRIBUTE = "why";
 
   /**
    * Descriptors for the program itself: its jar, selectors, standard streams, the feed, the
    * listening socket.
    */
-  private static final int OWN_DESCRIPTORS = 64;
+  private static final int RESERVED_DESCRIPTORS = 64;
 
   /**
    * A limit below what the program itself needs leaves each side a few all the same, until the
    * machine says no.
    */
-  private static final int LEAST_SIDE = 8;
+  private static final int MIN_DESCRIPTORS_PER_SIDE = 8;
 
   /**
    * Of those, for clients that are let in faster than others that have to go for them are closed.
    */
-  private static final int CROWD = OWN_DESCRIPTORS / 2;
+  private static final int ACCEPT_OVERSHOOT = RESERVED_DESCRIPTORS / 2;
 
   /**
    * Closed connections that wait for their clients' end; past this the first of them is cut. They
    * are of the clients' share, which keeps more than the third that clients are told to hold from
    * 256 descriptors up.
    */
-  private static final int MOST_LINGERING = 8;
+  private static final int MAX_LINGERING = 8;
 
   /** Clients close after 4 s; what is silent for so much longer has vanished without a word. */
   private static final int CLIENT_IDLE_SECONDS = 30;
@@ -73,50 +73,52 @@
    * After this MINA closes a socket that has not come up; whoever wanted it has given up long
    * before.
    */
-  private static final int CONNECT_MILLIS = 3_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
 
-  private final Timers timers;
-  private final Pool pool;
-  private final IoProcessor<NioSession> processor = new SimpleIoProcessorPool<>(Selecting.class, 1);
-  private final NioSocketAcceptor acceptor = new Door(processor);
+  private final Scheduler scheduler;
+  private final BufferPool bufferPool;
+  private final IoProcessor<NioSession> processor =
+      new SimpleIoProcessorPool<>(SelectorProcessor.class, 1);
+  private final NioSocketAcceptor acceptor = new BoundedAcceptor(processor);
   private final NioSocketConnector connector = new NioSocketConnector(processor);
 
   /** Read on MINA's thread as well. */
-  private volatile int mostAccepted;
+  private volatile int maxClients;
 
-  private final int mostByDescriptors;
-  private final int mostConnected;
-  private final AtomicInteger accepted = new AtomicInteger();
+  private final int descriptorsPerSide;
+  private final int maxOutbound;
+  private final AtomicInteger openClientSessions = new AtomicInteger();
 
   /** Accepted from the machine, but not seen by MINA's selecting thread yet. */
-  private final AtomicInteger arriving = new AtomicInteger();
+  private final AtomicInteger pendingAccepts = new AtomicInteger();
 
   private final Set<Connection> clients = new LinkedHashSet<>();
-  private final Set<Connection> connected = new HashSet<>();
+  private final Set<Connection> outbound = new HashSet<>();
 
   /**
    * Those that MINA still brings up, and of them those given up here: a socket each until MINA is
    * done with it.
    */
-  private final Set<Connection> comingUp = new HashSet<>();
+  private final Set<Connection> connecting = new HashSet<>();
 
-  private final Set<Connection> givenUp = new HashSet<>();
+  private final Set<Connection> abandonedConnects = new HashSet<>();
   private final Set<Connection> lingering = new LinkedHashSet<>();
-  private boolean doorShut;
-  private Runnable whenNoClients = () -> {};
-  private Function<Connection, Peer> door;
+  private boolean draining;
+  private Runnable drainClients = () -> {};
+  private Function<Connection, ConnectionHandler> handlerFactory;
 
   /**
    * Clients are told to hold a third of the descriptors at most; half of what is left over goes to
    * each side.
    */
-  public Sockets(Timers timers, Pool pool, int descriptors) {
-    this.timers = timers;
-    this.pool = pool;
-    this.mostByDescriptors = Math.max(LEAST_SIDE, (descriptors - OWN_DESCRIPTORS) / 2);
-    this.mostAccepted = mostByDescriptors;
-    this.mostConnected = mostByDescriptors;
-    IoBuffer.setAllocator(pool);
+  public SocketTransport(Scheduler scheduler, BufferPool bufferPool, int descriptors) {
+    this.scheduler = scheduler;
+    this.bufferPool = bufferPool;
+    this.descriptorsPerSide =
+        Math.max(MIN_DESCRIPTORS_PER_SIDE, (descriptors - RESERVED_DESCRIPTORS) / 2);
+    this.maxClients = descriptorsPerSide;
+    this.maxOutbound = descriptorsPerSide;
+    IoBuffer.setAllocator(bufferPool);
     configure(acceptor.getSessionConfig());
     configure(connector.getSessionConfig());
     acceptor.getSessionConfig().setReaderIdleTime(CLIENT_IDLE_SECONDS);
@@ -126,35 +128,35 @@
     acceptor.setCloseOnDeactivation(false);
     // What the operators' machines queue for a process that is slow to accept.
     acceptor.setBacklog(1024);
-    connector.setConnectTimeoutMillis(CONNECT_MILLIS);
+    connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MILLIS);
     connector.setHandler(this);
   }
 
   private static void configure(SocketSessionConfig config) {
     config.setTcpNoDelay(true);
-    config.setMinReadBufferSize(Pool.SIZE);
-    config.setReadBufferSize(Pool.SIZE);
-    config.setMaxReadBufferSize(Pool.SIZE);
+    config.setMinReadBufferSize(BufferPool.BUFFER_BYTES);
+    config.setReadBufferSize(BufferPool.BUFFER_BYTES);
+    config.setMaxReadBufferSize(BufferPool.BUFFER_BYTES);
   }
 
   /** No more clients than this at once, where that is fewer than the descriptors allow. */
-  public void mostClients(int most) {
-    mostAccepted = Math.min(mostByDescriptors, most);
+  public void limitClients(int limit) {
+    maxClients = Math.min(descriptorsPerSide, limit);
   }
 
-  public Pool pool() {
-    return pool;
+  public BufferPool bufferPool() {
+    return bufferPool;
   }
 
   /** Listens; the door makes the peer of each connection taken in. */
-  public void listen(InetSocketAddress address, Function<Connection, Peer> peers)
+  public void listen(InetSocketAddress address, Function<Connection, ConnectionHandler> handlers)
       throws IOException {
-    door = peers;
+    handlerFactory = handlers;
     acceptor.bind(address);
   }
 
   /** Listens no more; blocks for a moment, and so is not for the owner's thread. */
-  public void shutDoor() {
+  public void stopListening() {
     acceptor.unbind();
   }
 
@@ -162,17 +164,17 @@
    * The door is shut, which all who are in are told; the task is run once, when the last client's
    * connection is wholly closed.
    */
-  public void whenNoClients(Runnable task) {
-    doorShut = true;
-    whenNoClients = task;
-    Set.copyOf(clients).forEach(client -> client.peer.doorShut());
-    noClients();
+  public void drainClients(Runnable task) {
+    draining = true;
+    drainClients = task;
+    Set.copyOf(clients).forEach(client -> client.handler.onListenerClosed());
+    checkDrained();
   }
 
-  private void noClients() {
-    if (doorShut && accepted.get() + arriving.get() == 0) {
-      Runnable task = whenNoClients;
-      whenNoClients = () -> {};
+  private void checkDrained() {
+    if (draining && openClientSessions.get() + pendingAccepts.get() == 0) {
+      Runnable task = drainClients;
+      drainClients = () -> {};
       task.run();
     }
   }
@@ -180,37 +182,37 @@
   /**
    * Descriptors are scarce: few connections linger at once, but at the end, when no others come.
    */
-  void lingers(Connection connection) {
+  void addLingering(Connection connection) {
     lingering.add(connection);
-    if (lingering.size() > MOST_LINGERING && !doorShut) {
+    if (lingering.size() > MAX_LINGERING && !draining) {
       Connection oldest = lingering.iterator().next();
       lingering.remove(oldest);
-      oldest.cut();
+      oldest.closeNow();
     }
   }
 
-  Runnable after(Duration span, Runnable task) {
-    return timers.after(span, task);
+  Runnable schedule(Duration span, Runnable task) {
+    return scheduler.schedule(span, task);
   }
 
-  void handOver(Runnable task) {
-    timers.handOver(task);
+  void execute(Runnable task) {
+    scheduler.execute(task);
   }
 
   /** A connection that is to come up; the peer hears of it, or of its end, later. */
-  public Connection connect(InetSocketAddress address, Peer peer) {
-    Connection connection = connection(peer);
-    if (descriptorsOut() >= mostConnected) {
-      Connection out = idlest(connected);
-      if (out == null) {
-        timers.handOver(() -> connection.close(Ending.NO_DESCRIPTOR, false));
+  public Connection connect(InetSocketAddress address, ConnectionHandler handler) {
+    Connection connection = newConnection(handler);
+    if (outboundDescriptors() >= maxOutbound) {
+      Connection evicted = longestIdle(outbound);
+      if (evicted == null) {
+        scheduler.execute(() -> connection.close(CloseReason.NO_DESCRIPTOR, false));
         return connection;
       }
-      out.close(Ending.LET_GO, true);
+      evicted.close(CloseReason.CLOSED_LOCALLY, true);
     }
-    connected.add(connection);
-    comingUp.add(connection);
-    dial(address, connection);
+    outbound.add(connection);
+    connecting.add(connection);
+    openSession(address, connection);
     return connection;
   }
 
@@ -219,31 +221,32 @@
    * must not make it deaf, for it tells of the drains that would free them; nor is it ever let go
    * of for a cache.
    */
-  Connection connectReserved(InetSocketAddress address, Peer peer) {
-    Connection connection = connection(peer);
-    dial(address, connection);
+  Connection connectReserved(InetSocketAddress address, ConnectionHandler handler) {
+    Connection connection = newConnection(handler);
+    openSession(address, connection);
     return connection;
   }
 
-  private Connection connection(Peer peer) {
+  private Connection newConnection(ConnectionHandler handler) {
     Connection connection = new Connection(this, false);
-    connection.peer = peer;
+    connection.handler = handler;
     return connection;
   }
 
-  private void dial(InetSocketAddress address, Connection connection) {
+  private void openSession(InetSocketAddress address, Connection connection) {
     ConnectFuture future =
-        connector.connect(address, (session, made) -> session.setAttribute(CONNECTION, connection));
+        connector.connect(
+            address, (session, made) -> session.setAttribute(CONNECTION_ATTRIBUTE, connection));
     future.addListener(
         (IoFutureListener<ConnectFuture>)
             done -> {
               Throwable failure = done.getException();
-              timers.handOver(
+              scheduler.execute(
                   () -> {
-                    comingUp.remove(connection);
-                    givenUp.remove(connection);
+                    connecting.remove(connection);
+                    abandonedConnects.remove(connection);
                     if (failure != null) {
-                      connection.lost(why(failure));
+                      connection.onSessionLost(closeReasonOf(failure));
                     }
                   });
             });
@@ -253,30 +256,30 @@
    * Whether there is a descriptor for one more, or one can be had from a connection that is of no
    * use just now.
    */
-  public boolean mayConnect() {
-    return descriptorsOut() < mostConnected || idlest(connected) != null;
+  public boolean canConnect() {
+    return outboundDescriptors() < maxOutbound || longestIdle(outbound) != null;
   }
 
   /**
    * One given up while it was coming up holds its descriptor on; dials that hang must not pass the
    * share so.
    */
-  private int descriptorsOut() {
-    return connected.size() + givenUp.size();
+  private int outboundDescriptors() {
+    return outbound.size() + abandonedConnects.size();
   }
 
   /** The connection that has been of no use for longest; null where all are of use. */
-  private static Connection idlest(Set<Connection> among) {
-    return among.stream()
-        .filter(one -> one.peer.uselessSince() != null)
-        .min(Comparator.comparing(one -> one.peer.uselessSince()))
+  private static Connection longestIdle(Set<Connection> candidates) {
+    return candidates.stream()
+        .filter(one -> one.handler.idleSince() != null)
+        .min(Comparator.comparing(one -> one.handler.idleSince()))
         .orElse(null);
   }
 
-  void ended(Connection connection) {
-    connected.remove(connection);
-    if (comingUp.contains(connection)) {
-      givenUp.add(connection);
+  void onConnectionClosed(Connection connection) {
+    outbound.remove(connection);
+    if (connecting.contains(connection)) {
+      abandonedConnects.add(connection);
     }
     clients.remove(connection);
   }
@@ -286,45 +289,46 @@
    * that ask once and stay, or say nothing, would else shut out all others. Only where all are of
    * use is the new one closed.
    */
-  private void letIn(Connection connection, IoSession session) {
+  private void admit(Connection connection, IoSession session) {
     if (!session.isConnected()) {
       return;
     }
     if (clients.size()
-        >= Math.min(mostAccepted, Math.max(LEAST_SIDE, mostByDescriptors - MOST_LINGERING))) {
-      Connection out = idlest(clients);
-      Log.line(
+        >= Math.min(
+            maxClients, Math.max(MIN_DESCRIPTORS_PER_SIDE, descriptorsPerSide - MAX_LINGERING))) {
+      Connection evicted = longestIdle(clients);
+      Log.info(
           "door-full",
           clients.size()
               + " client connections, "
-              + (out == null ? "all in use: a new one closed" : "an idle one let go"));
-      if (out == null) {
-        connection.up(session);
-        connection.close(Ending.LET_GO, true);
+              + (evicted == null ? "all in use: a new one closed" : "an idle one let go"));
+      if (evicted == null) {
+        connection.onSessionOpened(session);
+        connection.close(CloseReason.CLOSED_LOCALLY, true);
         return;
       }
-      out.close(Ending.LET_GO, true);
+      evicted.close(CloseReason.CLOSED_LOCALLY, true);
     }
     clients.add(connection);
-    connection.peer = door.apply(connection);
-    connection.up(session);
-    if (doorShut) {
-      connection.peer.doorShut();
+    connection.handler = handlerFactory.apply(connection);
+    connection.onSessionOpened(session);
+    if (draining) {
+      connection.handler.onListenerClosed();
     }
   }
 
-  private static Ending why(Throwable failure) {
+  private static CloseReason closeReasonOf(Throwable failure) {
     String text = String.valueOf(failure.getMessage());
     if (text.contains("Too many open files")) {
-      return Ending.NO_DESCRIPTOR;
+      return CloseReason.NO_DESCRIPTOR;
     }
     if (failure instanceof NoRouteToHostException || text.contains("unreachable")) {
-      return Ending.UNREACHABLE;
+      return CloseReason.UNREACHABLE;
     }
     if (failure instanceof ConnectException) {
-      return text.contains("refused") ? Ending.REFUSED : Ending.NOT_UP_IN_TIME;
+      return text.contains("refused") ? CloseReason.REFUSED : CloseReason.TIMED_OUT;
     }
-    return failure instanceof IOException ? Ending.RESET : Ending.UNREACHABLE;
+    return failure instanceof IOException ? CloseReason.RESET : CloseReason.UNREACHABLE;
   }
 
   /**
@@ -332,26 +336,26 @@
    * closes those too many, and would take all descriptors that there are. What is past the bound is
    * closed before it is anybody's.
    */
-  private final class Door extends NioSocketAcceptor {
+  private final class BoundedAcceptor extends NioSocketAcceptor {
 
-    Door(IoProcessor<NioSession> processor) {
+    BoundedAcceptor(IoProcessor<NioSession> processor) {
       super(processor);
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> to, ServerSocketChannel at)
         throws Exception {
-      if (accepted.get() + arriving.get() > mostAccepted + CROWD) {
-        SocketChannel tooMany = at.accept();
-        if (tooMany != null) {
-          Log.line("door-crowd", accepted.get() + " client connections");
-          tooMany.close();
+      if (openClientSessions.get() + pendingAccepts.get() > maxClients + ACCEPT_OVERSHOOT) {
+        SocketChannel excess = at.accept();
+        if (excess != null) {
+          Log.info("door-crowd", openClientSessions.get() + " client connections");
+          excess.close();
         }
         return null;
       }
       NioSession session = super.accept(to, at);
       if (session != null) {
-        arriving.incrementAndGet();
+        pendingAccepts.incrementAndGet();
       }
       return session;
     }
@@ -363,17 +367,17 @@
    * own thread does the same for writes at that moment, one of both is lost, and the connection
    * stays deaf or mute for good.
    */
-  public static final class Selecting extends NioProcessor {
+  public static final class SelectorProcessor extends NioProcessor {
 
-    private final Queue<NioSession> changed = new ConcurrentLinkedQueue<>();
+    private final Queue<NioSession> changedSessions = new ConcurrentLinkedQueue<>();
 
-    public Selecting(Executor executor) {
+    public SelectorProcessor(Executor executor) {
       super(executor);
     }
 
     @Override
     public void updateTrafficControl(NioSession session) {
-      changed.add(session);
+      changedSessions.add(session);
       wakeup();
     }
 
@@ -394,9 +398,9 @@
     @Override
     protected int select(long timeout) throws Exception {
       int selected = super.select(timeout);
-      for (NioSession next = changed.poll(); next != null; next = changed.poll()) {
+      for (NioSession next = changedSessions.poll(); next != null; next = changedSessions.poll()) {
         super.updateTrafficControl(next);
-        if (of(next).shutsOutput()) {
+        if (connectionOf(next).claimOutputShutdown()) {
           shutOutput(next);
         }
       }
@@ -418,45 +422,45 @@
     }
   }
 
-  private static Connection of(IoSession session) {
-    return (Connection) session.getAttribute(CONNECTION);
+  private static Connection connectionOf(IoSession session) {
+    return (Connection) session.getAttribute(CONNECTION_ATTRIBUTE);
   }
 
   @Override
   public void sessionCreated(IoSession session) {
     if (session.getService() == acceptor) {
-      session.setAttribute(CONNECTION, new Connection(this, true));
-      accepted.incrementAndGet();
-      arriving.decrementAndGet();
+      session.setAttribute(CONNECTION_ATTRIBUTE, new Connection(this, true));
+      openClientSessions.incrementAndGet();
+      pendingAccepts.decrementAndGet();
     }
   }
 
   @Override
   public void sessionOpened(IoSession session) {
-    Connection connection = of(session);
+    Connection connection = connectionOf(session);
     if (session.getService() != acceptor) {
-      timers.handOver(() -> connection.up(session));
+      scheduler.execute(() -> connection.onSessionOpened(session));
     } else {
-      timers.handOver(() -> letIn(connection, session));
+      scheduler.execute(() -> admit(connection, session));
     }
   }
 
   @Override
   public void messageReceived(IoSession session, Object message) {
-    Connection connection = of(session);
+    Connection connection = connectionOf(session);
     IoBuffer bytes = (IoBuffer) message;
-    if (connection.throwsAway(bytes.remaining())) {
+    if (connection.discardsInput(bytes.remaining())) {
       bytes.free();
       return;
     }
-    Duration at = timers.now();
-    connection.reading(session);
-    timers.handOver(() -> connection.received(bytes, at));
+    Duration at = scheduler.now();
+    connection.throttleReads(session);
+    scheduler.execute(() -> connection.onReceived(bytes, at));
   }
 
   @Override
   public void messageSent(IoSession session, Object message) {
-    if (of(session).endDue()) {
+    if (connectionOf(session).isOutputShutdownDue()) {
       // Looked at once more where the channel is known.
       ((NioSession) session).getProcessor().updateTrafficControl((NioSession) session);
     }
@@ -464,24 +468,24 @@
 
   @Override
   public void sessionIdle(IoSession session, IdleStatus status) {
-    Connection connection = of(session);
-    timers.handOver(() -> connection.peer.idle());
+    Connection connection = connectionOf(session);
+    scheduler.execute(() -> connection.handler.onIdle());
   }
 
   @Override
   public void exceptionCaught(IoSession session, Throwable cause) {
     if (cause instanceof IOException) {
       // Whatever its words: what was written to a connection that was up may have run.
-      session.setAttributeIfAbsent(WHY, Ending.RESET);
+      session.setAttributeIfAbsent(CLOSE_REASON_ATTRIBUTE, CloseReason.RESET);
     } else {
-      Log.line("net", cause);
+      Log.info("net", cause);
     }
     session.closeNow();
   }
 
   @Override
   public void inputClosed(IoSession session) {
-    Connection connection = of(session);
+    Connection connection = connectionOf(session);
     if (session.getService() != acceptor) {
       session.closeNow();
       return;
@@ -489,26 +493,27 @@
     // A client may shut its side and wait for the answers; one that is gone for good resets what is
     // written.
     session.suspendRead();
-    if (connection.inputIsOver()) {
+    if (connection.onInputClosed()) {
       session.closeOnFlush();
       return;
     }
-    timers.handOver(() -> connection.peer.inputClosed());
+    scheduler.execute(() -> connection.handler.onInputClosed());
   }
 
   @Override
   public void sessionClosed(IoSession session) {
-    Connection connection = of(session);
-    connection.isGone();
+    Connection connection = connectionOf(session);
+    connection.onSessionClosed();
     if (session.getService() == acceptor) {
-      accepted.decrementAndGet();
+      openClientSessions.decrementAndGet();
     }
-    Ending ending = (Ending) session.getAttribute(WHY, Ending.CLOSED);
-    timers.handOver(
+    CloseReason closeReason =
+        (CloseReason) session.getAttribute(CLOSE_REASON_ATTRIBUTE, CloseReason.CLOSED);
+    scheduler.execute(
         () -> {
           lingering.remove(connection);
-          connection.lost(ending);
-          noClients();
+          connection.onSessionLost(closeReason);
+          checkDrained();
         });
   }
 
--- a/net/src/main/java/tamarindroute/protocol/Fields.java
+++ b/net/src/main/java/tamarindroute/protocol/FieldList.java
@@ -7,23 +7,23 @@
  * Owns the form of FIELDS, name=value joined by commas, both ways. It must never know what a field
  * means.
  */
-public final class Fields {
+public final class FieldList {
 
   private final Map<String, String> values = new LinkedHashMap<>();
 
   /** Reads a list; empty and a lone dash are none. */
-  public static Fields read(String text) throws MalformedException {
-    Fields fields = new Fields();
+  public static FieldList parse(String text) throws MalformedMessageException {
+    FieldList fields = new FieldList();
     if (text.isEmpty() || text.equals("-")) {
       return fields;
     }
     for (String item : text.split(",", -1)) {
-      int equals = item.indexOf('=');
-      if (equals <= 0) {
-        throw new MalformedException("a field without a name or a value");
+      int separator = item.indexOf('=');
+      if (separator <= 0) {
+        throw new MalformedMessageException("a field without a name or a value");
       }
-      if (fields.values.put(item.substring(0, equals), item.substring(equals + 1)) != null) {
-        throw new MalformedException("a field told twice");
+      if (fields.values.put(item.substring(0, separator), item.substring(separator + 1)) != null) {
+        throw new MalformedMessageException("a field told twice");
       }
     }
     return fields;
@@ -35,10 +35,11 @@
   }
 
   /** The number, at most so much; the other one where the field is absent. */
-  public double number(String name, double absent, double most) throws MalformedException {
+  public double number(String name, double defaultValue, double max)
+      throws MalformedMessageException {
     String value = values.get(name);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     try {
       // Java's own forms (hexadecimal, 3d, NaN, blanks) are not the protocol's.
@@ -46,26 +47,26 @@
           value.chars().allMatch(c -> "0123456789.eE+-".indexOf(c) >= 0)
               ? Double.parseDouble(value)
               : -1;
-      if (number >= 0 && number <= most) {
+      if (number >= 0 && number <= max) {
         return number;
       }
     } catch (NumberFormatException e) {
       // Told below, as for what is no sensible number.
     }
-    throw new MalformedException("no number in " + name);
+    throw new MalformedMessageException("no number in " + name);
   }
 
   /** The whole number, at most so much; 0 where the field is absent. */
-  public int whole(String name, int most) throws MalformedException {
-    double number = number(name, 0, most);
+  public int integer(String name, int max) throws MalformedMessageException {
+    double number = number(name, 0, max);
     if (number != Math.rint(number)) {
-      throw new MalformedException("no whole number in " + name);
+      throw new MalformedMessageException("no whole number in " + name);
     }
     return (int) number;
   }
 
   /** Adds a field; none where the value is null. */
-  public Fields with(String name, Object value) {
+  public FieldList with(String name, Object value) {
     if (value != null) {
       values.put(name, value.toString());
     }
@@ -73,9 +74,9 @@
   }
 
   /** The list; the text given where it is empty. */
-  public String write(String none) {
+  public String format(String emptyForm) {
     if (values.isEmpty()) {
-      return none;
+      return emptyForm;
     }
     StringBuilder text = new StringBuilder();
     values.forEach(
--- a/net/src/main/java/tamarindroute/protocol/MalformedException.java
+++ b/net/src/main/java/tamarindroute/protocol/MalformedMessageException.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /** The bytes read are not of the protocol; the message says in a few words why. */
-public final class MalformedException extends IOException {
+public final class MalformedMessageException extends IOException {
 
   private static final long serialVersionUID = 1L;
 
-  public MalformedException(String message) {
+  public MalformedMessageException(String message) {
     super(message);
   }
 }
--- a/net/src/main/java/tamarindroute/protocol/RespReader.java
+++ b/net/src/main/java/tamarindroute/protocol/RespReader.java
@@ -15,56 +15,56 @@
   /** What the bytes read so far have brought. */
   public enum Step {
     /** All bytes are used up, the frame goes on. */
-    MORE,
+    NEED_MORE_BYTES,
     /** The words are whole and the body's length is known. */
-    HEAD,
+    HEADER,
     /** A slice of the body. */
     BODY,
     /** The frame is over. */
     END
   }
 
-  private enum At {
+  private enum State {
     ARRAY,
-    LENGTH,
-    WORD,
+    STRING_LENGTH,
+    ARGUMENT,
     BODY,
     STRING_END,
     FRAME_END
   }
 
   /** No count or length of the protocol has more digits. */
-  private static final int MOST_DIGITS = 7;
+  private static final int MAX_DIGITS = 7;
 
-  private final int mostWords;
-  private final int longestWord;
-  private final int longestBody;
+  private final int maxArguments;
+  private final int maxArgumentLength;
+  private final int maxBodyLength;
 
-  private At at = At.ARRAY;
-  private final List<String> words = new ArrayList<>();
-  private int elements;
+  private State state = State.ARRAY;
+  private final List<String> arguments = new ArrayList<>();
+  private int elementCount;
   private int bodyLength;
-  private boolean inBody;
+  private boolean bodyExpected;
   private ByteBuffer body;
-  private byte[] word;
-  private int left;
+  private byte[] argument;
+  private int remaining;
   private int lineLength;
   private int number;
 
-  public RespReader(int mostWords, int longestWord, int longestBody) {
-    this.mostWords = mostWords;
-    this.longestWord = longestWord;
-    this.longestBody = longestBody;
+  public RespReader(int maxArguments, int maxArgumentLength, int maxBodyLength) {
+    this.maxArguments = maxArguments;
+    this.maxArgumentLength = maxArgumentLength;
+    this.maxBodyLength = maxBodyLength;
   }
 
   /** The words of the frame; whole from HEAD to END. */
-  public List<String> words() {
-    return words;
+  public List<String> arguments() {
+    return arguments;
   }
 
   /** Whether the frame has a body, be it empty. */
   public boolean hasBody() {
-    return inBody;
+    return bodyExpected;
   }
 
   public int bodyLength() {
@@ -77,115 +77,117 @@
   }
 
   /** Whether no frame is under way. */
-  public boolean atRest() {
-    return at == At.ARRAY && lineLength == 0;
+  public boolean betweenFrames() {
+    return state == State.ARRAY && lineLength == 0;
   }
 
-  public Step next(ByteBuffer in) throws MalformedException {
+  public Step next(ByteBuffer in) throws MalformedMessageException {
     while (true) {
-      switch (at) {
+      switch (state) {
         case ARRAY -> {
-          if (!line(in, '*', mostWords + 1)) {
-            return Step.MORE;
+          if (!readLengthLine(in, '*', maxArguments + 1)) {
+            return Step.NEED_MORE_BYTES;
           }
           if (number < 1) {
-            throw new MalformedException("an empty array");
+            throw new MalformedMessageException("an empty array");
           }
-          elements = number;
-          words.clear();
+          elementCount = number;
+          arguments.clear();
           bodyLength = 0;
-          inBody = false;
-          at = At.LENGTH;
+          bodyExpected = false;
+          state = State.STRING_LENGTH;
         }
-        case LENGTH -> {
-          inBody = words.size() == mostWords;
-          if (!line(in, '$', inBody ? longestBody : longestWord)) {
-            return Step.MORE;
+        case STRING_LENGTH -> {
+          bodyExpected = arguments.size() == maxArguments;
+          if (!readLengthLine(in, '$', bodyExpected ? maxBodyLength : maxArgumentLength)) {
+            return Step.NEED_MORE_BYTES;
           }
-          left = number;
-          if (inBody) {
+          remaining = number;
+          if (bodyExpected) {
             bodyLength = number;
-            at = At.BODY;
-            return Step.HEAD;
+            state = State.BODY;
+            return Step.HEADER;
           }
-          word = new byte[number];
-          at = At.WORD;
+          argument = new byte[number];
+          state = State.ARGUMENT;
         }
-        case WORD -> {
-          int some = Math.min(left, in.remaining());
-          in.get(word, word.length - left, some);
-          left -= some;
-          if (left > 0) {
-            return Step.MORE;
+        case ARGUMENT -> {
+          int count = Math.min(remaining, in.remaining());
+          in.get(argument, argument.length - remaining, count);
+          remaining -= count;
+          if (remaining > 0) {
+            return Step.NEED_MORE_BYTES;
           }
-          words.add(new String(word, StandardCharsets.UTF_8));
-          at = At.STRING_END;
+          arguments.add(new String(argument, StandardCharsets.UTF_8));
+          state = State.STRING_END;
         }
         case BODY -> {
-          if (left == 0) {
-            at = At.STRING_END;
+          if (remaining == 0) {
+            state = State.STRING_END;
             continue;
           }
-          int some = Math.min(left, in.remaining());
-          if (some == 0) {
-            return Step.MORE;
+          int count = Math.min(remaining, in.remaining());
+          if (count == 0) {
+            return Step.NEED_MORE_BYTES;
           }
-          body = in.slice(in.position(), some);
-          in.position(in.position() + some);
-          left -= some;
+          body = in.slice(in.position(), count);
+          in.position(in.position() + count);
+          remaining -= count;
           return Step.BODY;
         }
         case STRING_END -> {
           while (lineLength < 2) {
             if (!in.hasRemaining()) {
-              return Step.MORE;
+              return Step.NEED_MORE_BYTES;
             }
             if (in.get() != (lineLength == 0 ? '\r' : '\n')) {
-              throw new MalformedException("a string longer than told");
+              throw new MalformedMessageException("a string longer than told");
             }
             lineLength++;
           }
           lineLength = 0;
-          if (inBody) {
-            at = At.FRAME_END;
-          } else if (words.size() == elements) {
-            at = At.FRAME_END;
-            return Step.HEAD;
+          if (bodyExpected) {
+            state = State.FRAME_END;
+          } else if (arguments.size() == elementCount) {
+            state = State.FRAME_END;
+            return Step.HEADER;
           } else {
-            at = At.LENGTH;
+            state = State.STRING_LENGTH;
           }
         }
         case FRAME_END -> {
-          at = At.ARRAY;
+          state = State.ARRAY;
           return Step.END;
         }
-        default -> throw new IllegalStateException("no such place: " + at);
+        default -> throw new IllegalStateException("no such place: " + state);
       }
     }
   }
 
   /** Reads a line of a sign and a decimal number; false while it is not whole. */
-  private boolean line(ByteBuffer in, char sign, int most) throws MalformedException {
+  private boolean readLengthLine(ByteBuffer in, char prefix, int max)
+      throws MalformedMessageException {
     while (in.hasRemaining()) {
-      byte b = in.get();
+      byte nextByte = in.get();
       if (lineLength == 0) {
-        if (b != sign) {
-          throw new MalformedException("'" + sign + "' expected, byte " + b + " read");
+        if (nextByte != prefix) {
+          throw new MalformedMessageException(
+              "'" + prefix + "' expected, byte " + nextByte + " read");
         }
         number = 0;
-      } else if (b == '\n' && number < 0) {
+      } else if (nextByte == '\n' && number < 0) {
         number = -number - 1;
         lineLength = 0;
         return true;
-      } else if (b == '\r' && lineLength > 1 && number >= 0) {
+      } else if (nextByte == '\r' && lineLength > 1 && number >= 0) {
         // Turned over, to know that only the line's end may follow.
         number = -number - 1;
-      } else if (b < '0' || b > '9' || number < 0) {
-        throw new MalformedException("no number after '" + sign + "'");
+      } else if (nextByte < '0' || nextByte > '9' || number < 0) {
+        throw new MalformedMessageException("no number after '" + prefix + "'");
       } else {
-        number = number * 10 + b - '0';
-        if (lineLength > MOST_DIGITS || number > most) {
-          throw new MalformedException("over " + most + " after '" + sign + "'");
+        number = number * 10 + nextByte - '0';
+        if (lineLength > MAX_DIGITS || number > max) {
+          throw new MalformedMessageException("over " + max + " after '" + prefix + "'");
         }
       }
       lineLength++;
--- a/net/src/main/java/tamarindroute/protocol/RespWriter.java
+++ b/net/src/main/java/tamarindroute/protocol/RespWriter.java
@@ -14,28 +14,28 @@
   private RespWriter() {}
 
   /** A frame of words alone. */
-  public static byte[] frame(String... words) {
-    return write(words, -1);
+  public static byte[] frame(String... arguments) {
+    return encode(arguments, -1);
   }
 
   /** A frame of words and a body, up to the body's first byte. */
-  public static ByteBuffer opening(int bodyLength, String... words) {
-    return ByteBuffer.wrap(write(words, bodyLength));
+  public static ByteBuffer frameHeader(int bodyLength, String... arguments) {
+    return ByteBuffer.wrap(encode(arguments, bodyLength));
   }
 
   /** What follows a body. */
-  public static ByteBuffer closing() {
+  public static ByteBuffer frameTrailer() {
     return ByteBuffer.wrap(CRLF);
   }
 
-  private static byte[] write(String[] words, int bodyLength) {
+  private static byte[] encode(String[] arguments, int bodyLength) {
     StringBuilder text = new StringBuilder(64);
-    text.append('*').append(words.length + (bodyLength < 0 ? 0 : 1)).append("\r\n");
-    for (String word : words) {
+    text.append('*').append(arguments.length + (bodyLength < 0 ? 0 : 1)).append("\r\n");
+    for (String argument : arguments) {
       text.append('$')
-          .append(word.getBytes(StandardCharsets.UTF_8).length)
+          .append(argument.getBytes(StandardCharsets.UTF_8).length)
           .append("\r\n")
-          .append(word)
+          .append(argument)
           .append("\r\n");
     }
     if (bodyLength >= 0) {
--- a/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
+++ b/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
@@ -25,8 +25,8 @@
   }
 
   @Test
-  void aLineHasItsTimeTopicParticularsNamedValuesAndWhatWasLeftOut() {
-    Logger logger = new Small().getLoggerFactory().getLogger("tamarindroute");
+  void aLineHasTimeTopicMessageFieldsAndSuppressedCount() {
+    Logger logger = new MinimalLogProvider().getLoggerFactory().getLogger("tamarindroute");
     assertThat(
             written(
                 () ->
@@ -44,7 +44,7 @@
 
   @Test
   void ofLibrariesOnlyWarningsAndErrorsAreWritten() {
-    Logger library = new Small().getLoggerFactory().getLogger("org.other");
+    Logger library = new MinimalLogProvider().getLoggerFactory().getLogger("org.other");
     for (Level level : Level.values()) {
       assertThat(library.isEnabledForLevel(level))
           .isEqualTo(level == Level.WARN || level == Level.ERROR);
--- a/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
@@ -17,44 +17,45 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tamarindroute.protocol.Fields;
+import tamarindroute.protocol.FieldList;
 
 /** The bytes of the frames to a cache, and what is taken from its own. */
 @Timeout(30)
 class CacheFrameFormatTest {
 
-  private final OneThread owner = new OneThread();
-  private final Sockets sockets = new Sockets(owner, new Pool(64L * 1024 * 1024), 256);
-  private final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final SocketTransport transport =
+      new SocketTransport(scheduler, new BufferPool(64L * 1024 * 1024), 256);
+  private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
   @AfterEach
   void end() {
-    sockets.shutDown();
-    owner.end();
+    transport.shutDown();
+    scheduler.end();
   }
 
-  private Asked recording() {
-    return new Asked() {
+  private ResponseHandler recording() {
+    return new ResponseHandler() {
       @Override
-      public void answered(String word, Fields fields, int length) {
-        taken.add(word + " " + fields.write("-") + " " + length);
+      public void onResponse(String word, FieldList fields, int length) {
+        received.add(word + " " + fields.format("-") + " " + length);
       }
 
       @Override
-      public void body(ByteBuffer part, Connection from) {
+      public void onBody(ByteBuffer part, Connection from) {
         byte[] bytes = new byte[part.remaining()];
         part.get(bytes);
-        taken.add(new String(bytes, StandardCharsets.US_ASCII));
+        received.add(new String(bytes, StandardCharsets.US_ASCII));
       }
 
       @Override
-      public void whole() {
-        taken.add("whole");
+      public void onComplete() {
+        received.add("whole");
       }
 
       @Override
-      public void ended(Ending ending, boolean written) {
-        taken.add(ending + " " + written);
+      public void onFailure(CloseReason closeReason, boolean written) {
+        received.add(closeReason + " " + written);
       }
     };
   }
@@ -66,9 +67,9 @@
         .isEqualTo(frame);
   }
 
-  private void expectTaken(String... all) throws InterruptedException {
+  private void expectReceived(String... all) throws InterruptedException {
     for (String one : all) {
-      assertThat(taken.poll(5, TimeUnit.SECONDS)).isEqualTo(one);
+      assertThat(received.poll(5, TimeUnit.SECONDS)).isEqualTo(one);
     }
   }
 
@@ -80,28 +81,30 @@
   @Test
   void framesKeepTheirBytes() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
-      CacheLine line =
-          new CacheLine(
-              sockets,
-              owner,
+      CacheConnectionPool connectionPool =
+          new CacheConnectionPool(
+              transport,
+              scheduler,
               "s-1",
               new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-              new CacheLine.Limits(1, 100, Duration.ofSeconds(5), Duration.ZERO));
+              new CacheConnectionPool.Limits(1, 100, Duration.ofSeconds(5), Duration.ZERO));
       IoBuffer body = IoBuffer.wrap("{\"key\":1}".getBytes(StandardCharsets.US_ASCII));
-      owner.handOver(() -> line.ask("77.1", () -> "ttl=900,tok=t", List.of(body), 9, recording()));
+      scheduler.execute(
+          () -> connectionPool.send("77.1", () -> "ttl=900,tok=t", List.of(body), 9, recording()));
       try (Socket cache = server.accept()) {
         cache.setSoTimeout(5_000);
         expect(
             cache,
             "*4\r\n$3\r\nASK\r\n$4\r\n77.1\r\n$13\r\nttl=900,tok=t\r\n$9\r\n{\"key\":1}\r\n");
         respond(cache, "*4\r\n$4\r\n77.1\r\n$3\r\nACK\r\n$7\r\nfirst=3\r\n$5\r\nhello\r\n");
-        expectTaken("ACK first=3 5", "hello", "whole");
-        owner.handOver(() -> line.probe("p9", recording()));
+        expectReceived("ACK first=3 5", "hello", "whole");
+        scheduler.execute(() -> connectionPool.sendHealthCheck("p9", recording()));
         expect(cache, "*2\r\n$4\r\nINFO\r\n$2\r\np9\r\n");
         respond(
             cache, "*4\r\n$2\r\np9\r\n$5\r\nREADY\r\n$20\r\nrep=util:0.5;x:3,y=2\r\n$0\r\n\r\n");
-        expectTaken("READY rep=util:0.5;x:3,y=2 0", "whole");
-        owner.handOver(() -> line.ask("8", () -> "-", List.of(), 0, recording()).run());
+        expectReceived("READY rep=util:0.5;x:3,y=2 0", "whole");
+        scheduler.execute(
+            () -> connectionPool.send("8", () -> "-", List.of(), 0, recording()).run());
         expect(
             cache,
             "*4\r\n$3\r\nASK\r\n$1\r\n8\r\n$1\r\n-\r\n$0\r\n\r\n*2\r\n$4\r\nQUIT\r\n$1\r\n8\r\n");
--- a/net/src/test/java/tamarindroute/net/LingerTest.java
+++ b/net/src/test/java/tamarindroute/net/ConnectionCloseTest.java
@@ -26,40 +26,41 @@
  * holds it long.
  */
 @Timeout(30)
-class LingerTest {
+class ConnectionCloseTest {
 
   /** More than both machines' buffers hold. */
-  private static final int LARGE = 12 * 1024 * 1024;
+  private static final int LARGE_RESPONSE_BYTES = 12 * 1024 * 1024;
 
-  private final OneThread owner = new OneThread();
-  private final Sockets sockets = new Sockets(owner, new Pool(64L * 1024 * 1024), 1024);
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final SocketTransport transport =
+      new SocketTransport(scheduler, new BufferPool(64L * 1024 * 1024), 1024);
   private InetSocketAddress address;
-  private volatile BiConsumer<Connection, ByteBuffer> work;
+  private volatile BiConsumer<Connection, ByteBuffer> onBytes;
 
   @BeforeEach
   void listen() throws Exception {
     try (ServerSocket free = new ServerSocket(0)) {
       address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
-    sockets.listen(
+    transport.listen(
         address,
         connection ->
-            new Peer() {
+            new ConnectionHandler() {
               @Override
-              public void received(ByteBuffer bytes) {
-                work.accept(connection, bytes);
+              public void onReceived(ByteBuffer bytes) {
+                onBytes.accept(connection, bytes);
                 bytes.position(bytes.limit());
               }
 
               @Override
-              public void ended(Ending ending) {}
+              public void onClosed(CloseReason closeReason) {}
             });
   }
 
   @AfterEach
   void end() {
-    sockets.shutDown();
-    owner.end();
+    transport.shutDown();
+    scheduler.end();
   }
 
   private Socket client() throws IOException {
@@ -68,9 +69,9 @@
     return client;
   }
 
-  private CompletableFuture<Void> noClients() {
+  private CompletableFuture<Void> drained() {
     CompletableFuture<Void> none = new CompletableFuture<>();
-    owner.handOver(() -> sockets.whenNoClients(() -> none.complete(null)));
+    scheduler.execute(() -> transport.drainClients(() -> none.complete(null)));
     return none;
   }
 
@@ -79,39 +80,39 @@
    * reset it.
    */
   @Test
-  void whatWasWrittenArrivesWholeThoughTheClientSendsOn() throws Exception {
-    work =
+  void writtenBytesArriveThoughTheClientKeepsSending() throws Exception {
+    onBytes =
         (connection, bytes) -> {
-          connection.write(new byte[LARGE]);
-          connection.close(Ending.LET_GO, true);
+          connection.write(new byte[LARGE_RESPONSE_BYTES]);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
         };
     try (Socket client = client()) {
       client.getOutputStream().write(1);
       InputStream in = client.getInputStream();
       assertThat(in.read()).isZero();
       client.getOutputStream().write(new byte[1024 * 1024]);
-      assertThat(in.readNBytes(LARGE - 1)).hasSize(LARGE - 1);
+      assertThat(in.readNBytes(LARGE_RESPONSE_BYTES - 1)).hasSize(LARGE_RESPONSE_BYTES - 1);
       // A request that crossed the close, still on this side's word that it may send.
       client.getOutputStream().write(new byte[100_000]);
       assertThat(in.read()).isEqualTo(-1);
       client.shutdownOutput();
-      noClients().get(5, TimeUnit.SECONDS);
+      drained().get(5, TimeUnit.SECONDS);
     }
   }
 
   @Test
-  void aClientThatNeverClosesIsCutSoon() throws Exception {
-    work = (connection, bytes) -> connection.close(Ending.LET_GO, true);
+  void aClientThatNeverClosesIsCutOffSoon() throws Exception {
+    onBytes = (connection, bytes) -> connection.close(CloseReason.CLOSED_LOCALLY, true);
     try (Socket client = client()) {
       client.getOutputStream().write(1);
       assertThat(client.getInputStream().read()).isEqualTo(-1);
-      noClients().get(2, TimeUnit.SECONDS);
+      drained().get(2, TimeUnit.SECONDS);
     }
   }
 
   @Test
-  void aClientThatFloodsIsCutSoon() throws Exception {
-    work = (connection, bytes) -> connection.close(Ending.LET_GO, true);
+  void aFloodingClientIsCutOffSoon() throws Exception {
+    onBytes = (connection, bytes) -> connection.close(CloseReason.CLOSED_LOCALLY, true);
     try (Socket client = client()) {
       assertThatThrownBy(
               () -> {
@@ -120,7 +121,7 @@
                 }
               })
           .isInstanceOf(SocketException.class);
-      noClients().get(2, TimeUnit.SECONDS);
+      drained().get(2, TimeUnit.SECONDS);
     }
   }
 
@@ -128,16 +129,16 @@
    * One that reads nothing keeps what was written from leaving: the connection goes all the same.
    */
   @Test
-  void aClientThatReadsNothingIsCutInTheTimeOfALongestAnswer() throws Exception {
-    work =
+  void aClientThatReadsNothingIsCutOffAfterTheFlushTimeout() throws Exception {
+    onBytes =
         (connection, bytes) -> {
-          connection.write(new byte[LARGE]);
-          connection.close(Ending.LET_GO, true);
+          connection.write(new byte[LARGE_RESPONSE_BYTES]);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
         };
     try (Socket client = client()) {
       client.getOutputStream().write(1);
       client.getInputStream().read();
-      noClients().get(5, TimeUnit.SECONDS);
+      drained().get(5, TimeUnit.SECONDS);
     }
   }
 
@@ -146,23 +147,23 @@
    * 200 ms.
    */
   @Test
-  void fewLingerAtOnce() throws Exception {
+  void onlyAFewConnectionsLingerAtOnce() throws Exception {
     List<Connection> closed = new ArrayList<>();
-    work = (connection, bytes) -> closed.add(connection);
+    onBytes = (connection, bytes) -> closed.add(connection);
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       clients.add(client());
       clients.get(i).getOutputStream().write(1);
     }
-    while (owner.thread.submit(closed::size).get() < 40) {
+    while (scheduler.thread.submit(closed::size).get() < 40) {
       Thread.onSpinWait();
     }
     long lingering =
-        owner
+        scheduler
             .thread
             .submit(
                 () -> {
-                  closed.forEach(connection -> connection.close(Ending.LET_GO, true));
+                  closed.forEach(connection -> connection.close(CloseReason.CLOSED_LOCALLY, true));
                   return closed.stream()
                       .filter(connection -> !connection.session().isClosing())
                       .count();
@@ -176,9 +177,9 @@
 
   /** A close resets what the system still holds back of small writes: nothing may be held back. */
   @Test
-  void acceptedConnectionsHoldNothingBack() throws Exception {
+  void acceptedConnectionsDisableNagle() throws Exception {
     CompletableFuture<Boolean> noDelay = new CompletableFuture<>();
-    work =
+    onBytes =
         (connection, bytes) ->
             noDelay.complete(
                 ((SocketSessionConfig) connection.session().getConfig()).isTcpNoDelay());
--- a/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
@@ -18,27 +18,28 @@
 @Timeout(30)
 class ControlFeedFormatTest {
 
-  private final OneThread owner = new OneThread();
-  private final Sockets sockets = new Sockets(owner, new Pool(64L * 1024 * 1024), 256);
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final SocketTransport transport =
+      new SocketTransport(scheduler, new BufferPool(64L * 1024 * 1024), 256);
   private final List<String> texts = new CopyOnWriteArrayList<>();
 
-  private final Feed.Reader reader =
-      new Feed.Reader() {
+  private final ControlFeedClient.FeedListener listener =
+      new ControlFeedClient.FeedListener() {
         @Override
-        public long last() {
+        public long lastEventNumber() {
           return texts.size() * 41L;
         }
 
         @Override
-        public void read(String text) {
+        public void onEvents(String text) {
           texts.add(text);
         }
       };
 
   @AfterEach
   void end() {
-    sockets.shutDown();
-    owner.end();
+    transport.shutDown();
+    scheduler.end();
   }
 
   private static String request(InputStream in, int length) throws IOException {
@@ -54,8 +55,10 @@
   void requestsAndResponsesKeepTheirBytes() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
       int port = server.getLocalPort();
-      Feed feed = new Feed(sockets, owner, new InetSocketAddress("127.0.0.1", port), reader, 1);
-      owner.handOver(feed::start);
+      ControlFeedClient feed =
+          new ControlFeedClient(
+              transport, scheduler, new InetSocketAddress("127.0.0.1", port), listener, 1);
+      scheduler.execute(feed::start);
       try (Socket socket = server.accept()) {
         socket.setSoTimeout(5_000);
         String first =
--- a/net/src/test/java/tamarindroute/net/NetTest.java
+++ b/net/src/test/java/tamarindroute/net/NetTest.java
@@ -18,50 +18,50 @@
   /** MINA frees a buffer twice where a write fails; it must not be given out to two at once. */
   @Test
   void aBufferFreedTwiceIsGivenOutOnce() {
-    Pool pool = new Pool(64L * 1024 * 1024);
-    IoBuffer first = pool.take();
+    BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
+    IoBuffer first = bufferPool.acquire();
     first.free();
     first.free();
-    assertThat(pool.take().buf()).isNotSameAs(pool.take().buf());
+    assertThat(bufferPool.acquire().buf()).isNotSameAs(bufferPool.acquire().buf());
   }
 
   /** MINA disposes of the allocator with every buffer made; what is free must outlive that. */
   @Test
-  void aFreedBufferIsUsedAgain() {
-    Pool pool = new Pool(64L * 1024 * 1024);
-    IoBuffer first = pool.take();
+  void aFreedBufferIsReused() {
+    BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
+    IoBuffer first = bufferPool.acquire();
     ByteBuffer bytes = first.buf();
     first.free();
     IoBuffer.wrap(new byte[5]);
-    assertThat(pool.take().buf()).isSameAs(bytes);
+    assertThat(bufferPool.acquire().buf()).isSameAs(bytes);
   }
 
   @Test
-  void roomIsToldWhenItComesAgain() {
-    Pool pool = new Pool(32L * Pool.SIZE);
-    int[] told = {0};
-    pool.whenRoom(() -> told[0]++);
+  void theListenerIsCalledWhenCapacityReturns() {
+    BufferPool bufferPool = new BufferPool(32L * BufferPool.BUFFER_BYTES);
+    int[] notifications = {0};
+    bufferPool.onCapacityAvailable(() -> notifications[0]++);
     List<IoBuffer> out = new ArrayList<>();
-    while (pool.hasRoom()) {
-      out.add(pool.take());
+    while (bufferPool.hasCapacity()) {
+      out.add(bufferPool.acquire());
     }
     assertThat(out).hasSize(6);
-    assertThat(told[0]).isZero();
+    assertThat(notifications[0]).isZero();
     out.forEach(IoBuffer::free);
-    assertThat(told[0]).isEqualTo(1);
-    assertThat(pool.hasRoom()).isTrue();
+    assertThat(notifications[0]).isEqualTo(1);
+    assertThat(bufferPool.hasCapacity()).isTrue();
   }
 
   @Test
   void bytesAreCopiedOverSeveralBuffers() {
-    byte[] bytes = new byte[2 * Pool.SIZE + 5];
+    byte[] bytes = new byte[2 * BufferPool.BUFFER_BYTES + 5];
     for (int i = 0; i < bytes.length; i++) {
       bytes[i] = (byte) (i * 31);
     }
     ArrayDeque<IoBuffer> copies = new ArrayDeque<>();
-    Pool pool = new Pool(64L * 1024 * 1024);
-    Connection.copy(ByteBuffer.wrap(bytes, 0, 7), pool, copies);
-    Connection.copy(ByteBuffer.wrap(bytes, 7, bytes.length - 7), pool, copies);
+    BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
+    Connection.copy(ByteBuffer.wrap(bytes, 0, 7), bufferPool, copies);
+    Connection.copy(ByteBuffer.wrap(bytes, 7, bytes.length - 7), bufferPool, copies);
     ByteBuffer all = ByteBuffer.allocate(bytes.length);
     copies.forEach(copy -> all.put(copy.buf()));
     assertThat(copies).hasSize(3);
@@ -73,19 +73,19 @@
    * have run.
    */
   @ParameterizedTest
-  @EnumSource(Ending.class)
-  void whatWasWrittenWholeMayHaveRun(Ending ending) {
-    assertThat(ending.result(false).provesNotRun).isTrue();
+  @EnumSource(CloseReason.class)
+  void aRequestWrittenCompletelyMayHaveRun(CloseReason closeReason) {
+    assertThat(closeReason.result(false).provesNotExecuted).isTrue();
     boolean neverUp =
         List.of(
-                Ending.REFUSED,
-                Ending.UNREACHABLE,
-                Ending.NOT_UP_IN_TIME,
-                Ending.NO_DESCRIPTOR,
-                Ending.OVERTAKEN)
-            .contains(ending);
-    assertThat(ending.result(true).provesNotRun).isEqualTo(neverUp);
-    assertThat(Ending.RESET.result(true)).isEqualTo(Result.BROKEN);
-    assertThat(Ending.REFUSED.result(false)).isEqualTo(Result.UNREACHED);
+                CloseReason.REFUSED,
+                CloseReason.UNREACHABLE,
+                CloseReason.TIMED_OUT,
+                CloseReason.NO_DESCRIPTOR,
+                CloseReason.NO_LONGER_WANTED)
+            .contains(closeReason);
+    assertThat(closeReason.result(true).provesNotExecuted).isEqualTo(neverUp);
+    assertThat(CloseReason.RESET.result(true)).isEqualTo(Result.CONNECTION_LOST);
+    assertThat(CloseReason.REFUSED.result(false)).isEqualTo(Result.CONNECT_FAILED);
   }
 }
--- a/net/src/test/java/tamarindroute/net/LeftTest.java
+++ b/net/src/test/java/tamarindroute/net/SentBytesTest.java
@@ -20,21 +20,21 @@
 
 /** What has left is counted right, whoever has the written buffer next. */
 @Timeout(30)
-class LeftTest {
+class SentBytesTest {
 
   /** Eight buffers are the pool's share, and fewer than six of them out are room. */
-  private static final long MEMORY = 4L * 8 * Pool.SIZE;
+  private static final long MEMORY = 4L * 8 * BufferPool.BUFFER_BYTES;
 
-  private static final int HELD = 5;
+  private static final int BUFFERS_HELD = 5;
 
-  private final OneThread owner = new OneThread();
-  private final Pool pool = new Pool(MEMORY);
-  private final Sockets sockets = new Sockets(owner, pool, 256);
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final BufferPool bufferPool = new BufferPool(MEMORY);
+  private final SocketTransport transport = new SocketTransport(scheduler, bufferPool, 256);
 
   @AfterEach
   void end() {
-    sockets.shutDown();
-    owner.end();
+    transport.shutDown();
+    scheduler.end();
   }
 
   /**
@@ -43,62 +43,62 @@
    * one that never left.
    */
   @RepeatedTest(10)
-  void aBufferTakenAgainAtOnceDoesNotChangeWhatHasLeft() throws Exception {
+  void aBufferReusedAtOnceDoesNotChangeTheSentByteCount() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
-      CompletableFuture<Connection> up = new CompletableFuture<>();
+      CompletableFuture<Connection> opened = new CompletableFuture<>();
       CompletableFuture<Connection> made = new CompletableFuture<>();
-      owner.handOver(
+      scheduler.execute(
           () ->
               made.complete(
-                  sockets.connect(
+                  transport.connect(
                       new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-                      new Peer() {
+                      new ConnectionHandler() {
                         @Override
-                        public void opened() {
-                          up.complete(made.join());
+                        public void onOpened() {
+                          opened.complete(made.join());
                         }
 
                         @Override
-                        public void received(ByteBuffer bytes) {
+                        public void onReceived(ByteBuffer bytes) {
                           bytes.position(bytes.limit());
                         }
 
                         @Override
-                        public void ended(Ending ending) {}
+                        public void onClosed(CloseReason closeReason) {}
                       })));
       try (Socket peer = server.accept()) {
-        Connection connection = up.get(5, TimeUnit.SECONDS);
-        CompletableFuture<Void> taken = new CompletableFuture<>();
+        Connection connection = opened.get(5, TimeUnit.SECONDS);
+        CompletableFuture<Void> reacquired = new CompletableFuture<>();
         ConcurrentLinkedQueue<IoBuffer> others = new ConcurrentLinkedQueue<>();
-        pool.whenRoom(
+        bufferPool.onCapacityAvailable(
             () -> {
               // Whoever takes buffers next has limits of his own for them.
-              for (int i = 0; i < HELD; i++) {
-                others.add(pool.take().limit(0));
+              for (int i = 0; i < BUFFERS_HELD; i++) {
+                others.add(bufferPool.acquire().limit(0));
               }
-              taken.complete(null);
+              reacquired.complete(null);
             });
-        List<IoBuffer> held = new ArrayList<>();
-        owner.handOver(
+        List<IoBuffer> buffers = new ArrayList<>();
+        scheduler.execute(
             () -> {
-              for (int i = 0; i < HELD; i++) {
-                held.add(pool.take());
+              for (int i = 0; i < BUFFERS_HELD; i++) {
+                buffers.add(bufferPool.acquire());
               }
               ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-              Connection.copy(ByteBuffer.wrap(new byte[100]), pool, frame);
+              Connection.copy(ByteBuffer.wrap(new byte[100]), bufferPool, frame);
               connection.write(frame);
             });
-        taken.get(5, TimeUnit.SECONDS);
+        reacquired.get(5, TimeUnit.SECONDS);
         assertThat(peer.getInputStream().readNBytes(100)).hasSize(100);
         // MINA tells of a write after it: the second one's is behind the first one's.
-        owner.handOver(() -> connection.write(new byte[1]));
+        scheduler.execute(() -> connection.write(new byte[1]));
         assertThat(peer.getInputStream().read()).isZero();
         long end = System.nanoTime() + Duration.ofSeconds(2).toNanos();
-        while (connection.waiting() > 0 && System.nanoTime() < end) {
+        while (connection.unsentBytes() > 0 && System.nanoTime() < end) {
           Thread.onSpinWait();
         }
-        assertThat(connection.waiting()).isZero();
-        assertThat(connection.hasLeft(connection.written())).isTrue();
+        assertThat(connection.unsentBytes()).isZero();
+        assertThat(connection.isSent(connection.bytesWritten())).isTrue();
       }
     }
   }
--- a/net/src/test/java/tamarindroute/net/OneThread.java
+++ b/net/src/test/java/tamarindroute/net/SingleThreadScheduler.java
@@ -9,7 +9,7 @@
  * An owner's thread for tests: what is handed over and what is due runs on one thread. It must
  * never outlive its test.
  */
-class OneThread implements Timers {
+class SingleThreadScheduler implements Scheduler {
 
   final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
 
@@ -19,12 +19,12 @@
   }
 
   @Override
-  public void handOver(Runnable task) {
+  public void execute(Runnable task) {
     thread.execute(task);
   }
 
   @Override
-  public Runnable after(Duration span, Runnable task) {
+  public Runnable schedule(Duration span, Runnable task) {
     var timer = thread.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
     return () -> timer.cancel(false);
   }
--- a/net/src/test/java/tamarindroute/net/ConnectTest.java
+++ b/net/src/test/java/tamarindroute/net/SocketTransportTest.java
@@ -20,65 +20,65 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import tamarindroute.protocol.Fields;
+import tamarindroute.protocol.FieldList;
 
 /** Connecting through MINA, which keeps threads and one allocator for the whole process. */
-class ConnectTest {
+class SocketTransportTest {
 
-  private final OneThread owner = new OneThread();
-  private final Pool pool = new Pool(64L * 1024 * 1024);
-  private final Sockets sockets = new Sockets(owner, pool, 1024);
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
+  private final SocketTransport transport = new SocketTransport(scheduler, bufferPool, 1024);
 
   @AfterEach
   void end() {
-    sockets.shutDown();
-    owner.end();
+    transport.shutDown();
+    scheduler.end();
   }
 
   /**
    * Counts what comes up; a connection given up while it was coming up must not cost a later one.
    */
-  private record Counting(CountDownLatch up) implements Peer {
+  private record CountingHandler(CountDownLatch up) implements ConnectionHandler {
 
     @Override
-    public void opened() {
+    public void onOpened() {
       up.countDown();
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
       bytes.position(bytes.limit());
     }
 
     @Override
-    public void ended(Ending ending) {}
+    public void onClosed(CloseReason closeReason) {}
   }
 
   /**
    * The address of a cache that is gone may be another's by the time that the connection comes up.
    */
   @Test
-  void whatWaitedForAConnectionToACacheThatIsGoneIsNotSent() throws Exception {
+  void aRequestWaitingForAConnectionToARemovedCacheIsNotSent() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
-      CacheLine line =
-          new CacheLine(
-              sockets,
-              owner,
+      CacheConnectionPool connectionPool =
+          new CacheConnectionPool(
+              transport,
+              scheduler,
               "s",
               new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-              new CacheLine.Limits(4, 100, Duration.ofSeconds(2), Duration.ZERO));
+              new CacheConnectionPool.Limits(4, 100, Duration.ofSeconds(2), Duration.ZERO));
       CompletableFuture<Boolean> written = new CompletableFuture<>();
-      owner
+      scheduler
           .thread
           .submit(
               () -> {
-                line.ask(
+                connectionPool.send(
                     "1",
                     () -> "-",
                     List.of(),
                     0,
-                    waiting(true, (ending, whole) -> written.complete(whole)));
-                line.letGo();
+                    waiting(true, (closeReason, whole) -> written.complete(whole)));
+                connectionPool.shutDown();
               })
           .get();
       assertThat(written.get(2, TimeUnit.SECONDS)).isFalse();
@@ -91,60 +91,61 @@
    * is to blame.
    */
   @Test
-  void whatIsUnwantedByTheTimeThatItsConnectionIsUpIsNotSent() throws Exception {
+  void aRequestNoLongerWantedWhenItsConnectionOpensIsNotSent() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
-      CacheLine line =
-          new CacheLine(
-              sockets,
-              owner,
+      CacheConnectionPool connectionPool =
+          new CacheConnectionPool(
+              transport,
+              scheduler,
               "s",
               new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-              new CacheLine.Limits(1, 100, Duration.ofSeconds(2), Duration.ZERO));
-      CompletableFuture<Ending> drained = new CompletableFuture<>();
-      owner
+              new CacheConnectionPool.Limits(1, 100, Duration.ofSeconds(2), Duration.ZERO));
+      CompletableFuture<CloseReason> unwantedReason = new CompletableFuture<>();
+      scheduler
           .thread
           .submit(
               () -> {
-                line.ask(
+                connectionPool.send(
                     "1",
                     () -> "-",
                     List.of(),
                     0,
-                    waiting(false, (ending, whole) -> drained.complete(ending)));
-                line.ask("2", () -> "-", List.of(), 0, waiting(true, (ending, whole) -> {}));
+                    waiting(false, (closeReason, whole) -> unwantedReason.complete(closeReason)));
+                connectionPool.send(
+                    "2", () -> "-", List.of(), 0, waiting(true, (closeReason, whole) -> {}));
               })
           .get();
-      assertThat(drained.get(2, TimeUnit.SECONDS)).isEqualTo(Ending.OVERTAKEN);
+      assertThat(unwantedReason.get(2, TimeUnit.SECONDS)).isEqualTo(CloseReason.NO_LONGER_WANTED);
       try (Socket cache = server.accept()) {
         cache.setSoTimeout(300);
-        byte[] came = new byte[1000];
-        int some = cache.getInputStream().read(came);
-        assertThat(new String(came, 0, some, StandardCharsets.US_ASCII))
+        byte[] received = new byte[1000];
+        int length = cache.getInputStream().read(received);
+        assertThat(new String(received, 0, length, StandardCharsets.US_ASCII))
             .startsWith("*4\r\n$3\r\nASK\r\n$1\r\n2\r\n")
             .doesNotContain("$1\r\n1\r\n");
       }
     }
   }
 
-  private static Asked waiting(boolean wanted, BiConsumer<Ending, Boolean> end) {
-    return new Asked() {
+  private static ResponseHandler waiting(boolean wanted, BiConsumer<CloseReason, Boolean> end) {
+    return new ResponseHandler() {
       @Override
-      public boolean stillWanted() {
+      public boolean isStillWanted() {
         return wanted;
       }
 
       @Override
-      public void answered(String word, Fields fields, int length) {}
+      public void onResponse(String word, FieldList fields, int length) {}
 
       @Override
-      public void body(ByteBuffer part, Connection from) {}
+      public void onBody(ByteBuffer part, Connection from) {}
 
       @Override
-      public void whole() {}
+      public void onComplete() {}
 
       @Override
-      public void ended(Ending ending, boolean whole) {
-        end.accept(ending, whole);
+      public void onFailure(CloseReason closeReason, boolean whole) {
+        end.accept(closeReason, whole);
       }
     };
   }
@@ -154,29 +155,29 @@
    * for good.
    */
   @Test
-  void aConnectionWhoseReadsRestAndGoOnUnderWritesNeverStalls() throws Exception {
+  void suspendingAndResumingReadsDuringWritesNeverStalls() throws Exception {
     int turns = 60_000;
     try (ServerSocket server = new ServerSocket(0, 200)) {
-      CountDownLatch heard = new CountDownLatch(turns);
+      CountDownLatch remainingBytes = new CountDownLatch(turns);
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
       Connection[] connection = new Connection[1];
-      owner
+      scheduler
           .thread
           .submit(
               () ->
                   connection[0] =
-                      sockets.connect(
+                      transport.connect(
                           address,
-                          new Peer() {
+                          new ConnectionHandler() {
                             @Override
-                            public void opened() {
+                            public void onOpened() {
                               connection[0].write(new byte[4]);
                             }
 
                             @Override
-                            public void received(ByteBuffer bytes) {
+                            public void onReceived(ByteBuffer bytes) {
                               for (; bytes.hasRemaining(); bytes.get()) {
-                                heard.countDown();
+                                remainingBytes.countDown();
                               }
                               connection[0].write(new byte[4]);
                               connection[0].pause();
@@ -185,21 +186,21 @@
                             }
 
                             @Override
-                            public void ended(Ending ending) {}
+                            public void onClosed(CloseReason closeReason) {}
                           }))
           .get();
       try (Socket socket = server.accept()) {
         byte[] echo = new byte[1024];
-        for (int some = socket.getInputStream().read(echo);
-            some > 0 && heard.getCount() > 0;
-            some = socket.getInputStream().read(echo)) {
-          socket.getOutputStream().write(echo, 0, Math.min(some, 8));
+        for (int length = socket.getInputStream().read(echo);
+            length > 0 && remainingBytes.getCount() > 0;
+            length = socket.getInputStream().read(echo)) {
+          socket.getOutputStream().write(echo, 0, Math.min(length, 8));
           socket.setSoTimeout(2000);
         }
       } catch (SocketTimeoutException e) {
         // Nothing more comes: told by the count.
       }
-      assertThat(heard.getCount()).isZero();
+      assertThat(remainingBytes.getCount()).isZero();
     }
   }
 
@@ -207,31 +208,31 @@
    * MINA lets what is queued go without a word when a connection ends; the pool must get it back.
    */
   @Test
-  void buffersThatNeverLeftComeBackToThePool() throws Exception {
+  void buffersNeverSentAreReturnedToThePool() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
       CountDownLatch up = new CountDownLatch(1);
       Connection connection =
-          owner.thread.submit(() -> sockets.connect(address, new Counting(up))).get();
+          scheduler.thread.submit(() -> transport.connect(address, new CountingHandler(up))).get();
       try (Socket deaf = server.accept()) {
         assertThat(up.await(2, TimeUnit.SECONDS)).isTrue();
-        while (pool.hasRoom()) {
-          owner
+        while (bufferPool.hasCapacity()) {
+          scheduler
               .thread
               .submit(
                   () -> {
                     ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-                    Connection.copy(ByteBuffer.wrap(new byte[240_000]), pool, frame);
+                    Connection.copy(ByteBuffer.wrap(new byte[240_000]), bufferPool, frame);
                     connection.write(frame);
                   })
               .get();
         }
         deaf.setSoLinger(true, 0);
       }
-      for (int i = 0; i < 200 && !pool.hasRoom(); i++) {
+      for (int i = 0; i < 200 && !bufferPool.hasCapacity(); i++) {
         Thread.sleep(10);
       }
-      assertThat(pool.hasRoom()).isTrue();
+      assertThat(bufferPool.hasCapacity()).isTrue();
     }
   }
 
@@ -240,57 +241,57 @@
    * for good.
    */
   @Test
-  void theBufferOfAReadThatEndsInAResetComesBackToThePool() throws Exception {
-    Pool few = new Pool(1024 * 1024);
-    Sockets alone = new Sockets(owner, few, 1024);
+  void theBufferOfAReadEndingInAResetIsReturnedToThePool() throws Exception {
+    BufferPool few = new BufferPool(1024 * 1024);
+    SocketTransport alone = new SocketTransport(scheduler, few, 1024);
     try (ServerSocket server = new ServerSocket(0, 200)) {
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
       for (int i = 0; i < 40; i++) {
-        CompletableFuture<Ending> end = new CompletableFuture<>();
-        owner
+        CompletableFuture<CloseReason> end = new CompletableFuture<>();
+        scheduler
             .thread
             .submit(
                 () ->
                     alone.connect(
                         address,
-                        new Peer() {
+                        new ConnectionHandler() {
                           @Override
-                          public void received(ByteBuffer bytes) {
+                          public void onReceived(ByteBuffer bytes) {
                             bytes.position(bytes.limit());
                           }
 
                           @Override
-                          public void ended(Ending ending) {
-                            end.complete(ending);
+                          public void onClosed(CloseReason closeReason) {
+                            end.complete(closeReason);
                           }
                         }))
             .get();
         try (Socket cache = server.accept()) {
           cache.setSoLinger(true, 0);
         }
-        assertThat(end.get(2, TimeUnit.SECONDS)).isEqualTo(Ending.RESET);
+        assertThat(end.get(2, TimeUnit.SECONDS)).isEqualTo(CloseReason.RESET);
       }
-      assertThat(few.hasRoom()).isTrue();
+      assertThat(few.hasCapacity()).isTrue();
     } finally {
       alone.shutDown();
     }
   }
 
   @Test
-  void connectionsComeUpAfterOthersWereGivenUpWhileComingUp() throws Exception {
+  void connectionsOpenAfterOthersWereAbandonedWhileConnecting() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
       for (int round = 0; round < 20; round++) {
         CountDownLatch up = new CountDownLatch(3);
-        owner
+        scheduler
             .thread
             .submit(
                 () -> {
                   for (int i = 0; i < 3; i++) {
-                    sockets
-                        .connect(address, new Counting(new CountDownLatch(1)))
-                        .close(Ending.LET_GO, false);
-                    sockets.connect(address, new Counting(up));
+                    transport
+                        .connect(address, new CountingHandler(new CountDownLatch(1)))
+                        .close(CloseReason.CLOSED_LOCALLY, false);
+                    transport.connect(address, new CountingHandler(up));
                   }
                 })
             .get();
@@ -304,8 +305,8 @@
    * no share.
    */
   @Test
-  void dialsThatHangAndWereGivenUpCountUntilTheirSocketsAreClosed() throws Exception {
-    Sockets few = new Sockets(owner, pool, 80);
+  void abandonedConnectsCountUntilTheirSocketsAreClosed() throws Exception {
+    SocketTransport few = new SocketTransport(scheduler, bufferPool, 80);
     List<Socket> filling = new ArrayList<>();
     try (ServerSocket full = new ServerSocket(0, 1);
         ServerSocket there = new ServerSocket(0, 200)) {
@@ -320,14 +321,14 @@
               })
           .isInstanceOf(SocketTimeoutException.class);
       int given =
-          owner
+          scheduler
               .thread
               .submit(
                   () -> {
                     int dials = 0;
-                    for (; few.mayConnect() && dials < 500; dials++) {
-                      few.connect(hangs, new Counting(new CountDownLatch(1)))
-                          .close(Ending.NOT_UP_IN_TIME, false);
+                    for (; few.canConnect() && dials < 500; dials++) {
+                      few.connect(hangs, new CountingHandler(new CountDownLatch(1)))
+                          .close(CloseReason.TIMED_OUT, false);
                     }
                     return dials;
                   })
@@ -336,10 +337,10 @@
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", there.getLocalPort());
       CountDownLatch up = new CountDownLatch(1);
       // MINA gives them up after 3 s and looks each second.
-      for (int i = 0; i < 700 && !owner.thread.submit(few::mayConnect).get(); i++) {
+      for (int i = 0; i < 700 && !scheduler.thread.submit(few::canConnect).get(); i++) {
         Thread.sleep(10);
       }
-      owner.thread.submit(() -> few.connect(address, new Counting(up))).get();
+      scheduler.thread.submit(() -> few.connect(address, new CountingHandler(up))).get();
       assertThat(up.await(2, TimeUnit.SECONDS)).isTrue();
     } finally {
       for (Socket one : filling) {
--- a/net/src/test/java/tamarindroute/protocol/MessageAuthenticatorFormatTest.java
+++ b/net/src/test/java/tamarindroute/protocol/MessageAuthenticatorFormatTest.java
@@ -23,17 +23,22 @@
 
   private static final byte[] MESSAGE = "heartbeat ".getBytes(StandardCharsets.US_ASCII);
 
-  private final Seal seal = new Seal(Map.of(200, KEY, 7, new byte[32]), 200);
+  private final MessageAuthenticator authenticator =
+      new MessageAuthenticator(Map.of(200, KEY, 7, new byte[32]), 200);
 
   @Test
   void sealedMessageHasItsBytes() {
-    assertThat(HexFormat.of().formatHex(seal.seal(MESSAGE, 0x19a5b6c7d8eL, 300))).isEqualTo(SEALED);
+    assertThat(HexFormat.of().formatHex(authenticator.seal(MESSAGE, 0x19a5b6c7d8eL, 300)))
+        .isEqualTo(SEALED);
   }
 
   @Test
-  void sealedBytesAreOpened() throws MalformedException {
-    Seal.Opened opened = seal.open(HexFormat.of().parseHex(SEALED), Seal.Heard.NOTHING);
+  void sealedBytesAreOpened() throws MalformedMessageException {
+    MessageAuthenticator.OpenedMessage opened =
+        authenticator.open(
+            HexFormat.of().parseHex(SEALED), MessageAuthenticator.ReplayWindow.EMPTY);
     assertThat(opened.message()).isEqualTo(MESSAGE);
-    assertThat(opened.heard()).isEqualTo(new Seal.Heard(0x19a5b6c7d8eL, 300, 1));
+    assertThat(opened.window())
+        .isEqualTo(new MessageAuthenticator.ReplayWindow(0x19a5b6c7d8eL, 300, 1));
   }
 }
--- a/net/src/test/java/tamarindroute/protocol/ProtocolTest.java
+++ b/net/src/test/java/tamarindroute/protocol/ProtocolParsersTest.java
@@ -14,49 +14,49 @@
 /**
  * The parsers, fed whole, in pieces of every size, pipelined, and with what is not of the protocol.
  */
-class ProtocolTest {
+class ProtocolParsersTest {
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
   /** What a reader of two words and a body makes of the bytes, fed in pieces of this size. */
-  private static List<String> frames(byte[] all, int piece) throws MalformedException {
+  private static List<String> frames(byte[] all, int chunkSize) throws MalformedMessageException {
     RespReader reader = new RespReader(2, 20, 30);
     List<String> read = new ArrayList<>();
     StringBuilder body = new StringBuilder();
-    for (int at = 0; at < all.length; at += piece) {
-      ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
+    for (int offset = 0; offset < all.length; offset += chunkSize) {
+      ByteBuffer in = ByteBuffer.wrap(all, offset, Math.min(chunkSize, all.length - offset));
       for (RespReader.Step step = reader.next(in);
-          step != RespReader.Step.MORE;
+          step != RespReader.Step.NEED_MORE_BYTES;
           step = reader.next(in)) {
         switch (step) {
           case BODY -> body.append(StandardCharsets.ISO_8859_1.decode(reader.body()));
           case END -> {
-            read.add(reader.words() + "/" + reader.bodyLength() + "/" + body);
+            read.add(reader.arguments() + "/" + reader.bodyLength() + "/" + body);
             body.setLength(0);
           }
-          default -> assertThat(step).isEqualTo(RespReader.Step.HEAD);
+          default -> assertThat(step).isEqualTo(RespReader.Step.HEADER);
         }
       }
       assertThat(in.hasRemaining()).isFalse();
     }
-    assertThat(reader.atRest()).isTrue();
+    assertThat(reader.betweenFrames()).isTrue();
     return read;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 16, 1000})
-  void framesAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
+  void framesAreReadAlikeInChunksOfAnySize(int chunkSize) throws MalformedMessageException {
     String opening =
-        StandardCharsets.ISO_8859_1.decode(RespWriter.opening(5, "7", "ACK")).toString();
+        StandardCharsets.ISO_8859_1.decode(RespWriter.frameHeader(5, "7", "ACK")).toString();
     String all =
         new String(RespWriter.frame("RPC.CANCEL", "7"), StandardCharsets.ISO_8859_1)
             + opening
             + "a\r\n*0\r\n"
             + "*1\r\n$1\r\nx\r\n"
             + "*3\r\n$0\r\n\r\n$1\r\n1\r\n$0\r\n\r\n";
-    assertThat(frames(bytes(all), piece))
+    assertThat(frames(bytes(all), chunkSize))
         .containsExactly("[RPC.CANCEL, 7]/0/", "[7, ACK]/5/a\r\n*0", "[x]/0/", "[, 1]/0/");
   }
 
@@ -78,43 +78,51 @@
         "*1\r\n$ 1\r\n",
         "*1\r\n$-1\r\n"
       })
-  void whatIsNoFrameIsMalformed(String text) {
-    assertThatThrownBy(() -> frames(bytes(text), 1)).isInstanceOf(MalformedException.class);
-    assertThatThrownBy(() -> frames(bytes(text), 100)).isInstanceOf(MalformedException.class);
+  void malformedFramesAreRejected(String text) {
+    assertThatThrownBy(() -> frames(bytes(text), 1)).isInstanceOf(MalformedMessageException.class);
+    assertThatThrownBy(() -> frames(bytes(text), 100))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void fieldsAreReadAsWritten() throws MalformedException {
-    Fields fields = Fields.read("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
+  void fieldListsRoundTrip() throws MalformedMessageException {
+    FieldList fields = FieldList.parse("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
     assertThat(fields.text("rep")).isEqualTo("inflight:7;util:0.61");
     assertThat(fields.number("first", 0, 9)).isEqualTo(2.5);
     assertThat(fields.number("absent", 9, 9)).isEqualTo(9);
     assertThat(fields.text("empty")).isEmpty();
-    assertThat(fields.write("-")).isEqualTo("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
-    assertThat(Fields.read("-").write("-")).isEqualTo("-");
-    assertThat(new Fields().with("a", 1).with("b", null).write("")).isEqualTo("a=1");
+    assertThat(fields.format("-")).isEqualTo("lane=clip,rep=inflight:7;util:0.61,first=2.5,empty=");
+    assertThat(FieldList.parse("-").format("-")).isEqualTo("-");
+    assertThat(new FieldList().with("a", 1).with("b", null).format("")).isEqualTo("a=1");
     for (String bad : List.of("a", "=1", "a=1,,b=2", ",")) {
-      assertThatThrownBy(() -> Fields.read(bad)).as(bad).isInstanceOf(MalformedException.class);
+      assertThatThrownBy(() -> FieldList.parse(bad))
+          .as(bad)
+          .isInstanceOf(MalformedMessageException.class);
     }
     for (String bad :
         List.of(
             "a=x", "a=", "a=-1", "a=NaN", "a=1e999", "a=11", "a=0x1p1", "a=3d", "a= 3",
             "a=1,a=1")) {
-      assertThatThrownBy(() -> Fields.read(bad).number("a", 0, 10))
+      assertThatThrownBy(() -> FieldList.parse(bad).number("a", 0, 10))
           .as(bad)
-          .isInstanceOf(MalformedException.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
   }
 
-  private static List<String> answers(String text, int piece) throws MalformedException {
-    HttpReader reader = new HttpReader(20);
+  private static List<String> responses(String text, int chunkSize)
+      throws MalformedMessageException {
+    HttpResponseReader reader = new HttpResponseReader(20);
     List<String> read = new ArrayList<>();
     byte[] all = bytes(text);
-    for (int at = 0; at < all.length; at += piece) {
-      ByteBuffer in = ByteBuffer.wrap(all, at, Math.min(piece, all.length - at));
+    for (int offset = 0; offset < all.length; offset += chunkSize) {
+      ByteBuffer in = ByteBuffer.wrap(all, offset, Math.min(chunkSize, all.length - offset));
       while (in.hasRemaining()) {
         if (reader.read(in)) {
-          read.add(reader.status() + " " + reader.body() + (reader.closing() ? " closing" : ""));
+          read.add(
+              reader.status()
+                  + " "
+                  + reader.body()
+                  + (reader.closesConnection() ? " closing" : ""));
         }
       }
     }
@@ -123,13 +131,13 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 5, 1000})
-  void httpAnswersAreReadAlikeInPiecesOfAnySize(int piece) throws MalformedException {
+  void httpResponsesAreReadAlikeInChunksOfAnySize(int chunkSize) throws MalformedMessageException {
     String all =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
             + "HTTP/1.1 503 Busy\r\nconnection: close\r\nContent-Length:0\r\n\r\n"
             + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\n\r\n\r\n0\r\nT: 1\r\n\r\n"
             + "HTTP/1.0 200 OK\nContent-Length: 1\n\nz";
-    assertThat(answers(all, piece))
+    assertThat(responses(all, chunkSize))
         .containsExactly("200 hello", "503  closing", "200 abc\r\n", "200 z closing");
   }
 
@@ -144,11 +152,11 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"
       })
-  void whatIsNoHttpAnswerIsMalformed(String text) {
-    assertThatThrownBy(() -> answers(text, 1)).isInstanceOf(MalformedException.class);
-    assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\nX: " + "y".repeat(5000), 1000))
-        .isInstanceOf(MalformedException.class);
-    assertThatThrownBy(() -> answers("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(200), 1000))
-        .isInstanceOf(MalformedException.class);
+  void malformedHttpResponsesAreRejected(String text) {
+    assertThatThrownBy(() -> responses(text, 1)).isInstanceOf(MalformedMessageException.class);
+    assertThatThrownBy(() -> responses("HTTP/1.1 200 OK\r\nX: " + "y".repeat(5000), 1000))
+        .isInstanceOf(MalformedMessageException.class);
+    assertThatThrownBy(() -> responses("HTTP/1.1 200 OK\r\n" + "A: b\r\n".repeat(200), 1000))
+        .isInstanceOf(MalformedMessageException.class);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/Capacity.java
+++ b/policy/src/main/java/tamarindroute/policy/AdaptiveConcurrencyLimit.java
@@ -6,7 +6,7 @@
  * few: if they took no longer, what they met is borne, else the limit is less by as much; in
  * logarithms against outliers.
  */
-final class Capacity {
+final class AdaptiveConcurrencyLimit {
 
   /**
    * Hits among many that took no longer than alone prove room; within a quarter they prove nothing.
@@ -18,7 +18,7 @@
   private int samples;
 
   /** What is told counts until hits contradict it by more than this factor. */
-  Capacity(double told, double trust) {
+  AdaptiveConcurrencyLimit(double told, double trust) {
     this.told = told;
     this.trust = trust;
     limit = told;
--- a/policy/src/main/java/tamarindroute/policy/ClassMeasures.java
+++ b/policy/src/main/java/tamarindroute/policy/ClassStatistics.java
@@ -4,7 +4,7 @@
  * What is measured of a class: its transfers' time, how far they scatter, what share of them is
  * answered.
  */
-final class ClassMeasures {
+final class ClassStatistics {
 
   /** Of a class's share its larger views are due two thirds on quiet days; this leaves room. */
   private static final double OWED = 0.7;
@@ -23,7 +23,7 @@
 
   private int samples;
 
-  ClassMeasures(double target) {
+  ClassStatistics(double target) {
     mean = target;
   }
 
--- a/policy/src/main/java/tamarindroute/policy/Popularity.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectPopularity.java
@@ -1,11 +1,11 @@
 package tamarindroute.policy;
 
 import java.util.LinkedHashMap;
-import tamarindroute.decision.View;
+import tamarindroute.decision.Request;
 import tamarindroute.numeric.Hashing;
 
 /** Owns the table of popularities and the ratio test, which tells what is spread over the edges. */
-final class Popularity {
+final class ObjectPopularity {
 
   /** The window of the design page, its weight of the newest one, and a bound on the table. */
   private static final double WINDOW = 5, ALPHA = 0.4;
@@ -20,8 +20,8 @@
     private boolean hot;
     double heldAt = -1;
 
-    Item(View view, long window) {
-      kilobytes = view.kilobytes > 0 ? view.kilobytes : 1;
+    Item(Request request, long window) {
+      kilobytes = request.kilobytes > 0 ? request.kilobytes : 1;
       this.window = window;
     }
 
@@ -48,12 +48,12 @@
     return Hashing.mix(object * 1000003 + part);
   }
 
-  Item item(View view, double now) {
-    long key = key(view.object, view.part);
+  Item item(Request request, double now) {
+    long key = key(request.objectId, request.part);
     long window = (long) (now / WINDOW);
     Item item = table.get(key);
     if (item == null) {
-      item = new Item(view, window);
+      item = new Item(request, window);
       table.put(key, item);
       tableBytes += item.kilobytes;
       if (table.size() > TABLE) {
@@ -67,14 +67,17 @@
   }
 
   /** The ratio test of the design page, and the bound on the middle rank's share of the bytes. */
-  boolean hot(Item item, Caches all) {
-    long n = all.edges.stream().filter(e -> e.cache.ready()).count();
+  boolean hot(Item item, CacheTiers tiers) {
+    long n = tiers.edges.stream().filter(e -> e.cache.isReady()).count();
     boolean passes =
         n > 1
-            && all.settings.siblings()
+            && tiers.settings.siblingFillAllowed()
             && marginalSamples >= 50
-            && all.near < all.far
-            && item.density() > marginal * (n * all.far - (n - 1) * all.near) / all.near;
+            && tiers.hitLatency < tiers.fillLatency
+            && item.density()
+                > marginal
+                    * (n * tiers.fillLatency - (n - 1) * tiers.hitLatency)
+                    / tiers.hitLatency;
     boolean hot = passes && (item.hot || (hotBytes + item.kilobytes) * n <= 0.5 * tableBytes);
     hotBytes += hot == item.hot ? 0 : hot ? item.kilobytes : -item.kilobytes;
     item.hot = hot;
--- a/policy/src/test/java/tamarindroute/policy/CapacityLimitTest.java
+++ b/policy/src/test/java/tamarindroute/policy/AdaptiveConcurrencyLimitTest.java
@@ -7,11 +7,15 @@
 /**
  * How far the limit of what caches bear follows hits, where a weight was told and where none was.
  */
-class CapacityLimitTest {
+class AdaptiveConcurrencyLimitTest {
 
   /** Hits by turns among few and among many: the times that each took, over its time alone. */
-  private static Capacity after(
-      Capacity capacity, int hits, double few, double many, double slowerAmongMany) {
+  private static AdaptiveConcurrencyLimit after(
+      AdaptiveConcurrencyLimit capacity,
+      int hits,
+      double few,
+      double many,
+      double slowerAmongMany) {
     for (int i = 0; i < hits; i++) {
       capacity.sample(few, 1, true);
       capacity.sample(many, slowerAmongMany, true);
@@ -25,14 +29,14 @@
    */
   @Test
   void aToldSizeStaysWhileHitsContradictItLittle() {
-    assertThat(after(new Capacity(1, 2), 300, 0.5, 1.6, 1).limit()).isEqualTo(1);
-    assertThat(after(new Capacity(1, 2), 300, 0.5, 2, 3).limit()).isEqualTo(1);
+    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 1.6, 1).limit()).isEqualTo(1);
+    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 2, 3).limit()).isEqualTo(1);
   }
 
   @Test
   void aToldSizeYieldsToHitsThatContradictItClearly() {
-    assertThat(after(new Capacity(1, 2), 300, 0.5, 6, 1).limit()).isGreaterThan(5);
-    assertThat(after(new Capacity(1, 2), 300, 0.5, 2, 10).limit()).isLessThan(0.3);
+    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 6, 1).limit()).isGreaterThan(5);
+    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 2, 10).limit()).isLessThan(0.3);
   }
 
   /**
@@ -41,11 +45,12 @@
    */
   @Test
   void hitsThatTookLongerAmongManyProveNoRoom() {
-    assertThat(after(new Capacity(1, 2), 300, 0.5, 6, 1.15).limit()).isEqualTo(1);
+    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 6, 1.15).limit()).isEqualTo(1);
   }
 
   @Test
   void whatWasNotToldIsFoundOut() {
-    assertThat(after(new Capacity(1e6, 1), 300, 4, 30, 2).limit()).isBetween(10.0, 20.0);
+    assertThat(after(new AdaptiveConcurrencyLimit(1e6, 1), 300, 4, 30, 2).limit())
+        .isBetween(10.0, 20.0);
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/CapacityTest.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityDiscoveryTest.java
@@ -21,20 +21,21 @@
  * CapacityWorld}: it serves about as much as if it were told, settles after each change, and keeps
  * the rules on cold caches and on effects.
  */
-class CapacityTest {
+class CapacityDiscoveryTest {
 
-  private static final Map<String, CapacityWorld> TOLD_ALL = new HashMap<>();
+  private static final Map<String, CapacitySimulation> TOLD_ALL = new HashMap<>();
   private static final double[] EDGES = {8, 10, 12, 16};
 
   /** The play of the same requests in which all is told, truly, and nothing happens. */
-  private static CapacityWorld toldAll(int gateways, double load, boolean uneven, double... edges) {
+  private static CapacitySimulation toldAll(
+      int gateways, double load, boolean uneven, double... edges) {
     String key = gateways + " " + load + " " + uneven + " " + Arrays.toString(edges);
     return TOLD_ALL.computeIfAbsent(
         key,
         k -> {
-          CapacityPlan plan = new CapacityPlan(gateways, load, edges);
+          SimulationPlan plan = new SimulationPlan(gateways, load, edges);
           plan.uneven = uneven;
-          return plan.play();
+          return plan.simulate();
         });
   }
 
@@ -71,7 +72,8 @@
   @MethodSource("untold")
   void servesAsMuchWithoutBeingTold(String option, int gateways, double load) {
     double told = toldAll(gateways, load, false, EDGES).served(5, 40);
-    CapacityWorld world = new CapacityPlan(gateways, load, EDGES).telling(option).play();
+    CapacitySimulation world =
+        new SimulationPlan(gateways, load, EDGES).withOption(option).simulate();
     double least = option.equals("OFF") && load > 0.8 ? 0.86 : 0.9;
     assertThat(world.served(5, 40) / told).isGreaterThan(least);
   }
@@ -94,19 +96,20 @@
   void servesNearlyAsMuchWhereMoreIsUneven(
       String option, int gateways, double load, boolean uneven, double least, double most) {
     double told = toldAll(gateways, load, uneven, least, 10, 12, most).served(5, 40);
-    CapacityPlan plan = new CapacityPlan(gateways, load, least, 10, 12, most).telling(option);
+    SimulationPlan plan =
+        new SimulationPlan(gateways, load, least, 10, 12, most).withOption(option);
     plan.uneven = uneven;
-    assertThat(plan.play().served(5, 40) / told).isGreaterThan(0.8);
+    assertThat(plan.simulate().served(5, 40) / told).isGreaterThan(0.8);
   }
 
   @ParameterizedTest
   @CsvSource({"1, 0.5", "4, 0.5", "1, 0.9", "4, 0.9", "12, 0.9"})
   void homesStandStillWhereWeightsAreLive(int gateways, double load) {
-    assertThat(new CapacityPlan(gateways, load, EDGES).telling("LIVE").play().homesMoved)
+    assertThat(new SimulationPlan(gateways, load, EDGES).withOption("LIVE").simulate().homesMoved)
         .isLessThan(0.02);
   }
 
-  private static Consumer<CapacityWorld> change(String name) {
+  private static Consumer<CapacitySimulation> change(String name) {
     return switch (name) {
       case "slow" -> world -> world.edges.get(0).speed = 0.1;
       case "half" -> world -> world.startAnew(0, 5);
@@ -139,14 +142,15 @@
   })
   void settlesAfterAChange(String change, double load, String option) {
     double[] edges = {10, 10, 10, 10};
-    CapacityWorld none = toldAll(4, load, false, edges);
-    CapacityWorld early =
-        new CapacityPlan(4, load, edges).telling(option).at(0, change(change)).play();
-    CapacityWorld late =
-        new CapacityPlan(4, load, edges).telling(option).at(15, change(change)).play();
-    long mark = late.edges.get(0).cache.mark;
-    Predicate<CapacityWorld.Request> there = request -> request.home().mark == mark;
-    Predicate<CapacityWorld.Request> others = there.negate();
+    CapacitySimulation none = toldAll(4, load, false, edges);
+    CapacitySimulation early =
+        new SimulationPlan(4, load, edges).withOption(option).at(0, change(change)).simulate();
+    CapacitySimulation late =
+        new SimulationPlan(4, load, edges).withOption(option).at(15, change(change)).simulate();
+    long mark = late.edges.get(0).cache.stableId;
+    Predicate<CapacitySimulation.SimulatedRequest> there =
+        simulated -> simulated.home().stableId == mark;
+    Predicate<CapacitySimulation.SimulatedRequest> others = there.negate();
     SoftAssertions softly = new SoftAssertions();
     softly.assertThat(late.served(30, 40)).as("all").isGreaterThan(early.served(30, 40) - 0.1);
     softly
@@ -174,18 +178,18 @@
     "4, 0.3, no-details"
   })
   void servesBesideHungCaches(int hung, double mostRejected, String option) {
-    CapacityPlan plan = new CapacityPlan(4, 0.4, 8, 8, 8, 8, 8, 8, 8, 8).telling(option);
+    SimulationPlan plan = new SimulationPlan(4, 0.4, 8, 8, 8, 8, 8, 8, 8, 8).withOption(option);
     for (int edge = 0; edge < hung; edge++) {
       int which = edge;
       plan.at(10, world -> world.edges.get(which).hung = true)
           .at(25, world -> world.edges.get(which).hung = false);
     }
-    CapacityWorld world = plan.play();
-    assertThat(world.share(CapacityWorld.End.REJECTED, 15, 25))
+    CapacitySimulation world = plan.simulate();
+    assertThat(world.share(CapacitySimulation.Ending.REJECTED, 15, 25))
         .as("rejected")
         .isLessThanOrEqualTo(mostRejected);
     assertThat(world.served(15, 25)).as("served").isGreaterThan(1 - 2 * mostRejected);
-    assertThat(world.held).as("held").isZero();
+    assertThat(world.abandoned).as("held").isZero();
     assertThat(world.open()).as("open at the end").isZero();
   }
 
@@ -206,13 +210,13 @@
     "nothing, 30, 1"
   })
   void keepsTheColdRule(String option, int gateways, int seed) {
-    CapacityPlan plan =
-        new CapacityPlan(gateways, 0.8, 30, 30, 30, 30)
-            .telling(option)
+    SimulationPlan plan =
+        new SimulationPlan(gateways, 0.8, 30, 30, 30, 30)
+            .withOption(option)
             .at(10, world -> world.startAnew(0, 30));
     plan.seed = seed;
     plan.seconds = 22;
-    CapacityWorld world = plan.play();
+    CapacitySimulation world = plan.simulate();
     assertThat(world.coldMost).as("something reached it").isPositive();
     assertThat(world.coldMostOfChance).isLessThan(1);
   }
@@ -220,13 +224,14 @@
   @ParameterizedTest
   @CsvSource({"no-details, 1", "no-details, 4", "hit-details, 1", "hit-details, 4", "TRUE, 4"})
   void servesAsBeforeOnceTheOriginIsWell(String option, int gateways) {
-    double before = new CapacityPlan(gateways, 0.7, EDGES).telling(option).play().served(20, 40);
-    CapacityWorld world =
-        new CapacityPlan(gateways, 0.7, EDGES)
-            .telling(option)
+    double before =
+        new SimulationPlan(gateways, 0.7, EDGES).withOption(option).simulate().served(20, 40);
+    CapacitySimulation world =
+        new SimulationPlan(gateways, 0.7, EDGES)
+            .withOption(option)
             .at(5, it -> it.originFails = true)
             .at(8, it -> it.originFails = false)
-            .play();
+            .simulate();
     assertThat(world.served(20, 40)).isGreaterThan(before - 0.03);
   }
 
@@ -234,22 +239,22 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "direct", "second-copies"})
   void keptTokensStayInTheirCell(String allowed) {
-    CapacityPlan plan =
-        new CapacityPlan(4, 0.5, EDGES)
+    SimulationPlan plan =
+        new SimulationPlan(4, 0.5, EDGES)
             .at(10, world -> world.edges.get(0).hung = true)
             .at(25, world -> world.edges.get(0).hung = false);
     plan.token = true;
     plan.failing = 0.1;
     plan.direct = allowed.equals("direct");
     plan.secondCopies = allowed.equals("second-copies");
-    CapacityWorld world = plan.play();
+    CapacitySimulation world = plan.simulate();
     assertThat(world.cellsLeft).as("attempts in another cell").isZero();
     assertThat(world.cellsKept).as("attempts in the same cell").isPositive();
   }
 
   @Test
   void aPlayIsTheSameEachTime() {
-    CapacityPlan plan = new CapacityPlan(4, 0.9, EDGES);
-    assertThat(plan.play().served(0, 40)).isEqualTo(plan.play().served(0, 40));
+    SimulationPlan plan = new SimulationPlan(4, 0.9, EDGES);
+    assertThat(plan.simulate().served(0, 40)).isEqualTo(plan.simulate().served(0, 40));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/CapacityReport.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityReport.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * Prints what plays of {@link CapacityWorld} come to, one line for each option, number of gateways
- * and load.
+ * Prints what plays of {@link CapacitySimulation} come to, one line for each option, number of
+ * gateways and load.
  */
 public final class CapacityReport {
 
@@ -34,7 +34,7 @@
       for (String option : options) {
         for (int gateways : new int[] {1, 4, 12}) {
           for (double load : new double[] {0.5, 0.9}) {
-            line(option, new CapacityPlan(gateways, load, edges).telling(option));
+            line(option, new SimulationPlan(gateways, load, edges).withOption(option));
           }
         }
       }
@@ -47,16 +47,16 @@
         for (double load : new double[] {0.5, 0.8}) {
           coldLine(
               option,
-              new CapacityPlan(gateways, load, 30, 30, 30, 30)
-                  .telling(option)
+              new SimulationPlan(gateways, load, 30, 30, 30, 30)
+                  .withOption(option)
                   .at(10, it -> it.startAnew(0, 30)));
         }
       }
     }
   }
 
-  private static void coldLine(String option, CapacityPlan plan) {
-    CapacityWorld world = plan.play();
+  private static void coldLine(String option, SimulationPlan plan) {
+    CapacitySimulation world = plan.simulate();
     System.out.printf(
         Locale.ROOT,
         "%-12s %8d %4.1f %6.2f %6.2f  %.3f %.3f%n",
@@ -69,9 +69,9 @@
         world.served(25, 40));
   }
 
-  private static void line(String option, CapacityPlan plan) {
+  private static void line(String option, SimulationPlan plan) {
     long began = System.nanoTime();
-    CapacityWorld world = plan.play();
+    CapacitySimulation world = plan.simulate();
     System.out.printf(
         Locale.ROOT,
         "%2.0f to %2.0f  %-12s %8d %4.1f  %6.3f %8.3f %8.3f %5.3f %6.3f %5d %6.2f%n",
@@ -81,11 +81,11 @@
         plan.gateways,
         plan.load,
         world.served(5, 40),
-        world.share(CapacityWorld.End.REJECTED, 5, 40),
-        world.share(CapacityWorld.End.GIVEN_UP, 5, 40),
-        world.share(CapacityWorld.End.LATE, 5, 40),
+        world.share(CapacitySimulation.Ending.REJECTED, 5, 40),
+        world.share(CapacitySimulation.Ending.GIVEN_UP, 5, 40),
+        world.share(CapacitySimulation.Ending.LATE, 5, 40),
         world.homesMoved,
-        world.held,
+        world.abandoned,
         (System.nanoTime() - began) * 1e-9);
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/CapacityWorld.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
@@ -17,7 +17,7 @@
  * transfers: each runs at full pace or, where there are more than the link bears, at its even part.
  * Deterministic: time goes by steps, all chance comes from the plan's seed.
  */
-final class CapacityWorld {
+final class CapacitySimulation {
 
   private static final double STEP = 0.004, PACE = 1000;
   private static final double REPORT_DELAY = 0.5, TOKEN_WINDOW = 3;
@@ -55,7 +55,7 @@
    * How a request ended; the first end counts: answered in its target or past it, or given up with
    * or without an attempt.
    */
-  enum End {
+  enum Ending {
     SERVED,
     LATE,
     GIVEN_UP,
@@ -63,10 +63,11 @@
   }
 
   /** A client's request at its gateway, and the first of its caches at its arrival. */
-  record Request(View view, Decisions gateway, double work, double value, Cache home) {
+  record SimulatedRequest(
+      Request request, RoutingPolicy gateway, double work, double value, Cache home) {
 
     double arrived() {
-      return Seconds.seconds(view.arrived);
+      return Seconds.seconds(request.arrivalTime);
     }
   }
 
@@ -74,7 +75,7 @@
    * A cache as it truly is; at a start it bears a part of its capacity that rises in a straight
    * line.
    */
-  final class Machine {
+  final class SimulatedCache {
     final Cache cache;
     double capacity, speed = 1;
     boolean hung;
@@ -87,23 +88,23 @@
     /** The times and works of what reached it in the window of the cold rule. */
     private final Deque<double[]> reached = new ArrayDeque<>();
 
-    Machine(long mark, Cache.Tier tier, int cell, double capacity, double bytes) {
-      this.cache = new Cache(mark);
+    SimulatedCache(long stableId, Cache.Tier tier, int cell, double capacity, double bytes) {
+      this.cache = new Cache(stableId);
       this.capacity = capacity;
       this.bytes = bytes;
       cache.tier = tier;
       cache.cell = cell;
-      machines.put(cache, this);
-      list.add(cache);
+      simulatedCaches.put(cache, this);
+      caches.add(cache);
     }
 
     boolean cold() {
-      return cache.upSince != null && now < Seconds.seconds(cache.upSince) + WARM_AFTER;
+      return cache.startedAt != null && now < Seconds.seconds(cache.startedAt) + WARM_AFTER;
     }
 
     double warmth(double at) {
       return cold()
-          ? COLD_FROM + (1 - COLD_FROM) * (at - Seconds.seconds(cache.upSince)) / WARM_AFTER
+          ? COLD_FROM + (1 - COLD_FROM) * (at - Seconds.seconds(cache.startedAt)) / WARM_AFTER
           : 1;
     }
 
@@ -111,8 +112,8 @@
       return hung ? 0 : speed * Math.min(1, capacity * warmth(now) / Math.max(1, sending));
     }
 
-    boolean holds(Request request) {
-      return objects.get(request.view.object) != null;
+    boolean holds(SimulatedRequest simulated) {
+      return objects.get(simulated.request.objectId) != null;
     }
 
     void keep(long object, double size) {
@@ -126,23 +127,23 @@
   }
 
   /** What an attempt comes to after a wait, and its work where it is answered. */
-  private record Fate(Machine from, Result result, Detail detail, double delay) {}
+  private record AttemptResult(SimulatedCache from, Result result, Detail detail, double delay) {}
 
   /** An attempt under way. */
   private static final class Transfer {
-    final Request request;
-    final Trip trip;
-    final Machine at;
-    final Fate fate;
+    final SimulatedRequest simulated;
+    final Attempt attempt;
+    final SimulatedCache at;
+    final AttemptResult fate;
     double wait, work;
 
-    Transfer(Request request, Trip trip, Machine at, Fate fate) {
-      this.request = request;
-      this.trip = trip;
+    Transfer(SimulatedRequest simulated, Attempt attempt, SimulatedCache at, AttemptResult fate) {
+      this.simulated = simulated;
+      this.attempt = attempt;
       this.at = at;
       this.fate = fate;
       this.wait = fate.delay;
-      this.work = fate.result == Result.HONOURED ? request.work : 0;
+      this.work = fate.result == Result.SERVED ? simulated.work : 0;
     }
 
     boolean done() {
@@ -160,12 +161,12 @@
   }
 
   /** When a gateway asks again; the attempt that is late then, if any. */
-  private record Alarm(double at, Request request, Trip trip) {}
+  private record Timer(double at, SimulatedRequest simulated, Attempt attempt) {}
 
-  private final List<Request> requests = new ArrayList<>();
-  private final Map<Request, End> ends = new IdentityHashMap<>();
-  final List<Machine> edges = new ArrayList<>();
-  private final Decisions[] gateways;
+  private final List<SimulatedRequest> requests = new ArrayList<>();
+  private final Map<SimulatedRequest, Ending> ends = new IdentityHashMap<>();
+  final List<SimulatedCache> edges = new ArrayList<>();
+  private final RoutingPolicy[] gateways;
 
   /** Whether the origin fails whatever it is asked. */
   boolean originFails;
@@ -180,41 +181,43 @@
   int cellsLeft, cellsKept;
 
   /** Requests that a gateway neither sent nor answered nor would ask for again. */
-  int held;
+  int abandoned;
 
   /** The greatest share of objects whose home moved from one list to the next. */
   double homesMoved;
 
-  private final CapacityPlan plan;
+  private final SimulationPlan plan;
 
   /**
    * Chance of the clients alone, so that plays of one seed have the same requests; and all other
    * chance.
    */
-  private final Random dice, luck;
+  private final Random clientRandom, random;
 
-  private final Map<Cache, Machine> machines = new IdentityHashMap<>();
-  private final List<Cache> list = new ArrayList<>();
+  private final Map<Cache, SimulatedCache> simulatedCaches = new IdentityHashMap<>();
+  private final List<Cache> caches = new ArrayList<>();
   private final List<Transfer> transfers = new ArrayList<>();
-  private final PriorityQueue<Alarm> alarms =
-      new PriorityQueue<>(Comparator.comparingDouble(Alarm::at));
-  private final Profile[] profiles = new Profile[2];
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(Comparator.comparingDouble(Timer::at));
+  private final RequestClass[] requestClasses = new RequestClass[2];
   private final double[] clients, upTo = new double[OBJECTS], size = new double[OBJECTS];
   private final double inlet, perSecond;
   private double now, meanWork, meanSquare;
   private int steps;
 
-  CapacityWorld(CapacityPlan plan) {
+  CapacitySimulation(SimulationPlan plan) {
     this.plan = plan;
-    dice = new Random(plan.seed);
-    luck = new Random(plan.seed + 1000);
+    clientRandom = new Random(plan.seed);
+    random = new Random(plan.seed + 1000);
     double capacity = Arrays.stream(plan.edges).sum();
     inlet = INLET * capacity;
     for (int i = 0; i < 2; i++) {
-      profiles[i] =
-          new Profile(
-              plan.token ? Profile.Repeat.NUMBERED : Profile.Repeat.REISSUABLE,
-              plan.token ? Profile.Group.CELL : Profile.Group.ALL,
+      requestClasses[i] =
+          new RequestClass(
+              plan.token ? RequestClass.Idempotency.KEYED : RequestClass.Idempotency.IDEMPOTENT,
+              plan.token
+                  ? RequestClass.DeduplicationScope.CELL
+                  : RequestClass.DeduplicationScope.ALL,
               at(plan.token ? TOKEN_WINDOW : 0),
               at(TARGET),
               STRETCH[i],
@@ -224,19 +227,21 @@
     perSecond = plan.load * capacity / objects();
     double all = Arrays.stream(size).sum();
     for (int i = 0; i < plan.edges.length; i++) {
-      edges.add(new Machine(100 + i, Cache.Tier.EDGE, i % 2, plan.edges[i], EDGE_HOLDS * all));
+      edges.add(
+          new SimulatedCache(100 + i, Cache.Tier.EDGE, i % 2, plan.edges[i], EDGE_HOLDS * all));
     }
-    new Machine(200, Cache.Tier.PARENT, -1, capacity, PARENT_HOLDS * all);
-    new Machine(201, Cache.Tier.PARENT, -1, capacity, PARENT_HOLDS * all);
-    new Machine(300, Cache.Tier.ORIGIN, -1, capacity, 0);
-    gateways = new Decisions[plan.gateways];
+    new SimulatedCache(200, Cache.Tier.PARENT, -1, capacity, PARENT_HOLDS * all);
+    new SimulatedCache(201, Cache.Tier.PARENT, -1, capacity, PARENT_HOLDS * all);
+    new SimulatedCache(300, Cache.Tier.ORIGIN, -1, capacity, 0);
+    gateways = new RoutingPolicy[plan.gateways];
     clients = new double[plan.gateways];
     for (int i = 0; i < plan.gateways; i++) {
-      gateways[i] = new Brain(settings());
+      gateways[i] = new RatioTestPolicy(settings());
       clients[i] =
-          (i > 0 ? clients[i - 1] : 0) + (plan.uneven ? Math.exp(1.2 * dice.nextGaussian()) : 1);
+          (i > 0 ? clients[i - 1] : 0)
+              + (plan.uneven ? Math.exp(1.2 * clientRandom.nextGaussian()) : 1);
     }
-    tell();
+    publishEndpoints();
     fillCaches();
   }
 
@@ -244,18 +249,18 @@
     return Seconds.span(seconds);
   }
 
-  private Settings settings() {
-    Settings.Weights weights =
-        switch (plan.told) {
-          case TRUE -> Settings.Weights.NOMINAL;
-          case OFF -> Settings.Weights.OFF;
-          case TENFOLD, TENTH -> Settings.Weights.ROUGH;
-          case LIVE -> Settings.Weights.LIVE;
+  private PolicySettings settings() {
+    PolicySettings.WeightMeaning weights =
+        switch (plan.advertisedWeights) {
+          case TRUE -> PolicySettings.WeightMeaning.NOMINAL;
+          case OFF -> PolicySettings.WeightMeaning.OFF;
+          case TENFOLD, TENTH -> PolicySettings.WeightMeaning.ROUGH;
+          case LIVE -> PolicySettings.WeightMeaning.LIVE;
         };
-    Settings.ColdStart cold =
-        new Settings.ColdStart(COLD_FROM, at(WARM_AFTER), COLD_MULTIPLE, at(COLD_WINDOW));
-    return new Settings(
-        luck.nextLong(),
+    PolicySettings.ColdStart cold =
+        new PolicySettings.ColdStart(COLD_FROM, at(WARM_AFTER), COLD_MULTIPLE, at(COLD_WINDOW));
+    return new PolicySettings(
+        random.nextLong(),
         0,
         plan.gateways,
         plan.gateways,
@@ -264,7 +269,7 @@
         plan.link ? inlet * PACE : 0,
         plan.direct,
         true,
-        plan.says == CapacityPlan.Says.ALL,
+        plan.reportedDetails == SimulationPlan.ReportedDetails.ALL,
         plan.secondCopies,
         true,
         at(0.5),
@@ -301,18 +306,18 @@
    */
   private void fillCaches() {
     for (int i = upTo.length - 1; i >= 0; i--) {
-      machines.get(gateways[0].homes(i).get(0)).keep(i, size[i]);
-      for (Cache cache : list.subList(edges.size(), list.size())) {
-        machines.get(cache).keep(i, size[i]);
+      simulatedCaches.get(gateways[0].rankedCaches(i).get(0)).keep(i, size[i]);
+      for (Cache cache : caches.subList(edges.size(), caches.size())) {
+        simulatedCaches.get(cache).keep(i, size[i]);
       }
     }
   }
 
   /** Tells all gateways the list, with the weights as the plan would have them. */
-  private void tell() {
-    for (Machine machine : machines.values()) {
+  private void publishEndpoints() {
+    for (SimulatedCache machine : simulatedCaches.values()) {
       machine.cache.weight =
-          switch (plan.told) {
+          switch (plan.advertisedWeights) {
             case TRUE -> machine.capacity;
             case OFF -> 1;
             case TENFOLD -> 10 * machine.capacity;
@@ -320,14 +325,14 @@
             case LIVE -> machine.capacity / (1 + machine.inHand / 4.0);
           };
     }
-    for (Decisions gateway : gateways) {
-      gateway.listed(list, at(now));
+    for (RoutingPolicy gateway : gateways) {
+      gateway.onEndpoints(caches, at(now));
     }
   }
 
-  private void tellAgain() {
+  private void republishEndpoints() {
     List<Cache> before = homes();
-    tell();
+    publishEndpoints();
     List<Cache> after = homes();
     long moved =
         IntStream.range(0, before.size()).filter(i -> before.get(i) != after.get(i)).count();
@@ -335,25 +340,27 @@
   }
 
   private List<Cache> homes() {
-    return LongStream.range(0, 500).mapToObj(object -> gateways[0].homes(object).get(0)).toList();
+    return LongStream.range(0, 500)
+        .mapToObj(object -> gateways[0].rankedCaches(object).get(0))
+        .toList();
   }
 
   /** An edge's process starts anew, empty and cold, on a machine of this capacity. */
   void startAnew(int edge, double capacity) {
-    Machine machine = edges.get(edge);
+    SimulatedCache machine = edges.get(edge);
     machine.capacity = capacity;
-    machine.cache.upSince = at(now);
+    machine.cache.startedAt = at(now);
     machine.objects.clear();
     machine.held = 0;
     machine.reached.clear();
     machine.reachedWork = 0;
-    tell();
+    publishEndpoints();
     List.copyOf(transfers).stream()
         .filter(transfer -> transfer.at == machine)
-        .forEach(transfer -> end(transfer, Result.BROKEN, Detail.UNTOLD));
+        .forEach(transfer -> end(transfer, Result.CONNECTION_LOST, Detail.UNKNOWN));
     List.copyOf(transfers).stream()
         .filter(transfer -> transfer.fate.from == machine)
-        .forEach(transfer -> end(transfer, Result.ERRED, Detail.SOURCE_FAILED));
+        .forEach(transfer -> end(transfer, Result.FAILED, Detail.SOURCE_FAILED));
   }
 
   /**
@@ -361,23 +368,26 @@
    * one.
    */
   void restartGateway(int gateway) {
-    gateways[gateway] = new Brain(settings());
-    gateways[gateway].listed(list, at(now));
+    gateways[gateway] = new RatioTestPolicy(settings());
+    gateways[gateway].onEndpoints(caches, at(now));
   }
 
-  private List<Request> asked(double from, double to, Predicate<Request> of) {
+  private List<SimulatedRequest> asked(double from, double to, Predicate<SimulatedRequest> of) {
     return requests.stream().filter(of.and(r -> r.arrived() >= from && r.arrived() < to)).toList();
   }
 
   /** The value served in target, as a share of what was asked for from one time to another. */
-  double served(double from, double to, Predicate<Request> of) {
-    List<Request> asked = asked(from, to, of);
-    return asked.stream().filter(r -> ends.get(r) == End.SERVED).mapToDouble(Request::value).sum()
-        / asked.stream().mapToDouble(Request::value).sum();
+  double served(double from, double to, Predicate<SimulatedRequest> of) {
+    List<SimulatedRequest> asked = asked(from, to, of);
+    return asked.stream()
+            .filter(r -> ends.get(r) == Ending.SERVED)
+            .mapToDouble(SimulatedRequest::value)
+            .sum()
+        / asked.stream().mapToDouble(SimulatedRequest::value).sum();
   }
 
   double served(double from, double to) {
-    return served(from, to, request -> true);
+    return served(from, to, simulated -> true);
   }
 
   /** Requests that never ended. */
@@ -386,30 +396,30 @@
   }
 
   /** The share of requests that arrived from one time to another and ended so. */
-  double share(End end, double from, double to) {
+  double share(Ending end, double from, double to) {
     return (double) asked(from, to, r -> ends.get(r) == end).size()
         / asked(from, to, r -> true).size();
   }
 
-  void play() {
-    TreeMap<Double, Consumer<CapacityWorld>> events = new TreeMap<>(plan.events);
+  void run() {
+    TreeMap<Double, Consumer<CapacitySimulation>> events = new TreeMap<>(plan.events);
     double next = 0, toldAt = 0, end = plan.seconds + DEADLINE[0] + 1;
     for (; now < end; now = ++steps * STEP) {
       while (!events.isEmpty() && events.firstKey() <= now) {
         events.pollFirstEntry().getValue().accept(this);
       }
-      if (plan.told == CapacityPlan.Told.LIVE && now >= toldAt + 1) {
+      if (plan.advertisedWeights == SimulationPlan.AdvertisedWeights.LIVE && now >= toldAt + 1) {
         toldAt = now;
-        tellAgain();
+        republishEndpoints();
       }
       for (;
           next < Math.min(now, plan.seconds);
-          next -= Math.log(1 - dice.nextDouble()) / perSecond) {
+          next -= Math.log(1 - clientRandom.nextDouble()) / perSecond) {
         arrive();
       }
       step();
-      while (!alarms.isEmpty() && alarms.peek().at() <= now) {
-        ask(alarms.remove());
+      while (!timers.isEmpty() && timers.peek().at() <= now) {
+        ask(timers.remove());
       }
     }
   }
@@ -420,100 +430,108 @@
   }
 
   private void arrive() {
-    int object = drawn(upTo, dice.nextDouble());
-    Decisions gateway = gateways[drawn(clients, dice.nextDouble())];
+    int object = drawn(upTo, clientRandom.nextDouble());
+    RoutingPolicy gateway = gateways[drawn(clients, clientRandom.nextDouble())];
     int kind = object % 2;
-    View view =
-        new View(
-            profiles[kind],
+    Request request =
+        new Request(
+            requestClasses[kind],
             object,
             0,
             1,
             plan.sizes ? PACE * size[object] : 0,
             at(now),
             at(now + DEADLINE[kind]));
-    Request request =
-        new Request(view, gateway, size[object], VALUE[kind], gateway.homes(object).get(0));
-    requests.add(request);
-    follow(request, gateway.place(view, at(now)));
+    SimulatedRequest simulated =
+        new SimulatedRequest(
+            request, gateway, size[object], VALUE[kind], gateway.rankedCaches(object).get(0));
+    requests.add(simulated);
+    follow(simulated, gateway.route(request, at(now)));
   }
 
-  private void ask(Alarm alarm) {
-    if (!ends.containsKey(alarm.request())
-        && (alarm.trip() == null || alarm.trip().outcome == null)) {
-      follow(alarm.request(), alarm.request().gateway.place(alarm.request().view, at(now)));
+  private void ask(Timer alarm) {
+    if (!ends.containsKey(alarm.simulated())
+        && (alarm.attempt() == null || alarm.attempt().outcome == null)) {
+      follow(
+          alarm.simulated(), alarm.simulated().gateway.route(alarm.simulated().request, at(now)));
     }
   }
 
-  private void follow(Request request, Answer answer) {
-    if (answer instanceof Trip trip) {
-      send(request, trip);
-    } else if (answer instanceof Answer.Recall recall) {
+  private void follow(SimulatedRequest simulated, Decision decision) {
+    if (decision instanceof Attempt attempt) {
+      send(simulated, attempt);
+    } else if (decision instanceof Decision.Cancel recall) {
       transfers.stream()
-          .filter(transfer -> transfer.trip == recall.trip())
+          .filter(transfer -> transfer.attempt == recall.attempt())
           .findFirst()
-          .ifPresent(transfer -> end(transfer, Result.RECALLED, Detail.UNTOLD));
-    } else if (answer instanceof Answer.NotYet) {
-      await(request);
+          .ifPresent(transfer -> end(transfer, Result.CANCELLED, Detail.UNKNOWN));
+    } else if (decision instanceof Decision.Wait) {
+      await(simulated);
     } else {
-      ends.putIfAbsent(request, request.view.trips.isEmpty() ? End.REJECTED : End.GIVEN_UP);
+      ends.putIfAbsent(
+          simulated, simulated.request.attempts.isEmpty() ? Ending.REJECTED : Ending.GIVEN_UP);
     }
   }
 
   /** Where nothing is out, the gateway has to ask again by itself, or the client waits in vain. */
-  private void await(Request request) {
-    if (ends.containsKey(request)
-        || request.view.trips.stream().anyMatch(trip -> trip.outcome == null)) {
+  private void await(SimulatedRequest simulated) {
+    if (ends.containsKey(simulated)
+        || simulated.request.attempts.stream().anyMatch(attempt -> attempt.outcome == null)) {
       return;
     }
-    Duration patience = request.gateway.patience(request.view, at(now));
-    if (patience == null) {
-      held++;
-      ends.putIfAbsent(request, End.GIVEN_UP);
+    Duration delay = simulated.gateway.nextDecisionDelay(simulated.request, at(now));
+    if (delay == null) {
+      abandoned++;
+      ends.putIfAbsent(simulated, Ending.GIVEN_UP);
     } else {
-      alarms.add(new Alarm(now + Math.max(STEP, Seconds.seconds(patience)), request, null));
+      timers.add(new Timer(now + Math.max(STEP, Seconds.seconds(delay)), simulated, null));
     }
   }
 
-  private void send(Request request, Trip trip) {
-    countCells(request, trip);
-    trip.sent = at(now);
-    request.view.trips.add(trip);
-    if (trip.due != null) {
-      alarms.add(new Alarm(Seconds.seconds(trip.due), request, trip));
+  private void send(SimulatedRequest simulated, Attempt attempt) {
+    countCells(simulated, attempt);
+    attempt.sentAt = at(now);
+    simulated.request.attempts.add(attempt);
+    if (attempt.expectedBy != null) {
+      timers.add(new Timer(Seconds.seconds(attempt.expectedBy), simulated, attempt));
     }
-    Machine at = machines.get(trip.cache);
+    SimulatedCache at = simulatedCaches.get(attempt.cache);
     Transfer transfer =
-        new Transfer(request, trip, at, fate(request, trip, at, machines.get(trip.source)));
+        new Transfer(
+            simulated,
+            attempt,
+            at,
+            fate(simulated, attempt, at, simulatedCaches.get(attempt.source)));
     transfer.at.inHand++;
-    reach(transfer.at, request.work);
+    reach(transfer.at, simulated.work);
     if (transfer.fills()) {
       transfer.fate.from.inHand++;
-      reach(transfer.fate.from, request.work);
+      reach(transfer.fate.from, simulated.work);
     }
     transfers.add(transfer);
   }
 
-  private void countCells(Request request, Trip trip) {
-    for (Trip before : request.view.trips) {
-      if (before.outcome == null || !before.outcome.result().provesNotRun) {
-        cellsKept += before.cache.cell == trip.cache.cell ? 1 : 0;
-        cellsLeft += before.cache.cell == trip.cache.cell ? 0 : 1;
+  private void countCells(SimulatedRequest simulated, Attempt attempt) {
+    for (Attempt before : simulated.request.attempts) {
+      if (before.outcome == null || !before.outcome.result().provesNotExecuted) {
+        cellsKept += before.cache.cell == attempt.cache.cell ? 1 : 0;
+        cellsLeft += before.cache.cell == attempt.cache.cell ? 0 : 1;
       }
     }
   }
 
   /** What an attempt will come to, as far as its caches hold the object now. */
-  private Fate fate(Request request, Trip trip, Machine at, Machine source) {
+  private AttemptResult fate(
+      SimulatedRequest simulated, Attempt attempt, SimulatedCache at, SimulatedCache source) {
     boolean edge = at.cache.tier == Cache.Tier.EDGE;
-    if (edge && plan.failing > 0 && luck.nextDouble() < plan.failing) {
-      return new Fate(at, Result.ERRED, Detail.UNTOLD, HIT_WAIT);
+    if (edge && plan.failing > 0 && random.nextDouble() < plan.failing) {
+      return new AttemptResult(at, Result.FAILED, Detail.UNKNOWN, HIT_WAIT);
     }
-    if (at.holds(request)) {
-      return new Fate(at, Result.HONOURED, Detail.HIT, HIT_WAIT);
+    if (at.holds(simulated)) {
+      return new AttemptResult(at, Result.SERVED, Detail.HIT, HIT_WAIT);
     }
     if (source == at && at.cache.tier != Cache.Tier.ORIGIN) {
-      return new Fate(at, Result.MISSED, Detail.UNTOLD, HIT_WAIT);
+      return new AttemptResult(at, Result.MISS, Detail.UNKNOWN, HIT_WAIT);
     }
     double wait =
         switch (source.cache.tier) {
@@ -521,25 +539,25 @@
           case PARENT -> PARENT_WAIT;
           case ORIGIN -> 0;
         };
-    if (source.holds(request)) {
-      return new Fate(source, Result.HONOURED, Detail.FILLED, wait);
+    if (source.holds(simulated)) {
+      return new AttemptResult(source, Result.SERVED, Detail.FILLED, wait);
     }
-    return trip.onlyHeld
-        ? new Fate(source, Result.MISSED, Detail.SOURCE_LACKS, wait)
+    return attempt.onlyIfCached
+        ? new AttemptResult(source, Result.MISS, Detail.SOURCE_MISS, wait)
         : originFails
-            ? new Fate(source, Result.ERRED, Detail.ORIGIN_FAILED, wait + ORIGIN_WAIT)
-            : new Fate(source, Result.HONOURED, Detail.FROM_ORIGIN, wait + ORIGIN_WAIT);
+            ? new AttemptResult(source, Result.FAILED, Detail.ORIGIN_FAILED, wait + ORIGIN_WAIT)
+            : new AttemptResult(source, Result.SERVED, Detail.FROM_ORIGIN, wait + ORIGIN_WAIT);
   }
 
   /**
    * Counts work against the cold rule: no window may have more than the multiple of what the edge
    * bears in it.
    */
-  private void reach(Machine machine, double work) {
+  private void reach(SimulatedCache machine, double work) {
     if (machine.cache.tier != Cache.Tier.EDGE || !machine.cold()) {
       return;
     }
-    double up = Seconds.seconds(machine.cache.upSince), since = Math.max(up, now - COLD_WINDOW);
+    double up = Seconds.seconds(machine.cache.startedAt), since = Math.max(up, now - COLD_WINDOW);
     machine.reached.add(new double[] {now, work});
     machine.reachedWork += work;
     while (machine.reached.peek()[0] < since) {
@@ -553,7 +571,7 @@
   }
 
   private void step() {
-    for (Machine machine : machines.values()) {
+    for (SimulatedCache machine : simulatedCaches.values()) {
       machine.inHandBefore[steps % machine.inHandBefore.length] = machine.inHand;
       machine.sending = 0;
     }
@@ -569,7 +587,7 @@
     List<Transfer> over = new ArrayList<>();
     for (Transfer transfer : transfers) {
       move(transfer, transfer.comesIn() ? inletPace : 1);
-      if (transfer.done() || now >= Seconds.seconds(transfer.request.view.cutOff)) {
+      if (transfer.done() || now >= Seconds.seconds(transfer.simulated.request.deadline)) {
         over.add(transfer);
       }
     }
@@ -578,12 +596,12 @@
       end(
           transfer,
           done ? transfer.fate.result : Result.TIMED_OUT,
-          done ? transfer.fate.detail : Detail.UNTOLD);
+          done ? transfer.fate.detail : Detail.UNKNOWN);
     }
   }
 
   private void move(Transfer transfer, double mostPace) {
-    Machine at = transfer.at, from = transfer.fate.from;
+    SimulatedCache at = transfer.at, from = transfer.fate.from;
     if (transfer.wait > 0) {
       transfer.wait -= at.hung || from.hung ? 0 : STEP;
     } else {
@@ -595,30 +613,31 @@
     if (!transfers.remove(transfer)) {
       return;
     }
-    Request request = transfer.request;
-    Machine at = transfer.at, from = transfer.fate.from;
+    SimulatedRequest simulated = transfer.simulated;
+    SimulatedCache at = transfer.at, from = transfer.fate.from;
     at.inHand--;
     from.inHand -= transfer.fills() ? 1 : 0;
-    boolean good = result == Result.HONOURED;
+    boolean good = result == Result.SERVED;
     if (good) {
-      double target = TARGET + request.view.profile.stretch() * request.work;
-      ends.putIfAbsent(request, now <= request.arrived() + target ? End.SERVED : End.LATE);
-      at.keep(request.view.object, request.work);
-      from.keep(request.view.object, request.work);
-    }
-    boolean all = plan.says == CapacityPlan.Says.ALL,
-        told = all || plan.says == CapacityPlan.Says.HIT && good;
-    transfer.trip.outcome =
+      double target = TARGET + simulated.request.requestClass.transferTimeFactor() * simulated.work;
+      ends.putIfAbsent(
+          simulated, now <= simulated.arrived() + target ? Ending.SERVED : Ending.LATE);
+      at.keep(simulated.request.objectId, simulated.work);
+      from.keep(simulated.request.objectId, simulated.work);
+    }
+    boolean all = plan.reportedDetails == SimulationPlan.ReportedDetails.ALL,
+        told = all || plan.reportedDetails == SimulationPlan.ReportedDetails.HIT && good;
+    transfer.attempt.outcome =
         new Outcome(
             result,
-            told ? detail : Detail.UNTOLD,
-            at(now).minus(transfer.trip.sent),
+            told ? detail : Detail.UNKNOWN,
+            at(now).minus(transfer.attempt.sentAt),
             all && good && transfer.fills() ? at(transfer.fate.delay) : null,
-            ends.containsKey(request));
-    if (plan.reports && (good || result == Result.MISSED || result == Result.ERRED)) {
+            ends.containsKey(simulated));
+    if (plan.reports && (good || result == Result.MISS || result == Result.FAILED)) {
       double inHand = at.inHandBefore[(steps + 1) % at.inHandBefore.length];
-      request.gateway.loaded(at.cache, new Load(Double.NaN, inHand), at(now));
+      simulated.gateway.onLoadReport(at.cache, new LoadReport(Double.NaN, inHand), at(now));
     }
-    follow(request, request.gateway.after(request.view, transfer.trip, at(now)));
+    follow(simulated, simulated.gateway.onOutcome(simulated.request, transfer.attempt, at(now)));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdFleetTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartFleetTest.java
@@ -12,16 +12,16 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tamarindroute.decision.Answer;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Load;
+import tamarindroute.decision.Decision;
+import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Outcome;
 import tamarindroute.decision.Outcome.Detail;
 import tamarindroute.decision.Outcome.Result;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Settings;
-import tamarindroute.decision.Trip;
-import tamarindroute.decision.View;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass;
 
 /**
  * The sum of what a whole fleet sends to cold caches, each gateway a module of its own with its own
@@ -29,15 +29,16 @@
  * has to get less than N + 2 x root of N + 2, in every window of that length, from the gateways
  * that were told of its start.
  */
-class ColdFleetTest {
+class ColdStartFleetTest {
 
   private static final double WINDOW = 2;
   private static final double UP = 20;
-  private static final Settings.ColdStart EDGE = new Settings.ColdStart(0.2, at(17), 3, at(WINDOW));
-  private static final Settings.ColdStart PARENT =
-      new Settings.ColdStart(0.064, at(22), 2, at(WINDOW));
+  private static final PolicySettings.ColdStart EDGE =
+      new PolicySettings.ColdStart(0.2, at(17), 3, at(WINDOW));
+  private static final PolicySettings.ColdStart PARENT =
+      new PolicySettings.ColdStart(0.064, at(22), 2, at(WINDOW));
 
-  private Profile profile;
+  private RequestClass requestClass;
   private final Map<Long, Deque<Double>> reached = new HashMap<>();
   private final Map<Long, Double> worst = new HashMap<>();
   private final Map<Long, Integer> had = new HashMap<>();
@@ -45,7 +46,7 @@
   /** What a third of the gateways hold, which are told late, stands in caches of their own. */
   private final List<Cache> list = new ArrayList<>(), late = new ArrayList<>();
 
-  private final List<Brain> fleet = new ArrayList<>();
+  private final List<RatioTestPolicy> fleet = new ArrayList<>();
   private Random dice;
   private double[] upTo;
   private double sigma, mean = 0.1;
@@ -60,9 +61,9 @@
     return Duration.ofNanos(Math.round(seconds * 1e9));
   }
 
-  private Cache cache(long mark, Cache.Tier tier, double weight) {
+  private Cache cache(long stableId, Cache.Tier tier, double weight) {
     for (List<Cache> of : List.of(late, list)) {
-      Cache cache = new Cache(mark);
+      Cache cache = new Cache(stableId);
       cache.tier = tier;
       cache.weight = weight;
       of.add(cache);
@@ -70,18 +71,18 @@
     return list.get(list.size() - 1);
   }
 
-  private double weight(Settings.ColdStart start, double most) {
-    return most * mean / (start.multiple() * WINDOW);
+  private double weight(PolicySettings.ColdStart start, double most) {
+    return most * mean / (start.overloadMultiple() * WINDOW);
   }
 
   /** Where a cache bears few requests, they are long ones: a link is some transfers wide. */
   private void fleet(int size, double most, int seed) {
     mean = Math.min(0.9, Math.max(0.1, 30 / most));
     // The mean sending time is known from the start, as the modules start from the agreed time.
-    profile =
-        new Profile(
-            Profile.Repeat.REISSUABLE,
-            Profile.Group.ALL,
+    requestClass =
+        new RequestClass(
+            RequestClass.Idempotency.IDEMPOTENT,
+            RequestClass.DeduplicationScope.ALL,
             Duration.ZERO,
             at(mean),
             20,
@@ -90,8 +91,8 @@
     dice = new Random(seed);
     for (int i = 0; i < size; i++) {
       fleet.add(
-          new Brain(
-              new Settings(
+          new RatioTestPolicy(
+              new PolicySettings(
                   dice.nextLong(),
                   0,
                   size,
@@ -109,7 +110,7 @@
                   EDGE,
                   PARENT,
                   Duration.ofSeconds(6),
-                  Settings.Weights.ROUGH)));
+                  PolicySettings.WeightMeaning.ROUGH)));
     }
     upTo = new double[size];
     double sum = 0;
@@ -128,15 +129,17 @@
     return i;
   }
 
-  private void tell(double now) {
+  private void publishEndpoints(double now) {
     for (int i = 0; i < fleet.size(); i++) {
-      fleet.get(i).listed(i % 3 == 2 ? late : list, at(now));
+      fleet.get(i).onEndpoints(i % 3 == 2 ? late : list, at(now));
     }
   }
 
-  private void start(double now, List<Cache> where, long... marks) {
-    for (long mark : marks) {
-      where.stream().filter(cache -> cache.mark == mark).forEach(cache -> cache.upSince = at(now));
+  private void start(double now, List<Cache> where, long... stableIds) {
+    for (long stableId : stableIds) {
+      where.stream()
+          .filter(cache -> cache.stableId == stableId)
+          .forEach(cache -> cache.startedAt = at(now));
     }
   }
 
@@ -144,95 +147,95 @@
    * Each module learns its classes' mean sending time on warm caches, before anything starts cold.
    */
   private void learn() {
-    tell(0);
-    for (Brain brain : fleet) {
+    publishEndpoints(0);
+    for (RatioTestPolicy policy : fleet) {
       for (int i = 0; i < 150; i++) {
-        view(brain, 1 + 0.05 * i);
+        sendRequest(policy, 1 + 0.05 * i);
       }
     }
     had.clear();
     reached.clear();
   }
 
-  private void view(Brain brain, double now) {
+  private void sendRequest(RatioTestPolicy policy, double now) {
     double size = mean * Math.exp(sigma * dice.nextGaussian() - sigma * sigma / 2);
     long object = hot && dice.nextInt(4) > 0 ? dice.nextInt(3) : 1000 + ++objects;
-    View view = new View(profile, object, 0, 1, 1000 * size, at(now), at(now + 9));
+    Request request = new Request(requestClass, object, 0, 1, 1000 * size, at(now), at(now + 9));
     list.stream()
         .filter(cache -> cache.tier == Cache.Tier.EDGE)
-        .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
+        .forEach(cache -> policy.onLoadReport(cache, new LoadReport(0.3, Double.NaN), at(now)));
     late.stream()
         .filter(cache -> cache.tier == Cache.Tier.EDGE)
-        .forEach(cache -> brain.loaded(cache, new Load(0.3, Double.NaN), at(now)));
-    Answer answer = brain.place(view, at(now));
-    while (answer instanceof Trip trip) {
-      view.trips.add(trip);
-      trip.sent = at(now);
-      boolean look = trip.source == trip.cache;
-      double luck = dice.nextDouble();
-      boolean left = luck >= unsent;
+        .forEach(cache -> policy.onLoadReport(cache, new LoadReport(0.3, Double.NaN), at(now)));
+    Decision decision = policy.route(request, at(now));
+    while (decision instanceof Attempt attempt) {
+      request.attempts.add(attempt);
+      attempt.sentAt = at(now);
+      boolean look = attempt.source == attempt.cache;
+      double random = dice.nextDouble();
+      boolean left = random >= unsent;
       Result result =
           !left
               ? Result.NOT_SENT
-              : luck < unsent + failing
-                  ? Result.ERRED
-                  : look && object >= 1000 ? Result.MISSED : Result.HONOURED;
-      boolean hit = look || object < 1000 && luck > 0.9;
-      trip.outcome =
+              : random < unsent + failing
+                  ? Result.FAILED
+                  : look && object >= 1000 ? Result.MISS : Result.SERVED;
+      boolean hit = look || object < 1000 && random > 0.9;
+      attempt.outcome =
           new Outcome(
               result,
-              result == Result.HONOURED ? hit ? Detail.HIT : Detail.FILLED : Detail.UNTOLD,
+              result == Result.SERVED ? hit ? Detail.HIT : Detail.FILLED : Detail.UNKNOWN,
               at(mean + 0.01),
               hit ? null : at(0.03),
-              result == Result.HONOURED);
+              result == Result.SERVED);
       if (left) {
-        arrived(trip.cache, now);
+        arrived(attempt.cache, now);
         if (!look && !hit) {
-          arrived(trip.source, now);
+          arrived(attempt.source, now);
         }
       }
-      answer = brain.after(view, trip, at(now));
+      decision = policy.onOutcome(request, attempt, at(now));
     }
   }
 
   private void arrived(Cache cache, double now) {
-    if (cache.upSince == null || cache.tier == Cache.Tier.ORIGIN) {
+    if (cache.startedAt == null || cache.tier == Cache.Tier.ORIGIN) {
       return;
     }
-    Settings.ColdStart start = cache.tier == Cache.Tier.EDGE ? EDGE : PARENT;
-    double up = cache.upSince.toNanos() * 1e-9, warm = start.warmAfter().toSeconds();
+    PolicySettings.ColdStart start = cache.tier == Cache.Tier.EDGE ? EDGE : PARENT;
+    double up = cache.startedAt.toNanos() * 1e-9, warm = start.warmAfter().toSeconds();
     if (now > up + warm) {
       return;
     }
-    Deque<Double> times = reached.computeIfAbsent(cache.mark, c -> new ArrayDeque<>());
+    Deque<Double> times = reached.computeIfAbsent(cache.stableId, c -> new ArrayDeque<>());
     times.add(now);
     while (times.peek() <= Math.max(up, now - WINDOW)) {
       times.remove();
     }
     double age = (Math.max(0, now - WINDOW - up) + now - up) / 2;
     double n =
-        start.multiple()
+        start.overloadMultiple()
             * WINDOW
             * cache.weight
             / mean
-            * (start.from() + (1 - start.from()) * age / warm);
-    worst.merge(cache.mark, times.size() / (n + 2 * Math.sqrt(n) + 2), Math::max);
-    had.merge(cache.mark, 1, Integer::sum);
+            * (start.initialCapacity() + (1 - start.initialCapacity()) * age / warm);
+    worst.merge(cache.stableId, times.size() / (n + 2 * Math.sqrt(n) + 2), Math::max);
+    had.merge(cache.stableId, 1, Integer::sum);
   }
 
   private void demand(double from, double to, double perSecond) {
     for (double now = from - Math.log(dice.nextDouble()) / perSecond;
         now < to;
         now -= Math.log(dice.nextDouble()) / perSecond) {
-      view(fleet.get(some()), now);
+      sendRequest(fleet.get(some()), now);
     }
   }
 
   private void check(String what) {
     assertThat(worst).as("what anything reached").isNotEmpty();
     worst.forEach(
-        (mark, most) -> {
-          assertThat(most).as(what + " at " + mark).isLessThan(1);
+        (stableId, most) -> {
+          assertThat(most).as(what + " at " + stableId).isLessThan(1);
         });
   }
 
@@ -259,7 +262,7 @@
     learn();
     start(UP, list, 1);
     start(UP, late, 1);
-    tell(UP);
+    publishEndpoints(UP);
     demand(UP, UP + 17, 1.5 * most / WINDOW);
     check("steady " + most + " s" + sigma);
   }
@@ -287,7 +290,7 @@
     learn();
     start(UP, list, 1);
     start(UP, late, 1);
-    tell(UP);
+    publishEndpoints(UP);
     for (double t = 2; t < 17; t += 4) {
       demand(UP + t, UP + t + 2.2, 5 * most / WINDOW);
     }
@@ -305,7 +308,7 @@
     learn();
     start(UP, list, 3);
     start(UP, late, 3);
-    tell(UP);
+    publishEndpoints(UP);
     demand(UP, UP + 10, 1.5 * most / WINDOW);
     demand(UP + 13, UP + 22, 4 * most / WINDOW);
     check("parent " + most);
@@ -339,17 +342,17 @@
     failing = 0.05;
     unsent = 0.1;
     start(UP, list, 1, 2, 3);
-    tell(UP);
+    publishEndpoints(UP);
     demand(UP, UP + 2, 3 * most / WINDOW);
     start(UP, late, 1, 2, 3);
-    tell(UP + 2);
+    publishEndpoints(UP + 2);
     demand(UP + 2, UP + 6, 3 * most / WINDOW);
     failing = 0.4;
     demand(UP + 6, UP + 9, 3 * most / WINDOW);
     failing = 0.05;
     start(UP + 9, list, 1);
     start(UP + 9, late, 1);
-    tell(UP + 9);
+    publishEndpoints(UP + 9);
     demand(UP + 9, UP + 20, 3 * most / WINDOW);
     check("rough " + most);
   }
@@ -364,11 +367,11 @@
     learn();
     start(UP, list, 1);
     start(UP, late, 1);
-    tell(UP);
+    publishEndpoints(UP);
     for (int t = 0; t < 16; t += 2) {
       for (int i = 0; i < size; i++) {
         double part = i % 5 == t / 2 % 5 ? 4.0 / size : 0.25 / size;
-        fleet.get(i).dealt(Cache.Tier.EDGE, part, at(UP + t + 2), at(UP + t));
+        fleet.get(i).onQuotaGrant(Cache.Tier.EDGE, part, at(UP + t + 2), at(UP + t));
       }
       demand(UP + t, UP + t + 2, 3 * most / WINDOW);
     }
--- a/policy/src/test/java/tamarindroute/policy/ColdShareTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartShareTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Outcome;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Settings;
-import tamarindroute.decision.Trip;
-import tamarindroute.decision.View;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass;
 
 /**
  * What a cold cache bears, over all gateways: each with a module of its own, none knows of another.
  * The cases are those in which a gateway's part is far less than one view.
  */
-class ColdShareTest {
+class ColdStartShareTest {
 
   private static final double FROM = 0.2;
   private static final double WARM = 20;
@@ -33,10 +33,10 @@
 
   private static final double STEP = 0.05;
 
-  private final Profile profile =
-      new Profile(
-          Profile.Repeat.REISSUABLE,
-          Profile.Group.ALL,
+  private final RequestClass requestClass =
+      new RequestClass(
+          RequestClass.Idempotency.IDEMPOTENT,
+          RequestClass.DeduplicationScope.ALL,
           Duration.ZERO,
           Duration.ofMillis(300),
           2,
@@ -44,11 +44,11 @@
           Duration.ZERO);
   private final Cache cold = cache(1, Cache.Tier.EDGE);
   private final Cache parent = cache(3, Cache.Tier.PARENT);
-  private final List<Brain> fleet = new ArrayList<>();
+  private final List<RatioTestPolicy> fleet = new ArrayList<>();
   private int objects;
 
-  private static Cache cache(long mark, Cache.Tier tier) {
-    Cache cache = new Cache(mark);
+  private static Cache cache(long stableId, Cache.Tier tier) {
+    Cache cache = new Cache(stableId);
     cache.tier = tier;
     cache.weight = WEIGHT;
     return cache;
@@ -59,12 +59,13 @@
   }
 
   private void fleet(int size) {
-    Settings.ColdStart start = new Settings.ColdStart(FROM, at(WARM), MULTIPLE, at(WINDOW));
-    cold.upSince = at(10);
+    PolicySettings.ColdStart start =
+        new PolicySettings.ColdStart(FROM, at(WARM), MULTIPLE, at(WINDOW));
+    cold.startedAt = at(10);
     for (int i = 0; i < size; i++) {
-      Brain brain =
-          new Brain(
-              new Settings(
+      RatioTestPolicy policy =
+          new RatioTestPolicy(
+              new PolicySettings(
                   4711 + i,
                   0,
                   size,
@@ -82,23 +83,23 @@
                   start,
                   start,
                   Duration.ofSeconds(6),
-                  Settings.Weights.ROUGH));
-      brain.listed(List.of(cold, parent), at(10));
-      fleet.add(brain);
+                  PolicySettings.WeightMeaning.ROUGH));
+      policy.onEndpoints(List.of(cold, parent), at(10));
+      fleet.add(policy);
     }
   }
 
   /** A view that takes its whole way; whether the cold cache had it. */
-  private boolean view(Brain brain, double now) {
-    View view = new View(profile, ++objects, 0, 1, WORK * 1000, at(now), at(now + 3));
-    if (!(brain.place(view, at(now)) instanceof Trip trip) || trip.cache != cold) {
+  private boolean reachesColdCache(RatioTestPolicy policy, double now) {
+    Request request = new Request(requestClass, ++objects, 0, 1, WORK * 1000, at(now), at(now + 3));
+    if (!(policy.route(request, at(now)) instanceof Attempt attempt) || attempt.cache != cold) {
       return false;
     }
-    view.trips.add(trip);
-    trip.sent = at(now);
-    trip.outcome =
-        new Outcome(Outcome.Result.HONOURED, Outcome.Detail.FILLED, at(WORK), null, true);
-    brain.after(view, trip, at(now + 0.001));
+    request.attempts.add(attempt);
+    attempt.sentAt = at(now);
+    attempt.outcome =
+        new Outcome(Outcome.Result.SERVED, Outcome.Detail.FILLED, at(WORK), null, true);
+    policy.onOutcome(request, attempt, at(now + 0.001));
     return true;
   }
 
@@ -111,7 +112,7 @@
   @CsvSource({"100, 5", "100, 15", "300, 5", "300, 15", "1000, 10"})
   void gatewaysThatWereIdleDoNotComeTogether(int size, double age) {
     fleet(size);
-    long had = fleet.stream().filter(brain -> view(brain, 10 + age)).count();
+    long had = fleet.stream().filter(policy -> reachesColdCache(policy, 10 + age)).count();
     assertThat(had * WORK).isLessThan(bearable(age));
   }
 
@@ -130,7 +131,7 @@
       // Twice what it bears warm, from gateways in turn.
       int wanted = (int) Math.ceil(2 * MULTIPLE * WEIGHT * step / WORK);
       for (int i = 0; i < wanted; i++) {
-        had += view(fleet.get((objects * 7) % size), 10 + age) ? 1 : 0;
+        had += reachesColdCache(fleet.get((objects * 7) % size), 10 + age) ? 1 : 0;
       }
       each.add(had);
     }
@@ -153,12 +154,12 @@
    * What reached the cold cache in each step of 50 ms, from an age to another: twice what it bears
    * warm is wanted.
    */
-  private List<Double> steady(List<Brain> wanting, double from, double to) {
+  private List<Double> steady(List<RatioTestPolicy> wanting, double from, double to) {
     List<Double> each = new ArrayList<>();
     for (double age = from; age < to; age += STEP) {
       double had = 0;
       for (int i = 0; i < Math.ceil(2 * MULTIPLE * WEIGHT * STEP / WORK); i++) {
-        had += view(wanting.get((objects * 7) % wanting.size()), 10 + age) ? WORK : 0;
+        had += reachesColdCache(wanting.get((objects * 7) % wanting.size()), 10 + age) ? WORK : 0;
       }
       each.add(had);
     }
@@ -174,8 +175,8 @@
     return MULTIPLE * WEIGHT * (to - from) * (FROM + (1 - FROM) * (from + to) / 2 / WARM);
   }
 
-  private static void deal(List<Brain> to, double part, double age, double until) {
-    to.forEach(brain -> brain.dealt(Cache.Tier.EDGE, part, at(10 + until), at(10 + age)));
+  private static void grant(List<RatioTestPolicy> to, double share, double age, double until) {
+    to.forEach(policy -> policy.onQuotaGrant(Cache.Tier.EDGE, share, at(10 + until), at(10 + age)));
   }
 
   /**
@@ -185,10 +186,10 @@
   @Test
   void whatTheDeadHeldIsUsedAndNoWindowHoldsMoreThanItBears() {
     fleet(10);
-    List<Brain> left = fleet.subList(0, 3);
+    List<RatioTestPolicy> left = fleet.subList(0, 3);
     List<Double> each = steady(left, 0, 4);
     assertThat(sum(each) / borne(0, 4)).as("with even shares").isBetween(0.15, 0.22);
-    deal(left, 1 / 3.0, 4, 10);
+    grant(left, 1 / 3.0, 4, 10);
     List<Double> dealt = steady(left, 4, 10);
     assertThat(sum(dealt) / borne(4, 10)).as("with what the dead held").isBetween(0.62, 0.72);
     List<Double> after = steady(left, 10, 16);
@@ -213,10 +214,10 @@
     double had = 0;
     for (int i = 0; i < 10; i++) {
       double age = 12 + 0.1 * i;
-      deal(fleet, 0.01, age, 20);
-      deal(fleet.subList(i, i + 1), 0.91, age, 20);
+      grant(fleet, 0.01, age, 20);
+      grant(fleet.subList(i, i + 1), 0.91, age, 20);
       for (int n = 0; n < 60; n++) {
-        had += view(fleet.get(i), 10 + age + 0.099) ? WORK : 0;
+        had += reachesColdCache(fleet.get(i), 10 + age + 0.099) ? WORK : 0;
       }
     }
     assertThat(had).isBetween(0.1 * bearable(12), 0.5 * bearable(13));
@@ -229,12 +230,12 @@
   @Test
   void savingsAreCutWhenALeaseHasEnded() {
     fleet(10);
-    deal(fleet, 0.9, 4, 10);
-    double even = fleet.get(0).regard(cold, at(20)).bears();
+    grant(fleet, 0.9, 4, 10);
+    double even = fleet.get(0).cacheHealth(cold, at(20)).maxConcurrentTransfers();
     assertThat(even).isCloseTo(0.07 * bearable(10) / WINDOW, Offset.offset(1e-9));
     double had = 0;
     for (int n = 0; n < 60; n++) {
-      had += view(fleet.get(0), 10 + 10) ? WORK : 0;
+      had += reachesColdCache(fleet.get(0), 10 + 10) ? WORK : 0;
     }
     assertThat(had).isLessThan(0.05 * bearable(10));
   }
--- a/policy/src/test/java/tamarindroute/policy/ReportedCrowdTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
@@ -7,25 +7,26 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Load;
-import tamarindroute.decision.Settings;
+import tamarindroute.decision.LoadReport;
+import tamarindroute.decision.PolicySettings;
 
 /** What a cache's own count of requests in hand adds to what a gateway makes of its crowd. */
-class ReportedCrowdTest {
+class ReportedConcurrencyTest {
 
   private static final double NOW = 10;
   private static final int GATEWAYS = 4;
   private final Cache edge = new Cache(1);
-  private Node node;
+  private CacheState state;
 
   @BeforeEach
   void oneEdgeBehindFourGateways() {
     edge.tier = Cache.Tier.EDGE;
     edge.weight = 10;
-    Settings.ColdStart start = new Settings.ColdStart(1, Duration.ZERO, 3, Duration.ofSeconds(2));
-    Caches all =
-        new Caches(
-            new Settings(
+    PolicySettings.ColdStart start =
+        new PolicySettings.ColdStart(1, Duration.ZERO, 3, Duration.ofSeconds(2));
+    CacheTiers tiers =
+        new CacheTiers(
+            new PolicySettings(
                 5,
                 0,
                 GATEWAYS,
@@ -43,27 +44,27 @@
                 start,
                 start,
                 Duration.ofSeconds(6),
-                Settings.Weights.NOMINAL));
-    all.listed(List.of(edge), 0);
-    node = all.nodes.get(edge);
-    node.inHand.shift(5, 0);
-    assertThat(node.concurrency(NOW)).as("as if all sent alike").isBetween(2.0, 2.2);
+                PolicySettings.WeightMeaning.NOMINAL));
+    tiers.onEndpoints(List.of(edge), 0);
+    state = tiers.states.get(edge);
+    state.inFlight.shiftRest(5, 0);
+    assertThat(state.concurrency(NOW)).as("as if all sent alike").isBetween(2.0, 2.2);
   }
 
   /** Guards against all gateways coming together after one quiet moment was reported. */
   @Test
   void aQuietMomentDoesNotUnsayWhatTheOthersSend() {
-    double before = node.concurrency(NOW);
-    node.loaded(new Load(Double.NaN, 5), NOW);
-    assertThat(node.concurrency(NOW)).isEqualTo(before);
+    double before = state.concurrency(NOW);
+    state.onLoadReport(new LoadReport(Double.NaN, 5), NOW);
+    assertThat(state.concurrency(NOW)).isEqualTo(before);
   }
 
   @Test
   void aGreaterCrowdIsBelievedForTwoSeconds() {
-    double before = node.concurrency(NOW);
-    node.loaded(new Load(Double.NaN, 55), NOW);
-    assertThat(node.concurrency(NOW)).isEqualTo((5 + 50 + 1) / 10.0);
-    assertThat(node.concurrency(NOW + 2.5))
+    double before = state.concurrency(NOW);
+    state.onLoadReport(new LoadReport(Double.NaN, 55), NOW);
+    assertThat(state.concurrency(NOW)).isEqualTo((5 + 50 + 1) / 10.0);
+    assertThat(state.concurrency(NOW + 2.5))
         .isCloseTo(before, org.assertj.core.data.Offset.offset(0.1));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/Scenario.java
+++ b/policy/src/test/java/tamarindroute/policy/Scenario.java
@@ -9,28 +9,28 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tamarindroute.decision.Answer;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Load;
+import tamarindroute.decision.Decision;
+import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Outcome;
-import tamarindroute.decision.Profile;
+import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.Purge;
-import tamarindroute.decision.Settings;
-import tamarindroute.decision.Trip;
-import tamarindroute.decision.View;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass;
+import tamarindroute.decision.RoutingPolicy;
 
 /** Plays one scenario file against a fresh module; the notation is described in the README. */
 final class Scenario {
 
-  private final Map<String, Profile> profiles = new HashMap<>();
+  private final Map<String, RequestClass> requestClasses = new HashMap<>();
   private final Map<String, Cache> caches = new HashMap<>();
   private final Map<String, Cache> bound = new HashMap<>();
-  private final Map<String, View> views = new HashMap<>();
-  private final Map<String, Answer> answers = new HashMap<>();
+  private final Map<String, Request> requests = new HashMap<>();
+  private final Map<String, Decision> decisions = new HashMap<>();
   private final Map<Cache, Integer> sent = new HashMap<>();
-  private Settings settings = settings(Map.of());
-  private Decisions brain;
+  private PolicySettings settings = settings(Map.of());
+  private RoutingPolicy policy;
   private Duration now = Duration.ZERO;
   private int steps;
 
@@ -65,24 +65,26 @@
     }
     switch (words[0]) {
       case "settings" -> settings = settings(facts);
-      case "profile" -> profiles.put(words[1], profile(words[2], facts));
+      case "profile" -> requestClasses.put(words[1], requestClass(words[2], facts));
       case "cache" -> cache(words, facts);
       case "list", "restart" -> {
-        brain = brain == null || words[0].equals("restart") ? new Brain(settings) : brain;
-        brain.listed(
-            caches.values().stream().sorted(Comparator.comparingLong(c -> c.mark)).toList(), now);
+        policy =
+            policy == null || words[0].equals("restart") ? new RatioTestPolicy(settings) : policy;
+        policy.onEndpoints(
+            caches.values().stream().sorted(Comparator.comparingLong(c -> c.stableId)).toList(),
+            now);
       }
       case "load" ->
-          brain.loaded(
+          policy.onLoadReport(
               caches.get(words[1]),
-              new Load(
+              new LoadReport(
                   facts.containsKey("busy") ? whole(facts, "busy", 0) / 100.0 : Double.NaN,
                   whole(facts, "outstanding", -1) < 0
                       ? Double.NaN
                       : whole(facts, "outstanding", -1)),
               now);
       case "dealt" ->
-          brain.dealt(
+          policy.onQuotaGrant(
               Cache.Tier.valueOf(words[1].toUpperCase(Locale.ROOT)),
               whole(facts, "part", 0) / 100.0,
               millis(facts.get("until")),
@@ -90,37 +92,37 @@
       case "at" -> now = millis(words[1]);
       case "later" -> now = now.plus(millis(words[1]));
       case "purge" ->
-          brain.purged(
+          policy.onPurge(
               new Purge(
                   facts.containsKey("object") ? whole(facts, "object", 0) : null,
                   (int) whole(facts, "group", 0),
                   now.minus(millis(facts.getOrDefault("age", "0")))),
               now);
       case "view" -> {
-        View view =
-            new View(
-                profiles.get(words[2]),
+        Request request =
+            new Request(
+                requestClasses.get(words[2]),
                 whole(facts, "object", 1),
                 (int) whole(facts, "part", 0),
                 (int) whole(facts, "group", 0),
                 whole(facts, "kb", 100),
                 now,
                 now.plus(millis(facts.getOrDefault("left", "3000"))));
-        views.put(words[1], view);
-        answer(words[1], brain.place(view, now));
+        requests.put(words[1], request);
+        recordDecision(words[1], policy.route(request, now));
       }
-      case "ask" -> answer(words[1], brain.place(views.get(words[1]), now));
+      case "ask" -> recordDecision(words[1], policy.route(requests.get(words[1]), now));
       case "outcome" -> outcome(words, facts);
       case "expect" -> expect(line, words);
       case "patience" -> {
-        Duration patience = brain.patience(views.get(words[1]), now);
-        check(line, String.valueOf(patience == null ? null : patience.toMillis() > 0), words[2]);
+        Duration delay = policy.nextDecisionDelay(requests.get(words[1]), now);
+        check(line, String.valueOf(delay == null ? null : delay.toMillis() > 0), words[2]);
       }
       case "go" -> {
-        View view = views.get(words[1]);
+        Request request = requests.get(words[1]);
         check(
             line,
-            brain.mayStillGo(view, view.trips.get((int) whole(facts, "trip", 0)), now)
+            policy.mayStillSend(request, request.attempts.get((int) whole(facts, "trip", 0)), now)
                 ? "yes"
                 : "no",
             words[2]);
@@ -153,17 +155,17 @@
   }
 
   /** FROM/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
-  private static Settings.ColdStart coldStart(String text) {
+  private static PolicySettings.ColdStart coldStart(String text) {
     String[] parts = text.split("/");
-    return new Settings.ColdStart(
+    return new PolicySettings.ColdStart(
         Double.parseDouble(parts[0]),
         millis(parts[1]),
         Double.parseDouble(parts[2]),
         millis(parts[3]));
   }
 
-  private static Settings settings(Map<String, String> facts) {
-    return new Settings(
+  private static PolicySettings settings(Map<String, String> facts) {
+    return new PolicySettings(
         7,
         1,
         (int) whole(facts, "gateways", 1),
@@ -181,13 +183,15 @@
         coldStart(facts.getOrDefault("edgecold", "0.2/10000/3/2000")),
         coldStart(facts.getOrDefault("parentcold", "0.1/20000/2/2000")),
         millis("6000"),
-        Settings.Weights.valueOf(facts.getOrDefault("weights", "rough").toUpperCase(Locale.ROOT)));
+        PolicySettings.WeightMeaning.valueOf(
+            facts.getOrDefault("weights", "rough").toUpperCase(Locale.ROOT)));
   }
 
-  private static Profile profile(String repeat, Map<String, String> facts) {
-    return new Profile(
-        Profile.Repeat.valueOf(repeat.toUpperCase(Locale.ROOT).replace('-', '_')),
-        Profile.Group.valueOf(facts.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
+  private static RequestClass requestClass(String repeat, Map<String, String> facts) {
+    return new RequestClass(
+        RequestClass.Idempotency.valueOf(repeat.toUpperCase(Locale.ROOT).replace('-', '_')),
+        RequestClass.DeduplicationScope.valueOf(
+            facts.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
         millis(facts.getOrDefault("window", "3000")),
         millis(facts.getOrDefault("agreed", "500")),
         2,
@@ -203,23 +207,23 @@
         case "parent" -> cache.tier = Cache.Tier.PARENT;
         case "origin" -> cache.tier = Cache.Tier.ORIGIN;
         case "ready", "draining", "gone" ->
-            cache.standing = Cache.Standing.valueOf(word.toUpperCase(Locale.ROOT));
+            cache.availability = Cache.Availability.valueOf(word.toUpperCase(Locale.ROOT));
         default -> {}
       }
     }
     cache.weight = whole(facts, "weight", cache.weight == 1 ? 10 : (long) cache.weight);
     cache.cell = (int) whole(facts, "cell", cache.cell);
-    cache.upSince = facts.containsKey("up") ? millis(facts.get("up")) : cache.upSince;
+    cache.startedAt = facts.containsKey("up") ? millis(facts.get("up")) : cache.startedAt;
   }
 
-  private void answer(String name, Answer answer) {
-    answers.put(name, answer);
-    if (answer instanceof Trip trip) {
-      trip.sent = now;
-      views.get(name).trips.add(trip);
-      sent.merge(trip.cache, 1, Integer::sum);
-      if (trip.source != trip.cache) {
-        sent.merge(trip.source, 1, Integer::sum);
+  private void recordDecision(String name, Decision decision) {
+    decisions.put(name, decision);
+    if (decision instanceof Attempt attempt) {
+      attempt.sentAt = now;
+      requests.get(name).attempts.add(attempt);
+      sent.merge(attempt.cache, 1, Integer::sum);
+      if (attempt.source != attempt.cache) {
+        sent.merge(attempt.source, 1, Integer::sum);
       }
     }
   }
@@ -229,47 +233,50 @@
    * view.
    */
   private void outcome(String[] words, Map<String, String> facts) {
-    View view = views.get(words[1]);
+    Request request = requests.get(words[1]);
     Outcome.Result result =
         Outcome.Result.valueOf(words[2].toUpperCase(Locale.ROOT).replace('-', '_'));
-    String told = facts.getOrDefault("detail", "untold");
+    String told = facts.getOrDefault("detail", "unknown");
     Outcome.Detail detail = Outcome.Detail.valueOf(told.toUpperCase(Locale.ROOT).replace('-', '_'));
-    Trip trip =
+    Attempt attempt =
         facts.containsKey("trip")
-            ? view.trips.get((int) whole(facts, "trip", 0))
-            : view.trips.stream().filter(t -> t.outcome == null).reduce((a, b) -> b).orElseThrow();
-    trip.outcome =
+            ? request.attempts.get((int) whole(facts, "trip", 0))
+            : request.attempts.stream()
+                .filter(t -> t.outcome == null)
+                .reduce((a, b) -> b)
+                .orElseThrow();
+    attempt.outcome =
         new Outcome(
             result,
             detail,
             millis(facts.getOrDefault("took", "100")),
             facts.containsKey("wait") ? millis(facts.get("wait")) : null,
-            result == Outcome.Result.HONOURED);
-    answer(words[1], brain.after(view, trip, now));
+            result == Outcome.Result.SERVED);
+    recordDecision(words[1], policy.onOutcome(request, attempt, now));
   }
 
   /** A fact is compared with = or !=; a cache's name with ? before it is bound on the spot. */
   private void expect(String line, String[] words) {
-    Answer answer = answers.get(words[1]);
-    check(line, answer.getClass().getSimpleName().toLowerCase(Locale.ROOT), words[2]);
+    Decision decision = decisions.get(words[1]);
+    check(line, decision.getClass().getSimpleName().toLowerCase(Locale.ROOT), words[2]);
     for (String word : Arrays.asList(words).subList(3, words.length)) {
       boolean not = word.contains("!=");
       String key = word.substring(0, word.indexOf(not ? "!=" : "="));
       String wanted = word.substring(word.indexOf('=') + 1);
       Object found;
-      if (answer instanceof Trip trip) {
+      if (decision instanceof Attempt attempt) {
         found =
             switch (key) {
-              case "to" -> trip.cache;
-              case "from" -> trip.source;
-              case "rank" -> trip.rank;
-              case "held" -> trip.onlyHeld ? "yes" : "no";
-              case "renew" -> trip.renew ? "yes" : "no";
-              case "oldest" -> trip.oldest == null ? "any" : trip.oldest.toMillis();
+              case "to" -> attempt.cache;
+              case "from" -> attempt.source;
+              case "rank" -> attempt.rank;
+              case "held" -> attempt.onlyIfCached ? "yes" : "no";
+              case "renew" -> attempt.revalidate ? "yes" : "no";
+              case "oldest" -> attempt.maxCopyAge == null ? "any" : attempt.maxCopyAge.toMillis();
               default -> throw new IllegalArgumentException(line);
             };
-      } else if (answer instanceof Answer.Dismissal dismissal && key.equals("comeback")) {
-        found = dismissal.comeBack() == null ? "none" : "some";
+      } else if (decision instanceof Decision.Reject dismissal && key.equals("comeback")) {
+        found = dismissal.retryAfter() == null ? "none" : "some";
       } else {
         throw new IllegalArgumentException(line);
       }
--- a/policy/src/test/java/tamarindroute/policy/CapacityPlan.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulationPlan.java
@@ -4,13 +4,13 @@
 import java.util.function.Consumer;
 
 /**
- * What a play of {@link CapacityWorld} is made of: its sizes, what its gateways are told, and what
- * happens when.
+ * What a play of {@link CapacitySimulation} is made of: its sizes, what its gateways are told, and
+ * what happens when.
  */
-final class CapacityPlan {
+final class SimulationPlan {
 
   /** What the weights in the list tell of the true capacities. */
-  enum Told {
+  enum AdvertisedWeights {
     TRUE,
     OFF,
     TENFOLD,
@@ -19,7 +19,7 @@
   }
 
   /** Which outcomes tell where an answer came from: all, those of hits and fills, or none. */
-  enum Says {
+  enum ReportedDetails {
     ALL,
     HIT,
     OFF
@@ -33,11 +33,11 @@
   /** The true capacities of the edges, in transfers at full pace. */
   final double[] edges;
 
-  final TreeMap<Double, Consumer<CapacityWorld>> events = new TreeMap<>();
+  final TreeMap<Double, Consumer<CapacitySimulation>> events = new TreeMap<>();
   double seconds = 40;
   long seed = 1;
-  Told told = Told.TRUE;
-  Says says = Says.ALL;
+  AdvertisedWeights advertisedWeights = AdvertisedWeights.TRUE;
+  ReportedDetails reportedDetails = ReportedDetails.ALL;
   boolean sizes = true, reports = true, link = true;
 
   /** Whether some gateways have many more clients than others. */
@@ -51,39 +51,39 @@
   /** The share of attempts that fail at their edge. */
   double failing;
 
-  CapacityPlan(int gateways, double load, double... edges) {
+  SimulationPlan(int gateways, double load, double... edges) {
     this.gateways = gateways;
     this.load = load;
     this.edges = edges;
   }
 
   /** Events at one time happen in the order in which they were planned. */
-  CapacityPlan at(double seconds, Consumer<CapacityWorld> what) {
+  SimulationPlan at(double seconds, Consumer<CapacitySimulation> what) {
     events.merge(seconds, what, Consumer::andThen);
     return this;
   }
 
   /** One of the named options: a value of Told, or what else is left untold. */
-  CapacityPlan telling(String option) {
+  SimulationPlan withOption(String option) {
     switch (option) {
       case "no-sizes" -> sizes = false;
       case "no-reports" -> reports = false;
-      case "no-details" -> says = Says.OFF;
-      case "hit-details" -> says = Says.HIT;
+      case "no-details" -> reportedDetails = ReportedDetails.OFF;
+      case "hit-details" -> reportedDetails = ReportedDetails.HIT;
       case "no-link" -> link = false;
       case "nothing" -> {
-        told = Told.OFF;
-        says = Says.OFF;
+        advertisedWeights = AdvertisedWeights.OFF;
+        reportedDetails = ReportedDetails.OFF;
         sizes = reports = link = false;
       }
-      default -> told = Told.valueOf(option);
+      default -> advertisedWeights = AdvertisedWeights.valueOf(option);
     }
     return this;
   }
 
-  CapacityWorld play() {
-    CapacityWorld world = new CapacityWorld(this);
-    world.play();
+  CapacitySimulation simulate() {
+    CapacitySimulation world = new CapacitySimulation(this);
+    world.run();
     return world;
   }
 }
--- a/router/src/main/java/tamarindroute/config/ServiceSettings.java
+++ b/router/src/main/java/tamarindroute/config/ServiceSettings.java
@@ -20,12 +20,12 @@
 import org.xbill.DNS.Name;
 import org.xbill.DNS.Record;
 import org.xbill.DNS.TextParseException;
-import tamarindroute.decision.Profile;
+import tamarindroute.decision.RequestClass;
 import tamarindroute.dns.DnsSettings;
 import tamarindroute.dns.Location;
 import tamarindroute.dns.Subnet;
 import tamarindroute.dns.ZoneData;
-import tamarindroute.host.Config;
+import tamarindroute.host.PlatformConfiguration;
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.settings.SettingsReader;
 
@@ -38,7 +38,7 @@
  * @param resolvers whom to ask for names in these settings
  */
 public record ServiceSettings(
-    Config platform,
+    PlatformConfiguration platform,
     String feed,
     int instances,
     List<InetSocketAddress> resolvers,
@@ -121,10 +121,10 @@
 
     ServiceSettings bind(Element root) {
       Element instance = root.one("instance");
-      Config platform = null;
+      PlatformConfiguration platform = null;
       Path json = file.toAbsolutePath().resolveSibling(instance.text("settings"));
       try {
-        platform = Config.read(json.toString());
+        platform = PlatformConfiguration.read(json.toString());
       } catch (MalformedSettingsException e) {
         fault(instance, e.getMessage());
       }
@@ -150,7 +150,7 @@
           : null;
     }
 
-    private DnsSettings dns(Element dns, Config platform, int instances) {
+    private DnsSettings dns(Element dns, PlatformConfiguration platform, int instances) {
       List<ZoneData> zones = new ArrayList<>();
       Set<Name> origins = new HashSet<>();
       for (Element zone : dns.all("zone")) {
@@ -263,7 +263,11 @@
     }
 
     private DnsSettings.Steer steer(
-        Element steer, Config platform, int instances, List<ZoneData> zones, Set<Name> origins) {
+        Element steer,
+        PlatformConfiguration platform,
+        int instances,
+        List<ZoneData> zones,
+        Set<Name> origins) {
       Name origin = name(steer, "zone");
       if (!origins.contains(origin)) {
         fault(steer, "zone " + origin + " is none of this server's");
@@ -282,7 +286,7 @@
           steer.all("location").stream().map(one -> one.text("label")).collect(Collectors.toSet());
       List<Location> locations = new ArrayList<>();
       for (Element one : steer.all("location")) {
-        int place = places.indexOf(SettingsReader.plain(one.text("place")));
+        int place = places.indexOf(SettingsReader.normalizeName(one.text("place")));
         if (place < 0 && platform != null) {
           fault(
               one,
@@ -311,7 +315,7 @@
         }
         locations.add(new Location(one.text("label"), place, neighbours, clients));
       }
-      Map<String, Profile> profiles = profiles(steer, platform);
+      Map<String, RequestClass> profiles = profiles(steer, platform);
       for (String label : Stream.of(steer.text("nearest"), steer.text("caches")).toList()) {
         if (labels.contains(label)) {
           fault(steer, "the label \"" + label + "\" is a location's and has another use too");
@@ -336,12 +340,12 @@
           direct(platform));
     }
 
-    private Map<String, Profile> profiles(Element steer, Config platform) {
-      Map<String, Profile> profiles = new HashMap<>();
+    private Map<String, RequestClass> profiles(Element steer, PlatformConfiguration platform) {
+      Map<String, RequestClass> profiles = new HashMap<>();
       try {
-        List<String> names = platform == null ? List.of() : platform.settings().profileNames();
+        List<String> names = platform == null ? List.of() : platform.settings().requestClassNames();
         for (Element one : steer.all("profile")) {
-          int place = names.indexOf(SettingsReader.plain(one.text("name")));
+          int place = names.indexOf(SettingsReader.normalizeName(one.text("name")));
           if (place < 0 && platform != null) {
             fault(
                 one,
@@ -350,7 +354,7 @@
                     + "\" is none of the instance's settings: "
                     + String.join(", ", names));
           } else if (platform != null) {
-            profiles.put(one.text("label"), platform.settings().profiles().get(place));
+            profiles.put(one.text("label"), platform.settings().requestClasses().get(place));
           }
         }
       } catch (MalformedSettingsException e) {
@@ -359,9 +363,10 @@
       return profiles;
     }
 
-    private boolean direct(Config platform) {
+    private boolean direct(PlatformConfiguration platform) {
       try {
-        return platform != null && platform.settings().settings(platform.seed()).direct();
+        return platform != null
+            && platform.settings().settings(platform.seed()).edgeBypassAllowed();
       } catch (MalformedSettingsException e) {
         faults.add(new Fault(file.toString(), 0, 0, e.getMessage()));
         return false;
--- a/router/src/main/java/tamarindroute/dns/DnsSettings.java
+++ b/router/src/main/java/tamarindroute/dns/DnsSettings.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.xbill.DNS.Name;
-import tamarindroute.decision.Profile;
+import tamarindroute.decision.RequestClass;
 
 /** What the DNS front is told by its settings, checked before it gets here. */
 public record DnsSettings(
@@ -41,7 +41,7 @@
       List<Location> locations,
       String nearest,
       String caches,
-      Map<String, Profile> profiles,
+      Map<String, RequestClass> profiles,
       String part,
       int parts,
       int instances,
--- a/router/src/main/java/tamarindroute/dns/Frames.java
+++ b/router/src/main/java/tamarindroute/dns/Frames.java
@@ -1,7 +1,7 @@
 package tamarindroute.dns;
 
 import java.nio.ByteBuffer;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * Owns the cutting of a TCP stream into messages, each behind its length of two bytes (RFC 1035,
@@ -24,7 +24,7 @@
   }
 
   /** The next whole message; null where more bytes are wanted. */
-  public byte[] next(ByteBuffer in) throws MalformedException {
+  public byte[] next(ByteBuffer in) throws MalformedMessageException {
     while (length < 0 && in.hasRemaining()) {
       int b = in.get() & 0xFF;
       if (first < 0) {
@@ -33,7 +33,7 @@
         length = first << 8 | b;
         first = -1;
         if (length > longest || length == 0) {
-          throw new MalformedException("a message of " + length + " bytes");
+          throw new MalformedMessageException("a message of " + length + " bytes");
         }
       }
     }
--- a/router/src/main/java/tamarindroute/dns/Probes.java
+++ b/router/src/main/java/tamarindroute/dns/Probes.java
@@ -20,11 +20,11 @@
 
   /** What a probe came back with. */
   public enum Came {
-    READY(Result.HONOURED),
-    AILING(Result.ERRED),
+    READY(Result.SERVED),
+    AILING(Result.FAILED),
     SILENT(Result.TIMED_OUT),
-    REFUSED(Result.UNREACHED),
-    BROKEN(Result.BROKEN),
+    REFUSED(Result.CONNECT_FAILED),
+    BROKEN(Result.CONNECTION_LOST),
     NOT_SENT(Result.NOT_SENT);
 
     private final Result result;
--- a/router/src/main/java/tamarindroute/dns/Steering.java
+++ b/router/src/main/java/tamarindroute/dns/Steering.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Regard;
+import tamarindroute.decision.CacheHealth;
+import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.dns.Choice.Reason;
 import tamarindroute.dns.DnsSettings.Place;
 
@@ -62,7 +62,7 @@
   private final DnsSettings.Steer settings;
   private final Fleet fleet;
   private final Map<String, Location> locations = new HashMap<>();
-  private final Map<String, Decisions> modules;
+  private final Map<String, RoutingPolicy> modules;
   private final Map<String, Calm> calms = new HashMap<>();
 
   /** The account in use, and those of settings before whose answers may still be kept. */
@@ -77,7 +77,7 @@
   public Steering(
       DnsSettings.Steer settings,
       Fleet fleet,
-      Map<String, Decisions> modules,
+      Map<String, RoutingPolicy> modules,
       Steering earlier,
       Duration now) {
     this.settings = settings;
@@ -102,7 +102,7 @@
   }
 
   /** A cache that may be answered, and what its module holds of it. */
-  private record Candidate(Cache cache, Place place, Regard regard) {}
+  private record Candidate(Cache cache, Place place, CacheHealth health) {}
 
   /**
    * Chooses; the answer is taken as given, so ask only when it will be. The load is what one answer
@@ -169,11 +169,11 @@
    * more is not.
    */
   private Choice leastBad(List<Candidate> known, double load, Duration now) {
-    List<Candidate> ready = known.stream().filter(c -> c.regard.ready()).toList();
+    List<Candidate> ready = known.stream().filter(c -> c.health.ready()).toList();
     Candidate least =
         ready.stream()
             .filter(c -> bears(c, load, now))
-            .min(Comparator.comparingDouble(c -> c.regard.doubt()))
+            .min(Comparator.comparingDouble(c -> c.health.failureEvidence()))
             .orElse(null);
     if (least != null) {
       return give(least, List.of(least), load, settings.leastTtl(), Reason.LEAST_BAD, now);
@@ -188,7 +188,8 @@
   private Choice byId(Wish.ById wish, Predicate<Place> fits) {
     for (Cache cache : fleet.caches()) {
       Place place = fleet.place(cache);
-      if (place.id().equalsIgnoreCase(wish.id()) && cache.standing == Cache.Standing.READY) {
+      if (place.id().equalsIgnoreCase(wish.id())
+          && cache.availability == Cache.Availability.READY) {
         return fits.test(place)
             ? new Choice(List.of(place), settings.leastTtl(), Reason.ORDINARY)
             : Choice.nobody(Reason.NO_SUCH_FAMILY, settings.leastTtl());
@@ -199,20 +200,21 @@
 
   /** Who serves this wish at this location, for parts in the order of the design's hashing. */
   private List<Candidate> candidates(Wish wish, Location location, Duration now) {
-    Decisions module = modules.get(location.label());
+    RoutingPolicy module = modules.get(location.label());
     List<Cache> caches;
     if (passed(wish)) {
       // What can't be kept runs at the origin where it may be reached straight, as a gateway's
       // views do.
       caches = fleet.caches().stream().filter(cache -> cache.tier == Cache.Tier.ORIGIN).toList();
     } else {
-      caches = module.homes(wish instanceof Wish.HomeOf home ? home.part() : 0);
+      caches = module.rankedCaches(wish instanceof Wish.HomeOf home ? home.part() : 0);
     }
     List<Candidate> candidates = new ArrayList<>();
     for (Cache cache : caches) {
-      Regard regard = cache.standing == Cache.Standing.GONE ? null : module.regard(cache, now);
-      if (regard != null) {
-        candidates.add(new Candidate(cache, fleet.place(cache), regard));
+      CacheHealth health =
+          cache.availability == Cache.Availability.GONE ? null : module.cacheHealth(cache, now);
+      if (health != null) {
+        candidates.add(new Candidate(cache, fleet.place(cache), health));
       }
     }
     return candidates;
@@ -228,7 +230,7 @@
     boolean unsettled = false;
     for (Candidate one : edges) {
       state += one.place.hashCode() * 0x9e3779b97f4a7c15L;
-      unsettled |= !one.regard.ready() || one.regard.cold() || one.regard.barred();
+      unsettled |= !one.health.ready() || one.health.cold() || one.health.ejected();
     }
     return calms.get(location.label()).ttl(state, unsettled, now);
   }
@@ -236,19 +238,19 @@
   /** Whether this wish goes past the edges. */
   private boolean passed(Wish wish) {
     return wish instanceof Wish.ForProfile profile
-        && !profile.profile().kept()
+        && !profile.requestClass().cacheable()
         && settings.direct();
   }
 
   private boolean usable(Candidate one, double load, Duration now) {
-    return one.regard.ready() && !one.regard.barred() && bears(one, load, now);
+    return one.health.ready() && !one.health.ejected() && bears(one, load, now);
   }
 
   /**
    * Whether all that is steered there, and this, stays within what it bears; a warm one bears all.
    */
   private boolean bears(Candidate one, double load, Duration now) {
-    return !one.regard.cold() || out(one.place, now) + load <= one.regard.bears();
+    return !one.health.cold() || out(one.place, now) + load <= one.health.maxConcurrentTransfers();
   }
 
   private double out(Place place, Duration now) {
@@ -261,8 +263,9 @@
 
   /** The first by hashing, unless it is full while another has cores to spare. */
   private static Candidate home(List<Candidate> usable) {
-    Candidate spare = usable.stream().filter(c -> c.regard.busy() < BUSY).findFirst().orElse(null);
-    return usable.get(0).regard.busy() < FULL || spare == null ? usable.get(0) : spare;
+    Candidate spare =
+        usable.stream().filter(c -> c.health.cpuUtilization() < BUSY).findFirst().orElse(null);
+    return usable.get(0).health.cpuUtilization() < FULL || spare == null ? usable.get(0) : spare;
   }
 
   /**
@@ -273,7 +276,7 @@
     Candidate best = null;
     double least = Double.POSITIVE_INFINITY;
     for (Candidate one : usable) {
-      double part = (out(one.place, now) + load) / share(one.regard);
+      double part = (out(one.place, now) + load) / share(one.health);
       if (part < least) {
         least = part;
         best = one;
@@ -283,9 +286,9 @@
   }
 
   /** A cache's share of the answers: its weight, less the busier its cores are past the bound. */
-  private static double share(Regard regard) {
-    double spare = (1 - regard.busy()) / (1 - BUSY);
-    return Math.max(1e-6, regard.weight()) * Math.max(LEAST_SHARE, Math.min(1, spare));
+  private static double share(CacheHealth health) {
+    double spare = (1 - health.cpuUtilization()) / (1 - BUSY);
+    return Math.max(1e-6, health.weight()) * Math.max(LEAST_SHARE, Math.min(1, spare));
   }
 
   /**
@@ -301,8 +304,8 @@
       Duration now) {
     List<Candidate> given = new ArrayList<>(List.of(first));
     List<Candidate> left = new ArrayList<>(usable);
-    left.removeIf(c -> c == first || c.regard.cold());
-    while (!first.regard.cold() && given.size() < settings.records() && !left.isEmpty()) {
+    left.removeIf(c -> c == first || c.health.cold());
+    while (!first.health.cold() && given.size() < settings.records() && !left.isEmpty()) {
       Candidate next = leastBusy(left, load, now);
       given.add(next);
       left.remove(next);
--- a/router/src/main/java/tamarindroute/dns/Wish.java
+++ b/router/src/main/java/tamarindroute/dns/Wish.java
@@ -1,6 +1,6 @@
 package tamarindroute.dns;
 
-import tamarindroute.decision.Profile;
+import tamarindroute.decision.RequestClass;
 
 /** What a name asks to be steered to. */
 public sealed interface Wish {
@@ -20,10 +20,10 @@
   }
 
   /** Whoever serves a profile there. */
-  record ForProfile(Location location, Profile profile) implements Wish {
+  record ForProfile(Location location, RequestClass requestClass) implements Wish {
     @Override
     public Wish at(Location other) {
-      return new ForProfile(other, profile);
+      return new ForProfile(other, requestClass);
     }
   }
 
