--- a/router/src/main/java/tamarindroute/gateway/WarmUp.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUp.java
@@ -6,14 +6,14 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Function;
-import tamarindroute.host.Clock;
-import tamarindroute.host.Config;
+import tamarindroute.host.EventLoop;
+import tamarindroute.host.PlatformConfiguration;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Peer;
-import tamarindroute.net.Sockets;
-import tamarindroute.protocol.Fields;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.net.ConnectionHandler;
+import tamarindroute.net.SocketTransport;
+import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.RespReader;
 import tamarindroute.protocol.RespWriter;
 import tamarindroute.settings.MalformedSettingsException;
@@ -29,154 +29,163 @@
    * Three times the compiler's threshold as deploy/serve.sh sets it, on the whole way; bounded in
    * time, for a restart must be quick.
    */
-  private static final int VIEWS = 150;
+  private static final int REQUEST_COUNT = 150;
 
-  private static final int AT_ONCE = 16;
-  private static final Duration LONGEST = Duration.ofMillis(1000);
-  private static final int BODY = 12_000;
-  private static final String MARK = "warm-up";
+  private static final int CONCURRENCY = 16;
+  private static final Duration TIME_LIMIT = Duration.ofMillis(1000);
+  private static final int BODY_LENGTH = 12_000;
+  private static final String MARKER = "warm-up";
 
   /** Where a call's fields stand when its frame is cut into lines. */
-  private static final int FIELDS_LINE = 8;
+  private static final int FIELDS_LINE_INDEX = 8;
 
   /** Connections of its own may still be on their way to the door when it is done. */
-  private static final Duration STRAGGLERS = Duration.ofSeconds(1);
+  private static final Duration STRAGGLER_TIME = Duration.ofSeconds(1);
 
-  private final Clock clock;
-  private final Sockets sockets;
-  private final InetSocketAddress self;
-  private final List<String> profiles;
+  private final EventLoop eventLoop;
+  private final SocketTransport transport;
+  private final InetSocketAddress ownAddress;
+  private final List<String> requestClassNames;
 
   /** Let go of when it is done: with a long list it weighs as much as the real one. */
-  private Chain chain;
+  private RequestPipeline pipeline;
 
   private final Runnable whenDone;
   private Connection client;
-  private int sent;
-  private int answered;
+  private int sentCount;
+  private int responseCount;
   private boolean done;
-  private boolean over;
+  private boolean complete;
 
   /** The chain is one of its own, for a list whose caches are all this gateway itself. */
-  WarmUp(Clock clock, Sockets sockets, Config config, Chain chain, Runnable whenDone)
+  WarmUp(
+      EventLoop eventLoop,
+      SocketTransport transport,
+      PlatformConfiguration configuration,
+      RequestPipeline pipeline,
+      Runnable whenDone)
       throws MalformedSettingsException {
-    this.clock = clock;
-    this.sockets = sockets;
-    this.self = config.listen();
-    this.profiles = config.settings().profileNames();
-    this.chain = chain;
+    this.eventLoop = eventLoop;
+    this.transport = transport;
+    this.ownAddress = configuration.listen();
+    this.requestClassNames = configuration.settings().requestClassNames();
+    this.pipeline = pipeline;
     this.whenDone = whenDone;
     try {
-      if (!config.known().isEmpty()) {
-        chain.roster().read(config.known());
+      if (!configuration.bootstrapEvents().isEmpty()) {
+        pipeline.endpoints().onEvents(configuration.bootstrapEvents());
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       // The real list tells of it.
     }
   }
 
   void start() {
-    if (!chain.roster().listed() || profiles.isEmpty()) {
-      end();
+    if (!pipeline.endpoints().listReceived() || requestClassNames.isEmpty()) {
+      finish();
       return;
     }
-    clock.after(LONGEST, this::end);
-    client = sockets.connect(self, new Client());
+    eventLoop.schedule(TIME_LIMIT, this::finish);
+    client = transport.connect(ownAddress, new WarmUpClient());
   }
 
   /** Whether every connection that comes is a client's. */
-  boolean over() {
-    return over;
+  boolean complete() {
+    return complete;
   }
 
   /** The views played. */
-  int views() {
-    return answered;
+  int completedRequests() {
+    return responseCount;
   }
 
-  private void end() {
+  private void finish() {
     if (!done) {
       done = true;
-      clock.after(STRAGGLERS, () -> over = true);
+      eventLoop.schedule(STRAGGLER_TIME, () -> complete = true);
       if (client != null) {
-        client.close(Ending.LET_GO, false);
+        client.close(CloseReason.CLOSED_LOCALLY, false);
       }
-      chain.roster().letGo();
-      chain = null;
+      pipeline.endpoints().shutDown();
+      pipeline = null;
       whenDone.run();
     }
   }
 
   /** Finds out who has come: a client, this warm-up's client, or its caches' side. */
-  Peer door(Connection connection, Function<Connection, Peer> real) {
-    return new Peer() {
-      private Peer behind;
+  ConnectionHandler identify(
+      Connection connection, Function<Connection, ConnectionHandler> clientHandler) {
+    return new ConnectionHandler() {
+      private ConnectionHandler behind;
       private final Runnable patience =
-          clock.after(
-              TakeIn.WHOLE_FRAME,
+          eventLoop.schedule(
+              ClientConnection.FRAME_TIMEOUT,
               () -> {
                 if (behind == null) {
-                  connection.close(Ending.LET_GO, true);
+                  connection.close(CloseReason.CLOSED_LOCALLY, true);
                 }
               });
 
       @Override
-      public void received(ByteBuffer bytes) {
+      public void onReceived(ByteBuffer bytes) {
         if (behind == null) {
-          String start = StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString();
-          boolean asks = start.startsWith("*4\r\n$3\r\nASK\r\n");
-          String[] lines = start.split("\r\n", FIELDS_LINE + 2);
-          boolean calls =
-              lines.length > FIELDS_LINE && lines[FIELDS_LINE].startsWith("method=" + MARK);
-          if ((asks || calls) && done) {
-            connection.close(Ending.LET_GO, false);
+          String firstBytes = StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString();
+          boolean fromWarmUpCacheSide = firstBytes.startsWith("*4\r\n$3\r\nASK\r\n");
+          String[] lines = firstBytes.split("\r\n", FIELDS_LINE_INDEX + 2);
+          boolean fromWarmUpClient =
+              lines.length > FIELDS_LINE_INDEX
+                  && lines[FIELDS_LINE_INDEX].startsWith("method=" + MARKER);
+          if ((fromWarmUpCacheSide || fromWarmUpClient) && done) {
+            connection.close(CloseReason.CLOSED_LOCALLY, false);
             return;
           }
           behind =
-              asks
-                  ? new Mirror(connection)
-                  : calls ? chain.takeIn(connection) : real.apply(connection);
+              fromWarmUpCacheSide
+                  ? new WarmUpCache(connection)
+                  : fromWarmUpClient
+                      ? pipeline.acceptClient(connection)
+                      : clientHandler.apply(connection);
         }
-        behind.received(bytes);
+        behind.onReceived(bytes);
       }
 
       @Override
-      public void inputClosed() {
+      public void onInputClosed() {
         if (behind == null) {
-          connection.close(Ending.LET_GO, true);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
         } else {
-          behind.inputClosed();
+          behind.onInputClosed();
         }
       }
 
       @Override
-      public void doorShut() {
+      public void onListenerClosed() {
         if (behind == null) {
-          connection.close(Ending.LET_GO, true);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
         } else {
-          behind.doorShut();
+          behind.onListenerClosed();
         }
       }
 
       @Override
-      public Duration uselessSince() {
-        return behind == null ? Duration.ZERO : behind.uselessSince();
+      public Duration idleSince() {
+        return behind == null ? Duration.ZERO : behind.idleSince();
       }
 
       @Override
-      public void idle() {
+      public void onIdle() {
         if (behind == null) {
-          connection.close(Ending.LET_GO, true);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
         } else {
-          behind.idle();
+          behind.onIdle();
         }
       }
 
       @Override
-      public void ended(Ending ending) {
+      public void onClosed(CloseReason closeReason) {
         patience.run();
         if (behind != null) {
-          behind.ended(ending);
+          behind.onClosed(closeReason);
         }
       }
     };
@@ -188,26 +197,26 @@
   }
 
   /** The client's side. */
-  private final class Client implements Peer {
+  private final class WarmUpClient implements ConnectionHandler {
 
-    private final RespReader reader = new RespReader(3, 4096, BODY);
+    private final RespReader reader = new RespReader(3, 4096, BODY_LENGTH);
 
     @Override
-    public void opened() {
-      for (int i = 0; i < AT_ONCE; i++) {
-        call();
+    public void onOpened() {
+      for (int i = 0; i < CONCURRENCY; i++) {
+        sendCall();
       }
     }
 
-    private void call() {
-      String object = hex(sent * 7 % 500);
-      String id = hex(++sent);
-      Fields fields =
-          new Fields()
-              .with("method", MARK)
+    private void sendCall() {
+      String objectId = hex(sentCount * 7 % 500);
+      String id = hex(++sentCount);
+      FieldList fields =
+          new FieldList()
+              .with("method", MARKER)
               .with("rid", id)
               .with("budget", 1000)
-              .with("obj", object)
+              .with("obj", objectId)
               .with("piece", 0)
               .with("lot", 1)
               .with("mem", 100)
@@ -215,80 +224,83 @@
       client.write(
           RespWriter.frame(
               "RPC.CALL",
-              Integer.toString(sent),
-              profiles.get(sent % profiles.size()),
-              fields.write(""),
+              Integer.toString(sentCount),
+              requestClassNames.get(sentCount % requestClassNames.size()),
+              fields.format(""),
               ""));
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
       try {
         for (RespReader.Step step = reader.next(bytes);
-            step != RespReader.Step.MORE;
+            step != RespReader.Step.NEED_MORE_BYTES;
             step = reader.next(bytes)) {
           if (step == RespReader.Step.END) {
-            answered++;
-            if (answered >= VIEWS) {
-              end();
+            responseCount++;
+            if (responseCount >= REQUEST_COUNT) {
+              finish();
             } else {
-              call();
+              sendCall();
             }
           }
         }
-      } catch (MalformedException e) {
-        end();
+      } catch (MalformedMessageException e) {
+        finish();
       }
     }
 
     @Override
-    public void ended(Ending ending) {
-      end();
+    public void onClosed(CloseReason closeReason) {
+      finish();
     }
   }
 
   /** A cache's side: lacks some, has most. */
-  private static final class Mirror implements Peer {
+  private static final class WarmUpCache implements ConnectionHandler {
 
     private final Connection connection;
-    private final RespReader reader = new RespReader(3, 4096, BODY);
-    private final byte[] body = new byte[BODY];
-    private int count;
+    private final RespReader reader = new RespReader(3, 4096, BODY_LENGTH);
+    private final byte[] body = new byte[BODY_LENGTH];
+    private int requestCount;
 
-    Mirror(Connection connection) {
+    WarmUpCache(Connection connection) {
       this.connection = connection;
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
       try {
         for (RespReader.Step step = reader.next(bytes);
-            step != RespReader.Step.MORE;
+            step != RespReader.Step.NEED_MORE_BYTES;
             step = reader.next(bytes)) {
-          if (step == RespReader.Step.END && reader.words().get(0).equals("ASK")) {
-            boolean lacks = count++ % 3 == 0;
-            String fields = lacks ? "-" : "why=hit,digest=" + MARK + ",dated=0";
+          if (step == RespReader.Step.END && reader.arguments().get(0).equals("ASK")) {
+            boolean miss = requestCount++ % 3 == 0;
+            String fields = miss ? "-" : "why=hit,digest=" + MARKER + ",dated=0";
             connection.write(
-                RespWriter.opening(
-                        lacks ? 0 : BODY, reader.words().get(1), lacks ? "NOENT" : "ACK", fields)
+                RespWriter.frameHeader(
+                        miss ? 0 : BODY_LENGTH,
+                        reader.arguments().get(1),
+                        miss ? "NOENT" : "ACK",
+                        fields)
                     .array());
-            connection.write(lacks ? new byte[] {'\r', '\n'} : body.clone());
-            if (!lacks) {
+            connection.write(miss ? new byte[] {'\r', '\n'} : body.clone());
+            if (!miss) {
               connection.write(new byte[] {'\r', '\n'});
             }
           }
         }
-      } catch (MalformedException e) {
-        connection.close(Ending.UNREADABLE, false);
+      } catch (MalformedMessageException e) {
+        connection.close(CloseReason.PROTOCOL_ERROR, false);
       }
     }
 
     @Override
-    public void inputClosed() {
-      connection.close(Ending.LET_GO, false);
+    public void onInputClosed() {
+      connection.close(CloseReason.CLOSED_LOCALLY, false);
     }
 
     @Override
-    public void ended(Ending ending) {}
+    public void onClosed(CloseReason closeReason) {}
   }
 }
--- a/router/src/main/java/tamarindroute/host/Clock.java
+++ b/router/src/main/java/tamarindroute/host/EventLoop.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import java.util.function.Supplier;
 import tamarindroute.log.Log;
-import tamarindroute.net.Timers;
+import tamarindroute.net.Scheduler;
 
 /**
  * Owns the one thread that the module, the views and the timers belong to, and the time since the
@@ -14,46 +14,46 @@
  * before what was handed over, so that a backlog delays no final answer. A failure in a task is
  * logged and must never end the thread; nothing here takes a lock.
  */
-public final class Clock implements Timers {
+public final class EventLoop implements Scheduler {
 
-  private static final class Timer implements Comparable<Timer> {
-    final long due;
+  private static final class ScheduledTask implements Comparable<ScheduledTask> {
+    final long dueNanos;
     Runnable task;
 
-    Timer(long due, Runnable task) {
-      this.due = due;
+    ScheduledTask(long due, Runnable task) {
+      this.dueNanos = due;
       this.task = task;
     }
 
     @Override
-    public int compareTo(Timer other) {
-      return Long.signum(due - other.due);
+    public int compareTo(ScheduledTask other) {
+      return Long.signum(dueNanos - other.dueNanos);
     }
   }
 
   /** So few timers that were called off are not worth looking for. */
-  private static final int FEW = 1000;
+  private static final int MIN_CANCELLED_BEFORE_PURGE = 1000;
 
-  private final long start = System.nanoTime();
-  private final Supplier<Instant> wall;
-  private final PriorityQueue<Timer> timers = new PriorityQueue<>();
+  private final long startNanos = System.nanoTime();
+  private final Supplier<Instant> wallClock;
+  private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
   private final Thread owner = new Thread(this::run, "owner");
-  private final HandOver handed = new HandOver(owner);
-  private int calledOff;
+  private final TaskQueue taskQueue = new TaskQueue(owner);
+  private int cancelledTimers;
 
-  public Clock() {
+  public EventLoop() {
     this(Instant::now);
   }
 
   /** With another clock for Unix time; a test sets it back and forward. */
-  Clock(Supplier<Instant> wall) {
-    this.wall = wall;
+  EventLoop(Supplier<Instant> wallClock) {
+    this.wallClock = wallClock;
     owner.start();
   }
 
   @Override
   public Duration now() {
-    return Duration.ofNanos(System.nanoTime() - start);
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
   /**
@@ -61,14 +61,14 @@
    * is read first: a pause between the two makes a purge or a start look later, which is the
    * careful side.
    */
-  public Duration at(long unixMillis) {
-    Duration ago = Duration.between(Instant.ofEpochMilli(unixMillis), wall.get());
-    return now().minus(ago);
+  public Duration fromUnixMillis(long unixMillis) {
+    Duration elapsed = Duration.between(Instant.ofEpochMilli(unixMillis), wallClock.get());
+    return now().minus(elapsed);
   }
 
   @Override
-  public void handOver(Runnable task) {
-    handed.handOver(task);
+  public void execute(Runnable task) {
+    taskQueue.add(task);
   }
 
   /**
@@ -76,15 +76,15 @@
    * so.
    */
   @Override
-  public Runnable after(Duration span, Runnable task) {
-    Timer timer = new Timer(System.nanoTime() + Math.max(0, span.toNanos()), task);
+  public Runnable schedule(Duration delay, Runnable task) {
+    ScheduledTask timer = new ScheduledTask(System.nanoTime() + Math.max(0, delay.toNanos()), task);
     timers.add(timer);
     return () -> {
       if (timer.task != null) {
         timer.task = null;
-        if (++calledOff > FEW && calledOff > timers.size() / 2) {
+        if (++cancelledTimers > MIN_CANCELLED_BEFORE_PURGE && cancelledTimers > timers.size() / 2) {
           timers.removeIf(t -> t.task == null);
-          calledOff = 0;
+          cancelledTimers = 0;
         }
       }
     };
@@ -92,26 +92,26 @@
 
   private void run() {
     while (true) {
-      Timer next = timers.peek();
-      long left = next == null ? Long.MAX_VALUE : next.due - System.nanoTime();
-      if (left <= 0) {
+      ScheduledTask next = timers.peek();
+      long remainingNanos = next == null ? Long.MAX_VALUE : next.dueNanos - System.nanoTime();
+      if (remainingNanos <= 0) {
         timers.poll();
         Runnable due = next.task;
         next.task = null;
-        calledOff -= due == null ? 1 : 0;
-        guarded(due);
+        cancelledTimers -= due == null ? 1 : 0;
+        runGuarded(due);
         continue;
       }
-      Runnable task = handed.poll();
+      Runnable task = taskQueue.poll();
       if (task != null) {
-        guarded(task);
+        runGuarded(task);
         continue;
       }
-      handed.rest(left);
+      taskQueue.awaitTask(remainingNanos);
     }
   }
 
-  private static void guarded(Runnable task) {
+  private static void runGuarded(Runnable task) {
     if (task == null) {
       return;
     }
--- a/router/src/main/java/tamarindroute/host/Events.java
+++ b/router/src/main/java/tamarindroute/host/FeedEventReader.java
@@ -10,7 +10,7 @@
 import java.io.StringReader;
 import java.util.Arrays;
 import tamarindroute.log.Log;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * Owns the reading of the control feed's numbered events, one entry at a time: a list of thousands
@@ -18,84 +18,84 @@
  * then on. The text is looked through to its end before anything of it is given on. It must never
  * know what an entry means.
  */
-final class Events {
+final class FeedEventReader {
 
   /** What the events are given to, in their order. */
-  interface Taker {
+  interface FeedEventHandler {
 
     /** Whether the event of this number is to be read. */
-    boolean wants(long number) throws MalformedException;
+    boolean accepts(long number) throws MalformedMessageException;
 
     /** An entry of the event's list. */
-    void server(JsonObject entry);
+    void onEndpoint(JsonObject entry);
 
     /** The list is over. */
-    void members(boolean full);
+    void onEndpointsEnd(boolean full);
 
-    void purge(JsonObject purge);
+    void onPurge(JsonObject purge);
 
     /** The event is over, whatever of it could be read. */
-    void over(long number);
+    void onEventEnd(long number);
   }
 
   /**
    * More at once are left for the next answer: their numbers alone would weigh on the smallest
    * heap.
    */
-  private static final int MOST = 65_536;
+  private static final int MAX_EVENTS = 65_536;
 
   private final String text;
-  private long newest;
+  private long newestNumber;
   private long[] numbers = new long[16];
   private int count;
 
   /** Looks through a text; throws where it is not whole, or an event has no number. */
-  Events(String text) throws MalformedException {
+  FeedEventReader(String text) throws MalformedMessageException {
     this.text = text;
     try {
       JsonReader in = new JsonReader(new StringReader(text));
-      boolean numbered = false;
-      boolean listed = false;
+      boolean hasNumber = false;
+      boolean hasEvents = false;
       in.beginObject();
       while (in.hasNext()) {
         switch (in.nextName()) {
           case "n" -> {
-            newest = in.nextLong();
-            numbered = true;
+            newestNumber = in.nextLong();
+            hasNumber = true;
           }
           case "events" -> {
             in.beginArray();
             while (in.hasNext()) {
-              number(in);
+              scanEventNumber(in);
             }
             in.endArray();
-            listed = true;
+            hasEvents = true;
           }
           default -> in.skipValue();
         }
       }
       in.endObject();
-      if (in.peek() != JsonToken.END_DOCUMENT || !numbered || !listed) {
-        throw new MalformedException("no numbered events");
+      if (in.peek() != JsonToken.END_DOCUMENT || !hasNumber || !hasEvents) {
+        throw new MalformedMessageException("no numbered events");
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw e;
     } catch (IOException | IllegalStateException | NumberFormatException e) {
-      throw new MalformedException("no numbered events: " + e.getMessage());
+      throw new MalformedMessageException("no numbered events: " + e.getMessage());
     }
   }
 
   /** The number of the last event that the text speaks of. */
-  long newest() {
-    return newest;
+  long newestNumber() {
+    return newestNumber;
   }
 
   /** Whether it is this event and no other. */
-  boolean only(long number) {
-    return count == 1 && numbers[0] == number && newest == number;
+  boolean containsOnly(long number) {
+    return count == 1 && numbers[0] == number && newestNumber == number;
   }
 
-  private void number(JsonReader in) throws IOException {
+  private void scanEventNumber(JsonReader in) throws IOException {
     Long number = null;
     in.beginObject();
     while (in.hasNext()) {
@@ -107,16 +107,16 @@
     }
     in.endObject();
     if (number == null) {
-      throw new MalformedException("an event without a number");
+      throw new MalformedMessageException("an event without a number");
     }
-    if (count < MOST) {
+    if (count < MAX_EVENTS) {
       numbers = count < numbers.length ? numbers : Arrays.copyOf(numbers, 2 * count);
       numbers[count++] = number;
     }
   }
 
   /** Gives the events on. */
-  void each(Taker taker) throws MalformedException {
+  void deliverTo(FeedEventHandler handler) throws MalformedMessageException {
     try {
       JsonReader in = new JsonReader(new StringReader(text));
       in.beginObject();
@@ -127,57 +127,59 @@
         }
         in.beginArray();
         for (int i = 0; i < count; i++) {
-          if (taker.wants(numbers[i])) {
-            event(in, numbers[i], taker);
-            taker.over(numbers[i]);
+          if (handler.accepts(numbers[i])) {
+            readEvent(in, numbers[i], handler);
+            handler.onEventEnd(numbers[i]);
           } else {
             in.skipValue();
           }
         }
         return;
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw e;
     } catch (IOException | JsonParseException | IllegalStateException e) {
-      throw new MalformedException("no events: " + e.getMessage());
+      throw new MalformedMessageException("no events: " + e.getMessage());
     }
   }
 
-  private static void event(JsonReader in, long number, Taker taker) throws IOException {
+  private static void readEvent(JsonReader in, long number, FeedEventHandler handler)
+      throws IOException {
     in.beginObject();
     while (in.hasNext()) {
       String name = in.nextName();
       boolean known = name.equals("members") || name.equals("purge");
       if (known && in.peek() == JsonToken.BEGIN_OBJECT) {
         if (name.equals("members")) {
-          members(in, number, taker);
+          readEndpoints(in, number, handler);
         } else {
-          taker.purge(JsonParser.parseReader(in).getAsJsonObject());
+          handler.onPurge(JsonParser.parseReader(in).getAsJsonObject());
         }
       } else {
-        unreadable(known, number, name);
+        logIfMalformed(known, number, name);
         in.skipValue();
       }
     }
     in.endObject();
   }
 
-  private static void members(JsonReader in, long number, Taker taker) throws IOException {
+  private static void readEndpoints(JsonReader in, long number, FeedEventHandler handler)
+      throws IOException {
     boolean full = false;
-    boolean listed = false;
+    boolean hasEvents = false;
     in.beginObject();
     while (in.hasNext()) {
       String name = in.nextName();
       if (name.equals("full") && in.peek() == JsonToken.BOOLEAN) {
         full = in.nextBoolean();
       } else if (name.equals("servers") && in.peek() == JsonToken.BEGIN_ARRAY) {
-        listed = true;
+        hasEvents = true;
         in.beginArray();
         while (in.hasNext()) {
           JsonElement entry = JsonParser.parseReader(in);
-          unreadable(!entry.isJsonObject(), number, "an entry");
+          logIfMalformed(!entry.isJsonObject(), number, "an entry");
           if (entry.isJsonObject()) {
-            taker.server(entry.getAsJsonObject());
+            handler.onEndpoint(entry.getAsJsonObject());
           }
         }
         in.endArray();
@@ -186,15 +188,15 @@
       }
     }
     in.endObject();
-    unreadable(!listed, number, "no list");
-    if (listed) {
-      taker.members(full);
+    logIfMalformed(!hasEvents, number, "no list");
+    if (hasEvents) {
+      handler.onEndpointsEnd(full);
     }
   }
 
-  private static void unreadable(boolean so, long number, String what) {
+  private static void logIfMalformed(boolean so, long number, String what) {
     if (so) {
-      Log.line("event-unreadable", number + ": " + what);
+      Log.info("event-unreadable", number + ": " + what);
     }
   }
 }
--- a/router/src/main/java/tamarindroute/host/Config.java
+++ b/router/src/main/java/tamarindroute/host/PlatformConfiguration.java
@@ -24,21 +24,21 @@
  * Owns the reading of the configuration file. It must never keep what nobody reads, nor let a file
  * that cannot be used pass for one that can.
  */
-public record Config(
+public record PlatformConfiguration(
     InetSocketAddress listen,
     InetSocketAddress feed,
     long seed,
-    long memory,
-    int descriptors,
-    String known,
+    long memoryBytes,
+    int descriptorLimit,
+    String bootstrapEvents,
     SettingsReader settings) {
 
   /** What is not told counts as the least that the platform gives. */
-  private static final long LEAST_MEMORY_MB = 32;
+  private static final long DEFAULT_MEMORY_MB = 32;
 
-  private static final int LEAST_DESCRIPTORS = 256;
+  private static final int DEFAULT_DESCRIPTORS = 256;
 
-  public static Config read(String path) throws MalformedSettingsException {
+  public static PlatformConfiguration read(String path) throws MalformedSettingsException {
     if (path == null || path.isEmpty()) {
       throw new MalformedSettingsException("EDGE_CONFIG names no configuration file");
     }
@@ -53,23 +53,23 @@
       JsonObject limits =
           root.has("limits") ? object(root.get("limits"), "limits") : new JsonObject();
       Map<String, String> values = new HashMap<>();
-      flatten("", object(needed(root, "settings"), "settings"), values);
+      flatten("", object(required(root, "settings"), "settings"), values);
       SettingsReader settings = new SettingsReader(values);
       // What is odd in the list of the start is told where that is read, and ends nothing: the feed
       // has it too.
-      String known =
+      String bootstrapEvents =
           root.has("known") && !root.get("known").isJsonNull() ? root.get("known").toString() : "";
-      Config config =
-          new Config(
+      PlatformConfiguration configuration =
+          new PlatformConfiguration(
               address(root, "listen", 0),
               address(root, "feed", 1),
-              seed(plain(needed(root, "seed"), "seed")),
-              limit(limits, "memory_mb", LEAST_MEMORY_MB) * 1024 * 1024,
-              (int) limit(limits, "sockets", LEAST_DESCRIPTORS),
-              known,
+              seed(scalar(required(root, "seed"), "seed")),
+              limit(limits, "memory_mb", DEFAULT_MEMORY_MB) * 1024 * 1024,
+              (int) limit(limits, "sockets", DEFAULT_DESCRIPTORS),
+              bootstrapEvents,
               settings);
-      checked(settings).forEach(odd -> Log.line("config-odd", odd));
-      return config;
+      checkSettings(settings).forEach(warning -> Log.info("config-odd", warning));
+      return configuration;
     } catch (JsonParseException | IllegalArgumentException | MalformedSettingsException e) {
       throw new MalformedSettingsException(
           "the configuration "
@@ -79,15 +79,16 @@
     }
   }
 
-  private static List<String> checked(SettingsReader settings) throws MalformedSettingsException {
+  private static List<String> checkSettings(SettingsReader settings)
+      throws MalformedSettingsException {
     try {
-      return settings.check();
+      return settings.validate();
     } catch (MalformedSettingsException e) {
       throw new MalformedSettingsException("settings: " + e.getMessage());
     }
   }
 
-  private static JsonElement needed(JsonObject of, String name) {
+  private static JsonElement required(JsonObject of, String name) {
     if (!of.has(name) || of.get(name).isJsonNull()) {
       throw new IllegalArgumentException("no " + name);
     }
@@ -96,30 +97,30 @@
 
   private static JsonObject object(JsonElement value, String name) {
     if (!value.isJsonObject()) {
-      throw new IllegalArgumentException(name + " is no object: " + told(value));
+      throw new IllegalArgumentException(name + " is no object: " + quoted(value));
     }
     return value.getAsJsonObject();
   }
 
-  private static String plain(JsonElement value, String name) {
+  private static String scalar(JsonElement value, String name) {
     if (!value.isJsonPrimitive()) {
-      throw new IllegalArgumentException(name + " is no plain value: " + told(value));
+      throw new IllegalArgumentException(name + " is no plain value: " + quoted(value));
     }
     return value.getAsString();
   }
 
-  private static String told(JsonElement value) {
-    return SettingsReader.told(value.toString());
+  private static String quoted(JsonElement value) {
+    return SettingsReader.abbreviate(value.toString());
   }
 
   /** Listening at port 0 is at any free one; nobody can be called there. */
   private static InetSocketAddress address(JsonObject of, String name, int leastPort) {
-    String text = plain(needed(of, name), name);
+    String text = scalar(required(of, name), name);
     try {
       return address(text, leastPort);
     } catch (IllegalArgumentException e) {
       throw new IllegalArgumentException(
-          name + " is " + SettingsReader.told(text) + ": no address NUMBER:PORT");
+          name + " is " + SettingsReader.abbreviate(text) + ": no address NUMBER:PORT");
     }
   }
 
@@ -130,26 +131,28 @@
     }
     long limit = 0;
     try {
-      limit = (long) Double.parseDouble(plain(limits.get(name), "limits." + name));
+      limit = (long) Double.parseDouble(scalar(limits.get(name), "limits." + name));
     } catch (NumberFormatException e) {
       // Told below, as for what is no sensible number.
     }
     if (limit < 1 || limit > Integer.MAX_VALUE) {
-      throw new IllegalArgumentException("limits." + name + " is " + told(limits.get(name)));
+      throw new IllegalArgumentException("limits." + name + " is " + quoted(limits.get(name)));
     }
     return limit;
   }
 
   /** The same without what is read once at the start. */
-  public Config started() {
-    return new Config(listen, feed, seed, memory, descriptors, "", settings);
+  public PlatformConfiguration withoutBootstrapEvents() {
+    return new PlatformConfiguration(
+        listen, feed, seed, memoryBytes, descriptorLimit, "", settings);
   }
 
   /** What a gateway cannot change in service, of what the other says differently. */
-  public List<String> differsIn(Config other) {
+  public List<String> changedRestartOnlySections(PlatformConfiguration other) {
     Map<String, Boolean> same = new LinkedHashMap<>();
     same.put("listen", listen.equals(other.listen));
-    same.put("limits", memory == other.memory && descriptors == other.descriptors);
+    same.put(
+        "limits", memoryBytes == other.memoryBytes && descriptorLimit == other.descriptorLimit);
     same.put("settings", settings.equals(other.settings));
     return same.entrySet().stream()
         .filter(part -> !part.getValue())
@@ -166,7 +169,7 @@
     int colon = text.lastIndexOf(':');
     int port = colon <= 0 ? -1 : Integer.parseInt(text.substring(colon + 1));
     if (port < leastPort) {
-      throw new IllegalArgumentException("no address: " + SettingsReader.told(text));
+      throw new IllegalArgumentException("no address: " + SettingsReader.abbreviate(text));
     }
     return new InetSocketAddress(host(text.substring(0, colon)), port);
   }
@@ -186,12 +189,12 @@
         int part = Integer.parseInt(parts[i]);
         bytes[i] = (byte) part;
         if (part < 0 || part > 255) {
-          throw new IllegalArgumentException("no address: " + SettingsReader.told(text));
+          throw new IllegalArgumentException("no address: " + SettingsReader.abbreviate(text));
         }
       }
       return InetAddress.getByAddress(bytes);
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("no address: " + SettingsReader.told(text));
+      throw new IllegalArgumentException("no address: " + SettingsReader.abbreviate(text));
     }
   }
 
@@ -225,7 +228,9 @@
       StringBuilder joined = new StringBuilder();
       for (int i = 0; i < items.size(); i++) {
         if (items.get(i).isJsonPrimitive()) {
-          joined.append(i == 0 ? "" : ",").append(SettingsReader.plain(items.get(i).getAsString()));
+          joined
+              .append(i == 0 ? "" : ",")
+              .append(SettingsReader.normalizeName(items.get(i).getAsString()));
         } else {
           plain = false;
           flatten(path + "." + i, items.get(i), values);
@@ -234,7 +239,7 @@
       values.put(
           plain ? path : path + ".count", plain ? joined.toString() : String.valueOf(items.size()));
     } else if (value.isJsonPrimitive()) {
-      values.put(path, SettingsReader.plain(value.getAsString()));
+      values.put(path, SettingsReader.normalizeName(value.getAsString()));
     }
   }
 }
--- a/router/src/main/java/tamarindroute/host/HandOver.java
+++ b/router/src/main/java/tamarindroute/host/TaskQueue.java
@@ -8,13 +8,13 @@
  * It must never lose a task, change the order of one thread's tasks, or let the owner rest on with
  * a task waiting; it takes no lock.
  */
-class HandOver {
+class TaskQueue {
 
   private final Thread owner;
-  private final ConcurrentLinkedQueue<Runnable> handed = new ConcurrentLinkedQueue<>();
-  private volatile boolean resting;
+  private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+  private volatile boolean waiting;
 
-  HandOver(Thread owner) {
+  TaskQueue(Thread owner) {
     this.owner = owner;
   }
 
@@ -22,33 +22,33 @@
    * On any thread. The task is in before the look at the rest, and the rest is told before the look
    * for tasks.
    */
-  void handOver(Runnable task) {
-    handed.add(task);
-    if (resting) {
+  void add(Runnable task) {
+    tasks.add(task);
+    if (waiting) {
       unpark(owner);
     }
   }
 
   /** On the owner's thread: the next task, or null. */
   Runnable poll() {
-    return handed.poll();
+    return tasks.poll();
   }
 
   /** On the owner's thread: rests until a task comes, so long at most; it may end for no reason. */
-  void rest(long nanos) {
-    resting = true;
-    if (handed.isEmpty()) {
-      park(nanos);
+  void awaitTask(long timeoutNanos) {
+    waiting = true;
+    if (tasks.isEmpty()) {
+      park(timeoutNanos);
     }
-    resting = false;
+    waiting = false;
   }
 
   /** Where the owner rests; a checker of interleavings has rests and wakes of its own. */
-  void park(long nanos) {
-    LockSupport.parkNanos(this, nanos);
+  void park(long timeoutNanos) {
+    LockSupport.parkNanos(this, timeoutNanos);
   }
 
-  void unpark(Thread resting) {
-    LockSupport.unpark(resting);
+  void unpark(Thread waitingThread) {
+    LockSupport.unpark(waitingThread);
   }
 }
--- a/router/src/main/java/tamarindroute/nameserver/Members.java
+++ b/router/src/main/java/tamarindroute/nameserver/Members.java
@@ -10,7 +10,7 @@
 import tamarindroute.dns.DnsSettings.Place;
 import tamarindroute.dns.Probes;
 import tamarindroute.dns.Steering;
-import tamarindroute.host.Roster;
+import tamarindroute.host.EndpointRegistry;
 
 /**
  * The list as steering sees it: ids as labels, addresses, the feed's silence, what probes prove.
@@ -20,12 +20,12 @@
   /** A label of a name is no longer. */
   private static final int LONGEST_LABEL = 63;
 
-  private final Roster roster;
+  private final EndpointRegistry endpoints;
   private final Probes probes;
   private final Map<Cache, Place> places = new HashMap<>();
 
-  Members(Roster roster, Probes probes) {
-    this.roster = roster;
+  Members(EndpointRegistry endpoints, Probes probes) {
+    this.endpoints = endpoints;
     this.probes = probes;
   }
 
@@ -33,13 +33,13 @@
   void changed() {
     places.clear();
     if (probes != null) {
-      probes.listed(roster.caches());
+      probes.listed(endpoints.caches());
     }
   }
 
   @Override
   public List<Cache> caches() {
-    return roster.caches();
+    return endpoints.caches();
   }
 
   @Override
@@ -47,8 +47,8 @@
     return places.computeIfAbsent(
         cache,
         c -> {
-          InetSocketAddress address = roster.address(c);
-          return new Place(label(roster.id(c)), address.getAddress(), address.getPort());
+          InetSocketAddress address = endpoints.address(c);
+          return new Place(label(endpoints.id(c)), address.getAddress(), address.getPort());
         });
   }
 
@@ -60,12 +60,12 @@
 
   @Override
   public boolean listed() {
-    return roster.listed();
+    return endpoints.listReceived();
   }
 
   @Override
   public Duration silent(Duration now) {
-    return roster.heardAt() == null ? now : now.minus(roster.heardAt());
+    return endpoints.lastFeedReadAt() == null ? now : now.minus(endpoints.lastFeedReadAt());
   }
 
   @Override
--- a/router/src/main/java/tamarindroute/nameserver/NameServer.java
+++ b/router/src/main/java/tamarindroute/nameserver/NameServer.java
@@ -23,8 +23,8 @@
 import sun.misc.Signal;
 import tamarindroute.config.ServiceSettings;
 import tamarindroute.config.UnusableException;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Settings;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.dns.Choice;
 import tamarindroute.dns.Cookies;
 import tamarindroute.dns.DnsSettings;
@@ -34,11 +34,11 @@
 import tamarindroute.dns.Responder;
 import tamarindroute.dns.Steering;
 import tamarindroute.dns.Tally;
-import tamarindroute.host.Clock;
-import tamarindroute.host.Config;
-import tamarindroute.host.Instance;
+import tamarindroute.host.EventLoop;
+import tamarindroute.host.PlatformConfiguration;
+import tamarindroute.host.RouterInstance;
 import tamarindroute.log.Log;
-import tamarindroute.net.Datagrams;
+import tamarindroute.net.DatagramTransport;
 import tamarindroute.resolver.Forwarder;
 import tamarindroute.resolver.Upstreams;
 
@@ -62,11 +62,11 @@
   private static final Duration LOOK_UP_SOON = Duration.ofSeconds(2);
   private static final int SECRET = 32;
 
-  private final Clock clock = new Clock();
-  private final Datagrams datagrams = new Datagrams(clock);
+  private final EventLoop eventLoop = new EventLoop();
+  private final DatagramTransport datagrams = new DatagramTransport(eventLoop);
   private final Tally tally = new Tally();
-  private final Map<Integer, Decisions> modules = new HashMap<>();
-  private final Instance instance;
+  private final Map<Integer, RoutingPolicy> modules = new HashMap<>();
+  private final RouterInstance instance;
   private final Members members;
   private final Probes probes;
   private final Forwarder forwarder;
@@ -84,61 +84,63 @@
   private int dropped;
   private boolean stopping;
 
-  private NameServer(ServiceSettings settings, Function<Settings, Decisions> module)
+  private NameServer(ServiceSettings settings, Function<PolicySettings, RoutingPolicy> module)
       throws IOException {
     this.settings = settings;
-    Config platform = settings.platform();
+    PlatformConfiguration platform = settings.platform();
     seed = platform.seed();
     List<String> places = platform.settings().zones();
-    Settings told = platform.settings().settings(seed);
+    PolicySettings told = platform.settings().settings(seed);
     for (int place = 0; place < Math.max(1, places.size()); place++) {
       modules.put(place, module.apply(at(told, place, settings.instances())));
     }
     int connected = Math.max(LEAST_CONNECTED, settings.dns().limits().connections());
-    Config own =
-        new Config(
+    PlatformConfiguration own =
+        new PlatformConfiguration(
             platform.listen(),
             platform.feed(),
             seed,
-            platform.memory(),
+            platform.memoryBytes(),
             OWN_DESCRIPTORS + 2 * connected,
-            platform.known(),
+            platform.bootstrapEvents(),
             platform.settings());
-    instance = new Instance(own, clock, List.copyOf(modules.values()));
+    instance = new RouterInstance(own, eventLoop, List.copyOf(modules.values()));
     DnsSettings.Probing probing = settings.dns().probing();
     probes = probing == null ? null : new Probes(probing);
-    members = new Members(instance.roster(), probes);
-    instance.roster().whenChanged(members::changed);
-    forwarder = new Forwarder(clock, datagrams, instance.sockets());
+    members = new Members(instance.endpoints(), probes);
+    instance.endpoints().onChange(members::changed);
+    forwarder = new Forwarder(eventLoop, datagrams, instance.transport());
     take(settings);
   }
 
   /**
    * A module of a location: all instances told share what a cold cache bears, whatever they are.
    */
-  private static Settings at(Settings told, int place, int instances) {
+  private static PolicySettings at(PolicySettings told, int place, int instances) {
     // Names see no hits to learn from, so weights are taken as they are told; where they are off,
     // each is 1.
-    Settings.Weights weights =
-        told.weights() == Settings.Weights.OFF ? Settings.Weights.ROUGH : told.weights();
-    return new Settings(
+    PolicySettings.WeightMeaning weights =
+        told.weightMeaning() == PolicySettings.WeightMeaning.OFF
+            ? PolicySettings.WeightMeaning.ROUGH
+            : told.weightMeaning();
+    return new PolicySettings(
         told.seed(),
         place,
         instances,
         instances,
-        told.hubOf(),
-        told.pace(),
-        told.linkIn(),
-        told.direct(),
-        told.siblings(),
-        told.tellsSources(),
-        told.secondCopies(),
-        told.recalls(),
-        told.longestComeBack(),
-        told.mostTrips(),
-        told.edgeStart(),
-        told.parentStart(),
-        told.purgeDone(),
+        told.hubByZone(),
+        told.transferRateKbPerSecond(),
+        told.inboundLinkKbPerSecond(),
+        told.edgeBypassAllowed(),
+        told.siblingFillAllowed(),
+        told.reportsFillSource(),
+        told.hedgingAllowed(),
+        told.cancelAllowed(),
+        told.maxRetryAfter(),
+        told.maxAttempts(),
+        told.edgeColdStart(),
+        told.parentColdStart(),
+        told.purgePropagationTime(),
         weights);
   }
 
@@ -159,11 +161,11 @@
     RateLimit newLimit = sameLimit ? limit : new RateLimit(limits.perSecond(), limits.slip());
     Steering newSteering = steering;
     if (dns.steer() != null) {
-      Map<String, Decisions> byLabel = new HashMap<>();
+      Map<String, RoutingPolicy> byLabel = new HashMap<>();
       for (Location location : dns.steer().locations()) {
         byLabel.put(location.label(), modules.get(location.place()));
       }
-      newSteering = new Steering(dns.steer(), members, byLabel, steering, clock.now());
+      newSteering = new Steering(dns.steer(), members, byLabel, steering, eventLoop.now());
     }
     Responder newResponder = new Responder(dns, newSteering, newCookies, newLimit, tally);
     Map<DnsSettings.Forwarded, Forwarder.Route> newRoutes = new HashMap<>();
@@ -190,7 +192,7 @@
     responder = newResponder;
     routes = newRoutes;
     settings = told;
-    instance.sockets().mostClients(limits.connections());
+    instance.transport().limitClients(limits.connections());
   }
 
   /** The secrets told, or one of this start's own. */
@@ -204,13 +206,14 @@
   }
 
   /** Starts a name server; returns when it listens, the rest goes on in threads of its own. */
-  public static void start(Path file, Function<Settings, Decisions> module) throws IOException {
+  public static void start(Path file, Function<PolicySettings, RoutingPolicy> module)
+      throws IOException {
     AtomicReference<NameServer> started = new AtomicReference<>();
     Signal.handle(new Signal("HUP"), signal -> reread(file, started));
     NameServer server = new NameServer(ServiceSettings.read(file), module);
     CountDownLatch opened = new CountDownLatch(1);
     AtomicReference<IOException> failed = new AtomicReference<>();
-    server.clock.handOver(
+    server.eventLoop.execute(
         () -> {
           try {
             server.open();
@@ -233,7 +236,7 @@
     }
     started.set(server);
     Runtime.getRuntime().addShutdownHook(new Thread(server::stop, "stop"));
-    Log.event(
+    Log.infoWithFields(
         "dns",
         "answering",
         "listen",
@@ -256,17 +259,17 @@
       ServiceSettings told = ServiceSettings.read(file);
       if (!told.platform().settings().equals(server.settings.platform().settings())) {
         // Places and profiles would mean others than the modules' own.
-        Log.line(
+        Log.info(
             "config-unusable",
             "the old one holds: the instance's settings differ, which needs a start");
         return;
       }
       List<String> later = server.differsIn(told);
-      server.clock.handOver(
+      server.eventLoop.execute(
           () -> {
             server.take(told);
             server.move();
-            Log.line(
+            Log.info(
                 "config",
                 "read again"
                     + (later.isEmpty()
@@ -274,7 +277,7 @@
                         : "; not before the next start: " + String.join(", ", later)));
           });
     } catch (UnusableException e) {
-      Log.line("config-unusable", "the old one holds: " + e.inOneLine());
+      Log.info("config-unusable", "the old one holds: " + e.inOneLine());
     }
   }
 
@@ -294,17 +297,17 @@
   }
 
   private void open() throws IOException {
-    instance.known();
+    instance.applyBootstrapEvents();
     InetSocketAddress address = settings.dns().listen();
     datagrams.listen(
         address, (bytes, from, at, answer) -> query(bytes, from.getAddress(), true, answer));
     instance
-        .sockets()
+        .transport()
         .listen(
             address,
             connection ->
                 new Stream(
-                    clock,
+                    eventLoop,
                     connection,
                     settings.dns().limits().idle(),
                     settings.dns().limits().pipelined(),
@@ -312,14 +315,14 @@
     move();
     if (probes != null) {
       new Prober(
-              clock,
-              instance.roster(),
+              eventLoop,
+              instance.endpoints(),
               probes,
               List.copyOf(modules.values()),
               settings.dns().probing().within())
           .tick();
     }
-    clock.after(COUNTED, this::count);
+    eventLoop.schedule(COUNTED, this::count);
   }
 
   /**
@@ -338,10 +341,10 @@
   }
 
   private void follow(InetSocketAddress feed) {
-    instance.move(feed);
+    instance.moveFeed(feed);
     if (!following) {
       following = true;
-      instance.follow();
+      instance.startFeed();
     }
   }
 
@@ -363,12 +366,12 @@
           if (found != null) {
             follow(new InetSocketAddress(found, port));
           } else {
-            Log.event("feed-unknown", "its name can't be looked up", "name", feed);
+            Log.infoWithFields("feed-unknown", "its name can't be looked up", "name", feed);
           }
           // One look-up is planned at a time, however often the settings are read again.
           nextLookUp.run();
           nextLookUp =
-              clock.after(
+              eventLoop.schedule(
                   found == null ? LOOK_UP_SOON : LOOKED_UP,
                   () -> {
                     if (feed.equals(settings.feed())) {
@@ -383,7 +386,7 @@
       send(null, datagram, answer);
       return;
     }
-    Responder.Reply reply = responder.answer(bytes, from, datagram, clock.now(), Instant.now());
+    Responder.Reply reply = responder.answer(bytes, from, datagram, eventLoop.now(), Instant.now());
     if (reply instanceof Responder.HandOn handOn) {
       handedOn++;
       Responder asker = responder;
@@ -395,7 +398,11 @@
             handedOn--;
             send(
                 asker.handedBack(
-                    handOn.pending(), result.message(), result.stale(), clock.now(), Instant.now()),
+                    handOn.pending(),
+                    result.message(),
+                    result.stale(),
+                    eventLoop.now(),
+                    Instant.now()),
                 datagram,
                 answer);
           });
@@ -416,18 +423,18 @@
   private void count() {
     Object[] named = tally.sinceLast();
     if (datagrams.dropped() > dropped) {
-      Log.event(
+      Log.infoWithFields(
           "dns-flooded", "datagrams dropped unread", "dropped", datagrams.dropped() - dropped);
       dropped = datagrams.dropped();
     }
     if (named.length > 0) {
-      Log.event("dns-counts", "in the last " + COUNTED.toSeconds() + " s", named);
+      Log.infoWithFields("dns-counts", "in the last " + COUNTED.toSeconds() + " s", named);
     }
     Map<Choice.Reason, Long> reasons = responder.reasons();
     if (!reasons.isEmpty()) {
-      Log.event("dns-reasons", reasons);
+      Log.infoWithFields("dns-reasons", reasons);
     }
-    clock.after(COUNTED, this::count);
+    eventLoop.schedule(COUNTED, this::count);
   }
 
   /**
@@ -436,31 +443,31 @@
    */
   private void stop() {
     try {
-      clock.handOver(() -> stopping = true);
+      eventLoop.execute(() -> stopping = true);
       Duration longest =
           settings.dns().forwarded().stream()
               .map(DnsSettings.Forwarded::within)
               .max(Duration::compareTo)
               .orElse(Duration.ZERO);
-      Duration end = clock.now().plus(longest);
+      Duration end = eventLoop.now().plus(longest);
       AtomicReference<Integer> left = new AtomicReference<>();
       do {
         CountDownLatch looked = new CountDownLatch(1);
-        clock.handOver(
+        eventLoop.execute(
             () -> {
               left.set(handedOn);
               looked.countDown();
             });
         looked.await(1, TimeUnit.SECONDS);
         Thread.sleep(20);
-      } while (clock.now().compareTo(end) < 0 && left.get() != null && left.get() > 0);
-      Log.event("stop", "SIGTERM", "in_hand", left.get());
+      } while (eventLoop.now().compareTo(end) < 0 && left.get() != null && left.get() > 0);
+      Log.infoWithFields("stop", "SIGTERM", "in_hand", left.get());
       // The last answers are with MINA's thread, which needs a moment to write them.
       Thread.sleep(50);
     } catch (InterruptedException e) {
-      Log.line("stop", e);
+      Log.info("stop", e);
     }
-    instance.sockets().shutDown();
+    instance.transport().shutDown();
     datagrams.shutDown();
   }
 }
--- a/router/src/main/java/tamarindroute/nameserver/Prober.java
+++ b/router/src/main/java/tamarindroute/nameserver/Prober.java
@@ -4,19 +4,19 @@
 import java.time.Duration;
 import java.util.List;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Load;
+import tamarindroute.decision.LoadReport;
+import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.dns.Probes;
 import tamarindroute.dns.Probes.Came;
-import tamarindroute.host.Report;
-import tamarindroute.host.Roster;
+import tamarindroute.host.EndpointRegistry;
+import tamarindroute.host.LoadReportParser;
 import tamarindroute.log.Log;
-import tamarindroute.net.Asked;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Timers;
-import tamarindroute.protocol.Fields;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.net.ResponseHandler;
+import tamarindroute.net.Scheduler;
+import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * Sends the probes that are due and tells the modules what they speak for. It must never choose
@@ -27,33 +27,38 @@
   /** Probes that are due go out this often; their spread over time is the budget's. */
   private static final Duration TICK = Duration.ofMillis(20);
 
-  private final Timers timers;
-  private final Roster roster;
+  private final Scheduler scheduler;
+  private final EndpointRegistry endpoints;
   private final Probes probes;
-  private final List<Decisions> modules;
+  private final List<RoutingPolicy> modules;
   private final Duration within;
   private long tags;
 
-  Prober(Timers timers, Roster roster, Probes probes, List<Decisions> modules, Duration within) {
-    this.timers = timers;
-    this.roster = roster;
+  Prober(
+      Scheduler scheduler,
+      EndpointRegistry endpoints,
+      Probes probes,
+      List<RoutingPolicy> modules,
+      Duration within) {
+    this.scheduler = scheduler;
+    this.endpoints = endpoints;
     this.probes = probes;
     this.modules = modules;
     this.within = within;
   }
 
   void tick() {
-    probes.due(timers.now()).forEach(cache -> new Probe(cache).go());
-    timers.after(TICK, this::tick);
+    probes.due(scheduler.now()).forEach(cache -> new Probe(cache).go());
+    scheduler.schedule(TICK, this::tick);
   }
 
-  private final class Probe implements Asked {
+  private final class Probe implements ResponseHandler {
 
     private final Cache cache;
     private Runnable timer = () -> {};
     private Runnable quit = () -> {};
     private String word;
-    private Fields fields;
+    private FieldList fields;
     private boolean over;
 
     Probe(Cache cache) {
@@ -62,9 +67,9 @@
 
     void go() {
       // The id of a probe is a number of its own; no view's id is so short.
-      quit = roster.line(cache).probe(Long.toString(++tags), this);
+      quit = endpoints.connectionPool(cache).sendHealthCheck(Long.toString(++tags), this);
       timer =
-          timers.after(
+          scheduler.schedule(
               within,
               () -> {
                 end(Came.SILENT);
@@ -73,34 +78,34 @@
     }
 
     @Override
-    public void answered(String told, Fields values, int length) {
+    public void onResponse(String told, FieldList values, int length) {
       word = told;
       fields = values;
     }
 
     @Override
-    public void body(ByteBuffer part, Connection from) {}
+    public void onBody(ByteBuffer part, Connection from) {}
 
     @Override
-    public void whole() {
+    public void onComplete() {
       try {
-        Load load = Report.load(fields);
-        if (load != null && !over) {
-          modules.forEach(module -> module.loaded(cache, load, timers.now()));
+        LoadReport loadReport = LoadReportParser.parse(fields);
+        if (loadReport != null && !over) {
+          modules.forEach(module -> module.onLoadReport(cache, loadReport, scheduler.now()));
         }
-      } catch (MalformedException e) {
-        Log.line("cache-unreadable", e.getMessage());
+      } catch (MalformedMessageException e) {
+        Log.info("cache-unreadable", e.getMessage());
       }
       end(word.equals("READY") ? Came.READY : Came.AILING);
     }
 
     @Override
-    public void ended(Ending ending, boolean written) {
+    public void onFailure(CloseReason closeReason, boolean written) {
       end(
-          switch (ending) {
+          switch (closeReason) {
             case REFUSED, UNREACHABLE -> Came.REFUSED;
-            case NOT_UP_IN_TIME -> Came.SILENT;
-            case NO_DESCRIPTOR, LET_GO -> Came.NOT_SENT;
+            case TIMED_OUT -> Came.SILENT;
+            case NO_DESCRIPTOR, CLOSED_LOCALLY -> Came.NOT_SENT;
             default -> written ? Came.BROKEN : Came.NOT_SENT;
           });
     }
@@ -111,8 +116,9 @@
       }
       over = true;
       timer.run();
-      for (Probes.Told told : probes.came(cache, came, timers.now())) {
-        modules.forEach(module -> module.probed(told.cache(), told.result(), timers.now()));
+      for (Probes.Told told : probes.came(cache, came, scheduler.now())) {
+        modules.forEach(
+            module -> module.onHealthCheck(told.cache(), told.result(), scheduler.now()));
       }
     }
   }
--- a/router/src/main/java/tamarindroute/nameserver/Stream.java
+++ b/router/src/main/java/tamarindroute/nameserver/Stream.java
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import tamarindroute.dns.Frames;
 import tamarindroute.log.Log;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Peer;
-import tamarindroute.net.Timers;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.net.ConnectionHandler;
+import tamarindroute.net.Scheduler;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * One client's TCP connection: queries are taken as they come and answered in any order (RFC 7766).
  * It must never hold an answer back in a queue: what a client leaves unread would be out of date
  * when it reads it.
  */
-final class Stream implements Peer {
+final class Stream implements ConnectionHandler {
 
   /** What takes a query; the answer comes once, null for none. */
   interface Taker {
@@ -39,7 +39,7 @@
    */
   private static final Duration UNREAD = Duration.ofMillis(250);
 
-  private final Timers timers;
+  private final Scheduler scheduler;
   private final Connection connection;
   private InetAddress from;
   private final Duration idle;
@@ -53,21 +53,21 @@
   private boolean last;
   private boolean over;
 
-  Stream(Timers timers, Connection connection, Duration idle, int most, Taker taker) {
-    this.timers = timers;
+  Stream(Scheduler scheduler, Connection connection, Duration idle, int most, Taker taker) {
+    this.scheduler = scheduler;
     this.connection = connection;
     this.idle = idle;
     this.most = most;
     this.taker = taker;
-    this.usedAt = timers.now();
-    this.patience = timers.after(WHOLE, this::waited);
+    this.usedAt = scheduler.now();
+    this.patience = scheduler.schedule(WHOLE, this::waited);
   }
 
   @Override
-  public void opened() {
-    InetSocketAddress remote = connection.remote();
+  public void onOpened() {
+    InetSocketAddress remote = connection.remoteAddress();
     if (remote == null) {
-      connection.close(Ending.LET_GO, false);
+      connection.close(CloseReason.CLOSED_LOCALLY, false);
     } else {
       from = remote.getAddress();
     }
@@ -76,14 +76,14 @@
   /** The time for a whole message, or for the next one, is over. */
   private void waited() {
     if (open > 0) {
-      patience = timers.after(WHOLE, this::waited);
+      patience = scheduler.schedule(WHOLE, this::waited);
     } else {
-      connection.close(Ending.LET_GO, true);
+      connection.close(CloseReason.CLOSED_LOCALLY, true);
     }
   }
 
   @Override
-  public void received(ByteBuffer bytes) {
+  public void onReceived(ByteBuffer bytes) {
     try {
       while (!connection.paused()) {
         byte[] query = last ? null : frames.next(bytes);
@@ -96,9 +96,9 @@
         }
         taker.taken(query, from, this::answer);
       }
-    } catch (MalformedException e) {
-      Log.line("query-unreadable", e.getMessage());
-      connection.close(Ending.UNREADABLE, false);
+    } catch (MalformedMessageException e) {
+      Log.info("query-unreadable", e.getMessage());
+      connection.close(CloseReason.PROTOCOL_ERROR, false);
       return;
     }
     if (last) {
@@ -106,13 +106,13 @@
     }
     if (!over) {
       patience.run();
-      patience = timers.after(frames.atRest() ? idle : WHOLE, this::waited);
+      patience = scheduler.schedule(frames.atRest() ? idle : WHOLE, this::waited);
     }
   }
 
   private void answer(byte[] bytes) {
     open--;
-    usedAt = timers.now();
+    usedAt = scheduler.now();
     if (over) {
       return;
     }
@@ -130,43 +130,44 @@
 
   /** Looks after a while whether what is written up to now has left. */
   private void look() {
-    long mark = connection.written();
+    long mark = connection.bytesWritten();
     unread =
-        timers.after(
+        scheduler.schedule(
             UNREAD,
             () -> {
               unread = null;
               if (over) {
                 return;
               }
-              if (!connection.hasLeft(mark)) {
-                Log.line("query-unread", connection.waiting() + " bytes of answers left unread");
-                connection.close(Ending.LET_GO, false);
-              } else if (connection.waiting() > 0) {
+              if (!connection.isSent(mark)) {
+                Log.info(
+                    "query-unread", connection.unsentBytes() + " bytes of answers left unread");
+                connection.close(CloseReason.CLOSED_LOCALLY, false);
+              } else if (connection.unsentBytes() > 0) {
                 look();
               }
             });
   }
 
   @Override
-  public Duration uselessSince() {
+  public Duration idleSince() {
     return open > 0 ? null : usedAt;
   }
 
   @Override
-  public void inputClosed() {
+  public void onInputClosed() {
     last = true;
     closeIfDone();
   }
 
   private void closeIfDone() {
     if (last && open == 0) {
-      connection.close(Ending.LET_GO, true);
+      connection.close(CloseReason.CLOSED_LOCALLY, true);
     }
   }
 
   @Override
-  public void ended(Ending ending) {
+  public void onClosed(CloseReason closeReason) {
     over = true;
     patience.run();
     if (unread != null) {
--- a/router/src/main/java/tamarindroute/resolver/Forwarder.java
+++ b/router/src/main/java/tamarindroute/resolver/Forwarder.java
@@ -22,13 +22,13 @@
 import org.xbill.DNS.WireParseException;
 import tamarindroute.dns.Frames;
 import tamarindroute.log.Log;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Datagrams;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Peer;
-import tamarindroute.net.Sockets;
-import tamarindroute.net.Timers;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.net.ConnectionHandler;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.net.Scheduler;
+import tamarindroute.net.SocketTransport;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * Owns the questions of ours that are under way: sends each from a fresh port with a random id and
@@ -87,23 +87,23 @@
    */
   private static final Duration STALE_AFTER = Duration.ofMillis(800);
 
-  private final Timers timers;
-  private final Datagrams datagrams;
-  private final Sockets sockets;
+  private final Scheduler scheduler;
+  private final DatagramTransport datagrams;
+  private final SocketTransport transport;
   private final Kept kept = new Kept();
   private final RetryBudget budget = new RetryBudget();
   private final Map<Kept.Asked, Job> jobs = new HashMap<>();
   private final SecureRandom random = new SecureRandom();
 
-  public Forwarder(Timers timers, Datagrams datagrams, Sockets sockets) {
-    this.timers = timers;
+  public Forwarder(Scheduler scheduler, DatagramTransport datagrams, SocketTransport transport) {
+    this.scheduler = scheduler;
     this.datagrams = datagrams;
-    this.sockets = sockets;
+    this.transport = transport;
   }
 
   /** What was known of a question, while nobody answers it; without a message where nothing was. */
   private Result known(Route route, Kept.Asked asked) {
-    Kept.Found found = kept.stale(asked, route.staleFor, timers.now());
+    Kept.Found found = kept.stale(asked, route.staleFor, scheduler.now());
     return found == null ? new Result(null, false) : new Result(found.message(), found.stale());
   }
 
@@ -113,7 +113,7 @@
    */
   public void ask(Route route, Name name, int type, Consumer<Result> then) {
     Kept.Asked asked = new Kept.Asked(name, type);
-    Kept.Found found = kept.fresh(asked, timers.now());
+    Kept.Found found = kept.fresh(asked, scheduler.now());
     if (found != null) {
       then.accept(new Result(found.message(), false));
       return;
@@ -135,7 +135,7 @@
     job = new Job(route, asked);
     jobs.put(asked, job);
     job.waiting.add(then);
-    budget.first(timers.now());
+    budget.first(scheduler.now());
     job.attempt();
   }
 
@@ -155,17 +155,17 @@
     Job(Route route, Kept.Asked asked) {
       this.route = route;
       this.asked = asked;
-      this.deadline = timers.after(route.within, () -> giveUp("time is over"));
-      this.staleTimer = timers.after(STALE_AFTER, this::stale);
+      this.deadline = scheduler.schedule(route.within, () -> giveUp("time is over"));
+      this.staleTimer = scheduler.schedule(STALE_AFTER, this::stale);
     }
 
     void attempt() {
-      Upstreams.Upstream upstream = route.upstreams.next(tried, timers.now());
+      Upstreams.Upstream upstream = route.upstreams.next(tried, scheduler.now());
       if (upstream == null && tried.size() == route.upstreams.all().size()) {
         // All were asked once: the better of them once more, where the budget allows it.
-        upstream = route.upstreams.next(Set.of(), timers.now());
+        upstream = route.upstreams.next(Set.of(), scheduler.now());
       }
-      boolean allowed = sent == 0 || sent < MOST_ATTEMPTS && budget.further(timers.now());
+      boolean allowed = sent == 0 || sent < MOST_ATTEMPTS && budget.further(scheduler.now());
       if (upstream == null || !allowed) {
         giveUp(
             upstream == null
@@ -196,7 +196,7 @@
         out.quit();
       }
       Result known = known(route, asked);
-      Log.event(
+      Log.infoWithFields(
           "upstream-none",
           asked.name() + ": " + why,
           "attempts",
@@ -207,7 +207,7 @@
     }
 
     void good(Message message) {
-      kept.keep(asked, message, timers.now());
+      kept.keep(asked, message, scheduler.now());
       end(new Result(message, false));
     }
 
@@ -226,13 +226,13 @@
   }
 
   /** One sending of a question to one upstream. */
-  private final class Attempt implements Datagrams.Waiting, Peer {
+  private final class Attempt implements DatagramTransport.ReplyHandler, ConnectionHandler {
 
     private final Job job;
     private final Upstreams.Upstream upstream;
     private final int id = random.nextInt(1 << 16);
     private final Name name;
-    private final Duration from = timers.now();
+    private final Duration from = scheduler.now();
     private Runnable timer = () -> {};
     private Runnable quit = () -> {};
     private Connection connection;
@@ -248,8 +248,8 @@
 
     void go() {
       Duration wait = job.route.upstreams.sent(upstream, from);
-      timer = timers.after(wait, () -> failed("silent", true));
-      quit = datagrams.ask(upstream.address, query(), this);
+      timer = scheduler.schedule(wait, () -> failed("silent", true));
+      quit = datagrams.query(upstream.address, query(), this);
     }
 
     private byte[] query() {
@@ -264,23 +264,23 @@
 
     /** On the owner's thread, from either transport. */
     @Override
-    public void came(byte[] bytes) {
+    public void onReply(byte[] bytes) {
       if (over) {
         return;
       }
       Check.Said said = Check.read(bytes, id, name, job.asked.type(), job.route.zone);
       if (said instanceof Check.Good good) {
         end();
-        job.route.upstreams.answered(upstream, timers.now().minus(from), timers.now());
+        job.route.upstreams.answered(upstream, scheduler.now().minus(from), scheduler.now());
         job.good(good.message());
       } else if (said instanceof Check.Cut && connection == null) {
         quit.run();
-        connection = sockets.connect(upstream.address, this);
-        quit = () -> connection.close(Ending.LET_GO, false);
+        connection = transport.connect(upstream.address, this);
+        quit = () -> connection.close(CloseReason.CLOSED_LOCALLY, false);
       } else if (said instanceof Check.Unwilling unwilling) {
         failed(unwilling.why(), false);
       } else {
-        Log.event("answer-forged", said, "upstream", upstream.address);
+        Log.infoWithFields("answer-forged", said, "upstream", upstream.address);
         if (++wrong >= MOST_FORGED) {
           failed("flooded with wrong answers", true);
         }
@@ -288,25 +288,25 @@
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       connection.write(Frames.frame(query()));
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
       try {
         for (byte[] whole = frames.next(bytes); whole != null; whole = frames.next(bytes)) {
-          came(whole);
+          onReply(whole);
         }
-      } catch (MalformedException e) {
-        connection.close(Ending.UNREADABLE, false);
+      } catch (MalformedMessageException e) {
+        connection.close(CloseReason.PROTOCOL_ERROR, false);
       }
       bytes.position(bytes.limit());
     }
 
     @Override
-    public void ended(Ending ending) {
-      failed(ending.toString(), false);
+    public void onClosed(CloseReason closeReason) {
+      failed(closeReason.toString(), false);
     }
 
     private void failed(String why, boolean silent) {
@@ -314,8 +314,9 @@
         return;
       }
       end();
-      job.route.upstreams.failed(upstream, silent, timers.now());
-      Log.event("upstream-failed", why, "upstream", upstream.address, "name", job.asked.name());
+      job.route.upstreams.failed(upstream, silent, scheduler.now());
+      Log.infoWithFields(
+          "upstream-failed", why, "upstream", upstream.address, "name", job.asked.name());
       job.out = null;
       job.attempt();
     }
--- a/router/src/main/java/tamarindroute/settings/SettingsReader.java
+++ b/router/src/main/java/tamarindroute/settings/SettingsReader.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Settings;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RequestClass;
 
 /**
  * Decodes what an instance is born with, for every host alike; keys that nobody reads are skipped.
@@ -21,19 +21,19 @@
    * A time that a connection may take to come up, where none is told: no platform so far gave
    * another.
    */
-  private static final Duration CONNECT_WITHIN = Duration.ofMillis(400);
+  private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(400);
 
   /**
    * For how long a cold cache bears what is too much, where that is not told: the least of the
    * platform's.
    */
-  private static final Duration FALLS_AFTER = Duration.ofSeconds(1);
+  private static final Duration DEFAULT_OVERLOAD_WINDOW = Duration.ofSeconds(1);
 
   /**
    * How long caches may hold on to what was purged, where that is not told: ten times what is
    * usual.
    */
-  private static final Duration PURGE_DONE = Duration.ofSeconds(60);
+  private static final Duration DEFAULT_PURGE_HORIZON = Duration.ofSeconds(60);
 
   private final NavigableMap<String, String> values;
 
@@ -45,20 +45,20 @@
    * Refuses what no gateway could work by, with the key's name and value; tells what is odd and
    * counts as the careful side. A host that is told by lines of the simulator's has no need of it.
    */
-  public List<String> check() throws MalformedSettingsException {
-    return new SettingsCheck(values).check();
+  public List<String> validate() throws MalformedSettingsException {
+    return new SettingsValidator(values).validate();
   }
 
   /** From lines of the form name=value. */
   public static SettingsReader ofLines(String text) throws MalformedSettingsException {
     Map<String, String> values = new TreeMap<>();
     for (String line : text.split("\n")) {
-      int equals = line.indexOf('=');
-      if (equals < 0 && !line.isBlank()) {
+      int separator = line.indexOf('=');
+      if (separator < 0 && !line.isBlank()) {
         throw new MalformedSettingsException("a settings line without '=': " + line);
       }
-      if (equals > 0) {
-        values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
+      if (separator > 0) {
+        values.put(line.substring(0, separator).strip(), line.substring(separator + 1).strip());
       }
     }
     return new SettingsReader(values);
@@ -76,23 +76,23 @@
   }
 
   /** A name or value as the lines spell it, where spaces and commas have another use. */
-  public static String plain(String text) {
+  public static String normalizeName(String text) {
     return text.replace(' ', '_').replace(',', '_');
   }
 
   /** A value as a message tells it: on one line, and no longer than can be read. */
-  public static String told(String value) {
-    return SettingsCheck.told(value);
+  public static String abbreviate(String value) {
+    return SettingsValidator.abbreviate(value);
   }
 
-  private String text(String key, String absent) {
+  private String text(String key, String defaultValue) {
     String value = values.get(key);
-    return value == null || value.isEmpty() ? absent : value;
+    return value == null || value.isEmpty() ? defaultValue : value;
   }
 
-  private double number(String key, double absent) throws MalformedSettingsException {
+  private double number(String key, double defaultValue) throws MalformedSettingsException {
     String value = text(key, null);
-    return value == null ? absent : number(key, value);
+    return value == null ? defaultValue : number(key, value);
   }
 
   /**
@@ -112,18 +112,18 @@
       // Told below, as for what is no sensible number.
     }
     throw new MalformedSettingsException(
-        "the setting " + key + " is no number: " + SettingsCheck.told(value));
+        "the setting " + key + " is no number: " + SettingsValidator.abbreviate(value));
   }
 
-  private Duration span(String key) throws MalformedSettingsException {
-    return span(key, Duration.ZERO);
+  private Duration duration(String key) throws MalformedSettingsException {
+    return duration(key, Duration.ZERO);
   }
 
-  private Duration span(String key, Duration absent) throws MalformedSettingsException {
-    return text(key, null) == null ? absent : Duration.ofNanos((long) number(key, 0));
+  private Duration duration(String key, Duration defaultValue) throws MalformedSettingsException {
+    return text(key, null) == null ? defaultValue : Duration.ofNanos((long) number(key, 0));
   }
 
-  private boolean truth(String key) {
+  private boolean flag(String key) {
     return text(key, "false").equals("true");
   }
 
@@ -132,123 +132,128 @@
     return value == null ? List.of() : Arrays.asList(value.split(","));
   }
 
-  private String item(String key, int place, String absent) {
+  private String item(String key, int index, String defaultValue) {
     List<String> items = list(key);
-    return place >= 0 && place < items.size() ? items.get(place) : absent;
+    return index >= 0 && index < items.size() ? items.get(index) : defaultValue;
   }
 
-  private double itemNumber(String key, int place) throws MalformedSettingsException {
-    return number(key, item(key, place, "0"));
+  private double itemNumber(String key, int index) throws MalformedSettingsException {
+    return number(key, item(key, index, "0"));
   }
 
-  private int classes() throws MalformedSettingsException {
-    return (int) Math.min(SettingsCheck.MOST_CLASSES, number("Classes.count", 0));
+  private int classCount() throws MalformedSettingsException {
+    return (int) Math.min(SettingsValidator.MAX_CLASSES, number("Classes.count", 0));
   }
 
-  public List<Profile> profiles() throws MalformedSettingsException {
-    List<Profile> profiles = new ArrayList<>();
-    int count = classes();
+  public List<RequestClass> requestClasses() throws MalformedSettingsException {
+    List<RequestClass> requestClasses = new ArrayList<>();
+    int count = classCount();
     for (int i = 0; i < count; i++) {
-      String at = "Classes." + i + ".";
+      String prefix = "Classes." + i + ".";
       // Where it is not told what is never kept, a class is not whose repeat would do something.
-      String neverKept = String.valueOf(!text(at + "Semantics", "side_effect").equals("pure"));
-      profiles.add(
-          new Profile(
-              switch (text(at + "Semantics", "side_effect")) {
-                case "pure" -> Profile.Repeat.REISSUABLE;
-                case "token" -> Profile.Repeat.NUMBERED;
-                default -> Profile.Repeat.AT_MOST_ONCE;
+      String neverCachedDefault =
+          String.valueOf(!text(prefix + "Semantics", "side_effect").equals("pure"));
+      requestClasses.add(
+          new RequestClass(
+              switch (text(prefix + "Semantics", "side_effect")) {
+                case "pure" -> RequestClass.Idempotency.IDEMPOTENT;
+                case "token" -> RequestClass.Idempotency.KEYED;
+                default -> RequestClass.Idempotency.NON_IDEMPOTENT;
               },
-              switch (text(at + "Group", "cell")) {
-                case "all" -> Profile.Group.ALL;
-                case "zone" -> Profile.Group.ZONE;
-                default -> Profile.Group.CELL;
+              switch (text(prefix + "Group", "cell")) {
+                case "all" -> RequestClass.DeduplicationScope.ALL;
+                case "zone" -> RequestClass.DeduplicationScope.ZONE;
+                default -> RequestClass.DeduplicationScope.CELL;
               },
-              span(at + "WindowNs"),
-              span(at + "GoalTimeNs"),
-              number(at + "AimStretch", 0),
-              !item("FamilyInfo.NeverKept", i, neverKept).equals("true"),
+              duration(prefix + "WindowNs"),
+              duration(prefix + "GoalTimeNs"),
+              number(prefix + "AimStretch", 0),
+              !item("FamilyInfo.NeverKept", i, neverCachedDefault).equals("true"),
               Duration.ofNanos((long) itemNumber("FamilyInfo.MaxAgeNs", i))));
     }
-    return profiles;
+    return requestClasses;
   }
 
   /**
    * The profiles by their names as the lines spell them. Two of one name can't be told apart in a
    * request: each counts as what is most careful in either, lest an effect happen twice.
    */
-  public Map<String, Profile> profilesByName() throws MalformedSettingsException {
-    Map<String, Profile> byName = new LinkedHashMap<>();
-    List<Profile> profiles = profiles();
-    List<String> names = profileNames();
+  public Map<String, RequestClass> requestClassesByName() throws MalformedSettingsException {
+    Map<String, RequestClass> byName = new LinkedHashMap<>();
+    List<RequestClass> requestClasses = requestClasses();
+    List<String> names = requestClassNames();
     for (int i = 0; i < names.size(); i++) {
-      byName.merge(names.get(i), profiles.get(i), SettingsReader::careful);
+      byName.merge(names.get(i), requestClasses.get(i), SettingsReader::strictestOf);
     }
     return byName;
   }
 
-  private static Profile careful(Profile one, Profile other) {
-    return new Profile(
-        one.repeat().compareTo(other.repeat()) > 0 ? one.repeat() : other.repeat(),
-        one.group().compareTo(other.group()) > 0 ? one.group() : other.group(),
-        shorter(one.window(), other.window()),
-        shorter(one.agreedTime(), other.agreedTime()),
-        Math.min(one.stretch(), other.stretch()),
-        one.kept() && other.kept(),
-        one.fresh().isZero()
-            ? other.fresh()
-            : other.fresh().isZero() ? one.fresh() : shorter(one.fresh(), other.fresh()));
-  }
-
-  private static Duration shorter(Duration one, Duration other) {
+  private static RequestClass strictestOf(RequestClass one, RequestClass other) {
+    return new RequestClass(
+        one.idempotency().compareTo(other.idempotency()) > 0
+            ? one.idempotency()
+            : other.idempotency(),
+        one.deduplicationScope().compareTo(other.deduplicationScope()) > 0
+            ? one.deduplicationScope()
+            : other.deduplicationScope(),
+        shorterOf(one.deduplicationWindow(), other.deduplicationWindow()),
+        shorterOf(one.latencyObjective(), other.latencyObjective()),
+        Math.min(one.transferTimeFactor(), other.transferTimeFactor()),
+        one.cacheable() && other.cacheable(),
+        one.maxAge().isZero()
+            ? other.maxAge()
+            : other.maxAge().isZero() ? one.maxAge() : shorterOf(one.maxAge(), other.maxAge()));
+  }
+
+  private static Duration shorterOf(Duration one, Duration other) {
     return one.compareTo(other) < 0 ? one : other;
   }
 
-  public Settings settings(long seed) throws MalformedSettingsException {
+  public PolicySettings settings(long seed) throws MalformedSettingsException {
     int zone = (int) number("Zone", 0);
     List<Integer> hubOf = new ArrayList<>();
     for (int i = 0; i < list("FamilyInfo.HubOf").size(); i++) {
       hubOf.add((int) itemNumber("FamilyInfo.HubOf", i));
     }
     int gateways = Math.max(1, (int) number("ReplicasOfMe", 1));
-    int inZone = (int) itemNumber("FamilyInfo.CountByZone", zone);
-    return new Settings(
+    int gatewaysInZone = (int) itemNumber("FamilyInfo.CountByZone", zone);
+    return new PolicySettings(
         seed,
         zone,
         gateways,
-        inZone > 0 ? inZone : gateways,
+        gatewaysInZone > 0 ? gatewaysInZone : gateways,
         hubOf,
         number("FamilyInfo.PaceKbPerS", 0),
         itemNumber("FamilyInfo.InletKbPerS", zone),
-        truth("FamilyInfo.BypassAllowed"),
+        flag("FamilyInfo.BypassAllowed"),
         // A word that is unknown allows nothing: a source that is not allowed is a fault.
         List.of("location", "any").contains(text("FamilyInfo.Neighbours", "off")),
         text("FamilyInfo.Says", "off").equals("all"),
-        truth("Limits.SecondCopies"),
-        truth("Limits.Cancel"),
-        truth("Limits.RetryAfter") ? span("Limits.MaxRetryAfterNs", null) : null,
+        flag("Limits.SecondCopies"),
+        flag("Limits.Cancel"),
+        flag("Limits.RetryAfter") ? duration("Limits.MaxRetryAfterNs", null) : null,
         Math.max(1, (int) number("Limits.TryLimit", 1)),
-        new Settings.ColdStart(
+        new PolicySettings.ColdStart(
             number("Obligations.ColdFrom", 1),
-            span("Obligations.ColdNs"),
+            duration("Obligations.ColdNs"),
             number("Obligations.FallMultiple", 1),
-            span("Obligations.FallNs", FALLS_AFTER)),
-        new Settings.ColdStart(
+            duration("Obligations.FallNs", DEFAULT_OVERLOAD_WINDOW)),
+        new PolicySettings.ColdStart(
             number("FamilyInfo.ParentStartsAt", 1),
-            span("FamilyInfo.UpperColdNs"),
+            duration("FamilyInfo.UpperColdNs"),
             number("FamilyInfo.ParentFallMultiple", 1),
-            span("Obligations.FallNs", FALLS_AFTER)),
-        span("FamilyInfo.GoneEverywhereNs", PURGE_DONE),
+            duration("Obligations.FallNs", DEFAULT_OVERLOAD_WINDOW)),
+        duration("FamilyInfo.GoneEverywhereNs", DEFAULT_PURGE_HORIZON),
         weights());
   }
 
   /** A word that is absent or unknown tells nothing of a cache's size. */
-  private Settings.Weights weights() {
+  private PolicySettings.WeightMeaning weights() {
     return switch (text("Weights", "off")) {
-      case "nominal" -> Settings.Weights.NOMINAL;
-      case "rough" -> Settings.Weights.ROUGH;
-      case "live" -> Settings.Weights.LIVE;
-      default -> Settings.Weights.OFF;
+      case "nominal" -> PolicySettings.WeightMeaning.NOMINAL;
+      case "rough" -> PolicySettings.WeightMeaning.ROUGH;
+      case "live" -> PolicySettings.WeightMeaning.LIVE;
+      default -> PolicySettings.WeightMeaning.OFF;
     };
   }
 
@@ -266,18 +271,18 @@
     return list("Telemetry.Fields");
   }
 
-  public boolean mustAskForList() {
+  public boolean mustSubscribe() {
     return text("Discovery", "automatic").equals("subscribe");
   }
 
-  public Duration mustAskWithin() throws MalformedSettingsException {
-    return span("Obligations.MustAskInNs");
+  public Duration subscribeWithin() throws MalformedSettingsException {
+    return duration("Obligations.MustAskInNs");
   }
 
   /** The profiles' names, in their order. */
-  public List<String> profileNames() throws MalformedSettingsException {
+  public List<String> requestClassNames() throws MalformedSettingsException {
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < classes(); i++) {
+    for (int i = 0; i < classCount(); i++) {
       names.add(text("Classes." + i + ".Name", ""));
     }
     return names;
@@ -293,28 +298,28 @@
   }
 
   /** The views that a gateway may have in hand. */
-  public int mostInHand() throws MalformedSettingsException {
+  public int maxInFlight() throws MalformedSettingsException {
     return (int) number("Limits.OpenCap", Integer.MAX_VALUE);
   }
 
-  public Duration connectWithin() throws MalformedSettingsException {
-    return span("Limits.ConnectTimeoutNs", CONNECT_WITHIN);
+  public Duration connectTimeout() throws MalformedSettingsException {
+    return duration("Limits.ConnectTimeoutNs", DEFAULT_CONNECT_TIMEOUT);
   }
 
-  public Duration keepIdle() throws MalformedSettingsException {
-    return span("Limits.KeepaliveNs");
+  public Duration keepAlive() throws MalformedSettingsException {
+    return duration("Limits.KeepaliveNs");
   }
 
   /** The requests that one connection to a cache carries. */
-  public int mostOnConnection() throws MalformedSettingsException {
+  public int maxRequestsPerConnection() throws MalformedSettingsException {
     return (int) number("Limits.MaxStreams", Integer.MAX_VALUE);
   }
 
   /** The longest that a client waits, over all profiles. */
-  public Duration longestCutOff() throws MalformedSettingsException {
+  public Duration longestDeadline() throws MalformedSettingsException {
     Duration longest = Duration.ZERO;
-    for (int i = 0; i < classes(); i++) {
-      Duration one = span("Classes." + i + ".DeadlineNs");
+    for (int i = 0; i < classCount(); i++) {
+      Duration one = duration("Classes." + i + ".DeadlineNs");
       longest = one.compareTo(longest) > 0 ? one : longest;
     }
     return longest;
--- a/router/src/main/java/tamarindroute/standby/Booth.java
+++ b/router/src/main/java/tamarindroute/standby/Booth.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import tamarindroute.host.Steady;
+import tamarindroute.host.MonotonicClock;
 import tamarindroute.vrrp.Ballot;
 import tamarindroute.vrrp.Grants;
 
@@ -23,7 +23,7 @@
   Booth(Set<Integer> virtualIds, Duration span) {
     this.virtualIds = Set.copyOf(virtualIds);
     this.span = span;
-    virtualIds.forEach(id -> grants.put(id, Grants.started(span, Steady.now())));
+    virtualIds.forEach(id -> grants.put(id, Grants.started(span, MonotonicClock.now())));
   }
 
   /** What is answered to a candidate; null for nothing. */
@@ -35,7 +35,7 @@
     Grants before = grants.get(ballot.virtualId());
     switch (ballot.kind()) {
       case ASKED -> {
-        Grants.Answer answer = before.asked(candidate, span, Steady.now());
+        Grants.Answer answer = before.asked(candidate, span, MonotonicClock.now());
         grants.put(ballot.virtualId(), answer.grants());
         return new Ballot(
             answer.granted() ? Ballot.Kind.GRANTED : Ballot.Kind.DENIED,
@@ -43,7 +43,8 @@
             span,
             ballot.mark());
       }
-      case RETURNED -> grants.put(ballot.virtualId(), before.returned(candidate, Steady.now()));
+      case RETURNED ->
+          grants.put(ballot.virtualId(), before.returned(candidate, MonotonicClock.now()));
       default -> {}
     }
     return null;
--- a/router/src/main/java/tamarindroute/standby/Endpoint.java
+++ b/router/src/main/java/tamarindroute/standby/Endpoint.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tamarindroute.host.Steady;
+import tamarindroute.host.MonotonicClock;
 import tamarindroute.log.Log;
-import tamarindroute.net.Datagrams;
-import tamarindroute.net.Timers;
-import tamarindroute.protocol.MalformedException;
-import tamarindroute.protocol.Seal;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.net.Scheduler;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.MessageAuthenticator;
 import tamarindroute.vrrp.Advertisement;
 import tamarindroute.vrrp.Ballot;
 import tamarindroute.vrrp.Election;
@@ -38,8 +38,8 @@
     void drop(Election.Why why);
   }
 
-  private final Timers timers;
-  private final Datagrams datagrams;
+  private final Scheduler scheduler;
+  private final DatagramTransport datagrams;
   private final InetSocketAddress own;
   private final List<InetSocketAddress> peers;
   private final Post post;
@@ -53,13 +53,13 @@
    * this gateway.
    */
   public Endpoint(
-      Timers timers,
-      Datagrams datagrams,
+      Scheduler scheduler,
+      DatagramTransport datagrams,
       InetSocketAddress own,
       List<InetSocketAddress> peers,
-      Seal seal,
+      MessageAuthenticator seal,
       long run) {
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.datagrams = datagrams;
     this.own = own;
     this.peers = List.copyOf(peers);
@@ -121,7 +121,7 @@
 
   private void taken(byte[] bytes, InetSocketAddress from) {
     if (!peers.contains(from) && !voters.contains(from)) {
-      Log.event("vrrp-stranger", "an advertisement from no peer", "from", from);
+      Log.infoWithFields("vrrp-stranger", "an advertisement from no peer", "from", from);
       return;
     }
     try {
@@ -131,12 +131,12 @@
         return;
       }
       if (!peers.contains(from)) {
-        throw new MalformedException("an advertisement from a voter that is no peer");
+        throw new MalformedMessageException("an advertisement from a voter that is no peer");
       }
       Advertisement told = Advertisement.read(message, from.getAddress(), own.getAddress());
       Router router = routers.get(told.virtualId());
       if (router == null || !router.addresses.equals(told.addresses())) {
-        throw new MalformedException(
+        throw new MalformedMessageException(
             "virtual router "
                 + told.virtualId()
                 + " with "
@@ -144,14 +144,14 @@
                 + " is not one of ours");
       }
       router.event(new Election.Heard(told.priority(), order(from), told.interval()));
-    } catch (MalformedException e) {
-      Log.event("vrrp-unreadable", e.getMessage(), "from", from);
+    } catch (MalformedMessageException e) {
+      Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
     }
   }
 
-  private void ballot(Ballot ballot, InetSocketAddress from) throws MalformedException {
+  private void ballot(Ballot ballot, InetSocketAddress from) throws MalformedMessageException {
     if (booth == null) {
-      throw new MalformedException("a ballot, and there are no voters here");
+      throw new MalformedMessageException("a ballot, and there are no voters here");
     }
     if (ballot.kind() == Ballot.Kind.ASKED || ballot.kind() == Ballot.Kind.RETURNED) {
       Ballot answer = booth.taken(ballot, from);
@@ -205,7 +205,7 @@
       if (!taken) {
         return false;
       }
-      if (!Election.mayAct(state, Steady.now())) {
+      if (!Election.mayAct(state, MonotonicClock.now())) {
         // It was stopped: all is put in order before whoever asked goes on.
         event(new Election.Tick());
       }
@@ -216,10 +216,11 @@
     /** Takes the address when all that it needs is there, and drops it when any of it is gone. */
     private void settle() {
       boolean may =
-          Election.mayAct(state, Steady.now()) && (quorum == null || quorum.holds(Steady.now()));
+          Election.mayAct(state, MonotonicClock.now())
+              && (quorum == null || quorum.holds(MonotonicClock.now()));
       if (may && !taken) {
         taken = true;
-        Log.event("vrrp-taken", "the address is ours", "router", virtualId);
+        Log.infoWithFields("vrrp-taken", "the address is ours", "router", virtualId);
         holder.take();
       } else if (!may && taken) {
         drop(Election.Why.LEASE_OVER);
@@ -228,13 +229,14 @@
 
     private void drop(Election.Why why) {
       taken = false;
-      Log.event("vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
+      Log.infoWithFields(
+          "vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
       holder.drop(why);
     }
 
     /** The grants asked for at this time; the answers come, or do not. */
     private void askVoters() {
-      Duration now = Steady.now();
+      Duration now = MonotonicClock.now();
       quorum = quorum == null ? Quorum.none(voters.size() + 1) : quorum;
       Ballot ask = new Ballot(Ballot.Kind.ASKED, virtualId, span, now.toNanos());
       Ballot mine = booth.taken(ask, own);
@@ -248,11 +250,11 @@
       // A time that is none of ours would let a grant count for ever.
       if (state.role() == Election.Role.ACTIVE
           && quorum != null
-          && asked.compareTo(Steady.now()) <= 0) {
+          && asked.compareTo(MonotonicClock.now()) <= 0) {
         quorum = quorum.granted(voter, asked, span);
         settle();
         quorumTimer.run();
-        quorumTimer = timers.after(span, this::settle);
+        quorumTimer = scheduler.schedule(span, this::settle);
       }
     }
 
@@ -273,7 +275,7 @@
     /** How good a candidate this gateway is has changed. */
     public void priority(int now) {
       if (now != state.priority()) {
-        Log.event(
+        Log.infoWithFields(
             "vrrp-priority", "changed", "router", virtualId, "from", state.priority(), "to", now);
         event(new Election.Changed(now));
       }
@@ -287,13 +289,13 @@
 
     private void event(Election.Event event) {
       Election.Role before = state.role();
-      Duration now = Steady.now();
+      Duration now = MonotonicClock.now();
       Election.Step step = Election.next(state, event, now, settings);
       state = step.state();
       if (before != state.role()) {
         // A topic for each role: the guard of one line a second must not hide that an address
         // changed hands.
-        Log.event(
+        Log.infoWithFields(
             "vrrp-" + state.role().name().toLowerCase(Locale.ROOT),
             "was " + before,
             "router",
@@ -306,7 +308,7 @@
       timer.run();
       Duration due = Election.due(state);
       if (due != null) {
-        timer = timers.after(due.minus(now), () -> event(new Election.Tick()));
+        timer = scheduler.schedule(due.minus(now), () -> event(new Election.Tick()));
       }
       for (Election.Action action : step.actions()) {
         if (action instanceof Election.Advertise advertise) {
--- a/router/src/main/java/tamarindroute/standby/Post.java
+++ b/router/src/main/java/tamarindroute/standby/Post.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import tamarindroute.net.Datagrams;
-import tamarindroute.protocol.MalformedException;
-import tamarindroute.protocol.Seal;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.MessageAuthenticator;
 
 /**
  * One address's sending and opening of messages: the numbers of what it seals, and what it has
@@ -13,14 +13,14 @@
  */
 final class Post {
 
-  private final Datagrams datagrams;
+  private final DatagramTransport datagrams;
   private final InetSocketAddress own;
-  private final Seal seal;
+  private final MessageAuthenticator seal;
   private final long run;
-  private final Map<InetSocketAddress, Seal.Heard> heard = new HashMap<>();
+  private final Map<InetSocketAddress, MessageAuthenticator.ReplayWindow> heard = new HashMap<>();
   private long number;
 
-  Post(Datagrams datagrams, InetSocketAddress own, Seal seal, long run) {
+  Post(DatagramTransport datagrams, InetSocketAddress own, MessageAuthenticator seal, long run) {
     this.datagrams = datagrams;
     this.own = own;
     this.seal = seal;
@@ -36,12 +36,13 @@
   }
 
   /** The message of a sender that is known to be one: strangers must not fill the table. */
-  byte[] open(byte[] bytes, InetSocketAddress from) throws MalformedException {
+  byte[] open(byte[] bytes, InetSocketAddress from) throws MalformedMessageException {
     if (seal == null) {
       return bytes;
     }
-    Seal.Opened opened = seal.open(bytes, heard.getOrDefault(from, Seal.Heard.NOTHING));
-    heard.put(from, opened.heard());
+    MessageAuthenticator.OpenedMessage opened =
+        seal.open(bytes, heard.getOrDefault(from, MessageAuthenticator.ReplayWindow.EMPTY));
+    heard.put(from, opened.window());
     return opened.message();
   }
 }
--- a/router/src/main/java/tamarindroute/standby/Witness.java
+++ b/router/src/main/java/tamarindroute/standby/Witness.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Set;
 import tamarindroute.log.Log;
-import tamarindroute.net.Datagrams;
-import tamarindroute.protocol.MalformedException;
-import tamarindroute.protocol.Seal;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.MessageAuthenticator;
 import tamarindroute.vrrp.Ballot;
 
 /**
@@ -17,19 +17,19 @@
  */
 public final class Witness {
 
-  private final Datagrams datagrams;
+  private final DatagramTransport datagrams;
   private final InetSocketAddress own;
   private final List<InetSocketAddress> candidates;
   private final Post post;
   private final Booth booth;
 
   public Witness(
-      Datagrams datagrams,
+      DatagramTransport datagrams,
       InetSocketAddress own,
       List<InetSocketAddress> candidates,
       Set<Integer> virtualIds,
       Duration span,
-      Seal seal,
+      MessageAuthenticator seal,
       long run) {
     this.datagrams = datagrams;
     this.own = own;
@@ -45,14 +45,14 @@
   private void taken(byte[] bytes, InetSocketAddress from) {
     try {
       if (!candidates.contains(from)) {
-        throw new MalformedException("no candidate");
+        throw new MalformedMessageException("no candidate");
       }
       Ballot answer = booth.taken(Ballot.read(post.open(bytes, from)), from);
       if (answer != null) {
         post.send(from, answer.write());
       }
-    } catch (MalformedException e) {
-      Log.event("vrrp-unreadable", e.getMessage(), "from", from);
+    } catch (MalformedMessageException e) {
+      Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
     }
   }
 }
--- a/router/src/main/java/tamarindroute/vrrp/Advertisement.java
+++ b/router/src/main/java/tamarindroute/vrrp/Advertisement.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * One advertisement of version 3, both ways (RFC 9568, 5.1 and 5.2). The checksum covers the pseudo
@@ -67,21 +67,21 @@
 
   /** Reads one whole, as it came from one address to another; anything else of it is refused. */
   public static Advertisement read(byte[] bytes, InetAddress from, InetAddress to)
-      throws MalformedException {
+      throws MalformedMessageException {
     if (bytes.length < HEADER || (bytes[0] & 0xFF) != VERSION_AND_TYPE) {
-      throw new MalformedException("no advertisement of version 3");
+      throw new MalformedMessageException("no advertisement of version 3");
     }
     int size = from.getAddress().length;
     int count = bytes[3] & 0xFF;
     if (to.getAddress().length != size || count == 0 || bytes.length != HEADER + size * count) {
-      throw new MalformedException(bytes.length + " bytes with " + count + " addresses");
+      throw new MalformedMessageException(bytes.length + " bytes with " + count + " addresses");
     }
     if (checksum(bytes, from, to) != 0) {
-      throw new MalformedException("the checksum does not hold");
+      throw new MalformedMessageException("the checksum does not hold");
     }
     int centis = (bytes[4] & 0x0F) << 8 | bytes[5] & 0xFF;
     if ((bytes[1] & 0xFF) == 0 || centis == 0) {
-      throw new MalformedException("no virtual router or no interval");
+      throw new MalformedMessageException("no virtual router or no interval");
     }
     List<InetAddress> addresses = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -90,12 +90,12 @@
       try {
         addresses.add(InetAddress.getByAddress(address));
       } catch (UnknownHostException e) {
-        throw new MalformedException("no address: " + e.getMessage());
+        throw new MalformedMessageException("no address: " + e.getMessage());
       }
     }
     if (addresses.stream().anyMatch(a -> a.getAddress().length != size)) {
       // Java turns an IPv4 address mapped into IPv6 into its own kind.
-      throw new MalformedException("an address of another family");
+      throw new MalformedMessageException("an address of another family");
     }
     return new Advertisement(
         bytes[1] & 0xFF, bytes[2] & 0xFF, Duration.ofMillis(centis * 10L), addresses);
--- a/router/src/main/java/tamarindroute/vrrp/Ballot.java
+++ b/router/src/main/java/tamarindroute/vrrp/Ballot.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * What candidates and voters say to each other, both ways; always sealed. The mark is the
@@ -43,16 +43,16 @@
         .array();
   }
 
-  public static Ballot read(byte[] bytes) throws MalformedException {
+  public static Ballot read(byte[] bytes) throws MalformedMessageException {
     ByteBuffer in = ByteBuffer.wrap(bytes);
     if (bytes.length != LENGTH || in.get() != FIRST) {
-      throw new MalformedException("no ballot");
+      throw new MalformedMessageException("no ballot");
     }
     int kind = in.get();
     int virtualId = in.get() & 0xFF;
     int span = in.getInt();
     if (kind < 0 || kind >= Kind.values().length || virtualId == 0 || span <= 0 || span > LONGEST) {
-      throw new MalformedException("a ballot with figures out of range");
+      throw new MalformedMessageException("a ballot with figures out of range");
     }
     return new Ballot(Kind.values()[kind], virtualId, Duration.ofMillis(span), in.getLong());
   }
--- a/router/src/main/java/tamarindroute/wirehost/WireHost.java
+++ b/router/src/main/java/tamarindroute/wirehost/WireHost.java
@@ -10,41 +10,41 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Function;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Settings;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.settings.SettingsReader;
 
 /** Hosts many gateways on one pipe of the simulator's wire; they share nothing but the pipe. */
 public final class WireHost {
 
-  private static final int LISTS = 16;
-  private static final int ENTRY = 21;
+  private static final int LIST_SLOTS = 16;
+  private static final int LIST_ENTRY_BYTES = 21;
 
-  private final Function<Settings, Decisions> module;
-  private final Map<Integer, Gateway> gateways = new HashMap<>();
-  private final byte[][] lists = new byte[LISTS][];
-  private final Reply reply = new Reply();
+  private final Function<PolicySettings, RoutingPolicy> policyFactory;
+  private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
+  private final byte[][] lists = new byte[LIST_SLOTS][];
+  private final ActionWriter actions = new ActionWriter();
 
-  public WireHost(Function<Settings, Decisions> module) {
-    this.module = module;
+  public WireHost(Function<PolicySettings, RoutingPolicy> policyFactory) {
+    this.policyFactory = policyFactory;
   }
 
   /** Answers every batch until the input ends. */
   public void serve(InputStream input, OutputStream output) throws IOException {
     InputStream in = new BufferedInputStream(input, 1 << 16);
     OutputStream out = new BufferedOutputStream(output, 1 << 16);
-    for (Frame frame = Frame.read(in); frame != null; frame = Frame.read(in)) {
-      for (int i = 0; i < frame.count; i++) {
-        take(frame, frame.record(i));
+    for (EventFrame frame = EventFrame.read(in); frame != null; frame = EventFrame.read(in)) {
+      for (int i = 0; i < frame.recordCount; i++) {
+        dispatch(frame, frame.record(i));
       }
-      reply.flush(out);
+      actions.flush(out);
     }
   }
 
-  private void take(Frame frame, ByteBuffer record) throws IOException {
+  private void dispatch(EventFrame frame, ByteBuffer record) throws IOException {
     int code = record.get(0);
     if (code == 27) {
-      define(frame, record);
+      defineList(frame, record);
       return;
     }
     if (code < 16 || code > 26) {
@@ -53,17 +53,22 @@
     }
     int instance = Short.toUnsignedInt(record.getShort(1));
     if (code == 16) {
-      SettingsReader settings = SettingsReader.ofLines(Frame.text(frame.tail(record, 11, 1)));
-      Settings told = settings.settings(record.getLong(3));
-      guarded(
+      SettingsReader settings = SettingsReader.ofLines(EventFrame.text(frame.tail(record, 11, 1)));
+      PolicySettings gatewaySettings = settings.settings(record.getLong(3));
+      runGuarded(
           instance,
           () ->
               gateways.put(
                   instance,
-                  new Gateway(instance, frame.clock, settings, module.apply(told), reply)));
+                  new SimulatedGateway(
+                      instance,
+                      frame.clockNanos,
+                      settings,
+                      policyFactory.apply(gatewaySettings),
+                      actions)));
       return;
     }
-    Gateway gateway = gateways.get(instance);
+    SimulatedGateway gateway = gateways.get(instance);
     if (gateway == null) {
       throw new MalformedFrameException(
           "an event of code " + code + " for instance " + instance + ", which is not open");
@@ -73,35 +78,35 @@
       return;
     }
     ByteBuffer list = code == 17 && record.get(7) != 3 ? list(record.getInt(3)) : null;
-    guarded(instance, () -> gateway.take(code, record, list, frame.clock));
+    runGuarded(instance, () -> gateway.handleEvent(code, record, list, frame.clockNanos));
   }
 
-  private interface Step {
+  private interface EventStep {
     void run() throws IOException;
   }
 
   /** A failure inside the decisions is declared for the instance, with its cause. */
-  private void guarded(int instance, Step step) throws IOException {
+  private void runGuarded(int instance, EventStep step) throws IOException {
     try {
       step.run();
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      reply.crash(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      actions.reportFailure(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 
-  private void define(Frame frame, ByteBuffer record) throws MalformedFrameException {
+  private void defineList(EventFrame frame, ByteBuffer record) throws MalformedFrameException {
     int slot = record.getInt(1);
-    if (slot < 0 || slot >= LISTS) {
+    if (slot < 0 || slot >= LIST_SLOTS) {
       throw new MalformedFrameException("no list has the number " + Integer.toUnsignedString(slot));
     }
-    ByteBuffer entries = frame.tail(record, 5, ENTRY);
+    ByteBuffer entries = frame.tail(record, 5, LIST_ENTRY_BYTES);
     lists[slot] = new byte[entries.remaining()];
     entries.get(lists[slot]);
   }
 
   private ByteBuffer list(int slot) throws MalformedFrameException {
-    if (slot < 0 || slot >= LISTS || lists[slot] == null) {
+    if (slot < 0 || slot >= LIST_SLOTS || lists[slot] == null) {
       throw new MalformedFrameException(
           "list " + Integer.toUnsignedString(slot) + " is not defined");
     }
--- a/router/src/test/java/tamarindroute/dns/DnsFixture.java
+++ b/router/src/test/java/tamarindroute/dns/DnsFixture.java
@@ -95,11 +95,11 @@
     }
 
     public boolean ready(int cache) {
-      return edges.get(cache).standing == Cache.Standing.READY;
+      return edges.get(cache).availability == Cache.Availability.READY;
     }
 
     public void gone(int cache, double now) {
-      edges.get(cache).standing = Cache.Standing.GONE;
+      edges.get(cache).availability = Cache.Availability.GONE;
       shed.tell(at(now));
     }
 
--- a/router/src/test/java/tamarindroute/dns/ProbesTest.java
+++ b/router/src/test/java/tamarindroute/dns/ProbesTest.java
@@ -9,7 +9,7 @@
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.dns.Probes.Came;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.protocol.MalformedMessageException;
 
 /** Who is probed when, what silence means; and the cutting of streams into messages. */
 class ProbesTest {
@@ -55,7 +55,7 @@
     Probes probes = probes(1000, caches);
     probes.due(at(0));
     assertThat(probes.came(caches.get(0), Came.READY, at(0.1)))
-        .containsExactly(new Probes.Told(caches.get(0), Result.HONOURED));
+        .containsExactly(new Probes.Told(caches.get(0), Result.SERVED));
     probes.came(caches.get(1), Came.READY, at(0.1));
     assertThat(probes.came(caches.get(2), Came.SILENT, at(0.3)))
         .containsExactly(new Probes.Told(caches.get(2), Result.TIMED_OUT));
@@ -65,10 +65,10 @@
       }
     }
     assertThat(probes.came(caches.get(1), Came.REFUSED, at(11)))
-        .containsExactly(new Probes.Told(caches.get(1), Result.UNREACHED));
+        .containsExactly(new Probes.Told(caches.get(1), Result.CONNECT_FAILED));
     assertThat(probes.came(caches.get(0), Came.NOT_SENT, at(11))).isEmpty();
     assertThat(probes.came(caches.get(0), Came.AILING, at(11)))
-        .containsExactly(new Probes.Told(caches.get(0), Result.ERRED));
+        .containsExactly(new Probes.Told(caches.get(0), Result.FAILED));
   }
 
   @Test
@@ -85,7 +85,8 @@
   }
 
   @Test
-  void streamsAreCutIntoMessagesHoweverTheyComeAndLongOnesRefused() throws MalformedException {
+  void streamsAreCutIntoMessagesHoweverTheyComeAndLongOnesRefused()
+      throws MalformedMessageException {
     byte[] first = {1, 2, 3};
     byte[] second = new byte[700];
     java.nio.ByteBuffer all =
@@ -106,7 +107,7 @@
     for (int length : new int[] {0, 1025, 65535}) {
       java.nio.ByteBuffer bytes = java.nio.ByteBuffer.allocate(2).putShort((short) length).flip();
       org.assertj.core.api.Assertions.assertThatThrownBy(() -> new Frames(1024).next(bytes))
-          .isInstanceOf(MalformedException.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
   }
 }
--- a/router/src/test/java/tamarindroute/dns/ResponderTest.java
+++ b/router/src/test/java/tamarindroute/dns/ResponderTest.java
@@ -310,7 +310,7 @@
   void lastResortsAreMarkedInTheAnswer() throws IOException {
     shed.heardAt = NOW.minusSeconds(20);
     assertThat(ede(ask("shed-1.sheds.example", Type.A))).isEqualTo(3);
-    shed.caches.forEach(c -> c.standing = Cache.Standing.DRAINING);
+    shed.caches.forEach(c -> c.availability = Cache.Availability.DRAINING);
     shed.tell(NOW);
     Message none = ask("shed-1.sheds.example", Type.A);
     assertThat(none.getRcode()).isEqualTo(Rcode.SERVFAIL);
--- a/router/src/test/java/tamarindroute/dns/Shed.java
+++ b/router/src/test/java/tamarindroute/dns/Shed.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import org.xbill.DNS.Name;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Settings;
-import tamarindroute.policy.Brain;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RequestClass;
+import tamarindroute.decision.RoutingPolicy;
+import tamarindroute.policy.RatioTestPolicy;
 
 /** Two locations with edges, an origin, and the real module, in time that the test tells. */
 final class Shed implements Steering.Fleet {
@@ -23,23 +23,23 @@
   static final Duration MOST = Duration.ofSeconds(30);
 
   /** What an edge can do at its start, when it is warm, and how many times that pushes it over. */
-  static final Settings.ColdStart COLD =
-      new Settings.ColdStart(0.2, Duration.ofSeconds(20), 3, Duration.ofSeconds(2));
+  static final PolicySettings.ColdStart COLD =
+      new PolicySettings.ColdStart(0.2, Duration.ofSeconds(20), 3, Duration.ofSeconds(2));
 
   static final double WEIGHT = 40;
-  static final Profile KEPT =
-      new Profile(
-          Profile.Repeat.REISSUABLE,
-          Profile.Group.ALL,
+  static final RequestClass KEPT =
+      new RequestClass(
+          RequestClass.Idempotency.IDEMPOTENT,
+          RequestClass.DeduplicationScope.ALL,
           Duration.ofSeconds(3),
           Duration.ofSeconds(1),
           1,
           true,
           Duration.ZERO);
-  static final Profile PASSED =
-      new Profile(
-          Profile.Repeat.NUMBERED,
-          Profile.Group.ALL,
+  static final RequestClass PASSED =
+      new RequestClass(
+          RequestClass.Idempotency.KEYED,
+          RequestClass.DeduplicationScope.ALL,
           Duration.ofSeconds(3),
           Duration.ofSeconds(1),
           0,
@@ -49,7 +49,7 @@
   final List<Cache> caches = new ArrayList<>();
   final Map<Cache, DnsSettings.Place> places = new HashMap<>();
   final Map<Cache, Duration> proven = new HashMap<>();
-  final Set<Decisions> modules = new HashSet<>();
+  final Set<RoutingPolicy> modules = new HashSet<>();
   boolean listed = true;
   Duration heardAt = Duration.ZERO;
   final Location first =
@@ -115,11 +115,11 @@
 
   /** One instance's steering, with modules of its own. */
   Steering steering(DnsSettings.Steer settings) {
-    Map<String, Decisions> own = new HashMap<>();
+    Map<String, RoutingPolicy> own = new HashMap<>();
     for (Location location : settings.locations()) {
-      Brain brain =
-          new Brain(
-              new Settings(
+      RatioTestPolicy policy =
+          new RatioTestPolicy(
+              new PolicySettings(
                   7,
                   location.place(),
                   settings.instances(),
@@ -137,9 +137,9 @@
                   COLD,
                   COLD,
                   Duration.ofSeconds(6),
-                  Settings.Weights.ROUGH));
-      own.put(location.label(), brain);
-      modules.add(brain);
+                  PolicySettings.WeightMeaning.ROUGH));
+      own.put(location.label(), policy);
+      modules.add(policy);
     }
     tell(Duration.ZERO);
     return new Steering(settings, this, own, null, Duration.ZERO);
@@ -152,22 +152,25 @@
   /** The list as it is now goes to all modules, as the feed brings it. */
   void tell(Duration now) {
     heardAt = now;
-    modules.forEach(module -> module.listed(caches, now));
+    modules.forEach(module -> module.onEndpoints(caches, now));
   }
 
   /** The cache's process starts anew. */
   void restart(Cache cache, Duration now) {
-    cache.upSince = now;
-    cache.standing = Cache.Standing.READY;
+    cache.startedAt = now;
+    cache.availability = Cache.Availability.READY;
     tell(now);
   }
 
   /** The work that pushes a cache of this age over, by the rule's own words. */
   static double bound(Cache cache, Duration now) {
-    double age = now.minus(cache.upSince).toNanos() * 1e-9;
+    double age = now.minus(cache.startedAt).toNanos() * 1e-9;
     double warmth =
-        Math.min(1, COLD.from() + (1 - COLD.from()) * age / COLD.warmAfter().toSeconds());
-    return COLD.multiple() * warmth * cache.weight;
+        Math.min(
+            1,
+            COLD.initialCapacity()
+                + (1 - COLD.initialCapacity()) * age / COLD.warmAfter().toSeconds());
+    return COLD.overloadMultiple() * warmth * cache.weight;
   }
 
   List<Cache> edges(int zone) {
@@ -184,7 +187,7 @@
 
   @Override
   public List<Cache> caches() {
-    return caches.stream().filter(c -> c.standing != Cache.Standing.GONE).toList();
+    return caches.stream().filter(c -> c.availability != Cache.Availability.GONE).toList();
   }
 
   @Override
--- a/router/src/test/java/tamarindroute/dns/SteeringTest.java
+++ b/router/src/test/java/tamarindroute/dns/SteeringTest.java
@@ -77,7 +77,7 @@
       double now = tick * 0.1;
       shed.heardAt = at(now);
       if (Math.abs(now - (40 - down)) < 0.01) {
-        restarted.standing = Cache.Standing.GONE;
+        restarted.availability = Cache.Availability.GONE;
         shed.tell(at(now));
       } else if (Math.abs(now - 40) < 0.01) {
         shed.restart(restarted, at(now));
@@ -146,7 +146,7 @@
   @Test
   void aMassRestartGivesEachItsBoundAndTurnsTheRestAwayWithTheReason() {
     Steering steering = shed.steering();
-    shed.caches.stream().filter(c -> c.tier == Cache.Tier.EDGE).forEach(c -> c.upSince = at(10));
+    shed.caches.stream().filter(c -> c.tier == Cache.Tier.EDGE).forEach(c -> c.startedAt = at(10));
     shed.tell(at(10));
     Map<DnsSettings.Place, Integer> given = new HashMap<>();
     Map<Reason, Integer> reasons = new HashMap<>();
@@ -172,7 +172,7 @@
     for (int round = 0; round < 200; round++) {
       double now = 5 + round;
       Cache drained = shed.edges(0).get(random.nextInt(6));
-      drained.standing = Cache.Standing.DRAINING;
+      drained.availability = Cache.Availability.DRAINING;
       shed.tell(at(now));
       for (int part = 0; part < 16; part++) {
         for (Wish wish :
@@ -186,7 +186,7 @@
           assertThat(choice.ttl()).isLessThanOrEqualTo(Shed.LEAST);
         }
       }
-      drained.standing = Cache.Standing.READY;
+      drained.availability = Cache.Availability.READY;
       shed.tell(at(now + 0.5));
     }
   }
@@ -201,7 +201,7 @@
     }
     assertThat(new HashSet<>(homes.values()).size()).isGreaterThan(3);
     Cache gone = homes.get(0);
-    gone.standing = Cache.Standing.GONE;
+    gone.availability = Cache.Availability.GONE;
     shed.tell(at(2));
     for (int part = 0; part < 16; part++) {
       Cache now = home(steering, part, 3);
@@ -243,10 +243,10 @@
     assertThat(any(steering, 41).ttl()).isEqualTo(Duration.ofSeconds(10));
     shed.heardAt = at(400);
     assertThat(any(steering, 400).ttl()).isEqualTo(Shed.MOST);
-    shed.edges(0).get(2).standing = Cache.Standing.DRAINING;
+    shed.edges(0).get(2).availability = Cache.Availability.DRAINING;
     shed.tell(at(401));
     assertThat(any(steering, 401).ttl()).isEqualTo(Shed.LEAST);
-    shed.edges(0).get(2).standing = Cache.Standing.GONE;
+    shed.edges(0).get(2).availability = Cache.Availability.GONE;
     shed.tell(at(402));
     assertThat(any(steering, 402).ttl()).isEqualTo(Shed.LEAST);
     shed.heardAt = at(422);
@@ -265,7 +265,7 @@
     Choice bad = any(steering, 2);
     assertThat(bad.reason()).isEqualTo(Reason.LEAST_BAD);
     assertThat(bad.ttl()).isEqualTo(Shed.LEAST);
-    shed.caches.forEach(c -> c.standing = Cache.Standing.DRAINING);
+    shed.caches.forEach(c -> c.availability = Cache.Availability.DRAINING);
     shed.tell(at(3));
     assertThat(any(steering, 3).reason()).isEqualTo(Reason.NONE_READY);
     assertThat(any(steering, 3).places()).isEmpty();
@@ -274,7 +274,7 @@
   private void bar(List<Cache> caches, double now) {
     for (Cache cache : caches) {
       for (int i = 0; i < 3; i++) {
-        shed.modules.forEach(m -> m.probed(cache, Outcome.Result.UNREACHED, at(now)));
+        shed.modules.forEach(m -> m.onHealthCheck(cache, Outcome.Result.CONNECT_FAILED, at(now)));
       }
     }
   }
@@ -298,7 +298,7 @@
   void aFeedLostInTheMidstOfADrainBringsNothingBackThatDrained() {
     Steering steering = shed.steering();
     Cache drained = shed.edges(0).get(4);
-    drained.standing = Cache.Standing.DRAINING;
+    drained.availability = Cache.Availability.DRAINING;
     shed.tell(at(5));
     shed.proven.put(drained, at(70));
     for (double now : new double[] {5, 13, 64, 71}) {
@@ -339,9 +339,9 @@
     }
     Cache cache = shed.edges(0).get(0);
     double before = steering.steered(shed.place(cache), at(2));
-    Map<String, tamarindroute.decision.Decisions> modules = new HashMap<>();
+    Map<String, tamarindroute.decision.RoutingPolicy> modules = new HashMap<>();
     shed.modules.forEach(
-        module -> modules.put(module.homes(0).size() == 6 ? "shed-1" : "shed-2", module));
+        module -> modules.put(module.rankedCaches(0).size() == 6 ? "shed-1" : "shed-2", module));
     Steering changed = new Steering(shed.steer(1, 1, at(5), 1), shed, modules, steering, at(2));
     assertThat(changed.steered(shed.place(cache), at(2))).isEqualTo(before).isGreaterThan(5);
     assertThat(changed.steered(shed.place(cache), at(40))).isZero();
--- a/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
+++ b/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
@@ -25,25 +25,25 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tamarindroute.decision.Answer;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Load;
+import tamarindroute.decision.Decision;
+import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Outcome;
 import tamarindroute.decision.Outcome.Detail;
 import tamarindroute.decision.Outcome.Result;
-import tamarindroute.decision.Trip;
-import tamarindroute.decision.View;
-import tamarindroute.host.Clock;
-import tamarindroute.host.Config;
-import tamarindroute.host.Roster;
-import tamarindroute.net.Asked;
-import tamarindroute.net.CacheLine;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RoutingPolicy;
+import tamarindroute.host.EndpointRegistry;
+import tamarindroute.host.EventLoop;
+import tamarindroute.host.PlatformConfiguration;
+import tamarindroute.net.BufferPool;
+import tamarindroute.net.CacheConnectionPool;
+import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.net.Ending;
-import tamarindroute.net.Pool;
-import tamarindroute.net.Sockets;
-import tamarindroute.protocol.Fields;
+import tamarindroute.net.ResponseHandler;
+import tamarindroute.net.SocketTransport;
+import tamarindroute.protocol.FieldList;
 
 /**
  * Bytes of the client protocol and of the cache protocol, as they stand on the sockets: one client
@@ -58,48 +58,48 @@
       "rid=9b1f03aa5c7e2d41,budget=9000.5,again=1,"
           + "token=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,obj=7f3a9c21e0b4d655,piece=3,lot=17,mem=412.5,"
           + "ver=4be0c1927d55a6f3";
-  private static final String LEAST_FIELDS =
+  private static final String MINIMAL_FIELDS =
       "rid=9b1f03aa5c7e2d41,budget=9000,obj=7f3a9c21e0b4d655,token=5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
-  private static final String LEAST_ASKED =
+  private static final String MINIMAL_ASK =
       "*4\r\n$3\r\nASK\r\n$16\r\n9b1f03aa5c7e2d41\r\n$88\r\nlane=pick,"
           + "name=7f3a9c21e0b4d655,piece=0,ttl=TIME,dedupe=5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n$0\r\n\r\n";
 
-  private final Clock clock = new Clock();
-  private final Pool pool = new Pool(64L * 1024 * 1024);
-  private final Sockets sockets = new Sockets(clock, pool, 80);
+  private final EventLoop eventLoop = new EventLoop();
+  private final BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
+  private final SocketTransport transport = new SocketTransport(eventLoop, bufferPool, 80);
 
   /** What the policy decides next, in order. */
-  private final ArrayDeque<Function<View, Answer>> script = new ArrayDeque<>();
+  private final ArrayDeque<Function<Request, Decision>> script = new ArrayDeque<>();
 
-  private final BlockingQueue<View> routed = new ArrayBlockingQueue<>(10);
+  private final BlockingQueue<Request> routed = new ArrayBlockingQueue<>(10);
   private final BlockingQueue<Outcome> outcomes = new ArrayBlockingQueue<>(10);
-  private final List<Load> loads = new ArrayList<>();
-  private final Decisions policy =
-      (Decisions)
+  private final List<LoadReport> loads = new ArrayList<>();
+  private final RoutingPolicy policy =
+      (RoutingPolicy)
           Proxy.newProxyInstance(
-              Decisions.class.getClassLoader(),
-              new Class<?>[] {Decisions.class},
+              RoutingPolicy.class.getClassLoader(),
+              new Class<?>[] {RoutingPolicy.class},
               (proxy, method, arguments) -> {
                 if (method.getReturnType() == boolean.class) {
                   return true;
                 }
-                if (arguments.length > 1 && arguments[1] instanceof Load load) {
-                  loads.add(load);
-                } else if (arguments.length > 1 && arguments[1] instanceof Trip trip) {
-                  outcomes.add(trip.outcome);
+                if (arguments.length > 1 && arguments[1] instanceof LoadReport loadReport) {
+                  loads.add(loadReport);
+                } else if (arguments.length > 1 && arguments[1] instanceof Attempt attempt) {
+                  outcomes.add(attempt.outcome);
                   return script.isEmpty()
-                      ? new Answer.Termination()
-                      : script.remove().apply((View) arguments[0]);
-                } else if (arguments[0] instanceof View view
-                    && method.getReturnType() == Answer.class) {
-                  routed.add(view);
-                  return script.remove().apply(view);
+                      ? new Decision.Fail()
+                      : script.remove().apply((Request) arguments[0]);
+                } else if (arguments[0] instanceof Request request
+                    && method.getReturnType() == Decision.class) {
+                  routed.add(request);
+                  return script.remove().apply(request);
                 }
                 return null;
               });
   private final ServerSocket cacheServer = new ServerSocket(0);
-  private Roster roster;
-  private Chain chain;
+  private EndpointRegistry endpoints;
+  private RequestPipeline pipeline;
   private Socket client;
   private Socket cache;
 
@@ -107,29 +107,38 @@
 
   @BeforeEach
   void start() throws Exception {
-    Config config = Config.read(Path.of("example/config.json").toString());
+    PlatformConfiguration configuration =
+        PlatformConfiguration.read(Path.of("example/config.json").toString());
     InetSocketAddress listener;
     try (ServerSocket free = new ServerSocket(0)) {
       listener = new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
     cacheServer.setSoTimeout(5_000);
-    roster =
-        new Roster(config.settings(), List.of(policy), clock, (id, address) -> line(id, address));
-    roster.read(
+    endpoints =
+        new EndpointRegistry(
+            configuration.settings(),
+            List.of(policy),
+            eventLoop,
+            (id, address) -> connectionPool(id, address));
+    endpoints.onEvents(
         "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,\"servers\":["
             + server("s-1", "edge")
             + ","
             + server("s-2", "parent")
             + "]}}]}");
-    chain = onLoop(() -> new Chain(config.settings(), policy, clock, pool, roster));
-    sockets.listen(listener, chain::takeIn);
+    pipeline =
+        onLoop(
+            () ->
+                new RequestPipeline(
+                    configuration.settings(), policy, eventLoop, bufferPool, endpoints));
+    transport.listen(listener, pipeline::acceptClient);
     client = new Socket(listener.getAddress(), listener.getPort());
     client.setSoTimeout(5_000);
   }
 
   @AfterEach
   void end() throws Exception {
-    sockets.shutDown();
+    transport.shutDown();
     cacheServer.close();
     client.close();
     if (cache != null) {
@@ -137,13 +146,13 @@
     }
   }
 
-  private CacheLine line(String id, InetSocketAddress address) {
-    return new CacheLine(
-        sockets,
-        clock,
+  private CacheConnectionPool connectionPool(String id, InetSocketAddress address) {
+    return new CacheConnectionPool(
+        transport,
+        eventLoop,
         id,
         address,
-        new CacheLine.Limits(1, 100, Duration.ofSeconds(2), Duration.ZERO));
+        new CacheConnectionPool.Limits(1, 100, Duration.ofSeconds(2), Duration.ZERO));
   }
 
   private String server(String id, String kind) {
@@ -162,7 +171,7 @@
 
   private <T> T onLoop(Work<T> work) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
-    clock.handOver(
+    eventLoop.execute(
         () -> {
           try {
             done.complete(work.run());
@@ -174,18 +183,18 @@
   }
 
   private Cache cacheOf(String id) {
-    return roster.caches().stream()
-        .filter(one -> roster.id(one).equals(id))
+    return endpoints.caches().stream()
+        .filter(one -> endpoints.id(one).equals(id))
         .findAny()
         .orElseThrow();
   }
 
   /** The plainest attempt: no fill, no copy kept. */
-  private Answer plainAttempt() {
-    return new Trip(cacheOf("s-1"), cacheOf("s-1"), 0, null, false, false, null);
+  private Decision plainAttempt() {
+    return new Attempt(cacheOf("s-1"), cacheOf("s-1"), 0, null, false, false, null);
   }
 
-  private void decide(Function<View, Answer> decision) throws Exception {
+  private void decide(Function<Request, Decision> decision) throws Exception {
     onLoop(() -> script.add(decision));
   }
 
@@ -216,10 +225,10 @@
   /** Sends the least call; the cache's side has read its attempt when this returns. */
   private void startRequest() throws Exception {
     decide(request -> plainAttempt());
-    send(client, call(LEAST_FIELDS, ""));
+    send(client, call(MINIMAL_FIELDS, ""));
     cache = cacheServer.accept();
     cache.setSoTimeout(5_000);
-    assertReads(cache, LEAST_ASKED);
+    assertReads(cache, MINIMAL_ASK);
   }
 
   private void respond(String status, String fields, String body) throws IOException {
@@ -248,7 +257,8 @@
   void everyFieldOfACallAndOfAnAttemptHasItsBytes() throws Exception {
     decide(
         request ->
-            new Trip(cacheOf("s-1"), cacheOf("s-2"), 2, Duration.ofDays(4000), true, true, null));
+            new Attempt(
+                cacheOf("s-1"), cacheOf("s-2"), 2, Duration.ofDays(4000), true, true, null));
     send(client, call(FULL_FIELDS, "a\r\nbody"));
     cache = cacheServer.accept();
     cache.setSoTimeout(5_000);
@@ -258,12 +268,13 @@
             + "lane=pick,name=7f3a9c21e0b4d655,piece=3,ttl=TIME,dedupe=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,"
             + "parent=s-2,shelf=2,accept=345600000000,hints=local+revalidate,got=4be0c1927d55a6f3\r\n"
             + "$7\r\na\r\nbody\r\n");
-    View request = routed.poll(5, TimeUnit.SECONDS);
-    assertThat(request.object).isEqualTo(0x7f3a9c21e0b4d655L);
+    Request request = routed.poll(5, TimeUnit.SECONDS);
+    assertThat(request.objectId).isEqualTo(0x7f3a9c21e0b4d655L);
     assertThat(request.part).isEqualTo(3);
-    assertThat(request.group).isEqualTo(17);
+    assertThat(request.purgeGroup).isEqualTo(17);
     assertThat(request.kilobytes).isEqualTo(412.5);
-    assertThat(request.cutOff.minus(request.arrived)).isEqualTo(Duration.ofNanos(9_000_500_000L));
+    assertThat(request.deadline.minus(request.arrivalTime))
+        .isEqualTo(Duration.ofNanos(9_000_500_000L));
     respond(
         "ACK",
         "why=filled,first=2.5,digest=4be0c1927d55a6f4,dated=1764576000123,rep=inflight:7;util:0.61",
@@ -272,10 +283,10 @@
         client,
         "*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$20\r\nver=4be0c1927d55a6f4\r\n$11\r\nsome\r\nbytes\r\n");
     Outcome outcome = outcome();
-    assertThat(outcome.result()).isEqualTo(Result.HONOURED);
+    assertThat(outcome.result()).isEqualTo(Result.SERVED);
     assertThat(outcome.detail()).isEqualTo(Detail.FILLED);
     assertThat(outcome.sourceWait()).isEqualTo(Duration.ofNanos(2_500_000));
-    assertThat(loads).containsExactly(new Load(0.61, 7));
+    assertThat(loads).containsExactly(new LoadReport(0.61, 7));
   }
 
   @Test
@@ -283,7 +294,7 @@
     startRequest();
     respond("AGAIN", "rep=outstanding:9;utilization:0.25", "");
     assertReads(client, "*4\r\n$1\r\n7\r\n$4\r\nFAIL\r\n$0\r\n\r\n$0\r\n\r\n");
-    assertThat(loads).containsExactly(new Load(0.25, 9));
+    assertThat(loads).containsExactly(new LoadReport(0.25, 9));
   }
 
   @ParameterizedTest
@@ -327,17 +338,17 @@
   @Test
   void unmodifiedCopyHasItsBytes() throws Exception {
     decide(request -> plainAttempt());
-    send(client, call(LEAST_FIELDS + ",ver=4be0c1927d55a6f3", ""));
+    send(client, call(MINIMAL_FIELDS + ",ver=4be0c1927d55a6f3", ""));
     cache = cacheServer.accept();
     cache.setSoTimeout(5_000);
     assertReads(
         cache,
-        LEAST_ASKED.replace("$88", "$109").replace("0211\r\n", "0211,got=4be0c1927d55a6f3\r\n"));
+        MINIMAL_ASK.replace("$88", "$109").replace("0211\r\n", "0211,got=4be0c1927d55a6f3\r\n"));
     respond("NOMOD", "why=hit,digest=4be0c1927d55a6f3,dated=1764576000123", "");
     assertReads(
         client,
         "*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$32\r\nunchanged=1,ver=4be0c1927d55a6f3\r\n$0\r\n\r\n");
-    assertThat(outcome().result()).isEqualTo(Result.HONOURED);
+    assertThat(outcome().result()).isEqualTo(Result.SERVED);
   }
 
   @Test
@@ -345,21 +356,21 @@
     startRequest();
     send(client, "*2\r\n$10\r\nRPC.CANCEL\r\n$1\r\n7\r\n");
     assertReads(cache, "*2\r\n$4\r\nQUIT\r\n$16\r\n9b1f03aa5c7e2d41\r\n");
-    assertThat(outcome().result()).isEqualTo(Result.RECALLED);
+    assertThat(outcome().result()).isEqualTo(Result.CANCELLED);
   }
 
   @Test
   void rejectionsHaveTheirBytes() throws Exception {
-    decide(request -> new Answer.Dismissal(Duration.ofMillis(250)));
-    send(client, call(LEAST_FIELDS, ""));
+    decide(request -> new Decision.Reject(Duration.ofMillis(250)));
+    send(client, call(MINIMAL_FIELDS, ""));
     assertReads(client, "*4\r\n$1\r\n7\r\n$3\r\nNAK\r\n$11\r\nbackoff=250\r\n$0\r\n\r\n");
-    decide(request -> new Answer.Dismissal(Duration.ofNanos(1)));
-    send(client, call(LEAST_FIELDS, ""));
+    decide(request -> new Decision.Reject(Duration.ofNanos(1)));
+    send(client, call(MINIMAL_FIELDS, ""));
     assertReads(client, "*4\r\n$1\r\n7\r\n$3\r\nNAK\r\n$9\r\nbackoff=1\r\n$0\r\n\r\n");
-    decide(request -> new Answer.Dismissal(null));
-    send(client, call(LEAST_FIELDS, ""));
+    decide(request -> new Decision.Reject(null));
+    send(client, call(MINIMAL_FIELDS, ""));
     assertReads(client, "*4\r\n$1\r\n7\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n");
-    send(client, call(LEAST_FIELDS.replace("budget", "bugdet"), ""));
+    send(client, call(MINIMAL_FIELDS.replace("budget", "bugdet"), ""));
     assertReads(client, "*4\r\n$1\r\n7\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n");
   }
 
@@ -369,7 +380,7 @@
     assertReads(client, "*4\r\n$1\r\n8\r\n$3\r\nRED\r\n$0\r\n\r\n$0\r\n\r\n");
     onLoop(
         () -> {
-          chain.ready(true);
+          pipeline.setReady(true);
           return null;
         });
     send(client, "*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n9\r\n");
@@ -379,29 +390,30 @@
   @Test
   void probeOfACacheHasItsBytes() throws Exception {
     CompletableFuture<String> answer = new CompletableFuture<>();
-    CacheLine line = line("s-3", new InetSocketAddress("127.0.0.1", cacheServer.getLocalPort()));
+    CacheConnectionPool connectionPool =
+        connectionPool("s-3", new InetSocketAddress("127.0.0.1", cacheServer.getLocalPort()));
     onLoop(
         () ->
-            line.probe(
+            connectionPool.sendHealthCheck(
                 "42",
-                new Asked() {
+                new ResponseHandler() {
                   private String words;
 
                   @Override
-                  public void answered(String word, Fields fields, int length) {
+                  public void onResponse(String word, FieldList fields, int length) {
                     words = word + " " + fields.text("rep");
                   }
 
                   @Override
-                  public void body(ByteBuffer part, Connection from) {}
+                  public void onBody(ByteBuffer part, Connection from) {}
 
                   @Override
-                  public void whole() {
+                  public void onComplete() {
                     answer.complete(words);
                   }
 
                   @Override
-                  public void ended(Ending ending, boolean written) {}
+                  public void onFailure(CloseReason closeReason, boolean written) {}
                 }));
     cache = cacheServer.accept();
     cache.setSoTimeout(5_000);
--- a/router/src/test/java/tamarindroute/host/ConfigTest.java
+++ b/router/src/test/java/tamarindroute/host/ConfigurationReaderTest.java
@@ -13,7 +13,7 @@
 import tamarindroute.settings.MalformedSettingsException;
 
 /** Limits that are not told, or odd: a stated default, or an error that names them. */
-class ConfigTest {
+class ConfigurationReaderTest {
 
   private static final String LIMITS =
       "\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},";
@@ -27,13 +27,14 @@
   }
 
   @Test
-  void limitsThatAreNotToldCountAsThePlatformsLeast() throws Exception {
+  void absentLimitsDefaultToThePlatformsMinimum() throws Exception {
     for (String none : new String[] {"", "\"limits\": {},", "\"limits\": {\"cores\": 0.2},"}) {
-      Config config = Config.read(with(LIMITS, none));
-      assertThat(config.memory()).isEqualTo(32L * 1024 * 1024);
-      assertThat(config.descriptors()).isEqualTo(256);
+      PlatformConfiguration configuration = PlatformConfiguration.read(with(LIMITS, none));
+      assertThat(configuration.memoryBytes()).isEqualTo(32L * 1024 * 1024);
+      assertThat(configuration.descriptorLimit()).isEqualTo(256);
     }
-    assertThat(Config.read(with("192", "64.0")).memory()).isEqualTo(64L * 1024 * 1024);
+    assertThat(PlatformConfiguration.read(with("192", "64.0")).memoryBytes())
+        .isEqualTo(64L * 1024 * 1024);
   }
 
   @ParameterizedTest
@@ -48,11 +49,11 @@
     "'\"settings\"', '\"set\"', no settings",
     "'\"127.0.0.1:7000\"', '\"7000\"', no address"
   })
-  void whatIsOddIsToldByName(String old, String now, String told) throws Exception {
+  void invalidValuesAreReportedByName(String old, String now, String message) throws Exception {
     String file = with(old, now);
-    assertThatThrownBy(() -> Config.read(file))
+    assertThatThrownBy(() -> PlatformConfiguration.read(file))
         .isInstanceOf(MalformedSettingsException.class)
-        .hasMessageContaining(told)
+        .hasMessageContaining(message)
         .message()
         .doesNotContain("\n")
         .doesNotContain("Cannot invoke");
@@ -60,10 +61,11 @@
 
   /** What is read once at the start is not held for as long as the gateway runs. */
   @Test
-  void theListOfTheStartIsLetGoOf() throws Exception {
-    Config config = Config.read("example/config.json");
-    assertThat(config.known()).contains("s-0000000a");
-    assertThat(config.started().known()).isEmpty();
-    assertThat(config.differsIn(config.started())).isEmpty();
+  void theBootstrapEventsAreReleased() throws Exception {
+    PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
+    assertThat(configuration.bootstrapEvents()).contains("s-0000000a");
+    assertThat(configuration.withoutBootstrapEvents().bootstrapEvents()).isEmpty();
+    assertThat(configuration.changedRestartOnlySections(configuration.withoutBootstrapEvents()))
+        .isEmpty();
   }
 }
--- a/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
+++ b/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Load;
+import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Purge;
-import tamarindroute.net.CacheLine;
-import tamarindroute.protocol.Fields;
-import tamarindroute.protocol.MalformedException;
+import tamarindroute.decision.RoutingPolicy;
+import tamarindroute.net.CacheConnectionPool;
+import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * The platform's formats word by word: the configuration file, the control feed's events, a cache's
@@ -29,55 +29,62 @@
 
   @TempDir Path folder;
 
-  private final Clock clock = new Clock();
+  private final EventLoop eventLoop = new EventLoop();
   private final List<Purge> purges = new ArrayList<>();
 
   @Test
   void theConfigurationFileKeepsItsWords() throws Exception {
-    Config config = Config.read("example/config.json");
-    assertThat(config.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
-    assertThat(config.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
-    assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
-    assertThat(config.memory()).isEqualTo(192L * 1024 * 1024);
-    assertThat(config.descriptors()).isEqualTo(1024);
-    assertThat(config.known())
+    PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
+    assertThat(configuration.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
+    assertThat(configuration.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
+    assertThat(configuration.seed()).isEqualTo(0x8c1f30d27a5be964L);
+    assertThat(configuration.memoryBytes()).isEqualTo(192L * 1024 * 1024);
+    assertThat(configuration.descriptorLimit()).isEqualTo(1024);
+    assertThat(configuration.bootstrapEvents())
         .startsWith(
             "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,"
                 + "\"servers\":[{\"id\":\"s-0000000a\",\"addr\":\"127.0.0.1:7011\",\"zone\":\"shed\",");
-    assertThat(config.settings().zones()).containsExactly("hub", "shed");
-    assertThat(config.settings().kinds()).containsExactly("edge", "parent", "origin");
-    assertThat(config.settings().settings(1).zone()).isEqualTo(1);
-    assertThat(config.settings().settings(1).hubOf()).containsExactly(0, 0);
+    assertThat(configuration.settings().zones()).containsExactly("hub", "shed");
+    assertThat(configuration.settings().kinds()).containsExactly("edge", "parent", "origin");
+    assertThat(configuration.settings().settings(1).zone()).isEqualTo(1);
+    assertThat(configuration.settings().settings(1).hubByZone()).containsExactly(0, 0);
   }
 
   @Test
   void aSeedThatIsNoHexadecimalNumberIsTheChecksumOfItsText() throws Exception {
-    assertThat(config("8c1f30d27a5be964", "not hex").seed()).isEqualTo(330_776_588L);
+    assertThat(readWith("8c1f30d27a5be964", "not hex").seed()).isEqualTo(330_776_588L);
   }
 
   @Test
-  void whatDiffersIsNamedByTheFilesWords() throws Exception {
-    Config config = Config.read("example/config.json");
-    assertThat(config.differsIn(config("127.0.0.1:7000", "[::1]:0"))).containsExactly("listen");
-    assertThat(config.differsIn(config("\"sockets\": 1024", "\"sockets\": 512")))
+  void changedSectionsAreNamedByTheFilesKeys() throws Exception {
+    PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
+    assertThat(configuration.changedRestartOnlySections(readWith("127.0.0.1:7000", "[::1]:0")))
+        .containsExactly("listen");
+    assertThat(
+            configuration.changedRestartOnlySections(
+                readWith("\"sockets\": 1024", "\"sockets\": 512")))
         .containsExactly("limits");
-    assertThat(config.differsIn(config("\"TryLimit\": 8", "\"TryLimit\": 7")))
+    assertThat(
+            configuration.changedRestartOnlySections(
+                readWith("\"TryLimit\": 8", "\"TryLimit\": 7")))
         .containsExactly("settings");
-    assertThat(config.differsIn(config("127.0.0.1:7001", "127.0.0.1:7002"))).isEmpty();
+    assertThat(
+            configuration.changedRestartOnlySections(readWith("127.0.0.1:7001", "127.0.0.1:7002")))
+        .isEmpty();
   }
 
-  private Config config(String old, String now) throws IOException {
+  private PlatformConfiguration readWith(String old, String now) throws IOException {
     String text = Files.readString(Path.of("example/config.json"));
     assertThat(text).contains(old);
-    return Config.read(
+    return PlatformConfiguration.read(
         Files.writeString(folder.resolve("config.json"), text.replace(old, now)).toString());
   }
 
   @Test
   void theFeedsEventsKeepTheirWords() throws Exception {
-    Roster roster = roster();
-    Duration before = clock.now();
-    roster.read(
+    EndpointRegistry endpoints = newRegistry();
+    Duration before = eventLoop.now();
+    endpoints.onEvents(
         "{\"n\":3,\"events\":["
             + "{\"n\":1,\"members\":{\"version\":1,\"full\":true,\"servers\":["
             + "{\"id\":\"s-1\",\"addr\":\"127.0.0.1:7011\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":2,"
@@ -93,81 +100,86 @@
             + (System.currentTimeMillis() - 5_000)
             + "}},"
             + "{\"n\":3,\"purge\":{\"group\":17,\"at\":0}}]}");
-    assertThat(roster.last()).isEqualTo(3);
-    assertThat(roster.caches())
-        .extracting(roster::id)
+    assertThat(endpoints.lastEventNumber()).isEqualTo(3);
+    assertThat(endpoints.caches())
+        .extracting(endpoints::id)
         .containsExactlyInAnyOrder("s-1", "s-2", "s-3");
-    Cache edge = cache(roster, "s-1");
+    Cache edge = cache(endpoints, "s-1");
     assertThat(edge.tier).isEqualTo(Cache.Tier.EDGE);
-    assertThat(edge.standing).isEqualTo(Cache.Standing.READY);
+    assertThat(edge.availability).isEqualTo(Cache.Availability.READY);
     assertThat(edge.zone).isEqualTo(1);
     assertThat(edge.cell).isEqualTo(2);
     assertThat(edge.weight).isEqualTo(40.5);
-    assertThat(edge.upSince).isNull();
-    assertThat(edge.mark).isEqualTo(0xd80255ceL);
-    assertThat(roster.address(edge)).isEqualTo(new InetSocketAddress("127.0.0.1", 7011));
-    Cache parent = cache(roster, "s-2");
+    assertThat(edge.startedAt).isNull();
+    assertThat(edge.stableId).isEqualTo(0xd80255ceL);
+    assertThat(endpoints.address(edge)).isEqualTo(new InetSocketAddress("127.0.0.1", 7011));
+    Cache parent = cache(endpoints, "s-2");
     assertThat(parent.tier).isEqualTo(Cache.Tier.PARENT);
-    assertThat(parent.standing).isEqualTo(Cache.Standing.DRAINING);
-    assertThat(parent.upSince).isBetween(before.minusSeconds(61), before.minusSeconds(59));
-    assertThat(cache(roster, "s-3").tier).isEqualTo(Cache.Tier.ORIGIN);
+    assertThat(parent.availability).isEqualTo(Cache.Availability.DRAINING);
+    assertThat(parent.startedAt).isBetween(before.minusSeconds(61), before.minusSeconds(59));
+    assertThat(cache(endpoints, "s-3").tier).isEqualTo(Cache.Tier.ORIGIN);
     assertThat(purges).hasSize(2);
-    assertThat(purges.get(0).object()).isEqualTo(0x8c1f30d27a5be964L);
+    assertThat(purges.get(0).objectId()).isEqualTo(0x8c1f30d27a5be964L);
     assertThat(purges.get(0).group()).isEqualTo(-1);
-    assertThat(purges.get(0).made()).isBetween(before.minusSeconds(6), before.minusSeconds(4));
-    assertThat(purges.get(1).object()).isNull();
+    assertThat(purges.get(0).issuedAt()).isBetween(before.minusSeconds(6), before.minusSeconds(4));
+    assertThat(purges.get(1).objectId()).isNull();
     assertThat(purges.get(1).group()).isEqualTo(17);
-    roster.read(
+    endpoints.onEvents(
         "{\"n\":4,\"events\":[{\"n\":4,\"members\":{\"full\":false,\"servers\":["
             + "{\"id\":\"s-1\",\"state\":\"gone\"}]}}]}");
-    assertThat(roster.caches()).extracting(roster::id).containsExactlyInAnyOrder("s-2", "s-3");
+    assertThat(endpoints.caches())
+        .extracting(endpoints::id)
+        .containsExactlyInAnyOrder("s-2", "s-3");
   }
 
-  private static Cache cache(Roster roster, String id) {
-    return roster.caches().stream()
-        .filter(cache -> roster.id(cache).equals(id))
+  private static Cache cache(EndpointRegistry endpoints, String id) {
+    return endpoints.caches().stream()
+        .filter(cache -> endpoints.id(cache).equals(id))
         .findFirst()
         .orElseThrow();
   }
 
-  private Roster roster() throws Exception {
-    Decisions policy =
-        (Decisions)
+  private EndpointRegistry newRegistry() throws Exception {
+    RoutingPolicy policy =
+        (RoutingPolicy)
             Proxy.newProxyInstance(
-                Decisions.class.getClassLoader(),
-                new Class<?>[] {Decisions.class},
+                RoutingPolicy.class.getClassLoader(),
+                new Class<?>[] {RoutingPolicy.class},
                 (proxy, method, arguments) -> {
                   if (arguments[0] instanceof Purge purge) {
                     purges.add(purge);
                   }
                   return null;
                 });
-    return new Roster(
-        Config.read("example/config.json").settings(),
+    return new EndpointRegistry(
+        PlatformConfiguration.read("example/config.json").settings(),
         List.of(policy),
-        clock,
+        eventLoop,
         (id, address) ->
-            new CacheLine(
+            new CacheConnectionPool(
                 null,
-                clock,
+                eventLoop,
                 id,
                 address,
-                new CacheLine.Limits(4, 100, Duration.ofSeconds(1), Duration.ZERO)));
+                new CacheConnectionPool.Limits(4, 100, Duration.ofSeconds(1), Duration.ZERO)));
   }
 
   @Test
   void theLoadReportKeepsItsWords() throws Exception {
-    assertThat(Report.load(Fields.read("first=3,rep=util:0.25;inflight:7")))
-        .isEqualTo(new Load(0.25, 7));
-    assertThat(Report.load(Fields.read("rep=utilization:2;outstanding:1e3")))
-        .isEqualTo(new Load(2, 1000));
-    assertThat(Report.load(Fields.read("rep=inflight:7"))).isEqualTo(new Load(Double.NaN, 7));
-    assertThat(Report.load(Fields.read("rep=other:7"))).isNull();
-    assertThat(Report.load(Fields.read("-"))).isNull();
-    for (String odd :
+    assertThat(LoadReportParser.parse(FieldList.parse("first=3,rep=util:0.25;inflight:7")))
+        .isEqualTo(new LoadReport(0.25, 7));
+    assertThat(LoadReportParser.parse(FieldList.parse("rep=utilization:2;outstanding:1e3")))
+        .isEqualTo(new LoadReport(2, 1000));
+    assertThat(LoadReportParser.parse(FieldList.parse("rep=inflight:7")))
+        .isEqualTo(new LoadReport(Double.NaN, 7));
+    assertThat(LoadReportParser.parse(FieldList.parse("rep=other:7"))).isNull();
+    assertThat(LoadReportParser.parse(FieldList.parse("-"))).isNull();
+    for (String malformed :
         List.of("rep=util:101", "rep=util:-1", "rep=inflight:2e6", "rep=util", "rep=util:x")) {
-      Fields fields = Fields.read(odd);
-      assertThatThrownBy(() -> Report.load(fields)).as(odd).isInstanceOf(MalformedException.class);
+      FieldList fields = FieldList.parse(malformed);
+      assertThatThrownBy(() -> LoadReportParser.parse(fields))
+          .as(malformed)
+          .isInstanceOf(MalformedMessageException.class);
     }
   }
 }
--- a/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
+++ b/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Settings;
-import tamarindroute.host.Config;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RequestClass;
+import tamarindroute.host.PlatformConfiguration;
 
 /** Every key of the settings that is read, with what it is decoded to. */
 class SettingsFormatTest {
@@ -76,28 +76,28 @@
             Zones=hub,shed
             """;
 
-  private static final Profile CLIP =
-      new Profile(
-          Profile.Repeat.REISSUABLE,
-          Profile.Group.ALL,
+  private static final RequestClass CLIP =
+      new RequestClass(
+          RequestClass.Idempotency.IDEMPOTENT,
+          RequestClass.DeduplicationScope.ALL,
           Duration.ofNanos(3_000_000_001L),
           Duration.ofNanos(1_500_000_002L),
           1.6,
           true,
           Duration.ofSeconds(7));
-  private static final Profile PICK =
-      new Profile(
-          Profile.Repeat.NUMBERED,
-          Profile.Group.ZONE,
+  private static final RequestClass PICK =
+      new RequestClass(
+          RequestClass.Idempotency.KEYED,
+          RequestClass.DeduplicationScope.ZONE,
           Duration.ofSeconds(4),
           Duration.ofMillis(600),
           0,
           false,
           Duration.ZERO);
-  private static final Profile ONCE =
-      new Profile(
-          Profile.Repeat.AT_MOST_ONCE,
-          Profile.Group.CELL,
+  private static final RequestClass ONCE =
+      new RequestClass(
+          RequestClass.Idempotency.NON_IDEMPOTENT,
+          RequestClass.DeduplicationScope.CELL,
           Duration.ZERO,
           Duration.ofMillis(700),
           2.5,
@@ -107,10 +107,10 @@
   @Test
   void everyKeyOfTheLinesIsDecoded() throws Exception {
     SettingsReader reader = SettingsReader.ofLines(LINES);
-    assertThat(reader.check()).isEmpty();
+    assertThat(reader.validate()).isEmpty();
     assertThat(reader.settings(77))
         .isEqualTo(
-            new Settings(
+            new PolicySettings(
                 77,
                 1,
                 24,
@@ -125,35 +125,38 @@
                 true,
                 Duration.ofMillis(500),
                 8,
-                new Settings.ColdStart(0.22, Duration.ofSeconds(17), 3.5, Duration.ofSeconds(2)),
-                new Settings.ColdStart(0.064, Duration.ofSeconds(22), 2.25, Duration.ofSeconds(2)),
+                new PolicySettings.ColdStart(
+                    0.22, Duration.ofSeconds(17), 3.5, Duration.ofSeconds(2)),
+                new PolicySettings.ColdStart(
+                    0.064, Duration.ofSeconds(22), 2.25, Duration.ofSeconds(2)),
                 Duration.ofSeconds(6),
-                Settings.Weights.LIVE));
-    assertThat(reader.profiles()).containsExactly(CLIP, PICK, ONCE);
-    assertThat(reader.profilesByName())
+                PolicySettings.WeightMeaning.LIVE));
+    assertThat(reader.requestClasses()).containsExactly(CLIP, PICK, ONCE);
+    assertThat(reader.requestClassesByName())
         .containsExactly(Map.entry("clip", CLIP), Map.entry("pick", PICK), Map.entry("once", ONCE));
-    assertThat(reader.profileNames()).containsExactly("clip", "pick", "once");
-    assertThat(reader.longestCutOff()).isEqualTo(Duration.ofMillis(3500));
+    assertThat(reader.requestClassNames()).containsExactly("clip", "pick", "once");
+    assertThat(reader.longestDeadline()).isEqualTo(Duration.ofMillis(3500));
     assertThat(reader.parentKind()).isEqualTo(1);
     assertThat(reader.originKind()).isEqualTo(2);
     assertThat(reader.zones()).containsExactly("hub", "shed");
     assertThat(reader.kinds()).containsExactly("edge", "parent", "origin");
     assertThat(reader.reportFields()).containsExactly("utilization", "outstanding");
-    assertThat(reader.mustAskForList()).isTrue();
-    assertThat(reader.mustAskWithin()).isEqualTo(Duration.ofSeconds(9));
-    assertThat(reader.mostInHand()).isEqualTo(20001);
-    assertThat(reader.mostOnConnection()).isEqualTo(101);
-    assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(410));
-    assertThat(reader.keepIdle()).isEqualTo(Duration.ofSeconds(15));
+    assertThat(reader.mustSubscribe()).isTrue();
+    assertThat(reader.subscribeWithin()).isEqualTo(Duration.ofSeconds(9));
+    assertThat(reader.maxInFlight()).isEqualTo(20001);
+    assertThat(reader.maxRequestsPerConnection()).isEqualTo(101);
+    assertThat(reader.connectTimeout()).isEqualTo(Duration.ofMillis(410));
+    assertThat(reader.keepAlive()).isEqualTo(Duration.ofSeconds(15));
   }
 
   @Test
   void nothingGivenIsDecodedToTheDefaults() throws Exception {
     SettingsReader reader = SettingsReader.ofLines("");
-    Settings.ColdStart start = new Settings.ColdStart(1, Duration.ZERO, 1, Duration.ofSeconds(1));
+    PolicySettings.ColdStart start =
+        new PolicySettings.ColdStart(1, Duration.ZERO, 1, Duration.ofSeconds(1));
     assertThat(reader.settings(5))
         .isEqualTo(
-            new Settings(
+            new PolicySettings(
                 5,
                 0,
                 1,
@@ -171,52 +174,55 @@
                 start,
                 start,
                 Duration.ofSeconds(60),
-                Settings.Weights.OFF));
-    assertThat(reader.profiles()).isEmpty();
+                PolicySettings.WeightMeaning.OFF));
+    assertThat(reader.requestClasses()).isEmpty();
     assertThat(reader.parentKind()).isEqualTo(-1);
     assertThat(reader.originKind()).isEqualTo(-1);
     assertThat(reader.reportFields()).isEmpty();
-    assertThat(reader.mustAskForList()).isFalse();
-    assertThat(reader.mustAskWithin()).isZero();
-    assertThat(reader.mostInHand()).isEqualTo(Integer.MAX_VALUE);
-    assertThat(reader.mostOnConnection()).isEqualTo(Integer.MAX_VALUE);
-    assertThat(reader.connectWithin()).isEqualTo(Duration.ofMillis(400));
-    assertThat(reader.keepIdle()).isZero();
-    assertThat(reader.longestCutOff()).isZero();
+    assertThat(reader.mustSubscribe()).isFalse();
+    assertThat(reader.subscribeWithin()).isZero();
+    assertThat(reader.maxInFlight()).isEqualTo(Integer.MAX_VALUE);
+    assertThat(reader.maxRequestsPerConnection()).isEqualTo(Integer.MAX_VALUE);
+    assertThat(reader.connectTimeout()).isEqualTo(Duration.ofMillis(400));
+    assertThat(reader.keepAlive()).isZero();
+    assertThat(reader.longestDeadline()).isZero();
   }
 
   @Test
   void wordsOfTheSettingsAreDecoded() throws Exception {
-    assertThat(settings("Weights=nominal").weights()).isEqualTo(Settings.Weights.NOMINAL);
-    assertThat(settings("Weights=rough").weights()).isEqualTo(Settings.Weights.ROUGH);
-    assertThat(settings("Weights=off").weights()).isEqualTo(Settings.Weights.OFF);
-    assertThat(settings("FamilyInfo.Neighbours=any").siblings()).isTrue();
-    assertThat(settings("FamilyInfo.Neighbours=off").siblings()).isFalse();
-    assertThat(settings("FamilyInfo.Says=hit").tellsSources()).isFalse();
-    assertThat(settings("Limits.MaxRetryAfterNs=5").longestComeBack()).isNull();
-    assertThat(SettingsReader.ofLines("Discovery=automatic").mustAskForList()).isFalse();
+    assertThat(settings("Weights=nominal").weightMeaning())
+        .isEqualTo(PolicySettings.WeightMeaning.NOMINAL);
+    assertThat(settings("Weights=rough").weightMeaning())
+        .isEqualTo(PolicySettings.WeightMeaning.ROUGH);
+    assertThat(settings("Weights=off").weightMeaning()).isEqualTo(PolicySettings.WeightMeaning.OFF);
+    assertThat(settings("FamilyInfo.Neighbours=any").siblingFillAllowed()).isTrue();
+    assertThat(settings("FamilyInfo.Neighbours=off").siblingFillAllowed()).isFalse();
+    assertThat(settings("FamilyInfo.Says=hit").reportsFillSource()).isFalse();
+    assertThat(settings("Limits.MaxRetryAfterNs=5").maxRetryAfter()).isNull();
+    assertThat(SettingsReader.ofLines("Discovery=automatic").mustSubscribe()).isFalse();
   }
 
-  private static Settings settings(String line) throws Exception {
+  private static PolicySettings settings(String line) throws Exception {
     return SettingsReader.ofLines(line).settings(0);
   }
 
   @Test
   void configurationFileIsDecoded() throws Exception {
-    Config config = Config.read(Path.of("example/config.json").toString());
-    assertThat(config.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
-    assertThat(config.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
-    assertThat(config.seed()).isEqualTo(0x8c1f30d27a5be964L);
-    assertThat(config.memory()).isEqualTo(192L * 1024 * 1024);
-    assertThat(config.descriptors()).isEqualTo(1024);
-    assertThat(config.known())
+    PlatformConfiguration configuration =
+        PlatformConfiguration.read(Path.of("example/config.json").toString());
+    assertThat(configuration.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
+    assertThat(configuration.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
+    assertThat(configuration.seed()).isEqualTo(0x8c1f30d27a5be964L);
+    assertThat(configuration.memoryBytes()).isEqualTo(192L * 1024 * 1024);
+    assertThat(configuration.descriptorLimit()).isEqualTo(1024);
+    assertThat(configuration.bootstrapEvents())
         .startsWith(
             "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,"
                 + "\"servers\":[{\"id\":\"s-0000000a\",\"addr\":\"127.0.0.1:7011\",\"zone\":\"shed\"");
-    SettingsReader reader = config.settings();
-    assertThat(reader.settings(config.seed()))
+    SettingsReader reader = configuration.settings();
+    assertThat(reader.settings(configuration.seed()))
         .isEqualTo(
-            new Settings(
+            new PolicySettings(
                 0x8c1f30d27a5be964L,
                 1,
                 1,
@@ -231,17 +237,19 @@
                 true,
                 Duration.ofMillis(500),
                 8,
-                new Settings.ColdStart(0.22, Duration.ofSeconds(17), 3, Duration.ofSeconds(2)),
-                new Settings.ColdStart(0.064, Duration.ofSeconds(22), 2, Duration.ofSeconds(2)),
+                new PolicySettings.ColdStart(
+                    0.22, Duration.ofSeconds(17), 3, Duration.ofSeconds(2)),
+                new PolicySettings.ColdStart(
+                    0.064, Duration.ofSeconds(22), 2, Duration.ofSeconds(2)),
                 Duration.ofSeconds(6),
-                Settings.Weights.OFF));
-    assertThat(reader.profilesByName())
+                PolicySettings.WeightMeaning.OFF));
+    assertThat(reader.requestClassesByName())
         .containsExactly(
             Map.entry(
                 "clip",
-                new Profile(
-                    Profile.Repeat.REISSUABLE,
-                    Profile.Group.ALL,
+                new RequestClass(
+                    RequestClass.Idempotency.IDEMPOTENT,
+                    RequestClass.DeduplicationScope.ALL,
                     Duration.ofSeconds(3),
                     Duration.ofMillis(1500),
                     1.6,
@@ -249,9 +257,9 @@
                     Duration.ZERO)),
             Map.entry(
                 "pick",
-                new Profile(
-                    Profile.Repeat.NUMBERED,
-                    Profile.Group.ALL,
+                new RequestClass(
+                    RequestClass.Idempotency.KEYED,
+                    RequestClass.DeduplicationScope.ALL,
                     Duration.ofSeconds(3),
                     Duration.ofMillis(600),
                     0,
@@ -259,9 +267,9 @@
                     Duration.ZERO)),
             Map.entry(
                 "once",
-                new Profile(
-                    Profile.Repeat.AT_MOST_ONCE,
-                    Profile.Group.CELL,
+                new RequestClass(
+                    RequestClass.Idempotency.NON_IDEMPOTENT,
+                    RequestClass.DeduplicationScope.CELL,
                     Duration.ofSeconds(3),
                     Duration.ofMillis(600),
                     0,
--- a/router/src/test/java/tamarindroute/settings/SettingsCheckTest.java
+++ b/router/src/test/java/tamarindroute/settings/SettingsValidatorTest.java
@@ -18,23 +18,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import tamarindroute.decision.Answer;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
+import tamarindroute.decision.Decision;
 import tamarindroute.decision.Outcome;
-import tamarindroute.decision.Profile;
-import tamarindroute.decision.Profile.Repeat;
+import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.Purge;
-import tamarindroute.decision.Settings;
-import tamarindroute.decision.Trip;
-import tamarindroute.decision.View;
-import tamarindroute.host.Config;
-import tamarindroute.policy.Brain;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass;
+import tamarindroute.decision.RequestClass.Idempotency;
+import tamarindroute.host.PlatformConfiguration;
+import tamarindroute.policy.RatioTestPolicy;
 
 /**
  * Each value of a whole configuration in turn taken out, or made absurd: one line that names it, or
  * settings that a module works by.
  */
-class SettingsCheckTest {
+class SettingsValidatorTest {
 
   private static final List<String> ABSURD =
       List.of(
@@ -82,17 +82,18 @@
     return paths;
   }
 
-  private static void walk(String path, JsonElement at, List<String> paths) {
+  private static void walk(String path, JsonElement element, List<String> paths) {
     if (!path.isEmpty()) {
       paths.add(path.substring(1));
     }
-    if (at.isJsonObject()) {
-      at.getAsJsonObject()
+    if (element.isJsonObject()) {
+      element
+          .getAsJsonObject()
           .entrySet()
           .forEach(e -> walk(path + "/" + e.getKey(), e.getValue(), paths));
-    } else if (at.isJsonArray()) {
-      for (int i = 0; i < at.getAsJsonArray().size(); i++) {
-        walk(path + "/" + i, at.getAsJsonArray().get(i), paths);
+    } else if (element.isJsonArray()) {
+      for (int i = 0; i < element.getAsJsonArray().size(); i++) {
+        walk(path + "/" + i, element.getAsJsonArray().get(i), paths);
       }
     }
   }
@@ -101,42 +102,42 @@
   private static JsonObject with(String path, String value) throws Exception {
     JsonObject whole = whole();
     String[] steps = path.split("/");
-    JsonElement at = whole;
+    JsonElement element = whole;
     for (int i = 0; i + 1 < steps.length; i++) {
-      at =
-          at.isJsonArray()
-              ? at.getAsJsonArray().get(Integer.parseInt(steps[i]))
-              : at.getAsJsonObject().get(steps[i]);
+      element =
+          element.isJsonArray()
+              ? element.getAsJsonArray().get(Integer.parseInt(steps[i]))
+              : element.getAsJsonObject().get(steps[i]);
     }
     String last = steps[steps.length - 1];
-    if (at instanceof JsonArray list) {
+    if (element instanceof JsonArray list) {
       if (value == null) {
         list.remove(Integer.parseInt(last));
       } else {
         list.set(Integer.parseInt(last), JsonParser.parseString(value));
       }
     } else if (value == null) {
-      at.getAsJsonObject().remove(last);
+      element.getAsJsonObject().remove(last);
     } else {
-      at.getAsJsonObject().add(last, JsonParser.parseString(value));
+      element.getAsJsonObject().add(last, JsonParser.parseString(value));
     }
     return whole;
   }
 
-  private Config read(Object text) throws Exception {
-    return Config.read(
+  private PlatformConfiguration read(Object text) throws Exception {
+    return PlatformConfiguration.read(
         Files.writeString(folder.resolve("config.json"), text.toString()).toString());
   }
 
   @ParameterizedTest
   @MethodSource("paths")
-  void aValueThatIsMissingOrAbsurdIsNamedOrHarmless(String path) throws Exception {
+  void missingOrAbsurdValueIsNamedOrHarmless(String path) throws Exception {
     List<String> values = new ArrayList<>(ABSURD);
     values.add(null);
     for (String value : values) {
-      Config config;
+      PlatformConfiguration configuration;
       try {
-        config = read(with(path, value));
+        configuration = read(with(path, value));
       } catch (MalformedSettingsException e) {
         String[] steps = path.split("/");
         String key =
@@ -150,42 +151,49 @@
             .hasSizeLessThan(400);
         continue;
       }
-      works(config, path + " = " + value);
+      assertWorks(configuration, path + " = " + value);
     }
   }
 
   /** What a gateway takes from it makes sense, and a module lives through its first views by it. */
-  private static void works(Config config, String what) throws Exception {
-    SettingsReader reader = config.settings();
-    Settings settings = reader.settings(config.seed());
-    assertThat(config.listen().isUnresolved() || config.feed().isUnresolved()).as(what).isFalse();
-    assertThat(config.memory()).as(what).isPositive();
-    assertThat(config.descriptors()).as(what).isPositive();
-    assertThat(reader.longestCutOff()).as(what).isPositive().isLessThan(Duration.ofDays(3651));
-    assertThat(reader.connectWithin()).as(what).isPositive();
-    assertThat(reader.keepIdle().isNegative()).as(what).isFalse();
+  private static void assertWorks(PlatformConfiguration configuration, String description)
+      throws Exception {
+    SettingsReader reader = configuration.settings();
+    PolicySettings settings = reader.settings(configuration.seed());
+    assertThat(configuration.listen().isUnresolved() || configuration.feed().isUnresolved())
+        .as(description)
+        .isFalse();
+    assertThat(configuration.memoryBytes()).as(description).isPositive();
+    assertThat(configuration.descriptorLimit()).as(description).isPositive();
+    assertThat(reader.longestDeadline())
+        .as(description)
+        .isPositive()
+        .isLessThan(Duration.ofDays(3651));
+    assertThat(reader.connectTimeout()).as(description).isPositive();
+    assertThat(reader.keepAlive().isNegative()).as(description).isFalse();
     assertThat(
             List.of(
-                reader.mostInHand(),
-                reader.mostOnConnection(),
-                settings.mostTrips(),
-                settings.gateways(),
-                settings.gatewaysInZone()))
-        .as(what)
+                reader.maxInFlight(),
+                reader.maxRequestsPerConnection(),
+                settings.maxAttempts(),
+                settings.gatewayCount(),
+                settings.zoneGatewayCount()))
+        .as(description)
         .allMatch(n -> n >= 1);
-    assertThat(settings.zone()).as(what).isBetween(0, reader.zones().size() - 1);
-    assertThat(settings.purgeDone().isNegative()).as(what).isFalse();
-    for (Settings.ColdStart start : List.of(settings.edgeStart(), settings.parentStart())) {
-      assertThat(start.from()).as(what).isBetween(0.0, 1.0);
-      assertThat(start.multiple()).as(what).isPositive();
-      assertThat(start.window()).as(what).isPositive();
-      assertThat(start.warmAfter().isNegative()).as(what).isFalse();
+    assertThat(settings.zone()).as(description).isBetween(0, reader.zones().size() - 1);
+    assertThat(settings.purgePropagationTime().isNegative()).as(description).isFalse();
+    for (PolicySettings.ColdStart start :
+        List.of(settings.edgeColdStart(), settings.parentColdStart())) {
+      assertThat(start.initialCapacity()).as(description).isBetween(0.0, 1.0);
+      assertThat(start.overloadMultiple()).as(description).isPositive();
+      assertThat(start.overloadWindow()).as(description).isPositive();
+      assertThat(start.warmAfter().isNegative()).as(description).isFalse();
     }
-    assertThat(settings.longestComeBack() == null || !settings.longestComeBack().isNegative())
-        .as(what)
+    assertThat(settings.maxRetryAfter() == null || !settings.maxRetryAfter().isNegative())
+        .as(description)
         .isTrue();
-    assertThat(reader.profilesByName()).as(what).isNotEmpty();
-    Brain brain = new Brain(settings);
+    assertThat(reader.requestClassesByName()).as(description).isNotEmpty();
+    RatioTestPolicy policy = new RatioTestPolicy(settings);
     List<Cache> caches = new ArrayList<>();
     for (Cache.Tier tier :
         List.of(Cache.Tier.EDGE, Cache.Tier.EDGE, Cache.Tier.PARENT, Cache.Tier.ORIGIN)) {
@@ -195,35 +203,40 @@
       caches.add(cache);
     }
     Duration now = Duration.ofSeconds(10);
-    caches.get(0).upSince = Duration.ofSeconds(9);
-    brain.listed(caches, now);
-    brain.purged(new Purge(3L, -1, now), now);
-    int trips = 0;
-    for (Profile profile : reader.profilesByName().values()) {
-      assertThat(profile.window().isNegative() || profile.fresh().isNegative()).as(what).isFalse();
-      assertThat(profile.agreedTime()).as(what).isPositive();
-      assertThat(profile.stretch()).as(what).isBetween(0.0, 1e12);
+    caches.get(0).startedAt = Duration.ofSeconds(9);
+    policy.onEndpoints(caches, now);
+    policy.onPurge(new Purge(3L, -1, now), now);
+    int attempts = 0;
+    for (RequestClass requestClass : reader.requestClassesByName().values()) {
+      assertThat(
+              requestClass.deduplicationWindow().isNegative() || requestClass.maxAge().isNegative())
+          .as(description)
+          .isFalse();
+      assertThat(requestClass.latencyObjective()).as(description).isPositive();
+      assertThat(requestClass.transferTimeFactor()).as(description).isBetween(0.0, 1e12);
       for (int i = 0; i < 20; i++) {
-        View view = new View(profile, i, 0, 1, 100, now, now.plusSeconds(2));
-        Answer answer = brain.place(view, now);
-        while (answer instanceof Trip trip) {
-          trips++;
-          trip.sent = now;
-          view.trips.add(trip);
-          trip.outcome =
+        Request request = new Request(requestClass, i, 0, 1, 100, now, now.plusSeconds(2));
+        Decision decision = policy.route(request, now);
+        while (decision instanceof Attempt attempt) {
+          attempts++;
+          attempt.sentAt = now;
+          request.attempts.add(attempt);
+          attempt.outcome =
               new Outcome(
-                  Outcome.Result.TURNED_AWAY,
-                  Outcome.Detail.UNTOLD,
+                  Outcome.Result.REJECTED,
+                  Outcome.Detail.UNKNOWN,
                   Duration.ofMillis(1),
                   null,
                   false);
-          answer = brain.after(view, trip, now);
+          decision = policy.onOutcome(request, attempt, now);
         }
-        assertThat(answer).as(what).isNotNull();
-        assertThat(view.trips.size()).as(what).isLessThanOrEqualTo(settings.mostTrips());
+        assertThat(decision).as(description).isNotNull();
+        assertThat(request.attempts.size())
+            .as(description)
+            .isLessThanOrEqualTo(settings.maxAttempts());
       }
     }
-    assertThat(trips).as(what).isPositive();
+    assertThat(attempts).as(description).isPositive();
   }
 
   /** Values that once ended in a stack trace, a process that hung, or a rule that bound nobody. */
@@ -253,73 +266,78 @@
         "settings | [] | settings is no object",
         "settings/FamilyInfo/NeverKept | [false] | NeverKept holds 1 of 3"
       })
-  void whatIsRefusedIsNamedWithItsValue(String path, String value, String told) throws Exception {
+  void invalidValueIsNamedWithItsValue(String path, String value, String expectedMessage)
+      throws Exception {
     JsonObject odd = with(path, value);
     assertThatThrownBy(() -> read(odd))
         .isInstanceOf(MalformedSettingsException.class)
-        .hasMessageContaining(told);
+        .hasMessageContaining(expectedMessage);
   }
 
   @Test
-  void whatIsAbsentIsAsStatedAndUnknownWordsAreTheCarefulSide() throws Exception {
-    assertThat(read(with("settings/Limits/ConnectTimeoutNs", null)).settings().connectWithin())
+  void absentValuesHaveDefaultsAndUnknownKeywordsTheStrictestMeaning() throws Exception {
+    assertThat(read(with("settings/Limits/ConnectTimeoutNs", null)).settings().connectTimeout())
         .isEqualTo(Duration.ofMillis(400));
     assertThat(
             read(with("settings/FamilyInfo/GoneEverywhereNs", null))
                 .settings()
                 .settings(1)
-                .purgeDone())
+                .purgePropagationTime())
         .isEqualTo(Duration.ofSeconds(60));
     assertThat(
             read(with("settings/Obligations/FallNs", null))
                 .settings()
                 .settings(1)
-                .edgeStart()
-                .window())
+                .edgeColdStart()
+                .overloadWindow())
         .isEqualTo(Duration.ofSeconds(1));
     assertThat(
             read(with("settings/Limits/MaxRetryAfterNs", null))
                 .settings()
                 .settings(1)
-                .longestComeBack())
+                .maxRetryAfter())
         .isNull();
-    assertThat(read(with("settings/FamilyInfo/NeverKept", null)).settings().profiles())
-        .extracting(Profile::kept)
+    assertThat(read(with("settings/FamilyInfo/NeverKept", null)).settings().requestClasses())
+        .extracting(RequestClass::cacheable)
         .containsExactly(true, false, false);
     assertThat(
             read(with("settings/Classes/0/Semantics", "\"later\""))
                 .settings()
-                .profiles()
+                .requestClasses()
                 .get(0)
-                .repeat())
-        .isEqualTo(Repeat.AT_MOST_ONCE);
+                .idempotency())
+        .isEqualTo(Idempotency.NON_IDEMPOTENT);
     assertThat(
-            read(with("settings/Classes/1/Group", "\"hall\"")).settings().profiles().get(1).group())
-        .isEqualTo(Profile.Group.CELL);
+            read(with("settings/Classes/1/Group", "\"hall\""))
+                .settings()
+                .requestClasses()
+                .get(1)
+                .deduplicationScope())
+        .isEqualTo(RequestClass.DeduplicationScope.CELL);
     assertThat(
             read(with("settings/FamilyInfo/Neighbours", "\"hall\""))
                 .settings()
                 .settings(1)
-                .siblings())
+                .siblingFillAllowed())
         .isFalse();
     assertThat(
             read(with("settings/FamilyInfo/Neighbours", "\"any\""))
                 .settings()
                 .settings(1)
-                .siblings())
+                .siblingFillAllowed())
         .isTrue();
     assertThat(
             read(with("settings/FamilyInfo/Says", "\"much\""))
                 .settings()
                 .settings(1)
-                .tellsSources())
+                .reportsFillSource())
         .isFalse();
-    assertThat(read(with("settings/Classes/0/Semantics", "\"later\"")).settings().check())
+    assertThat(read(with("settings/Classes/0/Semantics", "\"later\"")).settings().validate())
         .containsExactly("Classes.0.Semantics is later, which is unknown: counts as side_effect");
   }
 
   @Test
-  void twoClassesOfOnePlainNameCountAsTheMoreCarefulOfThem() throws Exception {
+  void classesOfEqualNormalizedNameTakeTheStrictestOfBoth() throws Exception {
     JsonObject two = with("settings/Classes/2/Name", "\"a b\"");
     two.getAsJsonObject("settings")
         .getAsJsonArray("Classes")
@@ -327,15 +345,17 @@
         .getAsJsonObject()
         .addProperty("Name", "a,b");
     SettingsReader reader = read(two).settings();
-    assertThat(reader.profilesByName()).containsOnlyKeys("a_b", "pick");
-    assertThat(reader.profilesByName().get("a_b").repeat()).isEqualTo(Repeat.AT_MOST_ONCE);
-    assertThat(reader.profilesByName().get("a_b").kept()).isFalse();
-    assertThat(reader.profilesByName().get("a_b").agreedTime()).isEqualTo(Duration.ofMillis(600));
-    assertThat(reader.check()).hasSize(1).first().asString().contains("Classes.2.Name is a_b");
+    assertThat(reader.requestClassesByName()).containsOnlyKeys("a_b", "pick");
+    assertThat(reader.requestClassesByName().get("a_b").idempotency())
+        .isEqualTo(Idempotency.NON_IDEMPOTENT);
+    assertThat(reader.requestClassesByName().get("a_b").cacheable()).isFalse();
+    assertThat(reader.requestClassesByName().get("a_b").latencyObjective())
+        .isEqualTo(Duration.ofMillis(600));
+    assertThat(reader.validate()).hasSize(1).first().asString().contains("Classes.2.Name is a_b");
   }
 
   @Test
-  void hundredsOfClassesWithOddNamesAreKnownEachByItsOwn() throws Exception {
+  void hundredsOfClassesWithUnusualNamesStayDistinct() throws Exception {
     JsonObject many = whole();
     JsonObject settings = many.getAsJsonObject("settings");
     JsonObject one = settings.getAsJsonArray("Classes").get(0).getAsJsonObject();
@@ -368,15 +388,15 @@
     settings.getAsJsonObject("FamilyInfo").add("NeverKept", never);
     settings.getAsJsonObject("FamilyInfo").add("MaxAgeNs", ages);
     SettingsReader reader = read(many).settings();
-    assertThat(reader.check()).isEmpty();
-    assertThat(reader.profilesByName())
+    assertThat(reader.validate()).isEmpty();
+    assertThat(reader.requestClassesByName())
         .hasSize(700)
         .containsKeys("rid", "a=b", "\u00e4\u20ac", "class_699");
-    assertThat(reader.profilesByName().get("class_699").agreedTime())
+    assertThat(reader.requestClassesByName().get("class_699").latencyObjective())
         .isEqualTo(Duration.ofNanos(1_000_000_699L));
-    assertThat(reader.profilesByName().get("class_699").kept()).isFalse();
-    assertThat(reader.profilesByName().get("lane").fresh()).isEqualTo(Duration.ofSeconds(1));
-    works(read(many), "many classes");
+    assertThat(reader.requestClassesByName().get("class_699").cacheable()).isFalse();
+    assertThat(reader.requestClassesByName().get("lane").maxAge()).isEqualTo(Duration.ofSeconds(1));
+    assertWorks(read(many), "many classes");
   }
 
   /** The list of the start ends nothing: the feed tells it too. */
@@ -391,8 +411,8 @@
         "{\"n\":1e300,\"events\":[]}",
         "{\"n\":1,\"events\":{}}"
       })
-  void aListOfTheStartOfAnotherFormEndsNothing(String known) throws Exception {
-    assertThat(read(with("known", known)).known())
+  void malformedInitialListIsNoError(String known) throws Exception {
+    assertThat(read(with("known", known)).bootstrapEvents())
         .isIn("", JsonParser.parseString(known).toString());
   }
 }
--- a/router/src/test/java/tamarindroute/standby/EndpointTest.java
+++ b/router/src/test/java/tamarindroute/standby/EndpointTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tamarindroute.host.Clock;
-import tamarindroute.net.Datagrams;
-import tamarindroute.protocol.Seal;
+import tamarindroute.host.EventLoop;
+import tamarindroute.net.DatagramTransport;
+import tamarindroute.protocol.MessageAuthenticator;
 import tamarindroute.vrrp.Election;
 
 /** Two and three gateways' elections over UDP on loopback, each with a thread of its own. */
@@ -37,17 +37,21 @@
 
   /** One gateway: its thread, its endpoint, and what it did with the address. */
   private static final class Gateway {
-    final Clock clock = new Clock();
-    final Datagrams datagrams = new Datagrams(clock);
+    final EventLoop eventLoop = new EventLoop();
+    final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final List<String> done = java.util.Collections.synchronizedList(new ArrayList<>());
     Endpoint endpoint;
     Endpoint.Router router;
 
-    void start(InetSocketAddress own, List<InetSocketAddress> peers, int priority, Seal seal)
+    void start(
+        InetSocketAddress own,
+        List<InetSocketAddress> peers,
+        int priority,
+        MessageAuthenticator seal)
         throws Exception {
       onOwner(
           () -> {
-            endpoint = new Endpoint(clock, datagrams, own, peers, seal, System.nanoTime());
+            endpoint = new Endpoint(eventLoop, datagrams, own, peers, seal, System.nanoTime());
             router =
                 endpoint.add(
                     9,
@@ -79,7 +83,7 @@
       AtomicReference<T> result = new AtomicReference<>();
       AtomicReference<Exception> failed = new AtomicReference<>();
       CountDownLatch over = new CountDownLatch(1);
-      clock.handOver(
+      eventLoop.execute(
           () -> {
             try {
               result.set(task.call());
@@ -127,7 +131,7 @@
     }
   }
 
-  private Gateway gateway(int place, int priority, Seal seal) throws Exception {
+  private Gateway gateway(int place, int priority, MessageAuthenticator seal) throws Exception {
     Gateway gateway = new Gateway();
     gateways.add(gateway);
     List<InetSocketAddress> peers = new ArrayList<>(addresses);
@@ -215,13 +219,13 @@
 
   @Test
   void withAThirdVoterAPartitionLeavesOneActiveAndTheCutOffOneFindsOut() throws Exception {
-    Clock clock = new Clock();
-    Datagrams datagrams = new Datagrams(clock);
+    EventLoop eventLoop = new EventLoop();
+    DatagramTransport datagrams = new DatagramTransport(eventLoop);
     try (Cut between = new Cut(0, 1);
         Cut first = new Cut(0, 2);
         Cut second = new Cut(1, 2)) {
       CountDownLatch listening = new CountDownLatch(1);
-      clock.handOver(
+      eventLoop.execute(
           () -> {
             try {
               new Witness(
@@ -272,8 +276,8 @@
     }
   }
 
-  private static Seal seal() {
-    return new Seal(KEYS, 1);
+  private static MessageAuthenticator seal() {
+    return new MessageAuthenticator(KEYS, 1);
   }
 
   private interface Condition {
@@ -330,7 +334,7 @@
     // is the lease.
     boolean[] may = new boolean[2];
     CountDownLatch over = new CountDownLatch(1);
-    first.clock.handOver(
+    first.eventLoop.execute(
         () -> {
           may[0] = first.router.mayAct();
           long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(900);
@@ -361,7 +365,7 @@
       for (int i = 0; i < 300; i++) {
         byte[] noise = new byte[random.nextInt(200)];
         random.nextBytes(noise);
-        byte[] wrongKey = new Seal(Map.of(1, new byte[] {9}), 1).seal(better, 1, i);
+        byte[] wrongKey = new MessageAuthenticator(Map.of(1, new byte[] {9}), 1).seal(better, 1, i);
         for (byte[] bytes : new byte[][] {noise, better, wrongKey}) {
           peer.send(new DatagramPacket(bytes, bytes.length, addresses.get(0)));
         }
--- a/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tamarindroute.protocol.MalformedException;
-import tamarindroute.protocol.Seal;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.MessageAuthenticator;
 
 /**
  * The codec, the seal, the candidate's worth, a voter's grants, and the machine explored
@@ -40,7 +40,7 @@
   @ParameterizedTest
   @CsvSource({"192.0.2.1, 192.0.2.2, 192.0.2.100", "2001:db8::1, 2001:db8::2, 2001:db8::100"})
   void anAdvertisementComesBackAsItWent(String from, String to, String shared)
-      throws MalformedException {
+      throws MalformedMessageException {
     Advertisement told =
         new Advertisement(7, 120, Duration.ofMillis(1000), List.of(address(shared), address(from)));
     byte[] bytes = told.write(address(from), address(to));
@@ -48,7 +48,7 @@
     assertThat(bytes[0]).isEqualTo((byte) 0x31);
     assertThatThrownBy(() -> Advertisement.read(bytes, address(shared), address(to)))
         .as("the pseudo header")
-        .isInstanceOf(MalformedException.class);
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Property(seed = "21", tries = 3000)
@@ -57,7 +57,7 @@
     try {
       Advertisement read = Advertisement.read(bytes, address("192.0.2.1"), address("192.0.2.2"));
       assertThat(read.write(address("192.0.2.1"), address("192.0.2.2"))).hasSameSizeAs(bytes);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       assertThat(e).hasMessageNotContaining("Exception");
     }
   }
@@ -72,38 +72,40 @@
     flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
     assertThatThrownBy(
             () -> Advertisement.read(flipped, address("192.0.2.1"), address("192.0.2.2")))
-        .isInstanceOf(MalformedException.class);
-    Seal seal = new Seal(Map.of(1, new byte[] {1, 2, 3}), 1);
+        .isInstanceOf(MalformedMessageException.class);
+    MessageAuthenticator seal = new MessageAuthenticator(Map.of(1, new byte[] {1, 2, 3}), 1);
     byte[] sealed = seal.seal(bytes, 5, 9);
     sealed[random.nextInt(sealed.length)] ^= (byte) (1 << random.nextInt(8));
-    assertThatThrownBy(() -> seal.open(sealed, Seal.Heard.NOTHING))
-        .isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> seal.open(sealed, MessageAuthenticator.ReplayWindow.EMPTY))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void aSealedMessageIsTakenOnceInAnyOrderAndOfTheLatestRunAlone() throws MalformedException {
-    Seal before = new Seal(Map.of(1, new byte[] {1}), 1);
-    Seal during = new Seal(Map.of(1, new byte[] {1}, 2, new byte[] {2}), 2);
-    Seal after = new Seal(Map.of(2, new byte[] {2}), 2);
+  void aSealedMessageIsTakenOnceInAnyOrderAndOfTheLatestRunAlone()
+      throws MalformedMessageException {
+    MessageAuthenticator before = new MessageAuthenticator(Map.of(1, new byte[] {1}), 1);
+    MessageAuthenticator during =
+        new MessageAuthenticator(Map.of(1, new byte[] {1}, 2, new byte[] {2}), 2);
+    MessageAuthenticator after = new MessageAuthenticator(Map.of(2, new byte[] {2}), 2);
     byte[] message = {42};
-    Seal.Heard heard = Seal.Heard.NOTHING;
+    MessageAuthenticator.ReplayWindow heard = MessageAuthenticator.ReplayWindow.EMPTY;
     for (long number : new long[] {3, 1, 2, 70}) {
-      heard = during.open(before.seal(message, 10, number), heard).heard();
+      heard = during.open(before.seal(message, 10, number), heard).window();
     }
-    Seal.Heard all = heard;
+    MessageAuthenticator.ReplayWindow all = heard;
     for (long number : new long[] {3, 70, 5}) {
       assertThatThrownBy(() -> during.open(before.seal(message, 10, number), all))
           .as("number %d", number)
-          .isInstanceOf(MalformedException.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
     assertThat(during.open(during.seal(message, 10, 69), all).message()).isEqualTo(message);
-    Seal.Heard anew = during.open(during.seal(message, 11, 0), all).heard();
+    MessageAuthenticator.ReplayWindow anew = during.open(during.seal(message, 11, 0), all).window();
     assertThatThrownBy(() -> during.open(before.seal(message, 10, 90), anew))
         .as("an earlier run")
-        .isInstanceOf(MalformedException.class);
+        .isInstanceOf(MalformedMessageException.class);
     assertThatThrownBy(() -> after.open(before.seal(message, 12, 0), anew))
         .as("the old key, after the change")
-        .isInstanceOf(MalformedException.class);
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
--- a/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
@@ -8,15 +8,15 @@
 import java.time.Duration;
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.Trip;
 
 /** The simulator's frames byte for byte. */
 class SimulatorWireFormatTest {
 
   private static final String PADDING = "00".repeat(40);
 
-  private final Reply reply = new Reply();
+  private final ActionWriter reply = new ActionWriter();
 
   /** A record written as its first bytes; the rest is zero. */
   private static String record(String start) {
@@ -34,17 +34,18 @@
   void actionsKeepTheirBytes() throws Exception {
     Cache cache = new Cache(0x01020304L);
     Cache source = new Cache(0x0a0b0c0dL);
-    reply.trip(7, -2, new Trip(cache, cache, 0, null, true, false, null));
-    reply.trip(7, 3, new Trip(cache, source, 2, Duration.ofNanos(0x1122334455L), true, true, null));
-    reply.trip(7, 3, new Trip(cache, source, 0, Duration.ZERO, false, false, null));
-    reply.trip(7, 3, new Trip(cache, source, 0, null, false, true, null));
-    reply.recall(7, 3, 200);
-    reply.dismissal(7, 3, Duration.ofMillis(500));
-    reply.dismissal(7, 3, null);
-    reply.termination(7, 3);
-    reply.remind(0x0107, 5_000_000_000L, 1L << 62);
-    reply.observe(7);
-    reply.crash(7, "broken");
+    reply.send(7, -2, new Attempt(cache, cache, 0, null, true, false, null));
+    reply.send(
+        7, 3, new Attempt(cache, source, 2, Duration.ofNanos(0x1122334455L), true, true, null));
+    reply.send(7, 3, new Attempt(cache, source, 0, Duration.ZERO, false, false, null));
+    reply.send(7, 3, new Attempt(cache, source, 0, null, false, true, null));
+    reply.cancel(7, 3, 200);
+    reply.reject(7, 3, Duration.ofMillis(500));
+    reply.reject(7, 3, null);
+    reply.fail(7, 3);
+    reply.setTimer(0x0107, 5_000_000_000L, 1L << 62);
+    reply.subscribeToList(7);
+    reply.reportFailure(7, "broken");
     assertThat(flushed())
         .isEqualTo(
             "0b000000"
@@ -73,13 +74,13 @@
             .parseHex(
                 "00f2052a01000000" + "76000000" + "02000000" + first + second + "414248c3a94b");
     ByteArrayInputStream in = new ByteArrayInputStream(bytes);
-    Frame frame = Frame.read(in);
-    assertThat(frame.clock).isEqualTo(5_000_000_000L);
-    assertThat(frame.count).isEqualTo(2);
+    EventFrame frame = EventFrame.read(in);
+    assertThat(frame.clockNanos).isEqualTo(5_000_000_000L);
+    assertThat(frame.recordCount).isEqualTo(2);
     byte[] record = new byte[56];
     frame.record(1).get(record);
     assertThat(HexFormat.of().formatHex(record)).isEqualTo(second);
-    assertThat(Frame.text(frame.tail(frame.record(0), 11, 1))).isEqualTo("H\u00e9");
-    assertThat(Frame.read(in)).isNull();
+    assertThat(EventFrame.text(frame.tail(frame.record(0), 11, 1))).isEqualTo("H\u00e9");
+    assertThat(EventFrame.read(in)).isNull();
   }
 }
