--- a/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
@@ -12,14 +12,14 @@
 import java.time.Duration;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import tamarindroute.decision.Decisions;
-import tamarindroute.decision.Settings;
-import tamarindroute.policy.Brain;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RoutingPolicy;
+import tamarindroute.policy.RatioTestPolicy;
 
 /** The codec and the adapter, byte by byte, on one pipe. */
 class WireHostTest {
 
-  private static final String ENV =
+  private static final String SETTINGS =
       """
             Classes.count=1
             Classes.0.DeadlineNs=3000000000
@@ -116,9 +116,10 @@
             .put((byte) closed));
   }
 
-  private ByteBuffer serve(Function<Settings, Decisions> module) throws IOException {
+  private ByteBuffer serve(Function<PolicySettings, RoutingPolicy> policyFactory)
+      throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new WireHost(module).serve(new ByteArrayInputStream(pipe.toByteArray()), out);
+    new WireHost(policyFactory).serve(new ByteArrayInputStream(pipe.toByteArray()), out);
     return ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
   }
 
@@ -147,9 +148,9 @@
   }
 
   @Test
-  void servesAViewFromItsArrivalToItsEnd() throws IOException {
+  void servesARequestFromArrivalToEnd() throws IOException {
     frame(START);
-    open(7, ENV);
+    open(7, SETTINGS);
     list(3, 7, 2, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1}, new int[] {13, 0, 2, 2});
     frame(START);
     arrival(7, -2);
@@ -159,45 +160,45 @@
     outcome(7, -2, 1, 11, 10, 1);
     add(record(21).putShort((short) 7).putInt(-2));
     frame(START + 30);
-    ByteBuffer out = serve(Brain::new);
+    ByteBuffer out = serve(RatioTestPolicy::new);
     assertThat(reply(out)).isEmpty();
     assertThat(reply(out)).isEmpty();
-    ByteBuffer[] look = reply(out);
-    assertThat(shown(look[0])).isEqualTo("92 7 -2 11 11");
-    assertThat(look[1].get(0)).isEqualTo((byte) 84);
-    ByteBuffer[] fill = reply(out);
-    assertThat(shown(fill[0])).isEqualTo("92 7 -2 12 11");
-    assertThat(fill[0].get(24)).isEqualTo((byte) 1);
+    ByteBuffer[] firstActions = reply(out);
+    assertThat(shown(firstActions[0])).isEqualTo("92 7 -2 11 11");
+    assertThat(firstActions[1].get(0)).isEqualTo((byte) 84);
+    ByteBuffer[] fillActions = reply(out);
+    assertThat(shown(fillActions[0])).isEqualTo("92 7 -2 12 11");
+    assertThat(fillActions[0].get(24)).isEqualTo((byte) 1);
     assertThat(reply(out)).isEmpty();
     assertThat(out.hasRemaining()).isFalse();
   }
 
   @Test
-  void appliesListNewsInTheOrderOfEventsAndAnswersWhatCannotBeServedAtOnce() throws IOException {
-    open(7, ENV);
+  void appliesEndpointListsInOrderAndRejectsWhatCannotBeServedAtOnce() throws IOException {
+    open(7, SETTINGS);
     list(0, 7, 1, new int[] {11, 3, 2, 0}, new int[] {12, 0, 2, 1});
     list(0, 7, 0, new int[] {11, 3, 1, 0});
     arrival(7, 1);
     list(0, 7, 1, new int[] {21, 3, 2, 0});
     arrival(7, 2);
     add(record(25).putShort((short) 7));
-    open(7, ENV);
+    open(7, SETTINGS);
     arrival(7, 3);
     frame(START);
-    ByteBuffer[] actions = reply(serve(Brain::new));
+    ByteBuffer[] actions = reply(serve(RatioTestPolicy::new));
     assertThat(shown(actions[0])).startsWith("81 7 1 ");
     assertThat(actions[1].getInt(11)).isEqualTo(21);
     assertThat(shown(actions[actions.length - 1])).startsWith("81 7 3 ");
   }
 
   @Test
-  void asksForTheListWhereItMustAndAgainAfterAFailure() throws IOException {
-    open(7, ENV + "Discovery=subscribe\nObligations.MustAskInNs=8000000000\n");
+  void subscribesToTheListAndAgainAfterAFailure() throws IOException {
+    open(7, SETTINGS + "Discovery=subscribe\nObligations.MustAskInNs=8000000000\n");
     add(record(17).putShort((short) 7).putInt(0).put((byte) 3).putLong(0));
     frame(START);
     add(record(22).putShort((short) 7).putLong(1L << 62));
     frame(START + Duration.ofSeconds(2).toNanos());
-    ByteBuffer out = serve(Brain::new);
+    ByteBuffer out = serve(RatioTestPolicy::new);
     ByteBuffer[] first = reply(out);
     assertThat(first[0].get(0)).isEqualTo((byte) 90);
     assertThat(first[1].getLong(3)).isEqualTo(START + 2_000_000_000L);
@@ -205,8 +206,8 @@
   }
 
   @Test
-  void declaresAFailureInsideTheModuleForItsInstance() throws IOException {
-    open(7, ENV);
+  void reportsAFailureOfThePolicyForItsInstance() throws IOException {
+    open(7, SETTINGS);
     frame(START);
     ByteBuffer out =
         serve(
@@ -219,7 +220,7 @@
   }
 
   @Test
-  void rejectsWhatIsNoFrame() {
+  void rejectsMalformedFrames() {
     assertMalformed("inside a header", new byte[5]);
     frame(START);
     byte[] lying = pipe.toByteArray();
@@ -243,7 +244,7 @@
   private static void assertMalformed(String message, byte[] input) {
     assertThatThrownBy(
             () ->
-                new WireHost(Brain::new)
+                new WireHost(RatioTestPolicy::new)
                     .serve(new ByteArrayInputStream(input), new ByteArrayOutputStream()))
         .isInstanceOf(MalformedFrameException.class)
         .hasMessageContaining(message);
--- a/threads/src/test/java/tamarindroute/host/HandOverRaceTest.java
+++ b/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
@@ -12,103 +12,103 @@
  * Tasks handed over beside the owner's run and rest: none lost, none twice, in order, and no rest
  * with one waiting.
  */
-class HandOverRaceTest {
+class TaskQueueRaceTest {
 
   /**
    * Its rests never time out nor end for no reason: a wake-up that is lost is a thread that never
    * ends.
    */
-  private static class Resting extends HandOver {
-    private boolean woken;
+  private static class UntimedQueue extends TaskQueue {
+    private boolean wakeUpPending;
 
-    Resting() {
+    UntimedQueue() {
       super(null);
     }
 
     @Override
     synchronized void park(long nanos) {
-      while (!woken) {
+      while (!wakeUpPending) {
         try {
           wait();
         } catch (InterruptedException e) {
           throw new IllegalStateException(e);
         }
       }
-      woken = false;
+      wakeUpPending = false;
     }
 
     @Override
     synchronized void unpark(Thread resting) {
-      woken = true;
+      wakeUpPending = true;
       notifyAll();
     }
   }
 
   /** Looks for tasks before it tells that it rests. */
-  private static final class LooksFirst extends Resting {
-    private final ConcurrentLinkedQueue<Runnable> handed = new ConcurrentLinkedQueue<>();
-    private volatile boolean resting;
+  private static final class ChecksBeforeWaiting extends UntimedQueue {
+    private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    private volatile boolean waiting;
 
     @Override
-    void handOver(Runnable task) {
-      handed.add(task);
-      if (resting) {
+    void add(Runnable task) {
+      tasks.add(task);
+      if (waiting) {
         unpark(null);
       }
     }
 
     @Override
     Runnable poll() {
-      return handed.poll();
+      return tasks.poll();
     }
 
     @Override
-    void rest(long nanos) {
-      if (handed.isEmpty()) {
-        resting = true;
+    void awaitTask(long nanos) {
+      if (tasks.isEmpty()) {
+        waiting = true;
         park(nanos);
       }
-      resting = false;
+      waiting = false;
     }
   }
 
   /** Reads what is handed over, and sets it with one more. */
-  private static final class ReadsThenSets extends Resting {
-    private volatile List<Runnable> handed = List.of();
+  private static final class ReadsThenWrites extends UntimedQueue {
+    private volatile List<Runnable> tasks = List.of();
 
     @Override
-    void handOver(Runnable task) {
-      List<Runnable> more = new ArrayList<>(handed);
+    void add(Runnable task) {
+      List<Runnable> more = new ArrayList<>(tasks);
       more.add(task);
-      handed = more;
+      tasks = more;
       unpark(null);
     }
 
     @Override
     synchronized Runnable poll() {
-      List<Runnable> now = handed;
+      List<Runnable> now = tasks;
       if (now.isEmpty()) {
         return null;
       }
-      handed = now.subList(1, now.size());
+      tasks = now.subList(1, now.size());
       return now.get(0);
     }
 
     @Override
-    void rest(long nanos) {
+    void awaitTask(long nanos) {
       park(nanos);
     }
   }
 
   /** This thread is the owner; two others hand over, one of them twice. */
-  private static void handed(HandOver handOver) {
-    StringBuilder ran = new StringBuilder();
+  private static void addFromTwoThreads(TaskQueue queue) {
+    StringBuilder executionOrder = new StringBuilder();
     Runnable owner =
         () -> {
-          while (ran.length() < 3) {
-            Runnable task = handOver.poll();
+          while (executionOrder.length() < 3) {
+            Runnable task = queue.poll();
             if (task == null) {
-              handOver.rest(Long.MAX_VALUE);
+              queue.awaitTask(Long.MAX_VALUE);
             } else {
               task.run();
             }
@@ -116,31 +116,31 @@
         };
     Interleavings.beside(
         () -> {
-          handOver.handOver(() -> ran.append('a'));
-          handOver.handOver(() -> ran.append('b'));
+          queue.add(() -> executionOrder.append('a'));
+          queue.add(() -> executionOrder.append('b'));
         },
-        () -> Interleavings.beside(() -> handOver.handOver(() -> ran.append('c')), owner));
-    String order = ran.toString();
+        () -> Interleavings.beside(() -> queue.add(() -> executionOrder.append('c')), owner));
+    String order = executionOrder.toString();
     must(
         order.indexOf('a') < order.indexOf('b')
             && order.indexOf('a') >= 0
             && order.indexOf('c') >= 0,
         order);
-    must(handOver.poll() == null, "none twice");
+    must(queue.poll() == null, "none twice");
   }
 
   @Test
-  void allRunOnceInOrder() {
-    Interleavings.hold(() -> handed(new Resting()));
+  void allTasksRunOnceInOrder() {
+    Interleavings.hold(() -> addFromTwoThreads(new UntimedQueue()));
   }
 
   @Test
   void aLostWakeUpIsFound() {
-    Interleavings.fail(() -> handed(new LooksFirst()));
+    Interleavings.fail(() -> addFromTwoThreads(new ChecksBeforeWaiting()));
   }
 
   @Test
   void aLostTaskIsFound() {
-    Interleavings.fail(() -> handed(new ReadsThenSets()));
+    Interleavings.fail(() -> addFromTwoThreads(new ReadsThenWrites()));
   }
 }
