--- /dev/null
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -0,0 +1,258 @@
+package tamarindroute.gateway;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+import static tamarindroute.example.ToyServer.id;
+
+import java.io.EOFException;
+import java.net.ConnectException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import tamarindroute.example.ToyServer;
+import tamarindroute.example.ToyServer.Mode;
+
+/**
+ * What ends at the client's side, and the gateway's own end: each way out pays what is still owed.
+ */
+@Timeout(60)
+class ShutdownIT extends GatewayHarness {
+
+  /**
+   * What the gateway's one selecting thread was told before is with its owner when two answers have
+   * come.
+   */
+  private void awaitEventLoopCaughtUp() throws Exception {
+    try (ToyServer.Client client = client()) {
+      for (int tag = 1; tag <= 2; tag++) {
+        client.send("RPC.HEALTH", tag, "");
+        client.read();
+      }
+    }
+  }
+
+  private ToyServer.Cache awaitCacheAskedFor(String id) throws InterruptedException {
+    while (true) {
+      for (ToyServer.Cache cache : caches) {
+        if (cache.seen.stream().anyMatch(command -> command.startsWith("ASK " + id))) {
+          return cache;
+        }
+      }
+      TimeUnit.MILLISECONDS.sleep(1);
+    }
+  }
+
+  private long countAsks(String id) {
+    return caches.stream()
+        .flatMap(cache -> cache.seen.stream())
+        .filter(c -> c.startsWith("ASK " + id))
+        .count();
+  }
+
+  private long millisTo(Process end, long from) throws InterruptedException {
+    assertThat(end.waitFor(10, TimeUnit.SECONDS)).isTrue();
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+  }
+
+  /** Nonsense ends what may come, not what was taken before it. */
+  @Test
+  void requestsOpenBesideAMalformedFrameAreAnswered() throws Exception {
+    setMode(Mode.LATE);
+    try (ToyServer.Client client = client()) {
+      client.call(
+          "1",
+          "clip",
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d1"), id("5")),
+          "");
+      awaitCacheAskedFor(id("d1"));
+      client
+          .socket
+          .getOutputStream()
+          .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+      client.socket.getOutputStream().write(new byte[300_000]);
+      List<byte[]> answer = client.read();
+      assertThat(tag(answer)).isEqualTo("1");
+      assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
+      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+    }
+    awaitLogged("client-unreadable");
+  }
+
+  /** An attempt that breaks when its client has closed is not made good by another. */
+  @Test
+  void noFurtherAttemptStartsForAClientThatClosed() throws Exception {
+    try (ToyServer.Client client = client()) {
+      for (int tag = 1; tag <= 8; tag++) {
+        call(client, String.valueOf(tag), "a" + tag);
+      }
+    }
+    setMode(Mode.SILENT);
+    ToyServer.Client client = client();
+    client.call(
+        "1",
+        "clip",
+        "rid=%s,budget=5000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d2"), id("5")),
+        "");
+    ToyServer.Cache at = awaitCacheAskedFor(id("d2"));
+    client.close();
+    awaitEventLoopCaughtUp();
+    at.close();
+    awaitLogged("cache-lost");
+    setMode(Mode.SERVE);
+    try (ToyServer.Client other = client()) {
+      for (int tag = 1; tag <= 8; tag++) {
+        assertThat(status(call(other, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
+      }
+    }
+    assertThat(countAsks(id("d2"))).isEqualTo(1);
+  }
+
+  /**
+   * At the gateway's last moment the module would send on what has time left: nobody would wait for
+   * it.
+   */
+  @Test
+  void pendingRequestsAtShutdownAreNotRetriedAndRejectedWhereHarmless() throws Exception {
+    caches.forEach(cache -> cache.mode = Mode.SILENT);
+    try (ToyServer.Client client = client()) {
+      client.call(
+          "1",
+          "clip",
+          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d3"), id("5")),
+          "");
+      client.call(
+          "2",
+          "once",
+          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d4"), id("6")),
+          "");
+      awaitCacheAskedFor(id("d3"));
+      awaitCacheAskedFor(id("d4"));
+      long from = System.nanoTime();
+      gateway.destroy();
+      List<byte[]> one = client.read();
+      List<byte[]> two = client.read();
+      assertThat(status(tag(one).equals("1") ? one : two)).isEqualTo("NAK");
+      assertThat(status(tag(one).equals("2") ? one : two)).isEqualTo("FAIL");
+      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+      assertThat(millisTo(gateway, from)).isGreaterThan(3400);
+    }
+    // The longest deadline, 3 s, and 0.7 s more is when SIGKILL may come; the machine's own end
+    // comes after this.
+    String log = Files.readString(folder.resolve("out.log"));
+    Matcher stop = Pattern.compile("([0-9]+) ms after SIGTERM, 0 in hand").matcher(log);
+    assertThat(stop.find()).as(log).isTrue();
+    assertThat(Integer.parseInt(stop.group(1))).isBetween(3500, 3700);
+    assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("defect");
+    assertThat(countAsks(id("d4"))).isEqualTo(1);
+  }
+
+  /**
+   * Past the time in which requests come, one beside an open one is refused at once and never sent
+   * on.
+   */
+  @Test
+  void requestsAfterTheListenerClosesAreRejected() throws Exception {
+    setMode(Mode.SILENT);
+    try (ToyServer.Client client = client()) {
+      client.call(
+          "1",
+          "clip",
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d5"), id("5")),
+          "");
+      awaitCacheAskedFor(id("d5"));
+      gateway.destroy();
+      awaitListenerClosed();
+      String refused = null;
+      for (int tag = 2; tag <= 30 && refused == null; tag++) {
+        client.call(
+            String.valueOf(tag),
+            "clip",
+            "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1"
+                .formatted(id("e" + (100 + tag)), id("6")),
+            "");
+        client.send("RPC.HEALTH", 100 + tag, "");
+        List<byte[]> answer = client.read();
+        refused = status(answer).equals("NAK") ? tag(answer) : null;
+      }
+      assertThat(refused).isNotNull();
+      assertThat(status(client.read())).isEqualTo("RED");
+      assertThat(countAsks(id("e" + (100 + Integer.parseInt(refused))))).isZero();
+    }
+    assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
+  }
+
+  private void awaitListenerClosed() throws Exception {
+    for (int i = 0; i < 400; i++) {
+      try {
+        client().close();
+      } catch (ConnectException e) {
+        return;
+      }
+      TimeUnit.MILLISECONDS.sleep(10);
+    }
+    throw new AssertionError("the door is open still");
+  }
+
+  /**
+   * A client that rests sees an orderly end, and the gateway is gone right after; with none it is
+   * as quick.
+   */
+  @Test
+  void idleClientIsClosedInOrderAndShutdownIsQuick() throws Exception {
+    try (ToyServer.Client resting = client();
+        ToyServer.Client silent = client()) {
+      call(resting, "1", "5");
+      long from = System.nanoTime();
+      gateway.destroy();
+      assertThatThrownBy(resting::read).isInstanceOf(EOFException.class);
+      assertThatThrownBy(silent::read).isInstanceOf(EOFException.class);
+      resting.close();
+      silent.close();
+      assertThat(millisTo(gateway, from)).isBetween(700L, 1400L);
+    }
+    launch();
+    long from = System.nanoTime();
+    gateway.destroy();
+    assertThat(millisTo(gateway, from)).isBetween(700L, 1400L);
+  }
+
+  /** A client that neither closes nor reads does not hold the gateway to its last moment. */
+  @Test
+  void clientThatNeverClosesDoesNotDelayShutdown() throws Exception {
+    try (ToyServer.Client resting = client()) {
+      call(resting, "1", "5");
+      long from = System.nanoTime();
+      gateway.destroy();
+      assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
+      assertThatThrownBy(resting::read).isInstanceOf(EOFException.class);
+    }
+  }
+
+  @Test
+  void furtherSignalsDuringShutdownChangeNothing() throws Exception {
+    setMode(Mode.LATE);
+    try (ToyServer.Client client = client()) {
+      client.call(
+          "1",
+          "clip",
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d6"), id("5")),
+          "");
+      awaitCacheAskedFor(id("d6"));
+      long from = System.nanoTime();
+      gateway.destroy();
+      sendHangUp();
+      gateway.destroy();
+      sendHangUp();
+      assertThat(status(client.read())).isEqualTo("ACK");
+      assertThat(status(call(client, "2", "6"))).isEqualTo("ACK");
+      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+      client.close();
+      assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
+    }
+  }
+}
--- /dev/null
+++ b/net/src/test/java/tamarindroute/net/ConnectionCloseTest.java
@@ -0,0 +1,191 @@
+package tamarindroute.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import org.apache.mina.transport.socket.SocketSessionConfig;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * How a client's connection is closed: what was written arrives, and nothing that the client does
+ * holds it long.
+ */
+@Timeout(30)
+class ConnectionCloseTest {
+
+  /** More than both machines' buffers hold. */
+  private static final int LARGE_RESPONSE_BYTES = 12 * 1024 * 1024;
+
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final SocketTransport transport =
+      new SocketTransport(scheduler, new BufferPool(64L * 1024 * 1024), 1024);
+  private InetSocketAddress address;
+  private volatile BiConsumer<Connection, ByteBuffer> onBytes;
+
+  @BeforeEach
+  void listen() throws Exception {
+    try (ServerSocket free = new ServerSocket(0)) {
+      address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+    }
+    transport.listen(
+        address,
+        connection ->
+            new ConnectionHandler() {
+              @Override
+              public void onReceived(ByteBuffer bytes) {
+                onBytes.accept(connection, bytes);
+                bytes.position(bytes.limit());
+              }
+
+              @Override
+              public void onClosed(CloseReason closeReason) {}
+            });
+  }
+
+  @AfterEach
+  void end() {
+    transport.shutDown();
+    scheduler.end();
+  }
+
+  private Socket client() throws IOException {
+    Socket client = new Socket(address.getAddress(), address.getPort());
+    client.setSoTimeout(5_000);
+    return client;
+  }
+
+  private CompletableFuture<Void> drained() {
+    CompletableFuture<Void> none = new CompletableFuture<>();
+    scheduler.execute(() -> transport.drainClients(() -> none.complete(null)));
+    return none;
+  }
+
+  /**
+   * The large answer can't have left when the rest comes; a close over those unread bytes would
+   * reset it.
+   */
+  @Test
+  void writtenBytesArriveThoughTheClientKeepsSending() throws Exception {
+    onBytes =
+        (connection, bytes) -> {
+          connection.write(new byte[LARGE_RESPONSE_BYTES]);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
+        };
+    try (Socket client = client()) {
+      client.getOutputStream().write(1);
+      InputStream in = client.getInputStream();
+      assertThat(in.read()).isZero();
+      client.getOutputStream().write(new byte[1024 * 1024]);
+      assertThat(in.readNBytes(LARGE_RESPONSE_BYTES - 1)).hasSize(LARGE_RESPONSE_BYTES - 1);
+      // A request that crossed the close, still on this side's word that it may send.
+      client.getOutputStream().write(new byte[100_000]);
+      assertThat(in.read()).isEqualTo(-1);
+      client.shutdownOutput();
+      drained().get(5, TimeUnit.SECONDS);
+    }
+  }
+
+  @Test
+  void aClientThatNeverClosesIsCutOffSoon() throws Exception {
+    onBytes = (connection, bytes) -> connection.close(CloseReason.CLOSED_LOCALLY, true);
+    try (Socket client = client()) {
+      client.getOutputStream().write(1);
+      assertThat(client.getInputStream().read()).isEqualTo(-1);
+      drained().get(2, TimeUnit.SECONDS);
+    }
+  }
+
+  @Test
+  void aFloodingClientIsCutOffSoon() throws Exception {
+    onBytes = (connection, bytes) -> connection.close(CloseReason.CLOSED_LOCALLY, true);
+    try (Socket client = client()) {
+      assertThatThrownBy(
+              () -> {
+                for (int i = 0; i < 6000; i++) {
+                  client.getOutputStream().write(new byte[100_000]);
+                }
+              })
+          .isInstanceOf(SocketException.class);
+      drained().get(2, TimeUnit.SECONDS);
+    }
+  }
+
+  /**
+   * One that reads nothing keeps what was written from leaving: the connection goes all the same.
+   */
+  @Test
+  void aClientThatReadsNothingIsCutOffAfterTheFlushTimeout() throws Exception {
+    onBytes =
+        (connection, bytes) -> {
+          connection.write(new byte[LARGE_RESPONSE_BYTES]);
+          connection.close(CloseReason.CLOSED_LOCALLY, true);
+        };
+    try (Socket client = client()) {
+      client.getOutputStream().write(1);
+      client.getInputStream().read();
+      drained().get(5, TimeUnit.SECONDS);
+    }
+  }
+
+  /**
+   * Evicted connections hold descriptors: past a few, the first of them goes at once, not after its
+   * 200 ms.
+   */
+  @Test
+  void onlyAFewConnectionsLingerAtOnce() throws Exception {
+    List<Connection> closed = new ArrayList<>();
+    onBytes = (connection, bytes) -> closed.add(connection);
+    List<Socket> clients = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      clients.add(client());
+      clients.get(i).getOutputStream().write(1);
+    }
+    while (scheduler.thread.submit(closed::size).get() < 40) {
+      Thread.onSpinWait();
+    }
+    long lingering =
+        scheduler
+            .thread
+            .submit(
+                () -> {
+                  closed.forEach(connection -> connection.close(CloseReason.CLOSED_LOCALLY, true));
+                  return closed.stream()
+                      .filter(connection -> !connection.session().isClosing())
+                      .count();
+                })
+            .get();
+    assertThat(lingering).isEqualTo(8);
+    for (Socket client : clients) {
+      client.close();
+    }
+  }
+
+  /** A close resets what the system still holds back of small writes: nothing may be held back. */
+  @Test
+  void acceptedConnectionsDisableNagle() throws Exception {
+    CompletableFuture<Boolean> noDelay = new CompletableFuture<>();
+    onBytes =
+        (connection, bytes) ->
+            noDelay.complete(
+                ((SocketSessionConfig) connection.session().getConfig()).isTcpNoDelay());
+    try (Socket client = client()) {
+      client.getOutputStream().write(1);
+      assertThat(noDelay.get(5, TimeUnit.SECONDS)).isTrue();
+    }
+  }
+}
--- /dev/null
+++ b/net/src/test/java/tamarindroute/net/SentBytesTest.java
@@ -0,0 +1,105 @@
+package tamarindroute.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.ByteBuffer;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.TimeUnit;
+import org.apache.mina.core.buffer.IoBuffer;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.RepeatedTest;
+import org.junit.jupiter.api.Timeout;
+
+/** What has left is counted right, whoever has the written buffer next. */
+@Timeout(30)
+class SentBytesTest {
+
+  /** Eight buffers are the pool's share, and fewer than six of them out are room. */
+  private static final long MEMORY = 4L * 8 * BufferPool.BUFFER_BYTES;
+
+  private static final int BUFFERS_HELD = 5;
+
+  private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
+  private final BufferPool bufferPool = new BufferPool(MEMORY);
+  private final SocketTransport transport = new SocketTransport(scheduler, bufferPool, 256);
+
+  @AfterEach
+  void end() {
+    transport.shutDown();
+    scheduler.end();
+  }
+
+  /**
+   * A buffer that was written is another's from the instant in which it is freed, on MINA's thread,
+   * before MINA tells of the write. Counted by its limit then, a request that had run passed for
+   * one that never left.
+   */
+  @RepeatedTest(10)
+  void aBufferReusedAtOnceDoesNotChangeTheSentByteCount() throws Exception {
+    try (ServerSocket server = new ServerSocket(0)) {
+      CompletableFuture<Connection> opened = new CompletableFuture<>();
+      CompletableFuture<Connection> made = new CompletableFuture<>();
+      scheduler.execute(
+          () ->
+              made.complete(
+                  transport.connect(
+                      new InetSocketAddress("127.0.0.1", server.getLocalPort()),
+                      new ConnectionHandler() {
+                        @Override
+                        public void onOpened() {
+                          opened.complete(made.join());
+                        }
+
+                        @Override
+                        public void onReceived(ByteBuffer bytes) {
+                          bytes.position(bytes.limit());
+                        }
+
+                        @Override
+                        public void onClosed(CloseReason closeReason) {}
+                      })));
+      try (Socket peer = server.accept()) {
+        Connection connection = opened.get(5, TimeUnit.SECONDS);
+        CompletableFuture<Void> reacquired = new CompletableFuture<>();
+        ConcurrentLinkedQueue<IoBuffer> others = new ConcurrentLinkedQueue<>();
+        bufferPool.onCapacityAvailable(
+            () -> {
+              // Whoever takes buffers next has limits of his own for them.
+              for (int i = 0; i < BUFFERS_HELD; i++) {
+                others.add(bufferPool.acquire().limit(0));
+              }
+              reacquired.complete(null);
+            });
+        List<IoBuffer> buffers = new ArrayList<>();
+        scheduler.execute(
+            () -> {
+              for (int i = 0; i < BUFFERS_HELD; i++) {
+                buffers.add(bufferPool.acquire());
+              }
+              ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
+              Connection.copy(ByteBuffer.wrap(new byte[100]), bufferPool, frame);
+              connection.write(frame);
+            });
+        reacquired.get(5, TimeUnit.SECONDS);
+        assertThat(peer.getInputStream().readNBytes(100)).hasSize(100);
+        // MINA tells of a write after it: the second one's is behind the first one's.
+        scheduler.execute(() -> connection.write(new byte[1]));
+        assertThat(peer.getInputStream().read()).isZero();
+        long end = System.nanoTime() + Duration.ofSeconds(2).toNanos();
+        while (connection.unsentBytes() > 0 && System.nanoTime() < end) {
+          Thread.onSpinWait();
+        }
+        assertThat(connection.unsentBytes()).isZero();
+        assertThat(connection.isSent(connection.bytesWritten())).isTrue();
+      }
+    }
+  }
+}
--- /dev/null
+++ b/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
@@ -0,0 +1,146 @@
+package tamarindroute.host;
+
+import static tamarindroute.Interleavings.must;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import org.junit.jupiter.api.Test;
+import tamarindroute.Interleavings;
+
+/**
+ * Tasks handed over beside the owner's run and rest: none lost, none twice, in order, and no rest
+ * with one waiting.
+ */
+class TaskQueueRaceTest {
+
+  /**
+   * Its rests never time out nor end for no reason: a wake-up that is lost is a thread that never
+   * ends.
+   */
+  private static class UntimedQueue extends TaskQueue {
+    private boolean wakeUpPending;
+
+    UntimedQueue() {
+      super(null);
+    }
+
+    @Override
+    synchronized void park(long nanos) {
+      while (!wakeUpPending) {
+        try {
+          wait();
+        } catch (InterruptedException e) {
+          throw new IllegalStateException(e);
+        }
+      }
+      wakeUpPending = false;
+    }
+
+    @Override
+    synchronized void unpark(Thread resting) {
+      wakeUpPending = true;
+      notifyAll();
+    }
+  }
+
+  /** Looks for tasks before it tells that it rests. */
+  private static final class ChecksBeforeWaiting extends UntimedQueue {
+    private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    private volatile boolean waiting;
+
+    @Override
+    void add(Runnable task) {
+      tasks.add(task);
+      if (waiting) {
+        unpark(null);
+      }
+    }
+
+    @Override
+    Runnable poll() {
+      return tasks.poll();
+    }
+
+    @Override
+    void awaitTask(long nanos) {
+      if (tasks.isEmpty()) {
+        waiting = true;
+        park(nanos);
+      }
+      waiting = false;
+    }
+  }
+
+  /** Reads what is handed over, and sets it with one more. */
+  private static final class ReadsThenWrites extends UntimedQueue {
+    private volatile List<Runnable> tasks = List.of();
+
+    @Override
+    void add(Runnable task) {
+      List<Runnable> more = new ArrayList<>(tasks);
+      more.add(task);
+      tasks = more;
+      unpark(null);
+    }
+
+    @Override
+    synchronized Runnable poll() {
+      List<Runnable> now = tasks;
+      if (now.isEmpty()) {
+        return null;
+      }
+      tasks = now.subList(1, now.size());
+      return now.get(0);
+    }
+
+    @Override
+    void awaitTask(long nanos) {
+      park(nanos);
+    }
+  }
+
+  /** This thread is the owner; two others hand over, one of them twice. */
+  private static void addFromTwoThreads(TaskQueue queue) {
+    StringBuilder executionOrder = new StringBuilder();
+    Runnable owner =
+        () -> {
+          while (executionOrder.length() < 3) {
+            Runnable task = queue.poll();
+            if (task == null) {
+              queue.awaitTask(Long.MAX_VALUE);
+            } else {
+              task.run();
+            }
+          }
+        };
+    Interleavings.beside(
+        () -> {
+          queue.add(() -> executionOrder.append('a'));
+          queue.add(() -> executionOrder.append('b'));
+        },
+        () -> Interleavings.beside(() -> queue.add(() -> executionOrder.append('c')), owner));
+    String order = executionOrder.toString();
+    must(
+        order.indexOf('a') < order.indexOf('b')
+            && order.indexOf('a') >= 0
+            && order.indexOf('c') >= 0,
+        order);
+    must(queue.poll() == null, "none twice");
+  }
+
+  @Test
+  void allTasksRunOnceInOrder() {
+    Interleavings.hold(() -> addFromTwoThreads(new UntimedQueue()));
+  }
+
+  @Test
+  void aLostWakeUpIsFound() {
+    Interleavings.fail(() -> addFromTwoThreads(new ChecksBeforeWaiting()));
+  }
+
+  @Test
+  void aLostTaskIsFound() {
+    Interleavings.fail(() -> addFromTwoThreads(new ReadsThenWrites()));
+  }
+}
