--- a/net/src/main/java/tamarindroute/protocol/RespWriter.java
+++ b/net/src/main/java/tamarindroute/protocol/RespWriter.java
@@ -4,43 +4,53 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Owns the writing of RESP arrays of bulk strings: whole frames, and the opening and closing round
- * a body that is sent apart. It must never touch a socket or a body.
+ * Encoder of RESP arrays of bulk strings: whole frames, and what stands round a body that is sent
+ * apart.
  */
 public final class RespWriter {
 
-  private static final byte[] CRLF = {'\r', '\n'};
+  private static final String LINE_END = "\r\n";
+  private static final byte[] LINE_END_BYTES = {'\r', '\n'};
+  private static final int NO_BODY = -1;
 
   private RespWriter() {}
 
-  /** A frame of words alone. */
+  /** A frame of these bulk strings alone. */
   public static byte[] frame(String... arguments) {
-    return encode(arguments, -1);
+    return encode(arguments, NO_BODY);
   }
 
-  /** A frame of words and a body, up to the body's first byte. */
+  /** A frame of these bulk strings and a body, up to the body's first byte. */
   public static ByteBuffer frameHeader(int bodyLength, String... arguments) {
     return ByteBuffer.wrap(encode(arguments, bodyLength));
   }
 
   /** What follows a body. */
   public static ByteBuffer frameTrailer() {
-    return ByteBuffer.wrap(CRLF);
+    return ByteBuffer.wrap(LINE_END_BYTES);
+  }
+
+  /** Start of every frame of so many bulk strings that begins with this one. */
+  static String framePrefix(int elementCount, String firstArgument) {
+    StringBuilder text = new StringBuilder().append('*').append(elementCount).append(LINE_END);
+    appendArgument(text, firstArgument);
+    return text.toString();
   }
 
   private static byte[] encode(String[] arguments, int bodyLength) {
-    StringBuilder text = new StringBuilder(64);
-    text.append('*').append(arguments.length + (bodyLength < 0 ? 0 : 1)).append("\r\n");
+    int elementCount = arguments.length + (bodyLength == NO_BODY ? 0 : 1);
+    StringBuilder text = new StringBuilder(64).append('*').append(elementCount).append(LINE_END);
     for (String argument : arguments) {
-      text.append('$')
-          .append(argument.getBytes(StandardCharsets.UTF_8).length)
-          .append("\r\n")
-          .append(argument)
-          .append("\r\n");
+      appendArgument(text, argument);
     }
-    if (bodyLength >= 0) {
-      text.append('$').append(bodyLength).append("\r\n");
+    if (bodyLength != NO_BODY) {
+      text.append('$').append(bodyLength).append(LINE_END);
     }
     return text.toString().getBytes(StandardCharsets.UTF_8);
   }
+
+  private static void appendArgument(StringBuilder text, String argument) {
+    int byteLength = argument.getBytes(StandardCharsets.UTF_8).length;
+    text.append('$').append(byteLength).append(LINE_END).append(argument).append(LINE_END);
+  }
 }
