--- a/net/src/main/java/tamarindroute/protocol/HttpResponseReader.java
+++ b/net/src/main/java/tamarindroute/protocol/HttpResponseReader.java
@@ -6,16 +6,16 @@
 import java.util.Locale;
 
 /**
- * Owns the reading of HTTP/1.1 answers on one connection, with a told length or in chunks, fed as
- * the bytes come. It must never touch a socket, nor hold more than the longest body that it was
- * made for.
+ * Incremental reader of one connection's HTTP/1.1 responses, with a content length or in chunks.
+ * Bytes are fed as they come; a body is held up to the limit that the reader was made with.
  */
 public final class HttpResponseReader {
 
   private enum State {
-    STATUS,
+    STATUS_LINE,
     HEADER,
     BODY,
+    CHUNK_LENGTH,
     CHUNK,
     CHUNK_END,
     TRAILER
@@ -27,111 +27,118 @@
   private final int maxBodyLength;
   private final StringBuilder line = new StringBuilder();
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private State state = State.STATUS;
+  private State state = State.STATUS_LINE;
   private int headerLines;
   private int status;
+
+  /** Bytes of the body or the chunk that are still to come. */
   private int remaining;
+
   private boolean chunked;
   private boolean closesConnection;
 
+  /**
+   * Creates a reader.
+   *
+   * @param maxBodyLength longest body, in bytes
+   */
   public HttpResponseReader(int maxBodyLength) {
     this.maxBodyLength = maxBodyLength;
   }
 
+  /** Status code of the response. */
   public int status() {
     return status;
   }
 
-  /** Whether the server means to close the connection after this answer. */
+  /** Whether the server closes the connection after this response. */
   public boolean closesConnection() {
     return closesConnection;
   }
 
+  /** The body read so far, as UTF-8. */
   public String body() {
     return body.toString(StandardCharsets.UTF_8);
   }
 
-  /** Whether an answer is whole now; bytes behind it are left. */
+  /**
+   * Reads bytes up to the end of a response.
+   *
+   * @return whether a response is whole now; bytes behind it are left unread
+   * @throws MalformedMessageException if the bytes are no response or exceed a limit
+   */
   public boolean read(ByteBuffer in) throws MalformedMessageException {
     while (in.hasRemaining()) {
-      if (state == State.BODY || state == State.CHUNK && remaining > 0) {
-        int count = Math.min(remaining, in.remaining());
-        byte[] bytes = new byte[count];
-        in.get(bytes);
-        body.write(bytes, 0, count);
-        remaining -= count;
-        if (remaining > 0) {
-          continue;
-        }
-        if (state == State.BODY) {
-          state = State.STATUS;
-          return true;
-        }
-        state = State.CHUNK_END;
-        continue;
-      }
-      char c = (char) (in.get() & 0xff);
-      if (c != '\n') {
-        if (line.length() >= MAX_LINE_LENGTH) {
-          throw new MalformedMessageException("a line over " + MAX_LINE_LENGTH);
-        }
-        line.append(c);
-        continue;
-      }
-      String text = line.toString().strip();
-      line.setLength(0);
-      if (line(text)) {
+      boolean whole =
+          state == State.BODY || state == State.CHUNK ? readBody(in) : readLineByte(in.get());
+      if (whole) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean line(String text) throws MalformedMessageException {
+  private boolean readBody(ByteBuffer in) {
+    int count = Math.min(remaining, in.remaining());
+    byte[] bytes = new byte[count];
+    in.get(bytes);
+    body.write(bytes, 0, count);
+    remaining -= count;
+    if (remaining > 0) {
+      return false;
+    }
+    boolean whole = state == State.BODY;
+    state = whole ? State.STATUS_LINE : State.CHUNK_END;
+    return whole;
+  }
+
+  private boolean readLineByte(byte next) throws MalformedMessageException {
+    if (next != '\n') {
+      if (line.length() >= MAX_LINE_LENGTH) {
+        throw new MalformedMessageException("a line over " + MAX_LINE_LENGTH + " bytes");
+      }
+      line.append((char) (next & 0xff));
+      return false;
+    }
+    String text = line.toString().strip();
+    line.setLength(0);
+    return readLine(text);
+  }
+
+  private boolean readLine(String text) throws MalformedMessageException {
     switch (state) {
-      case STATUS -> status(text);
+      case STATUS_LINE -> readStatusLine(text);
       case HEADER -> {
-        if (!text.isEmpty()) {
-          header(text);
-        } else if (chunked) {
-          state = State.CHUNK;
-        } else if (remaining > 0) {
-          state = State.BODY;
-        } else {
-          state = State.STATUS;
-          return true;
-        }
-      }
-      case CHUNK -> {
-        remaining = parseLength(text.split(";", 2)[0].strip(), 16);
-        if (remaining + body.size() > maxBodyLength) {
-          throw new MalformedMessageException("a body over " + maxBodyLength);
+        if (text.isEmpty()) {
+          return endHeaders();
         }
-        state = remaining == 0 ? State.TRAILER : State.CHUNK;
+        readHeader(text);
       }
+      case CHUNK_LENGTH -> readChunkLength(text);
       case CHUNK_END -> {
         if (!text.isEmpty()) {
-          throw new MalformedMessageException("a chunk longer than told");
+          throw new MalformedMessageException("a chunk longer than its length says");
         }
-        state = State.CHUNK;
+        state = State.CHUNK_LENGTH;
       }
-      default -> {
+      case TRAILER -> {
         if (text.isEmpty()) {
-          state = State.STATUS;
+          state = State.STATUS_LINE;
           return true;
         }
         countHeaderLine();
       }
+      default -> throw new IllegalStateException("no lines are read in state " + state);
     }
     return false;
   }
 
-  private void status(String text) throws MalformedMessageException {
+  private void readStatusLine(String text) throws MalformedMessageException {
     String[] parts = text.split(" ", 3);
     if (parts.length < 2 || !parts[0].startsWith("HTTP/1.")) {
-      throw new MalformedMessageException("no status line");
+      throw new MalformedMessageException("status line", text, "HTTP/1.x and a status");
     }
-    status = parseLength(parts[1], 10);
+    status = parseLength("status", parts[1], 10);
     body = new ByteArrayOutputStream();
     closesConnection = parts[0].equals("HTTP/1.0");
     chunked = false;
@@ -140,43 +147,70 @@
     state = State.HEADER;
   }
 
-  private void header(String text) throws MalformedMessageException {
+  private void readHeader(String text) throws MalformedMessageException {
     countHeaderLine();
     int colon = text.indexOf(':');
     if (colon <= 0) {
-      throw new MalformedMessageException("a header without a name");
+      throw new MalformedMessageException("header", text, "name: value");
     }
+    String name = text.substring(0, colon).strip().toLowerCase(Locale.ROOT);
     String value = text.substring(colon + 1).strip().toLowerCase(Locale.ROOT);
-    switch (text.substring(0, colon).strip().toLowerCase(Locale.ROOT)) {
+    switch (name) {
       case "content-length" -> {
-        remaining = parseLength(value, 10);
-        if (remaining > maxBodyLength) {
-          throw new MalformedMessageException("a body over " + maxBodyLength);
-        }
+        remaining = parseLength(name, value, 10);
+        checkBodyLength(remaining);
       }
       case "transfer-encoding" -> chunked = value.endsWith("chunked");
       case "connection" ->
           closesConnection =
               value.equals("close") || closesConnection && !value.equals("keep-alive");
-      default -> {}
+      default -> {
+        // Other headers are of no use here.
+      }
+    }
+  }
+
+  /** Whether the response has no body and is whole. */
+  private boolean endHeaders() {
+    if (chunked) {
+      state = remaining > 0 ? State.CHUNK : State.CHUNK_LENGTH;
+      return false;
+    }
+    boolean whole = remaining == 0;
+    state = whole ? State.STATUS_LINE : State.BODY;
+    return whole;
+  }
+
+  private void readChunkLength(String text) throws MalformedMessageException {
+    remaining = parseLength("chunk length", text.split(";", 2)[0].strip(), 16);
+    checkBodyLength(remaining + body.size());
+    state = remaining == 0 ? State.TRAILER : State.CHUNK;
+  }
+
+  private void checkBodyLength(int length) throws MalformedMessageException {
+    if (length > maxBodyLength) {
+      throw new MalformedMessageException(
+          "a body of " + length + " bytes, allowed: " + maxBodyLength);
     }
   }
 
   private void countHeaderLine() throws MalformedMessageException {
-    if (++headerLines > MAX_HEADER_LINES) {
+    headerLines++;
+    if (headerLines > MAX_HEADER_LINES) {
       throw new MalformedMessageException("over " + MAX_HEADER_LINES + " headers");
     }
   }
 
-  private static int parseLength(String text, int radix) throws MalformedMessageException {
+  private static int parseLength(String what, String text, int radix)
+      throws MalformedMessageException {
     try {
       int number = Integer.parseInt(text, radix);
       if (number >= 0) {
         return number;
       }
     } catch (NumberFormatException e) {
-      // Told below.
+      // Refused below, as a negative number is.
     }
-    throw new MalformedMessageException("no number where a length or status is due");
+    throw new MalformedMessageException(what, text, "a number from 0 up");
   }
 }
--- a/net/src/test/java/tamarindroute/protocol/ProtocolParsersTest.java
+++ b/net/src/test/java/tamarindroute/protocol/ProtocolParsersTest.java
@@ -11,16 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * The parsers, fed whole, in pieces of every size, pipelined, and with what is not of the protocol.
- */
+/** The incremental readers and the field list: whole, chunked, pipelined and malformed input. */
 class ProtocolParsersTest {
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** What a reader of two words and a body makes of the bytes, fed in pieces of this size. */
+  /** The frames that a reader of two arguments and a body reads from the bytes, fed in chunks. */
   private static List<String> frames(byte[] all, int chunkSize) throws MalformedMessageException {
     RespReader reader = new RespReader(2, 20, 30);
     List<String> read = new ArrayList<>();
