--- a/cli/src/test/java/tamarindroute/gateway/GatewayIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayIT.java
@@ -344,7 +344,7 @@
       assertThatThrownBy(bad::read).isInstanceOfAny(EOFException.class, SocketException.class);
       assertThat(status(call(good, "1", "5"))).isEqualTo("ACK");
     }
-    assertThat(Files.readString(folder.resolve("out.log"))).contains("client-unreadable");
+    assertThat(Files.readString(folder.resolve("out.log"))).contains("client-protocol-error");
   }
 
   @ParameterizedTest
--- a/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -80,7 +80,7 @@
       assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
     }
-    awaitLogged("client-unreadable");
+    awaitLogged("client-protocol-error");
   }
 
   /** An attempt that breaks when its client has closed is not made good by another. */
@@ -144,7 +144,7 @@
     // The longest deadline, 3 s, and 0.7 s more is when SIGKILL may come; the machine's own end
     // comes after this.
     String log = Files.readString(folder.resolve("out.log"));
-    Matcher stop = Pattern.compile("([0-9]+) ms after SIGTERM, 0 in hand").matcher(log);
+    Matcher stop = Pattern.compile("([0-9]+) ms after SIGTERM, 0 requests in flight").matcher(log);
     assertThat(stop.find()).as(log).isTrue();
     assertThat(Integer.parseInt(stop.group(1))).isBetween(3500, 3700);
     assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("defect");
--- a/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
+++ b/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
@@ -9,46 +9,36 @@
 import tamarindroute.decision.RequestClass;
 import tamarindroute.host.EventLoop;
 import tamarindroute.log.Log;
-import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.CallFields;
+import tamarindroute.protocol.ClientCommand;
+import tamarindroute.protocol.ClientProtocol;
+import tamarindroute.protocol.ClientStatus;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.settings.SettingsReader;
 
 /**
- * The second stage: makes a view in hand of a call, sets its cut-off, and turns away what cannot be
- * one, at once and harmlessly, since nothing has run. It must never turn away for any reason but
- * bad fields, memory, or the number of views that the settings or the protocol allow.
+ * Second stage of the pipeline: turns a call into a pending request with a deadline, or rejects it
+ * before anything has run. Reasons to reject are invalid fields, buffers, the number of requests in
+ * flight, and draining.
  */
 final class AdmissionControl {
 
-  /** The protocol's figures: digits of ids and of keys, the last group. */
-  private static final int ID_DIGITS = 16;
-
-  private static final int IDEMPOTENCY_KEY_DIGITS = 32;
-  private static final int MAX_GROUP = 255;
-
-  /** A part of a gigabyte is none: an answer has 240,000 bytes at most. */
-  private static final double MAX_SIZE_KB = 1e6;
-
-  /**
-   * No client waits so many times the longest cut-off that the settings tell; it is a figure gone
-   * wrong.
-   */
+  /** No client waits so many times the longest deadline of the settings. */
   private static final int MAX_BUDGET_MULTIPLE = 20;
 
+  private static final double NANOS_PER_MILLI = 1e6;
+
   private final EventLoop eventLoop;
   private final Router router;
   private final OutcomeHandler outcomeHandler;
 
-  /** By their names as the settings spell them, without spaces and commas. */
+  /** Request classes by their normalized names. */
   private final Map<String, RequestClass> requestClasses;
 
   private final int maxInFlight;
   private final double maxBudgetMillis;
-
-  /** The views in hand by their ids. */
   private final Map<String, PendingRequest> pendingById = new HashMap<>();
-
   private volatile int inFlight;
   private boolean ready;
   private boolean draining;
@@ -64,141 +54,143 @@
     this.maxBudgetMillis = MAX_BUDGET_MULTIPLE * settings.longestDeadline().toMillis();
   }
 
-  /** Whether clients may be sent here; what comes all the same is served. */
-  boolean ready() {
+  /** Whether health checks are answered with ready. Requests are served in either case. */
+  boolean isReady() {
     return ready;
   }
 
-  void ready(boolean isReady) {
+  void setReady(boolean isReady) {
     ready = isReady;
   }
 
-  /** Whether the gateway is past taking in. */
-  boolean draining() {
+  boolean isDraining() {
     return draining;
   }
 
   /**
-   * From now on all is turned away, and a client's connection goes when the last that is open on it
-   * ends.
+   * From now on calls are rejected, and a client's connection is closed when its last request ends.
    */
   void startDraining() {
     draining = true;
   }
 
+  /** Requests in flight; may be read on any thread. */
   int inFlight() {
     return inFlight;
   }
 
-  /** Takes a call, or turns it away; false where its fields could not be used. */
+  /**
+   * Admits a call and routes it, or rejects it.
+   *
+   * @param withinConnectionLimit whether the connection may have one request more open
+   * @return false if the call's fields are invalid
+   */
   boolean admit(
-      ClientConnection client, ClientConnection.ClientCall call, boolean withinConnectionLimit) {
-    PendingRequest pending = null;
-    if (draining || client.responses.connection.isAbandoned()) {
-      // Sent on, it would be out when this gateway ends, or for a client that is not there.
-      call.body().forEach(IoBuffer::free);
-      client.responses.send(call.tag(), "NAK");
+      ClientConnection client,
+      ClientConnection.ReceivedCall received,
+      boolean withinConnectionLimit) {
+    if (draining || client.isAbandoned()) {
+      reject(client, received);
       return true;
     }
-    boolean hasCapacity = !call.overCapacity() && pendingById.size() < maxInFlight;
-    if (!hasCapacity) {
-      Log.info("no-room", pendingById.size() + " views in hand");
-    } else {
-      try {
-        pending = withinConnectionLimit ? parseRequest(client, call) : null;
-      } catch (MalformedMessageException e) {
-        Log.info("bad-fields", e.getMessage());
-      }
+    if (received.overCapacity() || pendingById.size() >= maxInFlight) {
+      Log.info("over-capacity", pendingById.size() + " requests in flight");
+      reject(client, received);
+      return true;
     }
-    if (pending == null) {
-      call.body().forEach(IoBuffer::free);
-      client.responses.send(call.tag(), "NAK");
-      return !hasCapacity || !withinConnectionLimit;
+    if (!withinConnectionLimit) {
+      reject(client, received);
+      return true;
     }
-    PendingRequest admittedRequest = pending;
-    client.pendingByTag.put(pending.tag, pending);
-    pendingById.put(pending.id, pending);
+    PendingRequest pending;
+    try {
+      pending = parseRequest(client, received);
+    } catch (MalformedMessageException e) {
+      Log.info("invalid-request", e.getMessage());
+      reject(client, received);
+      return false;
+    }
+    start(pending);
+    return true;
+  }
+
+  private static void reject(ClientConnection client, ClientConnection.ReceivedCall received) {
+    received.body().forEach(IoBuffer::free);
+    client.responses.send(
+        ClientProtocol.encodeResponse(received.call().tag(), ClientStatus.REJECTED));
+  }
+
+  private void start(PendingRequest pending) {
+    pending.client.onRequestStarted(pending);
+    pendingById.put(pending.id(), pending);
     inFlight = pendingById.size();
-    pending.deadlineTimer =
+    pending.setDeadlineTimer(
         eventLoop.schedule(
-            pending.timeLeft(eventLoop.now()), () -> outcomeHandler.onDeadline(admittedRequest));
+            pending.timeLeft(eventLoop.now()), () -> outcomeHandler.onDeadline(pending)));
     router.route(pending);
-    return true;
   }
 
   /**
-   * Reads what a cache could use, and no more: what none could would end its connection, others'
-   * views too.
+   * Checks all that a cache would have to use: a cache closes its connection on fields that it
+   * can't.
    */
-  private PendingRequest parseRequest(ClientConnection client, ClientConnection.ClientCall call)
+  private PendingRequest parseRequest(
+      ClientConnection client, ClientConnection.ReceivedCall received)
       throws MalformedMessageException {
-    RequestClass requestClass =
-        requestClasses.get(SettingsReader.normalizeName(call.requestClass()));
-    if (requestClass == null || call.requestClass().indexOf(',') >= 0) {
-      throw new MalformedMessageException("no such profile");
-    }
-    FieldList fields = FieldList.parse(call.fields());
-    String id = hexField(fields, "rid", ID_DIGITS);
-    String objectId = hexField(fields, "obj", ID_DIGITS);
-    String idempotencyKey = hexField(fields, "token", IDEMPOTENCY_KEY_DIGITS);
-    String clientCopyTag = hexField(fields, "ver", ID_DIGITS);
-    if (id == null || objectId == null || fields.text("budget") == null) {
-      throw new MalformedMessageException("no id, no object or no time to wait");
-    }
-    if (idempotencyKey == null && requestClass.idempotency() == RequestClass.Idempotency.KEYED) {
-      throw new MalformedMessageException("no number in a numbered profile");
+    ClientCommand.Call call = received.call();
+    RequestClass requestClass = requestClass(call.requestClass());
+    CallFields fields = ClientProtocol.decodeCallFields(call.fields(), maxBudgetMillis);
+    if (fields.idempotencyKey() == null
+        && requestClass.idempotency() == RequestClass.Idempotency.KEYED) {
+      throw new MalformedMessageException(
+          "a call of the keyed class " + call.requestClass() + " without an idempotency key");
     }
-    if (pendingById.containsKey(id)) {
-      throw new MalformedMessageException("an id that is open");
+    if (pendingById.containsKey(fields.requestId())) {
+      throw new MalformedMessageException(
+          "request id", fields.requestId(), "one that is not in flight");
     }
-    double budget = fields.number("budget", 0, maxBudgetMillis);
-    if (budget == 0) {
-      throw new MalformedMessageException("no time to wait");
-    }
-    Duration arrived = client.responses.connection.receivedAt();
+    Duration arrivalTime = client.lastReceivedAt();
+    Duration budget = Duration.ofNanos((long) (fields.budgetMillis() * NANOS_PER_MILLI));
     Request request =
         new Request(
             requestClass,
-            Long.parseUnsignedLong(objectId, 16),
-            fields.integer("piece", Integer.MAX_VALUE),
-            fields.integer("lot", MAX_GROUP),
-            fields.number("mem", 0, MAX_SIZE_KB),
-            arrived,
-            arrived.plusNanos((long) (budget * 1e6)));
-    return new PendingRequest(client, call, request, id, objectId, idempotencyKey, clientCopyTag);
+            Long.parseUnsignedLong(fields.objectId(), 16),
+            fields.part(),
+            fields.purgeGroup(),
+            fields.kilobytes(),
+            arrivalTime,
+            arrivalTime.plus(budget));
+    return new PendingRequest(client, received, fields, request);
   }
 
-  /** So many hexadecimal digits; null where the field is absent. */
-  private static String hexField(FieldList fields, String name, int digits)
-      throws MalformedMessageException {
-    String text = fields.text(name);
-    if (text != null
-        && (text.length() != digits
-            || !text.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128))) {
-      throw new MalformedMessageException(name + " is not of " + digits + " hexadecimal digits");
+  /** A comma would end the field of a cache request that holds the name. */
+  private RequestClass requestClass(String name) throws MalformedMessageException {
+    RequestClass requestClass = requestClasses.get(SettingsReader.normalizeName(name));
+    if (requestClass == null || name.indexOf(',') >= 0) {
+      throw new MalformedMessageException("request class", name, "a class of the settings");
     }
-    return text;
+    return requestClass;
   }
 
-  /** The client waits no more: nothing is owed. */
+  /** The client no longer waits for the request. */
   void onClientCancelled(PendingRequest pending) {
     outcomeHandler.onClientCancelled(pending);
   }
 
-  /** Nobody may wait for it any more: what has not gone out does not. */
+  /** The client has closed its side and may be gone. */
   void onClientDisconnected(PendingRequest pending) {
     outcomeHandler.onClientDisconnected(pending);
   }
 
-  /** The end has come: whatever is in hand gets its final answer now. */
+  /** Gives every request in flight its final response now. */
   void finishAll() {
     List.copyOf(pendingById.values()).forEach(outcomeHandler::onDeadline);
   }
 
-  /** A view got its final answer, or wants none. */
+  /** A request got its final response, or is owed none. */
   void onRequestFinished(PendingRequest pending) {
     pending.client.onRequestFinished(pending);
-    pendingById.remove(pending.id);
+    pendingById.remove(pending.id());
     inFlight = pendingById.size();
   }
 }
--- a/router/src/main/java/tamarindroute/gateway/AttemptSender.java
+++ b/router/src/main/java/tamarindroute/gateway/AttemptSender.java
@@ -1,7 +1,6 @@
 package tamarindroute.gateway;
 
 import java.nio.ByteBuffer;
-import java.time.Duration;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.RoutingPolicy;
@@ -11,11 +10,15 @@
 import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
 import tamarindroute.net.ResponseHandler;
+import tamarindroute.protocol.CacheProtocol;
+import tamarindroute.protocol.CacheRequest;
+import tamarindroute.protocol.CacheResponse;
+import tamarindroute.protocol.CacheStatus;
 import tamarindroute.protocol.FieldList;
 
 /**
- * The fourth stage: writes a trip to its cache as the protocol spells it, and owns it while it is
- * out. It must never send what the module did not ask for, nor a trip twice.
+ * Fourth stage of the pipeline: sends attempts to caches, cancels them, and passes on what their
+ * connections bring.
  */
 final class AttemptSender {
 
@@ -38,19 +41,35 @@
     this.relay = relay;
   }
 
-  /** A trip that is out. */
+  /** Sends an attempt, at once or when a connection to its cache is up. */
+  void send(PendingRequest pending, Attempt attempt) {
+    InFlightAttempt inFlight = new InFlightAttempt(pending, attempt);
+    pending.add(inFlight);
+    endpoints.countAttempt(attempt, 1);
+    inFlight.cancelOnConnection =
+        endpoints
+            .connectionPool(attempt.cache)
+            .send(pending.id(), inFlight::start, pending.body(), pending.bodyLength, inFlight);
+  }
+
+  /** Stops waiting for an attempt if it is still in flight. */
+  void cancel(PendingRequest pending, Attempt attempt) {
+    InFlightAttempt inFlight = pending.inFlight(attempt);
+    if (inFlight != null) {
+      inFlight.cancel();
+      outcomeHandler.onFailure(inFlight, inFlight.resultIfStarted(Result.CANCELLED));
+    }
+  }
+
+  /** An attempt that was handed to its cache's connections and has no outcome yet. */
   final class InFlightAttempt implements ResponseHandler {
 
     final PendingRequest pending;
     final Attempt attempt;
     final ResponseRelay.PendingResponse response;
-    private Runnable cancel = () -> {};
-
-    /** Whether it has been written, as far as a connection takes it. */
-    boolean started;
-
-    private String status;
-    private FieldList responseFields;
+    private Runnable cancelOnConnection = () -> {};
+    private boolean started;
+    private CacheResponse head;
 
     InFlightAttempt(PendingRequest pending, Attempt attempt) {
       this.pending = pending;
@@ -58,116 +77,83 @@
       this.response = relay.openResponse(pending);
     }
 
+    /** Whether the attempt was written to a connection. */
+    boolean isStarted() {
+      return started;
+    }
+
+    /** Notes that the attempt is written now; returns its fields, whose times count from here. */
+    String start() {
+      started = true;
+      String fillSource = attempt.source == attempt.cache ? null : endpoints.id(attempt.source);
+      return CacheProtocol.encodeRequestFields(
+          new CacheRequest(
+              pending.requestClassName,
+              pending.fields.objectId(),
+              pending.request.part,
+              pending.timeLeft(eventLoop.now()),
+              pending.fields.idempotencyKey(),
+              fillSource,
+              attempt.rank,
+              attempt.maxCopyAge,
+              attempt.onlyIfCached,
+              attempt.revalidate,
+              pending.fields.clientCopyTag()));
+    }
+
+    /** Stops waiting for the response; the outcome is for the caller to record. */
     void cancel() {
-      cancel.run();
+      cancelOnConnection.run();
     }
 
-    /** What never got a connection to be written to cannot have run, whatever ends it. */
+    /**
+     * The result given, or that nothing was sent: an attempt that was not written can't have run.
+     */
     Result resultIfStarted(Result result) {
       return started ? result : Result.NOT_SENT;
     }
 
-    /** It has come back, and the module knows. */
+    /** Ends the attempt's part in its caches' counts. */
     void release() {
       endpoints.countAttempt(attempt, -1);
     }
 
-    /**
-     * Much may have been told while the connection came up; a defect in the module must cost this
-     * trip alone.
-     */
+    /** Asks the policy again, since much may have changed while the connection came up. */
     @Override
     public boolean isStillWanted() {
       try {
-        return !pending.finished && policy.mayStillSend(pending.request, attempt, eventLoop.now());
+        return !pending.isFinished()
+            && policy.mayStillSend(pending.request, attempt, eventLoop.now());
       } catch (RuntimeException e) {
+        // A failure of the policy must not keep other attempts that wait here from being written.
         Log.defect(e);
         return false;
       }
     }
 
     @Override
-    public void onResponse(String responseStatus, FieldList receivedFields, int length) {
-      status = responseStatus;
-      responseFields = receivedFields;
-      if (responseStatus.equals("ACK")) {
-        response.begin(receivedFields, length);
+    public void onResponse(String status, FieldList fields, int bodyLength) {
+      head = CacheProtocol.decodeResponse(status, fields);
+      if (head.status() == CacheStatus.SERVED) {
+        response.begin(head, bodyLength);
       }
     }
 
     @Override
-    public void onBody(ByteBuffer part, Connection from) {
-      if (status.equals("ACK")) {
-        response.append(part, from);
+    public void onBody(ByteBuffer part, Connection source) {
+      if (head.status() == CacheStatus.SERVED) {
+        response.append(part, source);
       }
     }
 
     @Override
     public void onComplete() {
-      outcomeHandler.onResponse(this, status, responseFields);
+      outcomeHandler.onResponse(this, head);
     }
 
     @Override
-    public void onFailure(CloseReason closeReason, boolean written) {
-      outcomeHandler.onFailure(this, closeReason.result(written));
-    }
-  }
-
-  void send(PendingRequest pending, Attempt attempt) {
-    InFlightAttempt inFlightAttempt = new InFlightAttempt(pending, attempt);
-    pending.inFlight.add(inFlightAttempt);
-    endpoints.countAttempt(attempt, 1);
-    inFlightAttempt.cancel =
-        endpoints
-            .connectionPool(attempt.cache)
-            .send(
-                pending.id,
-                () -> requestFields(inFlightAttempt),
-                pending.body,
-                pending.bodyLength,
-                inFlightAttempt);
-  }
-
-  /** As of now, when they are written: the connection may have come up late. */
-  private String requestFields(InFlightAttempt inFlightAttempt) {
-    inFlightAttempt.started = true;
-    PendingRequest pending = inFlightAttempt.pending;
-    Attempt attempt = inFlightAttempt.attempt;
-    Duration timeLeft = pending.timeLeft(eventLoop.now());
-    return new FieldList()
-        .with("lane", pending.requestClassName)
-        .with("name", pending.objectId)
-        .with("piece", pending.request.part)
-        .with("ttl", Math.max(1, timeLeft.toMillis()))
-        .with("dedupe", pending.idempotencyKey)
-        .with("parent", attempt.source == attempt.cache ? null : endpoints.id(attempt.source))
-        .with("shelf", attempt.rank == 0 ? null : attempt.rank)
-        .with(
-            "accept",
-            attempt.maxCopyAge == null ? null : Math.max(1, attempt.maxCopyAge.toMillis()))
-        .with("hints", hints(attempt))
-        .with("got", pending.clientCopyTag)
-        .format("-");
-  }
-
-  private static String hints(Attempt attempt) {
-    String joined =
-        (attempt.onlyIfCached ? "+local" : "") + (attempt.revalidate ? "+revalidate" : "");
-    return joined.isEmpty() ? null : joined.substring(1);
-  }
-
-  /**
-   * Stops waiting for a trip, where it is still out; one that never got a connection cannot have
-   * run.
-   */
-  void cancel(PendingRequest pending, Attempt attempt) {
-    for (InFlightAttempt inFlightAttempt : pending.inFlight) {
-      if (inFlightAttempt.attempt == attempt) {
-        inFlightAttempt.cancel();
-        outcomeHandler.onFailure(
-            inFlightAttempt, inFlightAttempt.resultIfStarted(Result.CANCELLED));
-        return;
-      }
+    public void onFailure(CloseReason reason, boolean written) {
+      outcomeHandler.onFailure(this, reason.result(written));
     }
   }
 }
--- a/router/src/main/java/tamarindroute/gateway/GatewayServer.java
+++ b/router/src/main/java/tamarindroute/gateway/GatewayServer.java
@@ -19,32 +19,25 @@
 import tamarindroute.host.PlatformConfiguration;
 import tamarindroute.host.RouterInstance;
 import tamarindroute.log.Log;
+import tamarindroute.net.Connection;
+import tamarindroute.net.ConnectionHandler;
 
 /**
- * Owns one gateway's life: its start from the configuration, the wiring of the stages, readiness,
- * the reading of a new configuration on SIGHUP, and the way out on SIGTERM. It must never take part
- * in a view's way.
+ * One gateway process: its start from the configuration, its warm-up and readiness, the reload on
+ * SIGHUP, and the graceful shutdown on SIGTERM.
  */
 public final class GatewayServer {
 
-  /**
-   * New connections come for 0.4 s after SIGTERM, requests on them for 0.2 s more; and a bit for
-   * good measure.
-   */
+  /** New connections come for 0.4 s after SIGTERM, and requests on them for 0.2 s more. */
   private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(750);
 
-  /**
-   * SIGKILL may come 0.7 s after the longest cut-off, counted as 3 s at most; all is answered
-   * before.
-   */
+  /** SIGKILL may come 0.7 s after the longest deadline, of which no more than this counts. */
   private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
 
+  /** Past the longest deadline, after which requests in flight get their final response. */
   private static final Duration FINAL_RESPONSES_TIME = Duration.ofMillis(500);
 
-  /**
-   * For those answers' bytes to leave and the clients to close; the rest of the 0.7 s is the
-   * machine's own end.
-   */
+  /** For the last bytes to leave. */
   private static final Duration FLUSH_TIME = Duration.ofMillis(100);
 
   private final RouterInstance instance;
@@ -53,6 +46,8 @@
   private final RequestPipeline pipeline;
   private final WarmUp warmUp;
   private final Duration longestDeadline;
+
+  /** Runs beside the gateway; null if none does. */
   private final LifecycleComponent component;
 
   private GatewayServer(
@@ -64,59 +59,69 @@
     this.configuration = configuration.withoutBootstrapEvents();
     this.longestDeadline = configuration.settings().longestDeadline();
     this.eventLoop = new EventLoop();
-    RoutingPolicy policy =
-        policyFactory.apply(configuration.settings().settings(configuration.seed()));
+    RoutingPolicy policy = newPolicy(policyFactory);
     instance = new RouterInstance(configuration, eventLoop, List.of(policy));
-    pipeline =
-        new RequestPipeline(
-            configuration.settings(),
-            policy,
-            eventLoop,
-            instance.bufferPool(),
-            instance.endpoints());
+    pipeline = newPipeline(policy, instance.endpoints());
     warmUp =
         new WarmUp(
             eventLoop,
             instance.transport(),
             configuration,
-            createWarmUpPipeline(policyFactory),
+            newWarmUpPipeline(policyFactory),
             this::onWarmedUp);
     instance
         .bufferPool()
         .onCapacityAvailable(() -> eventLoop.execute(pipeline::onCapacityAvailable));
   }
 
-  /** A chain with a module and a list of its own, whose caches are all this gateway itself. */
-  private RequestPipeline createWarmUpPipeline(
-      Function<PolicySettings, RoutingPolicy> policyFactory) throws IOException {
-    RoutingPolicy policy =
-        policyFactory.apply(configuration.settings().settings(configuration.seed()));
+  private RoutingPolicy newPolicy(Function<PolicySettings, RoutingPolicy> policyFactory)
+      throws IOException {
+    return policyFactory.apply(configuration.settings().settings(configuration.seed()));
+  }
+
+  private RequestPipeline newPipeline(RoutingPolicy policy, EndpointRegistry endpoints)
+      throws IOException {
+    return new RequestPipeline(
+        configuration.settings(), policy, eventLoop, instance.bufferPool(), endpoints);
+  }
+
+  /**
+   * A pipeline with a policy and endpoints of its own, whose caches are all this gateway itself.
+   */
+  private RequestPipeline newWarmUpPipeline(Function<PolicySettings, RoutingPolicy> policyFactory)
+      throws IOException {
+    RoutingPolicy policy = newPolicy(policyFactory);
     EndpointRegistry endpoints =
         new EndpointRegistry(
             configuration.settings(),
             List.of(policy),
             eventLoop,
             (id, address) -> instance.newConnectionPool(id, configuration.listen()));
-    return new RequestPipeline(
-        configuration.settings(), policy, eventLoop, instance.bufferPool(), endpoints);
+    return newPipeline(policy, endpoints);
   }
 
-  /** Starts a gateway alone. */
+  /**
+   * Starts a gateway; it goes on in threads of its own.
+   *
+   * @param path path of the configuration file
+   */
   public static void start(String path, Function<PolicySettings, RoutingPolicy> policyFactory)
       throws IOException {
     start(path, policyFactory, null);
   }
 
   /**
-   * Starts a gateway from its configuration file, with what lives beside it or null; returns at
-   * once, the rest goes on in threads of its own.
+   * Starts a gateway with a component beside it; both go on in threads of their own.
+   *
+   * @param path path of the configuration file
+   * @param component told of the gateway's start and end; null for none
    */
   public static synchronized void start(
       String path,
       Function<PolicySettings, RoutingPolicy> policyFactory,
       LifecycleComponent component)
       throws IOException {
-    // SIGHUP would end the process until it has a handler: this goes before all else.
+    // SIGHUP ends the process until it has a handler, so this goes before all else.
     AtomicReference<GatewayServer> startedGateway = new AtomicReference<>();
     Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(path, startedGateway));
     GatewayServer gateway =
@@ -127,9 +132,9 @@
   }
 
   /**
-   * On SIGHUP, on a thread of the signal's: reads the configuration again, after the start and one
-   * reading at a time. A new feed is taken up; all else holds until the next start, since sizes are
-   * derived from it once.
+   * Reads the configuration again, on a thread of the signal's; waits for the start and for a
+   * reload under way. Only a new feed takes effect, since sizes are derived from all else at the
+   * start.
    */
   private static synchronized void reloadConfiguration(
       String path, AtomicReference<GatewayServer> startedGateway) {
@@ -137,59 +142,68 @@
     try {
       PlatformConfiguration reloaded = PlatformConfiguration.read(path);
       List<String> needsRestart = gateway.configuration.changedRestartOnlySections(reloaded);
-      Log.info(
-          "config",
-          "read again, feed "
-              + reloaded.feed()
-              + (needsRestart.isEmpty()
-                  ? ""
-                  : "; not before the next start: " + String.join(", ", needsRestart)));
+      String ignored =
+          needsRestart.isEmpty()
+              ? ""
+              : "; not before the next start: " + String.join(", ", needsRestart);
+      Log.info("configuration-reloaded", "feed " + reloaded.feed() + ignored);
       gateway.eventLoop.execute(() -> gateway.instance.moveFeed(reloaded.feed()));
     } catch (IOException e) {
-      Log.info("config-unusable", "the old one holds: " + e.getMessage());
+      Log.info("configuration-invalid", "the old one holds: " + e.getMessage());
     }
   }
 
   private void startServing() {
+    startComponent();
+    applyBootstrapEvents();
     try {
-      if (component != null) {
-        component.onStarted(instance);
-      }
+      instance.transport().listen(configuration.listen(), this::newHandler);
+    } catch (IOException | RuntimeException e) {
+      exit("cannot listen on " + configuration.listen() + ": " + e.getMessage());
+    }
+    instance.startFeed();
+    warmUp.start();
+  }
+
+  private void startComponent() {
+    if (component == null) {
+      return;
+    }
+    try {
+      component.onStarted(instance);
     } catch (IOException e) {
-      fail(e.getMessage());
+      exit(e.getMessage());
     }
+  }
+
+  /**
+   * A list that the policy can't take must not keep the gateway from listening: the feed brings it
+   * again.
+   */
+  private void applyBootstrapEvents() {
     try {
       instance.applyBootstrapEvents();
     } catch (RuntimeException e) {
-      // A list that the module can't take must not keep the door shut; the feed tells it again.
       Log.defect(e);
     }
-    try {
-      instance
-          .transport()
-          .listen(
-              configuration.listen(),
-              connection ->
-                  warmUp.complete()
-                      ? pipeline.acceptClient(connection)
-                      : warmUp.identify(connection, pipeline::acceptClient));
-    } catch (IOException | RuntimeException e) {
-      fail("cannot listen on " + configuration.listen() + ": " + e.getMessage());
-    }
-    instance.startFeed();
-    warmUp.start();
   }
 
-  private static void fail(String reason) {
+  private ConnectionHandler newHandler(Connection connection) {
+    return warmUp.isComplete()
+        ? pipeline.acceptClient(connection)
+        : warmUp.identify(connection, pipeline::acceptClient);
+  }
+
+  private static void exit(String reason) {
     System.err.println("serve: " + reason);
     Runtime.getRuntime().halt(1);
   }
 
-  /** The code is warm: clients may come, once the list is in. */
+  /** Clients may come once the code is warm and the list of caches is in. */
   private void onWarmedUp() {
     Log.info(
-        "warm",
-        "after " + eventLoop.now().toMillis() + " ms, " + warmUp.completedRequests() + " views");
+        "warmed-up",
+        "after " + eventLoop.now().toMillis() + " ms, " + warmUp.completedRequests() + " requests");
     if (pipeline.endpoints().listReceived()) {
       pipeline.setReady(true);
     } else {
@@ -198,43 +212,46 @@
   }
 
   /**
-   * On SIGTERM, on the stopping thread, which waits and does nothing else: takes in on for a while,
-   * then shuts the door, answers all, and lets the process end when the last bytes have left. A
-   * second SIGTERM changes nothing.
+   * Shuts down on SIGTERM, on the hook's thread: accepts requests for a while, then stops
+   * listening, answers all that is in flight, and returns when the last bytes have left.
    */
   private void stop() {
-    Duration stopStartedAt = MonotonicClock.now();
-    CompletableFuture<Void> acceptingOver = new CompletableFuture<>();
+    Duration startedAt = MonotonicClock.now();
+    awaitAcceptEnd();
+    instance.transport().stopListening();
+    awaitDrained(startedAt);
+    Duration duration = MonotonicClock.now().minus(startedAt);
+    Log.info(
+        "shutdown",
+        duration.toMillis() + " ms after SIGTERM, " + pipeline.inFlight() + " requests in flight");
+    instance.transport().shutDown();
+  }
+
+  private void awaitAcceptEnd() {
+    CompletableFuture<Void> acceptEnd = new CompletableFuture<>();
     eventLoop.execute(
         () -> {
-          eventLoop.schedule(ACCEPT_AFTER_SIGTERM, () -> acceptingOver.complete(null));
+          eventLoop.schedule(ACCEPT_AFTER_SIGTERM, () -> acceptEnd.complete(null));
           pipeline.setReady(false);
           if (component != null) {
             component.onStopping();
           }
         });
-    await(acceptingOver, ACCEPT_AFTER_SIGTERM.plus(FLUSH_TIME));
-    instance.transport().stopListening();
+    await(acceptEnd, ACCEPT_AFTER_SIGTERM.plus(FLUSH_TIME));
+  }
+
+  private void awaitDrained(Duration startedAt) {
+    Duration deadline =
+        longestDeadline.compareTo(MAX_DEADLINE) < 0 ? longestDeadline : MAX_DEADLINE;
     Duration timeLeft =
-        stopStartedAt
-            .plus(longestDeadline.compareTo(MAX_DEADLINE) < 0 ? longestDeadline : MAX_DEADLINE)
-            .plus(FINAL_RESPONSES_TIME)
-            .minus(MonotonicClock.now());
+        startedAt.plus(deadline).plus(FINAL_RESPONSES_TIME).minus(MonotonicClock.now());
     CompletableFuture<Void> drained = new CompletableFuture<>();
     eventLoop.execute(() -> drain(timeLeft, drained));
     await(drained, timeLeft.plus(FLUSH_TIME));
-    Log.info(
-        "stop",
-        MonotonicClock.now().minus(stopStartedAt).toMillis()
-            + " ms after SIGTERM, "
-            + pipeline.inFlight()
-            + " in hand");
-    instance.transport().shutDown();
   }
 
   /**
-   * Clients go as they have their answers; what is in hand at last is answered then, and its bytes
-   * leave.
+   * Clients are closed as they have their responses; what is in flight at last gets its final one.
    */
   private void drain(Duration timeLeft, CompletableFuture<Void> drained) {
     eventLoop.schedule(timeLeft, pipeline::finishAll);
@@ -242,14 +259,17 @@
     instance.transport().drainClients(() -> drained.complete(null));
   }
 
-  /** Clients that never close, or an owner's thread without time for it, do not hold the end. */
+  /**
+   * Neither clients that never close nor a busy event loop hold the shutdown longer than the
+   * timeout.
+   */
   private static void await(CompletableFuture<Void> event, Duration timeout) {
     try {
       event.get(Math.max(0, timeout.toMillis()), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      // The end comes all the same, and its line tells what was left.
+      // The shutdown goes on; its log line says what was left.
     } catch (InterruptedException | ExecutionException e) {
-      Log.info("stop", e);
+      Log.info("shutdown", e);
     }
   }
 }
--- a/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
+++ b/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
@@ -1,75 +1,28 @@
 package tamarindroute.gateway;
 
 import java.time.Duration;
-import java.util.List;
-import java.util.Map;
+import java.util.OptionalLong;
 import tamarindroute.decision.Attempt;
-import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Outcome;
 import tamarindroute.decision.Outcome.Detail;
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.RoutingPolicy;
+import tamarindroute.gateway.AttemptSender.InFlightAttempt;
 import tamarindroute.host.EventLoop;
-import tamarindroute.host.LoadReportParser;
 import tamarindroute.log.Log;
-import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.CacheResponse;
+import tamarindroute.protocol.CacheStatus;
+import tamarindroute.protocol.ClientProtocol;
+import tamarindroute.protocol.ClientStatus;
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * The last stage: notes how each trip came back, tells the module, and gives each view its one
- * final answer. It must never give two, nor tell the module of an outcome twice.
+ * Last stage of the pipeline: records the outcome of each attempt, tells the policy once, and gives
+ * each request its one final response.
  */
 final class OutcomeHandler {
 
-  /** What a cache's word means; any other is an error, after which it may have run. */
-  private static final Map<String, Result> RESULTS_BY_STATUS =
-      Map.of(
-          "ACK",
-          Result.SERVED,
-          "NOMOD",
-          Result.SERVED,
-          "NOENT",
-          Result.MISS,
-          "AGAIN",
-          Result.REJECTED,
-          "EIO",
-          Result.FAILED,
-          "STALE",
-          Result.DEADLINE_EXCEEDED);
-
-  private static final Map<String, Detail> DETAILS_BY_NOTE =
-      Map.of(
-          "hit",
-          Detail.HIT,
-          "filled",
-          Detail.FILLED,
-          "via_origin",
-          Detail.FROM_ORIGIN,
-          "joined",
-          Detail.COALESCED,
-          "stale",
-          Detail.STALE,
-          "src_refused",
-          Detail.SOURCE_REFUSED,
-          "src_broke",
-          Detail.SOURCE_FAILED,
-          "src_lacks",
-          Detail.SOURCE_MISS,
-          "no_slot",
-          Detail.FILL_CAPACITY_EXHAUSTED,
-          "origin_failed",
-          Detail.ORIGIN_FAILED);
-
-  /** What a cache tells of a wait in milliseconds is within this, or it is none. */
-  private static final double MAX_SOURCE_WAIT_MILLIS = 1e6;
-
-  /** Unix milliseconds of the next millennia; what lies past them is no date. */
-  private static final double MAX_UNIX_MILLIS = 1e14;
-
-  /**
-   * The protocol's allowance on all limits of time, between the clocks and roundings of two
-   * machines.
-   */
+  /** The protocol's allowance on time limits, for the clocks and roundings of two machines. */
   private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(50);
 
   private final EventLoop eventLoop;
@@ -83,183 +36,156 @@
     this.router = router;
   }
 
-  void connect(AdmissionControl first) {
-    admission = first;
+  /** Sets the stage that is told when a request is finished. */
+  void connect(AdmissionControl admissionControl) {
+    admission = admissionControl;
   }
 
-  /** A cache's answer has come whole. */
-  void onResponse(AttemptSender.InFlightAttempt inFlightAttempt, String status, FieldList fields) {
-    Result result = RESULTS_BY_STATUS.getOrDefault(status, Result.FAILED);
-    Detail detail =
-        DETAILS_BY_NOTE.getOrDefault(String.valueOf(fields.text("why")), Detail.UNKNOWN);
+  /** Handles a cache's whole response. */
+  void onResponse(InFlightAttempt inFlight, CacheResponse response) {
     Duration sourceWait = null;
     try {
-      // Zero is no wait told, as on the simulator's wire.
-      double first = fields.number("first", 0, MAX_SOURCE_WAIT_MILLIS);
-      sourceWait = first == 0 ? null : Duration.ofNanos((long) (first * 1e6));
-      reportLoad(inFlightAttempt, fields);
+      sourceWait = response.sourceWait().orElse(null);
+      reportLoad(inFlight.attempt, response);
     } catch (MalformedMessageException e) {
-      Log.info("cache-unreadable", e.getMessage());
+      Log.info("cache-protocol-error", e.getMessage());
     }
-    boolean notModified = status.equals("NOMOD");
-    if (notModified && !namesClientCopy(inFlightAttempt.pending.clientCopyTag, fields)) {
-      Log.info(
-          "cache-unreadable", "an answer that the client's copy holds, which is not the client's");
-      result = Result.FAILED;
+    Result result = verifiedResult(inFlight, response);
+    boolean served = result == Result.SERVED;
+    boolean finished = inFlight.pending.isFinished();
+    if (served && !finished) {
+      inFlight.response.finish(response);
+    } else {
+      inFlight.response.discard();
     }
-    if (result == Result.SERVED && isTooOld(inFlightAttempt.attempt, fields)) {
-      Log.info("cache-unreadable", "a copy from before a purge that the cache was told of");
-      result = Result.FAILED;
+    complete(inFlight, result, response.detail(), sourceWait, finished || served);
+  }
+
+  private void reportLoad(Attempt attempt, CacheResponse response)
+      throws MalformedMessageException {
+    response
+        .loadReport()
+        .ifPresent(report -> policy.onLoadReport(attempt.cache, report, eventLoop.now()));
+  }
+
+  /** Result of a response; one that claims what can't be is a failure of its cache. */
+  private Result verifiedResult(InFlightAttempt inFlight, CacheResponse response) {
+    Result result = response.status().result();
+    if (response.status() == CacheStatus.NOT_MODIFIED
+        && !namesClientCopy(inFlight.pending, response)) {
+      Log.info("cache-protocol-error", "not modified, but the copy named is not the client's");
+      return Result.FAILED;
     }
-    if (result == Result.SERVED && !inFlightAttempt.pending.finished) {
-      inFlightAttempt.response.finish(fields, notModified);
-    } else {
-      inFlightAttempt.response.discard();
+    if (result == Result.SERVED && isTooOld(inFlight.attempt, response)) {
+      Log.info("cache-protocol-error", "a copy from before a purge that the cache was told of");
+      return Result.FAILED;
     }
-    complete(
-        inFlightAttempt,
-        result,
-        detail,
-        sourceWait,
-        inFlightAttempt.pending.finished || result == Result.SERVED);
+    return result;
   }
 
-  /** Whether a cache that says that the copy holds means the one that this client has. */
-  private static boolean namesClientCopy(String clientCopyTag, FieldList fields) {
-    String namedTag = fields.text("digest");
-    return namedTag != null && namedTag.equals(clientCopyTag);
+  private static boolean namesClientCopy(PendingRequest pending, CacheResponse response) {
+    String copyTag = response.copyTag();
+    return copyTag != null && copyTag.equals(pending.fields.clientCopyTag());
   }
 
-  /**
-   * Whether a copy is older than the trip allowed, which binds after a purge: its cache goes wrong,
-   * not its view.
-   */
-  private boolean isTooOld(Attempt attempt, FieldList fields) {
-    if (attempt.maxCopyAge == null || fields.text("dated") == null) {
+  /** Whether a copy is older than the attempt allowed, which is bounded after a purge only. */
+  private boolean isTooOld(Attempt attempt, CacheResponse response) {
+    if (attempt.maxCopyAge == null) {
       return false;
     }
     try {
-      Duration createdAt =
-          eventLoop.fromUnixMillis((long) fields.number("dated", 0, MAX_UNIX_MILLIS));
-      return createdAt.compareTo(attempt.sentAt.minus(attempt.maxCopyAge).minus(CLOCK_TOLERANCE))
-          < 0;
+      OptionalLong createdUnixMillis = response.copyCreatedUnixMillis();
+      if (createdUnixMillis.isEmpty()) {
+        return false;
+      }
+      Duration created = eventLoop.fromUnixMillis(createdUnixMillis.getAsLong());
+      Duration oldest = attempt.sentAt.minus(attempt.maxCopyAge).minus(CLOCK_TOLERANCE);
+      return created.compareTo(oldest) < 0;
     } catch (MalformedMessageException e) {
       return true;
     }
   }
 
-  private void reportLoad(AttemptSender.InFlightAttempt inFlightAttempt, FieldList fields)
-      throws MalformedMessageException {
-    LoadReport loadReport = LoadReportParser.parse(fields);
-    if (loadReport != null) {
-      policy.onLoadReport(inFlightAttempt.attempt.cache, loadReport, eventLoop.now());
-    }
-  }
-
-  /** A trip came back without an answer. */
-  void onFailure(AttemptSender.InFlightAttempt inFlightAttempt, Result result) {
-    inFlightAttempt.response.discard();
-    complete(inFlightAttempt, result, Detail.UNKNOWN, null, inFlightAttempt.pending.finished);
+  /** Handles an attempt that ended without a response. */
+  void onFailure(InFlightAttempt inFlight, Result result) {
+    inFlight.response.discard();
+    complete(inFlight, result, Detail.UNKNOWN, null, inFlight.pending.isFinished());
   }
 
   private void complete(
-      AttemptSender.InFlightAttempt inFlightAttempt,
+      InFlightAttempt inFlight,
       Result result,
       Detail detail,
       Duration sourceWait,
-      boolean requestClosed) {
-    PendingRequest pending = inFlightAttempt.pending;
-    if (!pending.inFlight.remove(inFlightAttempt)) {
+      boolean requestCompleted) {
+    PendingRequest pending = inFlight.pending;
+    if (!pending.remove(inFlight)) {
       return;
     }
-    if (requestClosed) {
-      markFinished(pending);
-    }
-    inFlightAttempt.attempt.outcome =
-        new Outcome(
-            result,
-            detail,
-            eventLoop.now().minus(inFlightAttempt.attempt.sentAt),
-            sourceWait,
-            requestClosed);
-    router.onOutcome(pending, inFlightAttempt.attempt);
-    inFlightAttempt.release();
-    if (pending.finished && pending.inFlight.isEmpty()) {
-      pending.releaseBody();
+    if (requestCompleted) {
+      finish(pending);
     }
+    Attempt attempt = inFlight.attempt;
+    Duration duration = eventLoop.now().minus(attempt.sentAt);
+    attempt.outcome = new Outcome(result, detail, duration, sourceWait, requestCompleted);
+    router.onOutcome(pending, attempt);
+    inFlight.release();
   }
 
-  /** The client's time is over: what is out is too late, and the final answer is due. */
+  /**
+   * Handles the client's deadline, or the gateway's end: what is in flight is too late, and the
+   * response is due.
+   */
   void onDeadline(PendingRequest pending) {
-    // Told of the first trip's end the module may name another, which nobody would wait for.
-    pending.noFurtherAttempts = true;
-    for (AttemptSender.InFlightAttempt inFlightAttempt : List.copyOf(pending.inFlight)) {
-      inFlightAttempt.cancel();
-      inFlightAttempt.response.discard();
-      complete(
-          inFlightAttempt,
-          inFlightAttempt.resultIfStarted(Result.TIMED_OUT),
-          Detail.UNKNOWN,
-          null,
-          pending.finished);
+    pending.stopAttempts();
+    for (InFlightAttempt inFlight : pending.inFlight()) {
+      inFlight.cancel();
+      onFailure(inFlight, inFlight.resultIfStarted(Result.TIMED_OUT));
     }
-    if (!pending.finished) {
-      Log.info("defect", "no final answer at the cut-off");
+    if (!pending.isFinished()) {
+      Log.info("defect", "no final response at the deadline");
       fail(pending);
     }
   }
 
-  /**
-   * The client seems to have gone: a trip that waits for its connection ends now, and none more is
-   * begun.
-   */
+  /** Handles a client that seems to have gone: only attempts that were written go on. */
   void onClientDisconnected(PendingRequest pending) {
-    pending.noFurtherAttempts = true;
-    for (AttemptSender.InFlightAttempt inFlightAttempt : List.copyOf(pending.inFlight)) {
-      if (!inFlightAttempt.started) {
-        inFlightAttempt.cancel();
-        onFailure(inFlightAttempt, Result.NOT_SENT);
+    pending.stopAttempts();
+    for (InFlightAttempt inFlight : pending.inFlight()) {
+      if (!inFlight.isStarted()) {
+        inFlight.cancel();
+        onFailure(inFlight, Result.NOT_SENT);
       }
     }
   }
 
+  /** Handles a client that no longer waits: no response is owed. */
   void onClientCancelled(PendingRequest pending) {
-    markFinished(pending);
-    for (AttemptSender.InFlightAttempt inFlightAttempt : List.copyOf(pending.inFlight)) {
-      inFlightAttempt.cancel();
-      onFailure(inFlightAttempt, inFlightAttempt.resultIfStarted(Result.CANCELLED));
-    }
-    if (pending.inFlight.isEmpty()) {
-      pending.releaseBody();
+    finish(pending);
+    for (InFlightAttempt inFlight : pending.inFlight()) {
+      inFlight.cancel();
+      onFailure(inFlight, inFlight.resultIfStarted(Result.CANCELLED));
     }
   }
 
+  /**
+   * Tells the client that nothing ran.
+   *
+   * @param retryAfter how long the client should stay away; null for no advice
+   */
   void reject(PendingRequest pending, Duration retryAfter) {
-    pending.client.responses.send(
-        pending.tag,
-        "NAK",
-        new FieldList()
-            .with("backoff", retryAfter == null ? null : Math.max(1, retryAfter.toMillis())));
+    pending.client.responses.send(ClientProtocol.encodeRejection(pending.tag, retryAfter));
     finish(pending);
   }
 
+  /** Tells the client that the request failed and may have run. */
   void fail(PendingRequest pending) {
-    pending.client.responses.send(pending.tag, "FAIL");
+    pending.client.responses.send(ClientProtocol.encodeResponse(pending.tag, ClientStatus.FAILED));
     finish(pending);
   }
 
   private void finish(PendingRequest pending) {
-    markFinished(pending);
-    if (pending.inFlight.isEmpty()) {
-      pending.releaseBody();
-    }
-  }
-
-  private void markFinished(PendingRequest pending) {
-    if (!pending.finished) {
-      pending.finished = true;
-      pending.decisionTimer.run();
-      pending.deadlineTimer.run();
+    if (pending.finish()) {
       admission.onRequestFinished(pending);
     }
   }
--- a/router/src/main/java/tamarindroute/gateway/PendingRequest.java
+++ b/router/src/main/java/tamarindroute/gateway/PendingRequest.java
@@ -5,62 +5,152 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.mina.core.buffer.IoBuffer;
+import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Request;
+import tamarindroute.protocol.CallFields;
 
 /**
- * A view in hand, from its admission to its final answer and the end of its last trip. It owns what
- * the client sent and the trips that are out; it must never reach a socket itself.
+ * An admitted request, from its admission to its final response and the end of its last attempt.
+ *
+ * <p>It is open until {@link #finish}; no response is owed after that, but attempts may still be in
+ * flight. The client's body is kept for further attempts and freed once the request is finished and
+ * nothing is in flight.
  */
 final class PendingRequest {
 
   final ClientConnection client;
   final String tag;
-  final String id;
   final String requestClassName;
-  final String objectId;
-  final String idempotencyKey;
-  final String clientCopyTag;
+  final CallFields fields;
   final Request request;
-  final ArrayDeque<IoBuffer> body;
   final int bodyLength;
-  final List<AttemptSender.InFlightAttempt> inFlight = new ArrayList<>(2);
-  Runnable decisionTimer = () -> {};
-  Runnable deadlineTimer = () -> {};
-  boolean finished;
 
-  /** No further attempt is begun: its time is over, or its client has gone, or the gateway ends. */
-  boolean noFurtherAttempts;
-
-  /** Attempts that the module named and that were not begun for that. */
-  int unsentAttempts;
+  private final ArrayDeque<IoBuffer> body;
+  private final List<AttemptSender.InFlightAttempt> inFlight = new ArrayList<>(2);
+  private Runnable cancelDecisionTimer = () -> {};
+  private Runnable cancelDeadlineTimer = () -> {};
+  private boolean finished;
+  private boolean attemptsStopped;
+  private int unsentAttempts;
 
   PendingRequest(
       ClientConnection client,
-      ClientConnection.ClientCall call,
-      Request request,
-      String id,
-      String objectId,
-      String idempotencyKey,
-      String clientCopyTag) {
+      ClientConnection.ReceivedCall received,
+      CallFields fields,
+      Request request) {
     this.client = client;
-    this.tag = call.tag();
-    this.requestClassName = call.requestClass();
-    this.body = call.body();
-    this.bodyLength = call.bodyLength();
+    this.tag = received.call().tag();
+    this.requestClassName = received.call().requestClass();
+    this.body = received.body();
+    this.bodyLength = received.bodyLength();
+    this.fields = fields;
     this.request = request;
-    this.id = id;
-    this.objectId = objectId;
-    this.idempotencyKey = idempotencyKey;
-    this.clientCopyTag = clientCopyTag;
   }
 
-  /** What the client still waits, as of now. */
+  /** Id that the client gave the request, unique among those in flight. */
+  String id() {
+    return fields.requestId();
+  }
+
+  /** The client's body; empty once it is freed. */
+  Iterable<IoBuffer> body() {
+    return body;
+  }
+
+  /** How long the client still waits; negative past the deadline. */
   Duration timeLeft(Duration now) {
     return request.deadline.minus(now);
   }
 
-  void releaseBody() {
-    body.forEach(IoBuffer::free);
-    body.clear();
+  void setDeadlineTimer(Runnable cancel) {
+    cancelDeadlineTimer = cancel;
+  }
+
+  /** Sets the timer of the next decision in place of the former one. */
+  void setDecisionTimer(Runnable cancel) {
+    cancelDecisionTimer.run();
+    cancelDecisionTimer = cancel;
+  }
+
+  void stopDecisionTimer() {
+    cancelDecisionTimer.run();
+  }
+
+  /** Whether no response is owed any more. */
+  boolean isFinished() {
+    return finished;
+  }
+
+  /**
+   * Marks that no response is owed any more, and stops the timers.
+   *
+   * @return false if the request was finished before
+   */
+  boolean finish() {
+    if (finished) {
+      return false;
+    }
+    finished = true;
+    cancelDecisionTimer.run();
+    cancelDeadlineTimer.run();
+    releaseBodyIfUnused();
+    return true;
+  }
+
+  /**
+   * From now on no attempt is begun: the deadline has passed, the client has gone or the gateway
+   * stops.
+   */
+  void stopAttempts() {
+    attemptsStopped = true;
+  }
+
+  boolean areAttemptsStopped() {
+    return attemptsStopped;
+  }
+
+  /** Counts an attempt that was decided on and not begun; returns how many there were. */
+  int countUnsentAttempt() {
+    unsentAttempts++;
+    return unsentAttempts;
+  }
+
+  /** Attempts in flight, as of now. */
+  List<AttemptSender.InFlightAttempt> inFlight() {
+    return List.copyOf(inFlight);
+  }
+
+  /** The attempt in flight that was decided on so; null if it has ended. */
+  AttemptSender.InFlightAttempt inFlight(Attempt attempt) {
+    for (AttemptSender.InFlightAttempt candidate : inFlight) {
+      if (candidate.attempt == attempt) {
+        return candidate;
+      }
+    }
+    return null;
+  }
+
+  void add(AttemptSender.InFlightAttempt attempt) {
+    inFlight.add(attempt);
+  }
+
+  /**
+   * Notes that an attempt has ended.
+   *
+   * @return false if it had ended before
+   */
+  boolean remove(AttemptSender.InFlightAttempt attempt) {
+    if (!inFlight.remove(attempt)) {
+      return false;
+    }
+    releaseBodyIfUnused();
+    return true;
+  }
+
+  private void releaseBodyIfUnused() {
+    if (finished && inFlight.isEmpty()) {
+      body.forEach(IoBuffer::free);
+      body.clear();
+    }
   }
 }
--- a/router/src/main/java/tamarindroute/gateway/RequestPipeline.java
+++ b/router/src/main/java/tamarindroute/gateway/RequestPipeline.java
@@ -8,10 +8,7 @@
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.settings.SettingsReader;
 
-/**
- * Owns the wiring of one module with its list and its stages: take in, admit, route, send, relay,
- * book. It must hold nothing of a view.
- */
+/** Wires the stages that a request passes to one policy and its endpoints. */
 final class RequestPipeline {
 
   private final BufferPool bufferPool;
@@ -43,30 +40,31 @@
     return endpoints;
   }
 
-  /** The first stage of a new client's connection. */
+  /** Handler of a new client's connection. */
   ClientConnection acceptClient(Connection connection) {
     return new ClientConnection(admission, relay, bufferPool, eventLoop, connection);
   }
 
-  /** The pool has room again. */
+  /** The buffer pool has room again. */
   void onCapacityAvailable() {
     relay.onCapacityAvailable();
   }
 
   void setReady(boolean isReady) {
-    admission.ready(isReady);
+    admission.setReady(isReady);
   }
 
-  /** Takes in no more. */
+  /** From now on calls are rejected. */
   void startDraining() {
     admission.startDraining();
   }
 
-  /** Answers all that is in hand. */
+  /** Gives every request in flight its final response now. */
   void finishAll() {
     admission.finishAll();
   }
 
+  /** Requests in flight; may be read on any thread. */
   int inFlight() {
     return admission.inFlight();
   }
--- a/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
+++ b/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
@@ -13,18 +13,21 @@
 import tamarindroute.net.BufferPool;
 import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
-import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.CacheResponse;
+import tamarindroute.protocol.CacheStatus;
+import tamarindroute.protocol.ClientProtocol;
 import tamarindroute.protocol.RespWriter;
 
 /**
- * The fifth stage: owns the way of an answer's bytes from a cache to the client. An answer waits in
- * the pool's buffers until it is whole, so that one which breaks off leaves no trace on the
- * client's connection and its view can go on. It must never let a broken answer look whole, nor
- * hold bytes past the pool's room.
+ * Fifth stage of the pipeline: carries responses from caches to clients.
+ *
+ * <p>A response waits in the pool's buffers until it is whole, so that one which breaks off leaves
+ * no trace on the client's connection and the request can be tried elsewhere. Where buffers run
+ * short, caches' connections are paused and the slowest client may be closed.
  */
 final class ResponseRelay {
 
-  /** A client that has left less than two of the largest answers unread is not called slow. */
+  /** Unsent bytes from which a client counts as slow: two of the largest responses. */
   private static final long SLOW_CLIENT_BYTES = 2 * 240_000;
 
   private final BufferPool bufferPool;
@@ -32,7 +35,7 @@
   private final Set<ClientWriter> clientWriters = new LinkedHashSet<>();
   private final List<Connection> pausedConnections = new ArrayList<>();
 
-  /** The bytes still to come of answers that were let in to the pool. */
+  /** Bytes still to come of responses for which room is reserved. */
   private long reservedBytes;
 
   ResponseRelay(BufferPool bufferPool, EventLoop eventLoop) {
@@ -40,131 +43,126 @@
     this.eventLoop = eventLoop;
   }
 
-  /** The frames written to one client. */
+  /** Writes frames to one client; registered from its creation to {@link #unregister}. */
   final class ClientWriter {
 
-    final Connection connection;
+    private final Connection connection;
 
     ClientWriter(Connection connection) {
       this.connection = connection;
       clientWriters.add(this);
     }
 
-    /** A frame without fields or body. */
-    void send(String tag, String status) {
-      send(tag, status, new FieldList());
-    }
-
-    void send(String tag, String status, FieldList fields) {
-      ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-      Connection.copy(
-          ByteBuffer.wrap(RespWriter.frame(tag, status, fields.format(""), "")), bufferPool, frame);
-      connection.write(frame);
+    /** Writes a whole frame. */
+    void send(byte[] frame) {
+      ArrayDeque<IoBuffer> buffers = new ArrayDeque<>();
+      Connection.copy(ByteBuffer.wrap(frame), bufferPool, buffers);
+      connection.write(buffers);
     }
 
+    /** The connection is closed. */
     void unregister() {
       clientWriters.remove(this);
     }
   }
 
-  /** One answer's way. */
+  /** The response to one attempt, collected until it is whole or discarded. */
   final class PendingResponse {
 
     private final PendingRequest pending;
-    private final ArrayDeque<IoBuffer> parts = new ArrayDeque<>();
+    private final ArrayDeque<IoBuffer> buffers = new ArrayDeque<>();
     private int remaining;
-    private boolean admitted;
+
+    /** Whether room for the rest of the response is reserved. */
+    private boolean reserved;
 
     PendingResponse(PendingRequest pending) {
       this.pending = pending;
     }
 
-    /** The answer begins: its frame's opening is made, for its tag and length are known. */
-    void begin(FieldList responseFields, int length) {
-      FieldList fields = new FieldList().with("ver", responseFields.text("digest"));
-      Connection.copy(
-          RespWriter.frameHeader(length, pending.tag, "ACK", fields.format("")), bufferPool, parts);
-      remaining = length;
+    /** Starts a served response with a body of this length. */
+    void begin(CacheResponse head, int bodyLength) {
+      ByteBuffer header =
+          ClientProtocol.encodeServedHeader(pending.tag, head.copyTag(), bodyLength);
+      Connection.copy(header, bufferPool, buffers);
+      remaining = bodyLength;
     }
 
     /**
-     * A part of the answer has come. Only an answer for whose rest there is room goes on, else its
-     * cache has to wait: half answers that fill the pool between them would wait for one another.
-     * One may always go on, unless it is the clients who leave unread what fills the pool.
+     * Adds a part of the body. Only a response for whose rest there is room goes on, else its
+     * connection is paused: half responses that fill the pool between them would wait for each
+     * other. One may always go on, unless it is slow clients that fill the pool.
      */
-    void append(ByteBuffer bytes, Connection source) {
-      int count = bytes.remaining();
-      Connection.copy(bytes, bufferPool, parts);
+    void append(ByteBuffer part, Connection source) {
+      int count = part.remaining();
+      Connection.copy(part, bufferPool, buffers);
       remaining -= count;
-      if (admitted) {
+      if (reserved) {
         reservedBytes -= count;
       } else if (bufferPool.hasCapacityFor(reservedBytes + remaining)
-          || reservedBytes == 0 && unreadBytes() < SLOW_CLIENT_BYTES) {
-        admitted = true;
+          || reservedBytes == 0 && unsentBytes() < SLOW_CLIENT_BYTES) {
+        reserved = true;
         reservedBytes += remaining;
       } else {
         applyBackpressure(source);
       }
     }
 
-    /** The whole answer goes to the client. */
-    void finish(FieldList responseFields, boolean notModified) {
-      if (notModified) {
+    /** Sends the whole response to the client. */
+    void finish(CacheResponse head) {
+      if (head.status() == CacheStatus.NOT_MODIFIED) {
         discard();
         pending.client.responses.send(
-            pending.tag,
-            "ACK",
-            new FieldList().with("unchanged", 1).with("ver", responseFields.text("digest")));
+            ClientProtocol.encodeNotModified(pending.tag, head.copyTag()));
         return;
       }
-      Connection.copy(RespWriter.frameTrailer(), bufferPool, parts);
-      pending.client.responses.connection.write(parts);
+      Connection.copy(RespWriter.frameTrailer(), bufferPool, buffers);
+      pending.client.responses.connection.write(buffers);
       releaseReservation();
     }
 
-    /** The answer is not wanted, or broke. */
+    /** Frees the buffers of a response that is not wanted or broke off. */
     void discard() {
-      parts.forEach(IoBuffer::free);
-      parts.clear();
+      buffers.forEach(IoBuffer::free);
+      buffers.clear();
       releaseReservation();
     }
 
-    /** What it was promised and has not used is others'. */
     private void releaseReservation() {
-      if (admitted) {
-        admitted = false;
+      if (reserved) {
+        reserved = false;
         reservedBytes -= remaining;
         eventLoop.execute(ResponseRelay.this::onCapacityAvailable);
       }
     }
   }
 
+  /** Creates the response to a new attempt. */
   PendingResponse openResponse(PendingRequest pending) {
     return new PendingResponse(pending);
   }
 
-  private long unreadBytes() {
+  private long unsentBytes() {
     return clientWriters.stream().mapToLong(writer -> writer.connection.unsentBytes()).sum();
   }
 
-  /**
-   * No room: the client that has left most unread is let go, if it is slow; else the cache has to
-   * wait.
-   */
+  /** Closes the client with most unsent bytes, if it is slow, and pauses the cache's connection. */
   private void applyBackpressure(Connection source) {
-    ClientWriter slowestClient =
-        clientWriters.stream()
-            .max(Comparator.comparingLong(writer -> writer.connection.unsentBytes()))
-            .orElse(null);
-    if (slowestClient != null && slowestClient.connection.unsentBytes() > SLOW_CLIENT_BYTES) {
-      Log.info("client-slow", slowestClient.connection.unsentBytes() + " bytes left unread");
-      slowestClient.connection.close(CloseReason.CLOSED_LOCALLY, false);
-    }
+    clientWriters.stream()
+        .map(writer -> writer.connection)
+        .max(Comparator.comparingLong(Connection::unsentBytes))
+        .filter(slowest -> slowest.unsentBytes() > SLOW_CLIENT_BYTES)
+        .ifPresent(ResponseRelay::closeSlowClient);
     source.pause();
     pausedConnections.add(source);
   }
 
-  /** There is room in the pool again, or an answer that was let in is over. */
+  private static void closeSlowClient(Connection client) {
+    Log.info("client-slow", client.unsentBytes() + " bytes unsent");
+    client.close(CloseReason.CLOSED_LOCALLY, false);
+  }
+
+  /** Resumes the paused connections: the pool has room again, or a reservation ended. */
   void onCapacityAvailable() {
     List<Connection> resumable = List.copyOf(pausedConnections);
     pausedConnections.clear();
--- a/router/src/main/java/tamarindroute/gateway/Router.java
+++ b/router/src/main/java/tamarindroute/gateway/Router.java
@@ -1,6 +1,7 @@
 package tamarindroute.gateway;
 
 import java.time.Duration;
+import java.util.function.Supplier;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Decision;
 import tamarindroute.decision.Outcome;
@@ -9,14 +10,14 @@
 import tamarindroute.log.Log;
 
 /**
- * The third stage: asks the module where a view goes, carries out the answer, and sets the timer
- * for the next question. It must never answer in the module's stead, but where that has failed.
+ * Third stage of the pipeline: asks the policy what to do with a request, carries the decision out,
+ * and sets the timer of the next decision.
  */
 final class Router {
 
   /**
-   * More attempts than settings allow one request; past it the module is taken to name them without
-   * end.
+   * Far more attempts than settings allow one request; past it the policy is taken to decide
+   * without end.
    */
   private static final int MAX_UNSENT_ATTEMPTS = 16;
 
@@ -30,73 +31,85 @@
     this.eventLoop = eventLoop;
   }
 
+  /** Sets the stages that carry decisions out. */
   void connect(AttemptSender attemptSender, OutcomeHandler handler) {
     sender = attemptSender;
     outcomeHandler = handler;
   }
 
+  /** Has a request routed that is new or whose decision timer has fired. */
   void route(PendingRequest pending) {
-    execute(pending, () -> policy.route(pending.request, eventLoop.now()));
+    execute(pending, decide(() -> policy.route(pending.request, eventLoop.now())));
   }
 
-  /** The module is told of a trip's outcome and says what follows. */
+  /** Tells the policy of an attempt's outcome and does what it decides then. */
   void onOutcome(PendingRequest pending, Attempt attempt) {
-    execute(pending, () -> policy.onOutcome(pending.request, attempt, eventLoop.now()));
+    execute(pending, decide(() -> policy.onOutcome(pending.request, attempt, eventLoop.now())));
   }
 
   /**
-   * An attempt that must not begin: the module has counted it, and is told that it was not sent,
-   * until it gives the view up in its own words; whether that is harmless is the module's to say.
+   * Fails the request if the policy itself fails: that costs one request, which still gets its one
+   * response.
    */
-  private void reportUnsent(PendingRequest pending, Attempt attempt) {
-    pending.noFurtherAttempts = true;
-    attempt.sentAt = eventLoop.now();
-    pending.request.attempts.add(attempt);
-    attempt.outcome =
-        new Outcome(Outcome.Result.NOT_SENT, Outcome.Detail.UNKNOWN, Duration.ZERO, null, false);
-    if (++pending.unsentAttempts > MAX_UNSENT_ATTEMPTS) {
-      outcomeHandler.fail(pending);
-    } else {
-      onOutcome(pending, attempt);
-    }
-  }
-
-  private interface PolicyCall {
-    Decision decide();
-  }
-
-  private void execute(PendingRequest pending, PolicyCall policyCall) {
-    Decision decision;
+  private static Decision decide(Supplier<Decision> question) {
     try {
-      decision = policyCall.decide();
+      return question.get();
     } catch (RuntimeException e) {
-      // A defect must cost one view, which still gets its one answer, and promises nothing.
       Log.defect(e);
-      decision = new Decision.Fail();
+      return new Decision.Fail();
     }
-    pending.decisionTimer.run();
+  }
+
+  private void execute(PendingRequest pending, Decision decision) {
+    pending.stopDecisionTimer();
     if (decision instanceof Decision.Cancel cancel) {
       sender.cancel(pending, cancel.attempt());
-    } else if (pending.finished) {
+    } else if (pending.isFinished()) {
       return;
-    } else if (decision instanceof Attempt attempt
-        && (pending.noFurtherAttempts || pending.client.responses.connection.isAbandoned())) {
-      reportUnsent(pending, attempt);
     } else if (decision instanceof Attempt attempt) {
-      attempt.sentAt = eventLoop.now();
-      pending.request.attempts.add(attempt);
-      sender.send(pending, attempt);
+      start(pending, attempt);
     } else if (decision instanceof Decision.Reject reject) {
       outcomeHandler.reject(pending, reject.retryAfter());
     } else if (decision instanceof Decision.Fail) {
       outcomeHandler.fail(pending);
     }
-    if (!pending.finished) {
-      Duration delay = policy.nextDecisionDelay(pending.request, eventLoop.now());
-      pending.decisionTimer.run();
-      if (delay != null) {
-        pending.decisionTimer = eventLoop.schedule(delay, () -> route(pending));
-      }
+    if (!pending.isFinished()) {
+      scheduleNextDecision(pending);
+    }
+  }
+
+  private void start(PendingRequest pending, Attempt attempt) {
+    boolean stopped = pending.areAttemptsStopped() || pending.client.isAbandoned();
+    attempt.sentAt = eventLoop.now();
+    pending.request.attempts.add(attempt);
+    if (stopped) {
+      reportUnsent(pending, attempt);
+    } else {
+      sender.send(pending, attempt);
+    }
+  }
+
+  /**
+   * Reports an attempt that must not begin as not sent. The policy decides again, until it gives
+   * the request up: only it knows whether a rejection is harmless.
+   */
+  private void reportUnsent(PendingRequest pending, Attempt attempt) {
+    pending.stopAttempts();
+    attempt.outcome =
+        new Outcome(Outcome.Result.NOT_SENT, Outcome.Detail.UNKNOWN, Duration.ZERO, null, false);
+    if (pending.countUnsentAttempt() > MAX_UNSENT_ATTEMPTS) {
+      outcomeHandler.fail(pending);
+    } else {
+      onOutcome(pending, attempt);
+    }
+  }
+
+  private void scheduleNextDecision(PendingRequest pending) {
+    Duration delay = policy.nextDecisionDelay(pending.request, eventLoop.now());
+    if (delay == null) {
+      pending.stopDecisionTimer();
+    } else {
+      pending.setDecisionTimer(eventLoop.schedule(delay, () -> route(pending)));
     }
   }
 }
--- /dev/null
+++ b/router/src/main/java/tamarindroute/gateway/WarmUpCache.java
@@ -0,0 +1,74 @@
+package tamarindroute.gateway;
+
+import java.nio.ByteBuffer;
+import tamarindroute.net.CloseReason;
+import tamarindroute.net.Connection;
+import tamarindroute.net.ConnectionHandler;
+import tamarindroute.protocol.CacheProtocol;
+import tamarindroute.protocol.CacheResponse;
+import tamarindroute.protocol.CacheStatus;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.RespReader;
+import tamarindroute.protocol.RespWriter;
+
+/** The caches' side of the warm-up: serves most requests and misses some. */
+final class WarmUpCache implements ConnectionHandler {
+
+  /** One request in so many is a miss. */
+  private static final int MISS_INTERVAL = 3;
+
+  private final Connection connection;
+  private final RespReader reader =
+      new RespReader(
+          CacheProtocol.MAX_ARGUMENTS, CacheProtocol.MAX_ARGUMENT_BYTES, WarmUp.BODY_LENGTH);
+  private final byte[] body = new byte[WarmUp.BODY_LENGTH];
+  private int requestCount;
+
+  WarmUpCache(Connection connection) {
+    this.connection = connection;
+  }
+
+  @Override
+  public void onReceived(ByteBuffer bytes) {
+    try {
+      RespReader.Step step = reader.next(bytes);
+      while (step != RespReader.Step.NEED_MORE_BYTES) {
+        if (step == RespReader.Step.END && CacheProtocol.isRequest(reader.arguments())) {
+          respond(reader.arguments().get(1));
+        }
+        step = reader.next(bytes);
+      }
+    } catch (MalformedMessageException e) {
+      connection.close(CloseReason.PROTOCOL_ERROR, false);
+    }
+  }
+
+  private void respond(String requestId) {
+    boolean miss = requestCount % MISS_INTERVAL == 0;
+    requestCount++;
+    if (miss) {
+      write(CacheProtocol.encodeResponseHeader(requestId, CacheStatus.MISS, null, 0));
+    } else {
+      write(
+          CacheProtocol.encodeResponseHeader(
+              requestId,
+              CacheStatus.SERVED,
+              CacheResponse.hitFields(WarmUp.MARKER, 0),
+              body.length));
+      connection.write(body.clone());
+    }
+    write(RespWriter.frameTrailer());
+  }
+
+  private void write(ByteBuffer bytes) {
+    connection.write(bytes.array());
+  }
+
+  @Override
+  public void onInputClosed() {
+    connection.close(CloseReason.CLOSED_LOCALLY, false);
+  }
+
+  @Override
+  public void onClosed(CloseReason reason) {}
+}
--- a/router/src/main/java/tamarindroute/nameserver/Prober.java
+++ b/router/src/main/java/tamarindroute/nameserver/Prober.java
@@ -9,12 +9,13 @@
 import tamarindroute.dns.Probes;
 import tamarindroute.dns.Probes.Came;
 import tamarindroute.host.EndpointRegistry;
-import tamarindroute.host.LoadReportParser;
 import tamarindroute.log.Log;
 import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
 import tamarindroute.net.ResponseHandler;
 import tamarindroute.net.Scheduler;
+import tamarindroute.protocol.CacheProtocol;
+import tamarindroute.protocol.CacheResponse;
 import tamarindroute.protocol.FieldList;
 import tamarindroute.protocol.MalformedMessageException;
 
@@ -57,8 +58,7 @@
     private final Cache cache;
     private Runnable timer = () -> {};
     private Runnable quit = () -> {};
-    private String word;
-    private FieldList fields;
+    private CacheResponse response;
     private boolean over;
 
     Probe(Cache cache) {
@@ -78,9 +78,8 @@
     }
 
     @Override
-    public void onResponse(String told, FieldList values, int length) {
-      word = told;
-      fields = values;
+    public void onResponse(String status, FieldList fields, int length) {
+      response = CacheProtocol.decodeResponse(status, fields);
     }
 
     @Override
@@ -89,14 +88,14 @@
     @Override
     public void onComplete() {
       try {
-        LoadReport loadReport = LoadReportParser.parse(fields);
+        LoadReport loadReport = response.loadReport().orElse(null);
         if (loadReport != null && !over) {
           modules.forEach(module -> module.onLoadReport(cache, loadReport, scheduler.now()));
         }
       } catch (MalformedMessageException e) {
-        Log.info("cache-unreadable", e.getMessage());
+        Log.info("cache-protocol-error", e.getMessage());
       }
-      end(word.equals("READY") ? Came.READY : Came.AILING);
+      end(response.isHealthy() ? Came.READY : Came.AILING);
     }
 
     @Override
--- a/router/src/test/java/tamarindroute/gateway/RouterTest.java
+++ b/router/src/test/java/tamarindroute/gateway/RouterTest.java
@@ -2,21 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.lang.reflect.Proxy;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Decision;
 import tamarindroute.decision.Outcome;
 import tamarindroute.decision.Request;
-import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.host.EventLoop;
+import tamarindroute.protocol.CallFields;
+import tamarindroute.protocol.ClientCommand;
 
-/** What becomes of an attempt that the module names for a request which is being ended. */
+/** Attempts that the policy decides on for a request that is ending. */
 class RouterTest {
 
   private static Attempt attempt() {
@@ -25,39 +23,27 @@
   }
 
   /**
-   * The module has counted it: it is told of each as not sent, until it names no more; nothing is
-   * sent.
+   * The policy has counted the attempt: it is told that each was not sent, until it decides on no
+   * more.
    */
   @Test
   void attemptForAnEndingRequestIsReportedAsNotSent() {
-    List<Attempt> reported = new ArrayList<>();
-    RoutingPolicy policy =
-        (RoutingPolicy)
-            Proxy.newProxyInstance(
-                RoutingPolicy.class.getClassLoader(),
-                new Class<?>[] {RoutingPolicy.class},
-                (proxy, method, arguments) ->
-                    switch (method.getName()) {
-                      case "route" -> attempt();
-                      case "onOutcome" -> {
-                        reported.add((Attempt) arguments[1]);
-                        yield reported.size() < 3 ? attempt() : new Decision.Wait();
-                      }
-                      default -> null;
-                    });
+    ScriptedPolicy policy = new ScriptedPolicy();
+    for (int i = 0; i < 3; i++) {
+      policy.decisions.add(request -> attempt());
+    }
+    policy.decisions.add(request -> new Decision.Wait());
     PendingRequest pending =
         new PendingRequest(
             null,
-            new ClientConnection.ClientCall("1", "clip", "", new ArrayDeque<>(), 0, false),
-            new Request(null, 1, 0, 0, 0, Duration.ZERO, Duration.ofSeconds(9)),
-            "1",
-            "1",
-            null,
-            null);
-    pending.noFurtherAttempts = true;
-    // Without a sender: whatever is sent all the same fails.
+            new ClientConnection.ReceivedCall(
+                new ClientCommand.Call("1", "clip", ""), new ArrayDeque<>(), 0, false),
+            new CallFields("1", "1", null, null, 9000, 0, 0, 0),
+            new Request(null, 1, 0, 0, 0, Duration.ZERO, Duration.ofSeconds(9)));
+    pending.stopAttempts();
+    // There is no sender: an attempt that were sent all the same would fail.
     new Router(policy, new EventLoop()).route(pending);
-    assertThat(reported)
+    assertThat(policy.endedAttempts)
         .hasSize(3)
         .doesNotHaveDuplicates()
         .isEqualTo(pending.request.attempts)
--- a/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
+++ b/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
@@ -1,7 +1,6 @@
 package tamarindroute.host;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
 import java.lang.reflect.Proxy;
@@ -14,12 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tamarindroute.decision.Cache;
-import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Purge;
 import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.net.CacheConnectionPool;
-import tamarindroute.protocol.FieldList;
-import tamarindroute.protocol.MalformedMessageException;
 
 /**
  * The platform's formats word by word: the configuration file, the control feed's events, a cache's
@@ -163,23 +159,4 @@
                 address,
                 new CacheConnectionPool.Limits(4, 100, Duration.ofSeconds(1), Duration.ZERO)));
   }
-
-  @Test
-  void theLoadReportKeepsItsWords() throws Exception {
-    assertThat(LoadReportParser.parse(FieldList.parse("first=3,rep=util:0.25;inflight:7")))
-        .isEqualTo(new LoadReport(0.25, 7));
-    assertThat(LoadReportParser.parse(FieldList.parse("rep=utilization:2;outstanding:1e3")))
-        .isEqualTo(new LoadReport(2, 1000));
-    assertThat(LoadReportParser.parse(FieldList.parse("rep=inflight:7")))
-        .isEqualTo(new LoadReport(Double.NaN, 7));
-    assertThat(LoadReportParser.parse(FieldList.parse("rep=other:7"))).isNull();
-    assertThat(LoadReportParser.parse(FieldList.parse("-"))).isNull();
-    for (String malformed :
-        List.of("rep=util:101", "rep=util:-1", "rep=inflight:2e6", "rep=util", "rep=util:x")) {
-      FieldList fields = FieldList.parse(malformed);
-      assertThatThrownBy(() -> LoadReportParser.parse(fields))
-          .as(malformed)
-          .isInstanceOf(MalformedMessageException.class);
-    }
-  }
 }
