--- a/router/src/main/java/tamarindroute/settings/SettingsValidator.java
+++ b/router/src/main/java/tamarindroute/settings/SettingsValidator.java
@@ -1,230 +1,295 @@
 package tamarindroute.settings;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.NavigableMap;
 import java.util.Set;
+import tamarindroute.protocol.QuotedValue;
 
 /**
- * Owns what the values of a gateway's settings may be: it refuses the first that no gateway could
- * work by, by name and value, and notes words that it does not know. It must never choose a value
- * in another's place: what is absent or unknown counts as SettingsReader says, which is the careful
- * side.
+ * Refuses settings by which no gateway could work, with the key and the value of the first such
+ * one, and collects warnings of keywords that are unknown.
  */
 final class SettingsValidator {
 
-  /** Ten years: past any time that is told, and far from where a long of nanoseconds ends. */
-  private static final double MAX_DURATION_NANOS = 10 * 365 * 86_400e9;
-
-  /** Classes are numbered by two bytes on the wire. */
+  /** Classes are numbered by two bytes on the simulator's wire. */
   static final int MAX_CLASSES = 65_536;
 
-  /** No rate, size or multiple that is told comes near it. */
+  /**
+   * Ten years: past any duration in use, and far from the largest number of nanoseconds that a long
+   * holds.
+   */
+  private static final double MAX_DURATION_NANOS = 10 * 365 * 86_400e9;
+
+  /** Past any rate, size or multiple in use. */
   private static final double MAX_NUMBER = 1e12;
 
-  /** A value as it is told in a message. */
-  private static final int MAX_QUOTED_LENGTH = 60;
+  private static final int MAX_COUNT = 1_000_000;
+  private static final double ABOVE_ZERO = Double.MIN_VALUE;
 
-  private final NavigableMap<String, String> values;
+  private final NavigableMap<String, String> valuesByKey;
   private final List<String> warnings = new ArrayList<>();
 
-  SettingsValidator(NavigableMap<String, String> values) {
-    this.values = values;
+  SettingsValidator(NavigableMap<String, String> valuesByKey) {
+    this.valuesByKey = valuesByKey;
   }
 
-  /** What is odd and is taken for the careful side, a line each. */
+  /**
+   * Validates all settings that are read.
+   *
+   * @return the warnings, one line each
+   */
   List<String> validate() throws MalformedSettingsException {
-    int zoneCount = distinctNames("Zones");
-    int kindCount = distinctNames("Skus");
-    index("Zone", 0, "Zones", zoneCount, true);
-    integer("ReplicasOfMe", 1, 1_000_000, true);
-    int classCount = validateClasses();
-    flagList("FamilyInfo.NeverKept", classCount);
-    numberList("FamilyInfo.MaxAgeNs", classCount, MAX_DURATION_NANOS, false);
-    numberList("FamilyInfo.HubOf", 0, zoneCount - 1, true);
-    numberList("FamilyInfo.CountByZone", 0, 1_000_000, true);
-    numberList("FamilyInfo.InletKbPerS", 0, MAX_NUMBER, false);
-    index("FamilyInfo.MidKind", -1, "Skus", kindCount, false);
-    index("FamilyInfo.StoreKind", -1, "Skus", kindCount, false);
-    number("FamilyInfo.PaceKbPerS", 0, MAX_NUMBER, false);
-    for (String key :
-        new String[] {
-          "FamilyInfo.GoneEverywhereNs",
-          "FamilyInfo.UpperColdNs",
-          "Obligations.ColdNs",
-          "Obligations.MustAskInNs",
-          "Limits.KeepaliveNs",
-          "Limits.MaxRetryAfterNs"
-        }) {
-      number(key, 0, MAX_DURATION_NANOS, false);
-    }
-    for (String key : new String[] {"Obligations.FallNs", "Limits.ConnectTimeoutNs"}) {
-      number(key, 1, MAX_DURATION_NANOS, false);
-    }
-    for (String key : new String[] {"Obligations.ColdFrom", "FamilyInfo.ParentStartsAt"}) {
-      number(key, 0, 1, false);
-    }
-    for (String key : new String[] {"Obligations.FallMultiple", "FamilyInfo.ParentFallMultiple"}) {
-      number(key, Double.MIN_VALUE, MAX_NUMBER, false);
-    }
-    for (String key : new String[] {"Limits.TryLimit", "Limits.OpenCap", "Limits.MaxStreams"}) {
-      integer(key, 1, Integer.MAX_VALUE, false);
-    }
-    for (String key :
-        new String[] {
-          "FamilyInfo.BypassAllowed", "Limits.SecondCopies", "Limits.Cancel", "Limits.RetryAfter"
-        }) {
-      flagList(key, 1);
-    }
-    keyword("FamilyInfo.Neighbours", "off", "off", "location", "any");
-    keyword("Weights", "off", "off", "nominal", "rough", "live");
-    keyword("FamilyInfo.Says", "off", "off", "hit", "all");
+    int zoneCount = validateNames(SettingsKeys.ZONES);
+    int kindCount = validateNames(SettingsKeys.CACHE_KINDS);
+    required(SettingsKeys.ZONE);
+    validateIndex(SettingsKeys.ZONE, 0, SettingsKeys.ZONES, zoneCount);
+    required(SettingsKeys.GATEWAY_COUNT);
+    validateInteger(SettingsKeys.GATEWAY_COUNT, 1, MAX_COUNT);
+    validateClasses();
+    validateZoneLists(zoneCount);
+    validateIndex(SettingsKeys.PARENT_KIND, -1, SettingsKeys.CACHE_KINDS, kindCount);
+    validateIndex(SettingsKeys.ORIGIN_KIND, -1, SettingsKeys.CACHE_KINDS, kindCount);
+    validateNumbers();
+    validateFlags();
+    validateKeywords();
     return warnings;
   }
 
-  private int validateClasses() throws MalformedSettingsException {
-    if (!values.containsKey("Classes.count")) {
-      throw new MalformedSettingsException("no Classes");
-    }
-    int count = (int) number("Classes.count", 1, MAX_CLASSES, true);
+  private void validateClasses() throws MalformedSettingsException {
+    int classCount = classCount();
     Set<String> names = new HashSet<>();
-    for (int i = 0; i < count; i++) {
-      String prefix = "Classes." + i + ".";
-      required(prefix + "Name");
-      if (!names.add(values.get(prefix + "Name"))) {
-        warnings.add(
-            prefix
-                + "Name is "
-                + abbreviate(values.get(prefix + "Name"))
-                + ", as another's: both count as what is most careful in either");
-      }
-      number(prefix + "DeadlineNs", 1, MAX_DURATION_NANOS, true);
-      number(prefix + "GoalTimeNs", 1, MAX_DURATION_NANOS, true);
-      number(prefix + "WindowNs", 0, MAX_DURATION_NANOS, false);
-      number(prefix + "AimStretch", 0, MAX_NUMBER, false);
-      keyword(prefix + "Semantics", "side_effect", "pure", "token", "side_effect");
-      keyword(prefix + "Group", "cell", "all", "zone", "cell");
+    for (int i = 0; i < classCount; i++) {
+      validateClassName(i, names);
+      validateClassNumbers(i);
+      validateKeyword(
+          SettingsKeys.ofClass(i, SettingsKeys.CLASS_IDEMPOTENCY),
+          SettingsKeys.DEFAULT_IDEMPOTENCY,
+          SettingsKeys.IDEMPOTENCIES.keySet());
+      validateKeyword(
+          SettingsKeys.ofClass(i, SettingsKeys.CLASS_DEDUPLICATION_SCOPE),
+          SettingsKeys.DEFAULT_DEDUPLICATION_SCOPE,
+          SettingsKeys.DEDUPLICATION_SCOPES.keySet());
+    }
+    validateFlagList(SettingsKeys.CLASS_NEVER_CACHED, classCount);
+    for (String item : items(SettingsKeys.CLASS_MAX_AGE_NANOS, classCount)) {
+      number(SettingsKeys.CLASS_MAX_AGE_NANOS, item, 0, MAX_DURATION_NANOS);
     }
-    return count;
   }
 
-  /**
-   * A list of names, none of them empty or told twice: which of the two is meant could not be
-   * known.
-   */
-  private int distinctNames(String key) throws MalformedSettingsException {
-    required(key);
-    String[] names = values.get(key).split(",", -1);
+  private int classCount() throws MalformedSettingsException {
+    if (!valuesByKey.containsKey(SettingsKeys.CLASS_COUNT)) {
+      throw MalformedSettingsException.missing(SettingsKeys.CLASSES);
+    }
+    String value = required(SettingsKeys.CLASS_COUNT);
+    return (int) number(SettingsKeys.CLASS_COUNT, value, 1, MAX_CLASSES);
+  }
+
+  private void validateClassName(int index, Set<String> names) throws MalformedSettingsException {
+    String key = SettingsKeys.ofClass(index, SettingsKeys.CLASS_NAME);
+    String name = required(key);
+    if (!names.add(name)) {
+      warnings.add(
+          key
+              + " is "
+              + QuotedValue.abbreviate(name)
+              + ", the name of another class too: both take the strictest values of the two");
+    }
+  }
+
+  private void validateClassNumbers(int index) throws MalformedSettingsException {
+    String deadline = SettingsKeys.ofClass(index, SettingsKeys.CLASS_DEADLINE_NANOS);
+    required(deadline);
+    validateNumber(deadline, 1, MAX_DURATION_NANOS);
+    String objective = SettingsKeys.ofClass(index, SettingsKeys.CLASS_LATENCY_OBJECTIVE_NANOS);
+    required(objective);
+    validateNumber(objective, 1, MAX_DURATION_NANOS);
+    validateNumber(
+        SettingsKeys.ofClass(index, SettingsKeys.CLASS_DEDUPLICATION_WINDOW_NANOS),
+        0,
+        MAX_DURATION_NANOS);
+    validateNumber(
+        SettingsKeys.ofClass(index, SettingsKeys.CLASS_TRANSFER_TIME_FACTOR), 0, MAX_NUMBER);
+  }
+
+  private void validateZoneLists(int zoneCount) throws MalformedSettingsException {
+    validateIntegerList(SettingsKeys.HUB_BY_ZONE, zoneCount - 1);
+    validateIntegerList(SettingsKeys.GATEWAYS_BY_ZONE, MAX_COUNT);
+    for (String item : items(SettingsKeys.INBOUND_LINK_KB_PER_SECOND_BY_ZONE, 0)) {
+      number(SettingsKeys.INBOUND_LINK_KB_PER_SECOND_BY_ZONE, item, 0, MAX_NUMBER);
+    }
+  }
+
+  private void validateNumbers() throws MalformedSettingsException {
+    validateNumber(SettingsKeys.TRANSFER_RATE_KB_PER_SECOND, 0, MAX_NUMBER);
+    validateNumber(SettingsKeys.PURGE_PROPAGATION_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.PARENT_WARM_AFTER_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.EDGE_WARM_AFTER_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.SUBSCRIBE_WITHIN_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.KEEP_ALIVE_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.MAX_RETRY_AFTER_NANOS, 0, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.OVERLOAD_WINDOW_NANOS, 1, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.CONNECT_TIMEOUT_NANOS, 1, MAX_DURATION_NANOS);
+    validateNumber(SettingsKeys.EDGE_INITIAL_CAPACITY, 0, 1);
+    validateNumber(SettingsKeys.PARENT_INITIAL_CAPACITY, 0, 1);
+    validateNumber(SettingsKeys.EDGE_OVERLOAD_MULTIPLE, ABOVE_ZERO, MAX_NUMBER);
+    validateNumber(SettingsKeys.PARENT_OVERLOAD_MULTIPLE, ABOVE_ZERO, MAX_NUMBER);
+    validateInteger(SettingsKeys.MAX_ATTEMPTS, 1, Integer.MAX_VALUE);
+    validateInteger(SettingsKeys.MAX_IN_FLIGHT, 1, Integer.MAX_VALUE);
+    validateInteger(SettingsKeys.MAX_REQUESTS_PER_CONNECTION, 1, Integer.MAX_VALUE);
+  }
+
+  private void validateFlags() throws MalformedSettingsException {
+    validateFlagList(SettingsKeys.EDGE_BYPASS_ALLOWED, 1);
+    validateFlagList(SettingsKeys.HEDGING_ALLOWED, 1);
+    validateFlagList(SettingsKeys.CANCEL_ALLOWED, 1);
+    validateFlagList(SettingsKeys.RETRY_AFTER_ALLOWED, 1);
+  }
+
+  private void validateKeywords() throws MalformedSettingsException {
+    validateKeyword(
+        SettingsKeys.SIBLING_FILL,
+        SettingsKeys.DEFAULT_SIBLING_FILL,
+        SettingsKeys.SIBLING_FILLS.keySet());
+    validateKeyword(
+        SettingsKeys.WEIGHT_MEANING,
+        SettingsKeys.DEFAULT_WEIGHT_MEANING,
+        SettingsKeys.WEIGHT_MEANINGS.keySet());
+    validateKeyword(
+        SettingsKeys.REPORTED_DETAILS,
+        SettingsKeys.DEFAULT_REPORTED_DETAILS,
+        SettingsKeys.REPORTED_DETAIL_LEVELS.keySet());
+  }
+
+  /** Validates a list of names, none empty or given twice, and returns how many there are. */
+  private int validateNames(String key) throws MalformedSettingsException {
+    String[] names = required(key).split(",", -1);
     Set<String> distinct = new HashSet<>();
     for (String name : names) {
-      if (name.isEmpty() || !distinct.add(name)) {
-        throw invalid(
-            key, name.isEmpty() ? "holds an empty name" : "holds " + abbreviate(name) + " twice");
+      if (name.isEmpty()) {
+        throw new MalformedSettingsException(key + " holds an empty name");
+      }
+      if (!distinct.add(name)) {
+        throw new MalformedSettingsException(
+            key + " holds " + QuotedValue.abbreviate(name) + " twice, allowed: different names");
       }
     }
     return names.length;
   }
 
+  /** The value of a key that has to be there. */
   private String required(String key) throws MalformedSettingsException {
     String value = value(key);
     if (value == null) {
-      throw new MalformedSettingsException("no " + key);
+      throw MalformedSettingsException.missing(key);
     }
     return value;
   }
 
-  /** The value; null where it is absent. A list or an object in its place is neither. */
+  /** The value; null if it is absent or empty. A list or an object in its place is refused. */
   private String value(String key) throws MalformedSettingsException {
-    String value = values.get(key);
-    String nextKey = values.higherKey(key + ".");
+    String value = valuesByKey.get(key);
+    String nextKey = valuesByKey.higherKey(key + ".");
     if (nextKey != null && nextKey.startsWith(key + ".")) {
-      throw invalid(key, "holds more than one value");
+      throw new MalformedSettingsException(key + " holds more than one value, allowed: one");
     }
     return value == null || value.isEmpty() ? null : value;
   }
 
-  private double number(String key, double min, double max, boolean isRequired)
+  private void validateNumber(String key, double min, double max)
       throws MalformedSettingsException {
-    String value = isRequired ? required(key) : value(key);
-    return value == null ? min : number(key, value, min, max);
+    String value = value(key);
+    if (value != null) {
+      number(key, value, min, max);
+    }
   }
 
   private static double number(String key, String value, double min, double max)
       throws MalformedSettingsException {
-    double number = SettingsReader.number(key, value);
+    double number = SettingsValues.parseNumber(key, value);
     if (number < min || number > max) {
-      throw invalid(
-          key, "is " + abbreviate(value) + (number < min ? ", too little" : ", too much"));
+      throw new MalformedSettingsException(key, value, "a number " + range(min, max));
     }
     return number;
   }
 
-  private void integer(String key, int min, int max, boolean isRequired)
-      throws MalformedSettingsException {
-    double number = number(key, min, max, isRequired);
-    if (number != Math.rint(number)) {
-      throw invalid(key, "is " + abbreviate(values.get(key)) + ", no whole number");
+  private void validateInteger(String key, int min, int max) throws MalformedSettingsException {
+    String value = value(key);
+    if (value != null) {
+      integer(key, value, min, max);
     }
   }
 
-  private void index(String key, int min, String list, int size, boolean isRequired)
+  private static int integer(String key, String value, int min, int max)
       throws MalformedSettingsException {
-    integer(key, min, Integer.MAX_VALUE, isRequired);
-    if (value(key) != null && Double.parseDouble(values.get(key)) >= size) {
-      throw invalid(key, "is " + abbreviate(values.get(key)) + ", and " + list + " holds " + size);
+    double number = SettingsValues.parseNumber(key, value);
+    if (number < min || number > max || number != Math.rint(number)) {
+      throw new MalformedSettingsException(key, value, "a whole number " + range(min, max));
     }
+    return (int) number;
   }
 
-  /**
-   * A list with a number for each, if it is there at all; the first figure is how many there have
-   * to be, or 0.
-   */
-  private void numberList(String key, int count, double max, boolean integersOnly)
+  private static String range(double min, double max) {
+    return (min == ABOVE_ZERO ? "above 0" : "from " + readable(min)) + " to " + readable(max);
+  }
+
+  /** Whole numbers without a fraction. */
+  private static String readable(double number) {
+    return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
+  }
+
+  /** Validates an index of a list that has so many items; absent is allowed. */
+  private void validateIndex(String key, int min, String listKey, int listSize)
       throws MalformedSettingsException {
-    String[] items = items(key, count);
-    for (String item : items) {
-      double number = number(key, item, 0, max);
-      if (integersOnly && number != Math.rint(number)) {
-        throw invalid(key, "holds " + abbreviate(item) + ", no whole number");
-      }
+    String value = value(key);
+    if (value != null && integer(key, value, min, Integer.MAX_VALUE) >= listSize) {
+      throw new MalformedSettingsException(
+          key, value, "an index of " + listKey + ", " + range(min, listSize - 1));
+    }
+  }
+
+  private void validateIntegerList(String key, int max) throws MalformedSettingsException {
+    for (String item : items(key, 0)) {
+      integer(key, item, 0, max);
     }
   }
 
-  private void flagList(String key, int count) throws MalformedSettingsException {
-    for (String item : items(key, count)) {
-      if (!item.equals("true") && !item.equals("false")) {
-        throw invalid(key, "holds " + abbreviate(item) + ", not true or false");
+  /** Validates a list of true and false with so many items at least; absent is allowed. */
+  private void validateFlagList(String key, int minCount) throws MalformedSettingsException {
+    for (String item : items(key, minCount)) {
+      if (!item.equals(SettingsKeys.TRUE) && !item.equals(SettingsKeys.FALSE)) {
+        throw new MalformedSettingsException(
+            key, item, SettingsKeys.TRUE + " or " + SettingsKeys.FALSE);
       }
     }
   }
 
-  private String[] items(String key, int count) throws MalformedSettingsException {
+  /** The items of a list; none if it is absent. */
+  private String[] items(String key, int minCount) throws MalformedSettingsException {
     String value = value(key);
-    String[] items = value == null ? new String[0] : value.split(",", -1);
-    if (value != null && items.length < count) {
-      throw invalid(key, "holds " + items.length + " of " + count);
+    if (value == null) {
+      return new String[0];
+    }
+    String[] items = value.split(",", -1);
+    if (items.length < minCount) {
+      throw new MalformedSettingsException(
+          key + " holds " + items.length + " of " + minCount + " values that are required");
     }
     return items;
   }
 
-  /** A word of a few; another is noted, for later platforms may have more of them. */
-  private void keyword(String key, String fallback, String... known)
+  /** Warns of a keyword that is unknown, as a later platform's may be. */
+  private void validateKeyword(String key, String defaultKeyword, Set<String> known)
       throws MalformedSettingsException {
     String value = value(key);
-    if (value != null && !Arrays.asList(known).contains(value)) {
-      warnings.add(key + " is " + abbreviate(value) + ", which is unknown: counts as " + fallback);
+    if (value != null && !known.contains(value)) {
+      warnings.add(
+          key
+              + " is "
+              + QuotedValue.abbreviate(value)
+              + ", which is unknown: counts as "
+              + defaultKeyword);
     }
   }
-
-  private static MalformedSettingsException invalid(String key, String reason) {
-    return new MalformedSettingsException(key + " " + reason);
-  }
-
-  /** On one line, and no longer than can be read. */
-  static String abbreviate(String value) {
-    String line = value.replaceAll("\\p{Cntrl}", "?");
-    return line.length() <= MAX_QUOTED_LENGTH ? line : line.substring(0, MAX_QUOTED_LENGTH) + "...";
-  }
 }
