--- a/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
@@ -17,16 +17,12 @@
 import tamarindroute.example.ToyServer;
 
 /**
- * Few descriptors, and clients that take all they can get: the feed, the door and the caches still
- * have theirs.
+ * Few descriptors and many idle clients: the feed, the listener and the caches keep their share.
  */
 @Timeout(60)
 class DescriptorExhaustionIT extends GatewayHarness {
 
-  /**
-   * So many looks in a row, 10 ms apart, with no more open than the shares: the crowd has passed
-   * the door.
-   */
+  /** Samples in a row, 10 ms apart, within the shares: all clients have been accepted or closed. */
   private static final int STABLE_SAMPLES = 10;
 
   private long openDescriptors() throws IOException {
@@ -36,8 +32,8 @@
   }
 
   /**
-   * Idle clients fill the door while discovery is down; a drain told at its return is known,
-   * clients are served.
+   * Idle clients use up the listener's share while the feed is down; after its return a drain is
+   * known and clients are served.
    */
   @ParameterizedTest
   @ValueSource(ints = {256, 128})
@@ -45,7 +41,7 @@
     descriptors = limit;
     restartWithMinimumMemory();
     long atRest = openDescriptors();
-    // What is not the program's own 64 is shared by both sides.
+    // Both sides share what is not reserved for the program's own 64.
     int side = (limit - 64) / 2;
     List<Socket> idle = new ArrayList<>();
     long most = 0;
@@ -59,7 +55,7 @@
         one.connect(address, 2000);
         most = Math.max(most, openDescriptors());
       }
-      // A client that comes in the midst of such a crowd may find the door shut.
+      // A client that connects among so many others may be closed.
       for (int i = 0, stableSamples = 0; i < 500 && stableSamples < STABLE_SAMPLES; i++) {
         stableSamples = openDescriptors() > atRest + side ? 0 : stableSamples + 1;
         TimeUnit.MILLISECONDS.sleep(10);
@@ -92,7 +88,7 @@
   }
 
   /**
-   * A limit of the machine's that is lower than the one told: what cannot be taken in waits, and
+   * The machine's limit is lower than the configured one: connections wait to be accepted and
    * nothing ends.
    */
   @Test
--- a/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
@@ -16,6 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,7 +26,7 @@
 
 /**
  * The program, started as the deployment file says, between toy caches, a toy feed and clients on
- * sockets. It owns what it starts and ends it; it must never hold what only one test needs.
+ * sockets. Holds what several tests need.
  */
 abstract class GatewayHarness {
 
@@ -33,6 +35,9 @@
           + "\"addr\":\"127.0.0.1:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"%s\",\"weight\":40,"
           + "\"started_ms\":0}]}}";
 
+  /** Where the entries of the list of caches begin in the configuration file. */
+  static final String SERVERS_START = "\"servers\": [";
+
   @TempDir Path folder;
 
   ToyServer.Feed feed;
@@ -45,7 +50,7 @@
   int requestCount;
   int descriptors = 1024;
 
-  /** Where programs are looked for; null for the same as here. */
+  /** The program's PATH; null for this process's own. */
   String programPath;
 
   @BeforeEach
@@ -76,7 +81,7 @@
     awaitReady();
   }
 
-  /** Waits until the gateway takes clients. */
+  /** Waits until the gateway reports that it is ready. */
   void awaitReady() throws Exception {
     try (ToyServer.Client front = awaitListener()) {
       for (int tag = 1; ; tag++) {
@@ -140,12 +145,12 @@
         + ",piece=0,lot=17,mem=1";
   }
 
-  static String status(List<byte[]> answer) {
-    return new String(answer.get(1), StandardCharsets.UTF_8);
+  static String status(List<byte[]> response) {
+    return new String(response.get(1), StandardCharsets.UTF_8);
   }
 
-  static String tag(List<byte[]> answer) {
-    return new String(answer.get(0), StandardCharsets.UTF_8);
+  static String tag(List<byte[]> response) {
+    return new String(response.get(0), StandardCharsets.UTF_8);
   }
 
   List<byte[]> call(ToyServer.Client client, String tag, String object) throws IOException {
@@ -153,7 +158,7 @@
     return client.read();
   }
 
-  /** The next command at a cache that starts so; others are passed over. */
+  /** The next command that starts with a text; others are skipped. */
   static String nextCommand(BlockingQueue<String> seen, String start) throws InterruptedException {
     while (true) {
       String command = seen.poll(10, TimeUnit.SECONDS);
@@ -200,4 +205,43 @@
             .replace("\"sockets\": 1024", "\"sockets\": " + descriptors));
     launch();
   }
+
+  /** Commands seen by the cache that was asked first. */
+  BlockingQueue<String> seenAnywhere() throws InterruptedException {
+    while (first.seen.isEmpty() && second.seen.isEmpty()) {
+      TimeUnit.MILLISECONDS.sleep(1);
+    }
+    return first.seen.isEmpty() ? second.seen : first.seen;
+  }
+
+  /** Entry of an edge in the list of caches. */
+  static String edgeEntry(int number, int port) {
+    return "{\"id\":\"s-%08x\",\"addr\":\"127.0.0.1:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"ready\","
+            .formatted(0x1000 + number, port)
+        + "\"weight\":40,\"started_ms\":0}";
+  }
+
+  /** Entries of edges of these numbers, at the addresses of the first two caches in turn. */
+  String edgeEntries(int from, int to) {
+    return IntStream.range(from, to)
+        .mapToObj(i -> edgeEntry(i, (i % 2 == 0 ? first : second).port()))
+        .collect(Collectors.joining(","));
+  }
+
+  /** Replaces a text of the configuration file, which has to hold it. */
+  void rewriteConfiguration(String old, String now) throws IOException {
+    Path config = folder.resolve("config.json");
+    String text = Files.readString(config);
+    assertThat(text).contains(old);
+    Files.writeString(config, text.replace(old, now));
+  }
+
+  /** Asserts that five requests are served. */
+  void assertServes(String object) throws IOException {
+    try (ToyServer.Client client = client()) {
+      for (int tag = 1; tag <= 5; tag++) {
+        assertThat(status(call(client, String.valueOf(tag), object + tag))).isEqualTo("ACK");
+      }
+    }
+  }
 }
--- a/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tamarindroute.example.ToyServer;
 
-/** The program itself with odd settings: one line and its end, or a start that serves. */
+/** The program with unusual settings: it ends with one line, or it serves. */
 @Timeout(60)
 class InvalidSettingsIT extends GatewayHarness {
 
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Odd entries beside a good one, a class of an unknown effect, a name with a blank and one that
-   * is a field's.
+   * Unusual entries beside a good one, a class of unknown semantics, a name with a blank and one
+   * that is a field's.
    */
   @Test
   void unusualButUsableSettingsAreServed() throws Exception {
--- a/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -18,14 +18,15 @@
 import tamarindroute.example.ToyServer.Mode;
 
 /**
- * What ends at the client's side, and the gateway's own end: each way out pays what is still owed.
+ * Ends of clients' connections and of the gateway: each request that was admitted still gets its
+ * response.
  */
 @Timeout(60)
 class ShutdownIT extends GatewayHarness {
 
   /**
-   * What the gateway's one selecting thread was told before is with its owner when two answers have
-   * come.
+   * Returns when the event loop has handled what the selector's thread read before: two responses
+   * came since.
    */
   private void awaitEventLoopCaughtUp() throws Exception {
     try (ToyServer.Client client = client()) {
@@ -59,7 +60,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
   }
 
-  /** Nonsense ends what may come, not what was taken before it. */
+  /** A malformed frame ends further input, not the requests before it. */
   @Test
   void requestsOpenBesideAMalformedFrameAreAnswered() throws Exception {
     setMode(Mode.LATE);
@@ -75,15 +76,15 @@
           .getOutputStream()
           .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
       client.socket.getOutputStream().write(new byte[300_000]);
-      List<byte[]> answer = client.read();
-      assertThat(tag(answer)).isEqualTo("1");
-      assertThat(answer.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
+      List<byte[]> response = client.read();
+      assertThat(tag(response)).isEqualTo("1");
+      assertThat(response.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
     }
     awaitLogged("client-protocol-error");
   }
 
-  /** An attempt that breaks when its client has closed is not made good by another. */
+  /** An attempt that fails after its client has closed is not retried. */
   @Test
   void noFurtherAttemptStartsForAClientThatClosed() throws Exception {
     try (ToyServer.Client client = client()) {
@@ -112,10 +113,7 @@
     assertThat(countAsks(id("d2"))).isEqualTo(1);
   }
 
-  /**
-   * At the gateway's last moment the module would send on what has time left: nobody would wait for
-   * it.
-   */
+  /** At the last moment the policy would retry what has time left, but nobody would wait for it. */
   @Test
   void pendingRequestsAtShutdownAreNotRetriedAndRejectedWhereHarmless() throws Exception {
     caches.forEach(cache -> cache.mode = Mode.SILENT);
@@ -141,8 +139,8 @@
       assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
       assertThat(millisTo(gateway, from)).isGreaterThan(3400);
     }
-    // The longest deadline, 3 s, and 0.7 s more is when SIGKILL may come; the machine's own end
-    // comes after this.
+    // SIGKILL may come 0.7 s after the longest deadline of 3 s; the JVM's own end comes after this
+    // line.
     String log = Files.readString(folder.resolve("out.log"));
     Matcher stop = Pattern.compile("([0-9]+) ms after SIGTERM, 0 requests in flight").matcher(log);
     assertThat(stop.find()).as(log).isTrue();
@@ -152,8 +150,8 @@
   }
 
   /**
-   * Past the time in which requests come, one beside an open one is refused at once and never sent
-   * on.
+   * Past the time in which requests are accepted, one beside an open one is rejected at once and
+   * never forwarded.
    */
   @Test
   void requestsAfterTheListenerClosesAreRejected() throws Exception {
@@ -176,8 +174,8 @@
                 .formatted(id("e" + (100 + tag)), id("6")),
             "");
         client.send("RPC.HEALTH", 100 + tag, "");
-        List<byte[]> answer = client.read();
-        refused = status(answer).equals("NAK") ? tag(answer) : null;
+        List<byte[]> response = client.read();
+        refused = status(response).equals("NAK") ? tag(response) : null;
       }
       assertThat(refused).isNotNull();
       assertThat(status(client.read())).isEqualTo("RED");
@@ -195,12 +193,12 @@
       }
       TimeUnit.MILLISECONDS.sleep(10);
     }
-    throw new AssertionError("the door is open still");
+    throw new AssertionError("the listener is still open");
   }
 
   /**
-   * A client that rests sees an orderly end, and the gateway is gone right after; with none it is
-   * as quick.
+   * An idle client's connection is closed in order and the gateway ends right after, as it does
+   * without clients.
    */
   @Test
   void idleClientIsClosedInOrderAndShutdownIsQuick() throws Exception {
@@ -221,7 +219,7 @@
     assertThat(millisTo(gateway, from)).isBetween(700L, 1400L);
   }
 
-  /** A client that neither closes nor reads does not hold the gateway to its last moment. */
+  /** A client that neither closes nor reads does not delay the end. */
   @Test
   void clientThatNeverClosesDoesNotDelayShutdown() throws Exception {
     try (ToyServer.Client resting = client()) {
