--- a/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
@@ -72,7 +72,7 @@
       }
     }
     assertThat(logs())
-        .contains("config-odd")
+        .contains("config-warning")
         .contains("Semantics is later")
         .doesNotContain("defect");
   }
--- a/router/src/main/java/tamarindroute/host/EventLoop.java
+++ b/router/src/main/java/tamarindroute/host/EventLoop.java
@@ -8,47 +8,37 @@
 import tamarindroute.net.Scheduler;
 
 /**
- * Owns the one thread that the module, the views and the timers belong to, and the time since the
- * start by the monotonic clock: a system's clock that is set moves no deadline. Only what others
- * tell in Unix time is converted, by the system's clock as it is then. Timers that are due go
- * before what was handed over, so that a backlog delays no final answer. A failure in a task is
- * logged and must never end the thread; nothing here takes a lock.
+ * Single-threaded event loop with timers. All state of a router instance is confined to its thread.
+ *
+ * <p>Times are durations since the start by the monotonic clock, so setting the system clock moves
+ * no deadline. Timers that are due run before queued tasks, so that a backlog of tasks delays no
+ * deadline. An exception in a task is logged and does not end the thread.
  */
 public final class EventLoop implements Scheduler {
 
-  private static final class ScheduledTask implements Comparable<ScheduledTask> {
-    final long dueNanos;
-    Runnable task;
-
-    ScheduledTask(long due, Runnable task) {
-      this.dueNanos = due;
-      this.task = task;
-    }
-
-    @Override
-    public int compareTo(ScheduledTask other) {
-      return Long.signum(dueNanos - other.dueNanos);
-    }
-  }
-
-  /** So few timers that were called off are not worth looking for. */
+  /** Below this many cancelled timers, removing them from the queue is not worthwhile. */
   private static final int MIN_CANCELLED_BEFORE_PURGE = 1000;
 
   private final long startNanos = System.nanoTime();
   private final Supplier<Instant> wallClock;
   private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
-  private final Thread owner = new Thread(this::run, "owner");
-  private final TaskQueue taskQueue = new TaskQueue(owner);
+  private final Thread thread = new Thread(this::run, "owner");
+  private final TaskQueue taskQueue = new TaskQueue(thread);
   private int cancelledTimers;
 
+  /** Starts an event loop that converts Unix times by the system clock. */
   public EventLoop() {
     this(Instant::now);
   }
 
-  /** With another clock for Unix time; a test sets it back and forward. */
+  /**
+   * Starts an event loop that converts Unix times by the given clock.
+   *
+   * @param wallClock the current time of day
+   */
   EventLoop(Supplier<Instant> wallClock) {
     this.wallClock = wallClock;
-    owner.start();
+    thread.start();
   }
 
   @Override
@@ -57,11 +47,14 @@
   }
 
   /**
-   * A Unix time in milliseconds as a time since the start; it may lie before it. The system's clock
-   * is read first: a pause between the two makes a purge or a start look later, which is the
-   * careful side.
+   * Converts a Unix time to a duration since the start; negative for times before it.
+   *
+   * @param unixMillis milliseconds since 1970-01-01T00:00Z
    */
   public Duration fromUnixMillis(long unixMillis) {
+    // The wall clock is read first: a pause between both readings then makes the event look later
+    // than it was,
+    // which is the safe side for purges and process starts.
     Duration elapsed = Duration.between(Instant.ofEpochMilli(unixMillis), wallClock.get());
     return now().minus(elapsed);
   }
@@ -71,23 +64,24 @@
     taskQueue.add(task);
   }
 
-  /**
-   * A timer that is called off lets go of its task at once, and of its place when most of them are
-   * so.
-   */
   @Override
   public Runnable schedule(Duration delay, Runnable task) {
     ScheduledTask timer = new ScheduledTask(System.nanoTime() + Math.max(0, delay.toNanos()), task);
     timers.add(timer);
-    return () -> {
-      if (timer.task != null) {
-        timer.task = null;
-        if (++cancelledTimers > MIN_CANCELLED_BEFORE_PURGE && cancelledTimers > timers.size() / 2) {
-          timers.removeIf(t -> t.task == null);
-          cancelledTimers = 0;
-        }
-      }
-    };
+    return () -> cancel(timer);
+  }
+
+  /** Releases the task at once, and the queue entries once most of them are cancelled. */
+  private void cancel(ScheduledTask timer) {
+    if (timer.task == null) {
+      return;
+    }
+    timer.task = null;
+    cancelledTimers++;
+    if (cancelledTimers > MIN_CANCELLED_BEFORE_PURGE && cancelledTimers > timers.size() / 2) {
+      timers.removeIf(other -> other.task == null);
+      cancelledTimers = 0;
+    }
   }
 
   private void run() {
@@ -95,30 +89,49 @@
       ScheduledTask next = timers.peek();
       long remainingNanos = next == null ? Long.MAX_VALUE : next.dueNanos - System.nanoTime();
       if (remainingNanos <= 0) {
-        timers.poll();
-        Runnable due = next.task;
-        next.task = null;
-        cancelledTimers -= due == null ? 1 : 0;
-        runGuarded(due);
+        runTimer(timers.poll());
         continue;
       }
       Runnable task = taskQueue.poll();
-      if (task != null) {
+      if (task == null) {
+        taskQueue.awaitTask(remainingNanos);
+      } else {
         runGuarded(task);
-        continue;
       }
-      taskQueue.awaitTask(remainingNanos);
     }
   }
 
-  private static void runGuarded(Runnable task) {
+  private void runTimer(ScheduledTask timer) {
+    Runnable task = timer.task;
     if (task == null) {
+      cancelledTimers--;
       return;
     }
+    timer.task = null;
+    runGuarded(task);
+  }
+
+  private static void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
       Log.defect(e);
     }
   }
+
+  /** A queued timer; its task is null once it was run or cancelled. */
+  private static final class ScheduledTask implements Comparable<ScheduledTask> {
+    private final long dueNanos;
+    private Runnable task;
+
+    ScheduledTask(long dueNanos, Runnable task) {
+      this.dueNanos = dueNanos;
+      this.task = task;
+    }
+
+    @Override
+    public int compareTo(ScheduledTask other) {
+      return Long.signum(dueNanos - other.dueNanos);
+    }
+  }
 }
--- a/router/src/main/java/tamarindroute/host/FeedEventReader.java
+++ b/router/src/main/java/tamarindroute/host/FeedEventReader.java
@@ -13,190 +13,227 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * Owns the reading of the control feed's numbered events, one entry at a time: a list of thousands
- * of caches as one tree did not fit the heap of a gateway of 32 MB, which was deaf to the feed from
- * then on. The text is looked through to its end before anything of it is given on. It must never
- * know what an entry means.
+ * Streaming reader of one response of the control feed. Holds one entry at a time, because a list
+ * of thousands of caches as a JSON tree does not fit the heap of a gateway of 32 MB. The whole text
+ * is scanned for well-formedness before anything of it is delivered.
  */
 final class FeedEventReader {
 
-  /** What the events are given to, in their order. */
+  /** Receives the events of a response in their order. */
   interface FeedEventHandler {
 
-    /** Whether the event of this number is to be read. */
+    /**
+     * Whether the event of this number is to be read.
+     *
+     * @throws MalformedMessageException to stop reading
+     */
     boolean accepts(long number) throws MalformedMessageException;
 
-    /** An entry of the event's list. */
+    /** An entry of the event's list of caches. */
     void onEndpoint(JsonObject entry);
 
-    /** The list is over. */
-    void onEndpointsEnd(boolean full);
+    /** The end of the event's list of caches; a complete list replaces all earlier ones. */
+    void onEndpointsEnd(boolean completeList);
 
+    /** A purge. */
     void onPurge(JsonObject purge);
 
-    /** The event is over, whatever of it could be read. */
+    /** The end of the event, even if parts of it were malformed. */
     void onEventEnd(long number);
   }
 
-  /**
-   * More at once are left for the next answer: their numbers alone would weigh on the smallest
-   * heap.
-   */
+  /** Bounds the memory for event numbers; further events are left for the next response. */
   private static final int MAX_EVENTS = 65_536;
 
+  private static final int INITIAL_CAPACITY = 16;
+
   private final String text;
   private long newestNumber;
-  private long[] numbers = new long[16];
+  private long[] numbers = new long[INITIAL_CAPACITY];
   private int count;
 
-  /** Looks through a text; throws where it is not whole, or an event has no number. */
+  /**
+   * Scans a response.
+   *
+   * @throws MalformedMessageException if the text is not one complete JSON object with a number and
+   *     a list of numbered events
+   */
   FeedEventReader(String text) throws MalformedMessageException {
     this.text = text;
     try {
-      JsonReader in = new JsonReader(new StringReader(text));
-      boolean hasNumber = false;
-      boolean hasEvents = false;
-      in.beginObject();
-      while (in.hasNext()) {
-        switch (in.nextName()) {
-          case "n" -> {
-            newestNumber = in.nextLong();
-            hasNumber = true;
-          }
-          case "events" -> {
-            in.beginArray();
-            while (in.hasNext()) {
-              scanEventNumber(in);
-            }
-            in.endArray();
-            hasEvents = true;
-          }
-          default -> in.skipValue();
-        }
-      }
-      in.endObject();
-      if (in.peek() != JsonToken.END_DOCUMENT || !hasNumber || !hasEvents) {
-        throw new MalformedMessageException("no numbered events");
-      }
+      scan(new JsonReader(new StringReader(text)));
     } catch (MalformedMessageException e) {
       throw e;
     } catch (IOException | IllegalStateException | NumberFormatException e) {
-      throw new MalformedMessageException("no numbered events: " + e.getMessage());
+      throw new MalformedMessageException("not a list of numbered events: " + e.getMessage());
     }
   }
 
-  /** The number of the last event that the text speaks of. */
-  long newestNumber() {
-    return newestNumber;
+  private void scan(JsonReader json) throws IOException {
+    boolean hasNumber = false;
+    boolean hasEvents = false;
+    json.beginObject();
+    while (json.hasNext()) {
+      switch (json.nextName()) {
+        case FeedFormat.NUMBER -> {
+          newestNumber = json.nextLong();
+          hasNumber = true;
+        }
+        case FeedFormat.EVENTS -> {
+          scanEvents(json);
+          hasEvents = true;
+        }
+        default -> json.skipValue();
+      }
+    }
+    json.endObject();
+    if (json.peek() != JsonToken.END_DOCUMENT || !hasNumber || !hasEvents) {
+      throw new MalformedMessageException("not a list of numbered events");
+    }
   }
 
-  /** Whether it is this event and no other. */
-  boolean containsOnly(long number) {
-    return count == 1 && numbers[0] == number && newestNumber == number;
+  private void scanEvents(JsonReader json) throws IOException {
+    json.beginArray();
+    while (json.hasNext()) {
+      long number = scanEventNumber(json);
+      if (count < MAX_EVENTS) {
+        addNumber(number);
+      }
+    }
+    json.endArray();
   }
 
-  private void scanEventNumber(JsonReader in) throws IOException {
+  private static long scanEventNumber(JsonReader json) throws IOException {
     Long number = null;
-    in.beginObject();
-    while (in.hasNext()) {
-      if (in.nextName().equals("n")) {
-        number = in.nextLong();
+    json.beginObject();
+    while (json.hasNext()) {
+      if (json.nextName().equals(FeedFormat.NUMBER)) {
+        number = json.nextLong();
       } else {
-        in.skipValue();
+        json.skipValue();
       }
     }
-    in.endObject();
+    json.endObject();
     if (number == null) {
-      throw new MalformedMessageException("an event without a number");
+      throw new MalformedMessageException("an event has no number \"" + FeedFormat.NUMBER + "\"");
     }
-    if (count < MAX_EVENTS) {
-      numbers = count < numbers.length ? numbers : Arrays.copyOf(numbers, 2 * count);
-      numbers[count++] = number;
+    return number;
+  }
+
+  private void addNumber(long number) {
+    if (count == numbers.length) {
+      numbers = Arrays.copyOf(numbers, 2 * count);
     }
+    numbers[count] = number;
+    count++;
   }
 
-  /** Gives the events on. */
+  /** The newest event number that the feed knows, by its own account. */
+  long newestNumber() {
+    return newestNumber;
+  }
+
+  /** Whether the response holds this event and no other. */
+  boolean containsOnly(long number) {
+    return count == 1 && numbers[0] == number && newestNumber == number;
+  }
+
+  /**
+   * Delivers the events that the handler accepts.
+   *
+   * @throws MalformedMessageException if the handler stops reading; events before that were
+   *     delivered
+   */
   void deliverTo(FeedEventHandler handler) throws MalformedMessageException {
     try {
-      JsonReader in = new JsonReader(new StringReader(text));
-      in.beginObject();
-      while (in.hasNext()) {
-        if (!in.nextName().equals("events")) {
-          in.skipValue();
-          continue;
-        }
-        in.beginArray();
-        for (int i = 0; i < count; i++) {
-          if (handler.accepts(numbers[i])) {
-            readEvent(in, numbers[i], handler);
-            handler.onEventEnd(numbers[i]);
-          } else {
-            in.skipValue();
-          }
+      JsonReader json = new JsonReader(new StringReader(text));
+      json.beginObject();
+      while (json.hasNext()) {
+        if (json.nextName().equals(FeedFormat.EVENTS)) {
+          deliverEvents(json, handler);
+          return;
         }
-        return;
+        json.skipValue();
       }
     } catch (MalformedMessageException e) {
       throw e;
     } catch (IOException | JsonParseException | IllegalStateException e) {
-      throw new MalformedMessageException("no events: " + e.getMessage());
+      throw new MalformedMessageException("not a list of events: " + e.getMessage());
     }
   }
 
-  private static void readEvent(JsonReader in, long number, FeedEventHandler handler)
-      throws IOException {
-    in.beginObject();
-    while (in.hasNext()) {
-      String name = in.nextName();
-      boolean known = name.equals("members") || name.equals("purge");
-      if (known && in.peek() == JsonToken.BEGIN_OBJECT) {
-        if (name.equals("members")) {
-          readEndpoints(in, number, handler);
-        } else {
-          handler.onPurge(JsonParser.parseReader(in).getAsJsonObject());
-        }
+  private void deliverEvents(JsonReader json, FeedEventHandler handler) throws IOException {
+    json.beginArray();
+    for (int i = 0; i < count; i++) {
+      if (handler.accepts(numbers[i])) {
+        deliverEvent(json, numbers[i], handler);
+        handler.onEventEnd(numbers[i]);
       } else {
-        logIfMalformed(known, number, name);
-        in.skipValue();
+        json.skipValue();
       }
     }
-    in.endObject();
   }
 
-  private static void readEndpoints(JsonReader in, long number, FeedEventHandler handler)
+  private static void deliverEvent(JsonReader json, long number, FeedEventHandler handler)
       throws IOException {
-    boolean full = false;
-    boolean hasEvents = false;
-    in.beginObject();
-    while (in.hasNext()) {
-      String name = in.nextName();
-      if (name.equals("full") && in.peek() == JsonToken.BOOLEAN) {
-        full = in.nextBoolean();
-      } else if (name.equals("servers") && in.peek() == JsonToken.BEGIN_ARRAY) {
-        hasEvents = true;
-        in.beginArray();
-        while (in.hasNext()) {
-          JsonElement entry = JsonParser.parseReader(in);
-          logIfMalformed(!entry.isJsonObject(), number, "an entry");
-          if (entry.isJsonObject()) {
-            handler.onEndpoint(entry.getAsJsonObject());
-          }
+    json.beginObject();
+    while (json.hasNext()) {
+      String name = json.nextName();
+      boolean isObject = json.peek() == JsonToken.BEGIN_OBJECT;
+      if (name.equals(FeedFormat.ENDPOINTS) && isObject) {
+        deliverEndpoints(json, number, handler);
+      } else if (name.equals(FeedFormat.PURGE) && isObject) {
+        handler.onPurge(JsonParser.parseReader(json).getAsJsonObject());
+      } else {
+        if (name.equals(FeedFormat.ENDPOINTS) || name.equals(FeedFormat.PURGE)) {
+          logMalformed(number, "\"" + name + "\" is not an object");
         }
-        in.endArray();
+        json.skipValue();
+      }
+    }
+    json.endObject();
+  }
+
+  private static void deliverEndpoints(JsonReader json, long number, FeedEventHandler handler)
+      throws IOException {
+    boolean completeList = false;
+    boolean hasEntries = false;
+    json.beginObject();
+    while (json.hasNext()) {
+      String name = json.nextName();
+      if (name.equals(FeedFormat.COMPLETE_LIST) && json.peek() == JsonToken.BOOLEAN) {
+        completeList = json.nextBoolean();
+      } else if (name.equals(FeedFormat.ENDPOINT_ENTRIES) && json.peek() == JsonToken.BEGIN_ARRAY) {
+        hasEntries = true;
+        deliverEntries(json, number, handler);
       } else {
-        in.skipValue();
+        json.skipValue();
       }
     }
-    in.endObject();
-    logIfMalformed(!hasEvents, number, "no list");
-    if (hasEvents) {
-      handler.onEndpointsEnd(full);
+    json.endObject();
+    if (hasEntries) {
+      handler.onEndpointsEnd(completeList);
+    } else {
+      logMalformed(number, "no list \"" + FeedFormat.ENDPOINT_ENTRIES + "\"");
     }
   }
 
-  private static void logIfMalformed(boolean so, long number, String what) {
-    if (so) {
-      Log.info("event-unreadable", number + ": " + what);
+  private static void deliverEntries(JsonReader json, long number, FeedEventHandler handler)
+      throws IOException {
+    json.beginArray();
+    while (json.hasNext()) {
+      JsonElement entry = JsonParser.parseReader(json);
+      if (entry.isJsonObject()) {
+        handler.onEndpoint(entry.getAsJsonObject());
+      } else {
+        logMalformed(
+            number, "an entry of \"" + FeedFormat.ENDPOINT_ENTRIES + "\" is not an object");
+      }
     }
+    json.endArray();
+  }
+
+  private static void logMalformed(long number, String reason) {
+    Log.info("feed-event-malformed", "event " + number + ": " + reason);
   }
 }
--- a/router/src/main/java/tamarindroute/host/LifecycleComponent.java
+++ b/router/src/main/java/tamarindroute/host/LifecycleComponent.java
@@ -3,17 +3,19 @@
 import java.io.IOException;
 
 /**
- * What lives beside a front on the same owner's thread, from its start to its end; both are called
- * on that thread.
+ * An optional part of the process that starts and stops with a front end; called on the event loop.
  */
 public interface LifecycleComponent {
 
   /**
-   * The instance is there, nothing read of the feed yet, nobody served. What it can't do without
-   * ends the start.
+   * Starts the component, before any event of the feed is read and any client is served.
+   *
+   * @param instance the instance that the component belongs to
+   * @throws IOException if the component lacks something it cannot work without; ends the start of
+   *     the process
    */
   void onStarted(RouterInstance instance) throws IOException;
 
-  /** The front stops taking in; who must know of it is told at once. */
+  /** Announces the end: the front end has stopped accepting clients. */
   void onStopping();
 }
--- a/router/src/main/java/tamarindroute/host/LoadReportParser.java
+++ b/router/src/main/java/tamarindroute/host/LoadReportParser.java
@@ -4,35 +4,51 @@
 import tamarindroute.protocol.FieldList;
 import tamarindroute.protocol.MalformedMessageException;
 
-/** Reads the load report that a cache's answer holds, to a view or to a probe. */
+/**
+ * Parses the load report that a cache attaches to its responses: the field {@code rep}, whose value
+ * is a list of {@code name:value} pairs separated by semicolons. Each figure has two accepted
+ * names.
+ */
 public final class LoadReportParser {
 
-  /** What a cache tells of its busy cores is within this, or it is none. */
+  private static final String REPORT_FIELD = "rep";
+  private static final String UTILIZATION = "util";
+  private static final String UTILIZATION_ALTERNATIVE = "utilization";
+  private static final String OUTSTANDING = "inflight";
+  private static final String OUTSTANDING_ALTERNATIVE = "outstanding";
+
+  /** Upper bound of a plausible utilization; 1 means that all cores are busy. */
   private static final double MAX_UTILIZATION = 100;
 
-  /** Nor does a cache hold more requests than this. */
+  /** Upper bound of a plausible number of outstanding requests. */
   private static final double MAX_OUTSTANDING = 1e6;
 
   private LoadReportParser() {}
 
-  /** The load told; null for none. */
+  /**
+   * Returns the load report among the fields of a response.
+   *
+   * @return the report, or null if the response has none or none of the known figures
+   * @throws MalformedMessageException if the report is no list of pairs, or a figure is no number
+   *     in its range
+   */
   public static LoadReport parse(FieldList fields) throws MalformedMessageException {
-    String report = fields.text("rep");
-    if (report == null) {
+    String text = fields.text(REPORT_FIELD);
+    if (text == null) {
       return null;
     }
-    FieldList values = FieldList.parse(report.replace(':', '=').replace(';', ','));
-    LoadReport loadReport =
+    FieldList figures = FieldList.parse(text.replace(':', '=').replace(';', ','));
+    LoadReport report =
         new LoadReport(
-            value(values, "util", "utilization", MAX_UTILIZATION),
-            value(values, "inflight", "outstanding", MAX_OUTSTANDING));
-    return loadReport.hasValues() ? loadReport : null;
+            figure(figures, UTILIZATION, UTILIZATION_ALTERNATIVE, MAX_UTILIZATION),
+            figure(figures, OUTSTANDING, OUTSTANDING_ALTERNATIVE, MAX_OUTSTANDING));
+    return report.hasValues() ? report : null;
   }
 
-  /** A value under either name; not a number where it is not told. */
-  private static double value(FieldList values, String name, String alternativeName, double max)
+  /** The figure under either name; NaN if it is absent. */
+  private static double figure(FieldList figures, String name, String alternativeName, double max)
       throws MalformedMessageException {
-    double value = values.number(name, values.number(alternativeName, -1, max), max);
-    return value < 0 ? Double.NaN : value;
+    double figure = figures.number(name, figures.number(alternativeName, -1, max), max);
+    return figure < 0 ? Double.NaN : figure;
   }
 }
--- a/router/src/main/java/tamarindroute/host/MonotonicClock.java
+++ b/router/src/main/java/tamarindroute/host/MonotonicClock.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * The monotonic clock: it never goes back nor jumps with the system's, and goes on while the
+ * Monotonic time of this process: unaffected by changes of the system clock, running on while the
  * process is stopped.
  */
 public final class MonotonicClock {
 
-  private static final long START = System.nanoTime();
+  private static final long START_NANOS = System.nanoTime();
 
   private MonotonicClock() {}
 
-  /** The time since the program's start. */
+  /** The time since this class was loaded. */
   public static Duration now() {
-    return Duration.ofNanos(System.nanoTime() - START);
+    return Duration.ofNanos(System.nanoTime() - START_NANOS);
   }
 }
--- a/router/src/main/java/tamarindroute/host/RouterInstance.java
+++ b/router/src/main/java/tamarindroute/host/RouterInstance.java
@@ -15,15 +15,13 @@
 import tamarindroute.settings.SettingsReader;
 
 /**
- * Owns one instance's clock, sockets, list of caches and feed, and the modules that are told of
- * them. It must never take part in a front's work, nor judge what the feed says.
+ * The parts of one router instance that every front end needs: event loop, sockets, buffers, the
+ * registry of caches, the client of the control feed, and the routing policies that all of these
+ * inform.
  */
 public final class RouterInstance {
 
-  /**
-   * Connections to one cache: enough that a large answer does not stop the others, few enough to
-   * share.
-   */
+  /** Several, so that a large response does not hold up all others; few, so that each is shared. */
   private static final int MAX_CONNECTIONS_PER_CACHE = 4;
 
   private final List<RoutingPolicy> policies;
@@ -35,7 +33,14 @@
   private final EndpointRegistry endpoints;
   private final ControlFeedClient feedClient;
 
-  /** The modules hear all that the feed tells; most fronts have one. */
+  /**
+   * Creates an instance that is not connected to anything yet.
+   *
+   * @param configuration of the platform
+   * @param eventLoop that runs the instance
+   * @param policies that are informed of caches, purges and quotas
+   * @throws MalformedSettingsException if a setting that is needed here is malformed
+   */
   public RouterInstance(
       PlatformConfiguration configuration, EventLoop eventLoop, List<RoutingPolicy> policies)
       throws MalformedSettingsException {
@@ -52,42 +57,43 @@
             settings.connectTimeout(),
             settings.keepAlive());
     endpoints = new EndpointRegistry(settings, policies, eventLoop, this::newConnectionPool);
-    // No two of a fleet draw the same pauses, also where one seed was given to all.
+    // The address makes the retry delays of instances differ even if all have the same seed.
+    long retrySeed = configuration.seed() ^ configuration.listen().hashCode();
     feedClient =
-        new ControlFeedClient(
-            transport,
-            eventLoop,
-            configuration.feed(),
-            endpoints,
-            configuration.seed() ^ configuration.listen().hashCode());
+        new ControlFeedClient(transport, eventLoop, configuration.feed(), endpoints, retrySeed);
   }
 
-  /** The connections to a cache. */
+  /** Creates the connections to a cache. */
   public CacheConnectionPool newConnectionPool(String id, InetSocketAddress address) {
     return new CacheConnectionPool(transport, eventLoop, id, address, limits);
   }
 
+  /** The event loop that all parts are confined to. */
   public EventLoop eventLoop() {
     return eventLoop;
   }
 
+  /** The configuration; without its bootstrap events once these were applied. */
   public PlatformConfiguration configuration() {
     return configuration;
   }
 
+  /** The buffers for all connections. */
   public BufferPool bufferPool() {
     return bufferPool;
   }
 
+  /** The sockets for all connections. */
   public SocketTransport transport() {
     return transport;
   }
 
+  /** The registry of caches. */
   public EndpointRegistry endpoints() {
     return endpoints;
   }
 
-  /** Reads what the configuration knows of the feed; on the owner's thread. */
+  /** Applies the events that the configuration file brings along; on the event loop. */
   public void applyBootstrapEvents() {
     String bootstrapEvents = configuration.bootstrapEvents();
     configuration = configuration.withoutBootstrapEvents();
@@ -97,25 +103,29 @@
     try {
       endpoints.onEvents(bootstrapEvents);
     } catch (MalformedMessageException e) {
-      Log.info("feed-unreadable", e.getMessage());
+      Log.info("feed-malformed", "bootstrap events: " + e.getMessage());
     }
   }
 
   /**
-   * This instance's part of what each cold cache of a tier bears, from now on for so long; the even
-   * share after it.
+   * Grants this instance a share of the load that each cold cache of a tier can bear; when the
+   * grant expires, the even share applies again.
+   *
+   * @param tier of the caches
+   * @param share from 0 to 1
+   * @param duration of the grant from now on
    */
   public void applyQuotaGrant(Cache.Tier tier, double share, Duration duration) {
     Duration now = eventLoop.now();
-    policies.forEach(module -> module.onQuotaGrant(tier, share, now.plus(duration), now));
+    policies.forEach(policy -> policy.onQuotaGrant(tier, share, now.plus(duration), now));
   }
 
-  /** Follows the feed from the last event on. */
+  /** Starts following the control feed, from the last event applied. */
   public void startFeed() {
     feedClient.start();
   }
 
-  /** The feed is elsewhere from now on. */
+  /** Follows the control feed at another address from now on. */
   public void moveFeed(InetSocketAddress newAddress) {
     feedClient.moveTo(newAddress);
   }
--- a/router/src/main/java/tamarindroute/host/TaskQueue.java
+++ b/router/src/main/java/tamarindroute/host/TaskQueue.java
@@ -4,37 +4,42 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Owns what any thread hands over to one that runs it, and that one's rest while there is nothing.
- * It must never lose a task, change the order of one thread's tasks, or let the owner rest on with
- * a task waiting; it takes no lock.
+ * Lock-free queue of tasks from any thread to one consumer thread, which parks while the queue is
+ * empty. Keeps the order of each producer's tasks and never leaves the consumer parked while a task
+ * is queued.
  */
 class TaskQueue {
 
-  private final Thread owner;
+  private final Thread consumer;
   private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private volatile boolean waiting;
 
-  TaskQueue(Thread owner) {
-    this.owner = owner;
-  }
-
   /**
-   * On any thread. The task is in before the look at the rest, and the rest is told before the look
-   * for tasks.
+   * Creates an empty queue.
+   *
+   * @param consumer the only thread that polls and waits
    */
+  TaskQueue(Thread consumer) {
+    this.consumer = consumer;
+  }
+
+  /** Appends a task; may be called on any thread. */
   void add(Runnable task) {
+    // Order matters: the task is queued before the flag is read, and awaitTask sets the flag before
+    // it reads the
+    // queue, so one of the two sides always sees the other.
     tasks.add(task);
     if (waiting) {
-      unpark(owner);
+      unpark(consumer);
     }
   }
 
-  /** On the owner's thread: the next task, or null. */
+  /** Removes the next task, on the consumer's thread; null if there is none. */
   Runnable poll() {
     return tasks.poll();
   }
 
-  /** On the owner's thread: rests until a task comes, so long at most; it may end for no reason. */
+  /** Waits for a task on the consumer's thread, at most for the timeout; may return spuriously. */
   void awaitTask(long timeoutNanos) {
     waiting = true;
     if (tasks.isEmpty()) {
@@ -43,11 +48,12 @@
     waiting = false;
   }
 
-  /** Where the owner rests; a checker of interleavings has rests and wakes of its own. */
+  /** Parks the calling thread; overridden by the tests that explore interleavings. */
   void park(long timeoutNanos) {
     LockSupport.parkNanos(this, timeoutNanos);
   }
 
+  /** Wakes the given thread; overridden by the tests that explore interleavings. */
   void unpark(Thread waitingThread) {
     LockSupport.unpark(waitingThread);
   }
--- a/router/src/main/java/tamarindroute/host/package-info.java
+++ b/router/src/main/java/tamarindroute/host/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Owns what any front needs of one instance of the module, whatever it speaks with its clients: the
- * owner's thread with its timers, the list of caches by their ids, the control feed, the platform's
- * configuration. It must never know a front, nor decide anything; fronts stand on it and do not
- * know each other.
+ * What every front end needs of one router instance, whatever protocol it speaks with its clients:
+ * the event loop, the registry of caches kept up to date from the control feed, and the platform's
+ * configuration file. The gateway and the name server build on this package; sockets come from
+ * {@code tamarindroute.net}, routing decisions from {@code tamarindroute.decision}.
  */
 package tamarindroute.host;
--- a/router/src/test/java/tamarindroute/host/ConfigurationReaderTest.java
+++ b/router/src/test/java/tamarindroute/host/ConfigurationReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tamarindroute.settings.MalformedSettingsException;
 
-/** Limits that are not told, or odd: a stated default, or an error that names them. */
+/** Absent limits have defaults, and invalid values are rejected by name. */
 class ConfigurationReaderTest {
 
   private static final String LIMITS =
@@ -42,12 +42,12 @@
     "192, -5, limits.memory_mb is -5",
     "192, 0, limits.memory_mb is 0",
     "1024, 1e12, limits.sockets is 1e12",
-    "1024, {}, can't be used",
-    "192, '\"x\"', can't be used",
-    "'\"listen\"', '\"heard\"', no listen",
-    "'\"feed\"', '\"fed\"', no feed",
-    "'\"settings\"', '\"set\"', no settings",
-    "'\"127.0.0.1:7000\"', '\"7000\"', no address"
+    "1024, {}, is invalid",
+    "192, '\"x\"', is invalid",
+    "'\"listen\"', '\"heard\"', listen is missing",
+    "'\"feed\"', '\"fed\"', feed is missing",
+    "'\"settings\"', '\"set\"', settings is missing",
+    "'\"127.0.0.1:7000\"', '\"7000\"', not an address"
   })
   void invalidValuesAreReportedByName(String old, String now, String message) throws Exception {
     String file = with(old, now);
@@ -59,7 +59,7 @@
         .doesNotContain("Cannot invoke");
   }
 
-  /** What is read once at the start is not held for as long as the gateway runs. */
+  /** They are used once and must not occupy memory from then on. */
   @Test
   void theBootstrapEventsAreReleased() throws Exception {
     PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
--- a/router/src/test/java/tamarindroute/host/EndpointRegistryTest.java
+++ b/router/src/test/java/tamarindroute/host/EndpointRegistryTest.java
@@ -23,7 +23,7 @@
 import tamarindroute.policy.RatioTestPolicy;
 import tamarindroute.protocol.MalformedMessageException;
 
-/** The list over a long time, in which each cache is replaced by another. */
+/** The registry under lists of changing caches, malformed events, gaps and replicated events. */
 class EndpointRegistryTest {
 
   private static final String EVENT =
@@ -31,7 +31,7 @@
           + "\"servers\":[{\"id\":\"s-%d\",\"addr\":\"127.0.0.1:9\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,"
           + "\"state\":\"%s\",\"weight\":40,\"started_ms\":0}]}}]}";
 
-  /** Passes what it is told on, and keeps the last list. */
+  /** Passes lists on to another policy and records the last one. */
   private static final class RecordingPolicy implements RoutingPolicy {
 
     private final RoutingPolicy delegate;
@@ -100,12 +100,12 @@
     registry.onEvents(EVENT.formatted(1, true, 0, "ready"));
     Cache first = policy.last.get(0);
     Attempt attempt = new Attempt(first, first, 1, null, false, false, null);
-    WeakReference<Cache> told = null;
+    WeakReference<Cache> reference = null;
     for (int i = 1; i <= 50; i++) {
       registry.onEvents(EVENT.formatted(3 * i - 1, false, i, "ready"));
       if (i == 25) {
         registry.countAttempt(attempt, 1);
-        told =
+        reference =
             new WeakReference<>(
                 policy.last.stream().filter(cache -> cache != first).findFirst().orElseThrow());
       }
@@ -118,16 +118,16 @@
     }
     registry.onEvents(EVENT.formatted(152, false, 0, "gone"));
     registry.onEvents(EVENT.formatted(153, false, 51, "ready"));
-    assertThat(policy.last).as("a trip is out").contains(first);
+    assertThat(policy.last).as("an attempt is in flight").contains(first);
     registry.countAttempt(attempt, -1);
     registry.onEvents(EVENT.formatted(154, false, 52, "ready"));
     registry.onEvents(EVENT.formatted(155, false, 53, "ready"));
     assertThat(policy.last).doesNotContain(first).hasSize(3);
-    for (int i = 0; i < 50 && told.get() != null; i++) {
+    for (int i = 0; i < 50 && reference.get() != null; i++) {
       System.gc();
       Thread.sleep(20);
     }
-    assertThat(told.get()).as("the module's memory of it").isNull();
+    assertThat(reference.get()).as("the policy's reference to it").isNull();
   }
 
   private static EndpointRegistry newRegistry(
@@ -146,7 +146,7 @@
                 new CacheConnectionPool.Limits(4, 100, Duration.ofSeconds(1), Duration.ZERO)));
   }
 
-  /** A text is looked through to its end before anything of it is taken. */
+  /** The whole text is checked before anything of it is applied. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -204,10 +204,7 @@
     assertThat(registry.id(registry.caches().get(0))).isEqualTo("s-1");
   }
 
-  /**
-   * What a list can't mean of a weight or a time costs neither the entry nor the module's
-   * reckoning.
-   */
+  /** The rest of the entry is applied, and the policy never sees the impossible value. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -240,10 +237,7 @@
         .isTrue();
   }
 
-  /**
-   * Each change of a long list costs its length and not its square: hundreds are replaced within
-   * seconds.
-   */
+  /** Each change takes time proportional to the length of the list, not to its square. */
   @Test
   void changesOfALongListTakeLinearTime() throws Exception {
     PlatformConfiguration configuration =
@@ -266,15 +260,15 @@
       registry.onEvents(EVENT.formatted(2 + 2 * i, false, i, "gone"));
       registry.onEvents(EVENT.formatted(3 + 2 * i, false, 5000 + i, "ready"));
     }
-    // Measured on the build machine: 0.4 s, and 9.6 s with look-ups in lists; the bound leaves room
-    // for a busy one.
+    // Linear time takes well below a second, and quadratic time about ten; the bound leaves room
+    // for a busy machine.
     assertThat(Duration.ofNanos(System.nanoTime() - from)).isLessThan(Duration.ofSeconds(4));
     assertThat(registry.caches()).hasSize(4096);
   }
 
   /**
-   * A gap that stays, in a feed that still has all before it: the drain behind it holds at the
-   * third asking.
+   * The feed still has all events before the gap; the drain after it is applied at the third
+   * request.
    */
   @Test
   void aLastingGapHidesNoDrainThoughEarlierEventsAreRepeated() throws Exception {
@@ -292,7 +286,7 @@
       assertThatThrownBy(() -> registry.onEvents("{\"n\":4,\"events\":[" + later + "]}"))
           .hasMessageContaining("missing");
     }
-    assertThat(registry.lastEventNumber()).as("all is asked for").isZero();
+    assertThat(registry.lastEventNumber()).as("all events are requested").isZero();
     registry.onEvents(
         first
             .replace("{\"n\":1,\"events\"", "{\"n\":4,\"events\"")
@@ -302,8 +296,8 @@
   }
 
   /**
-   * What another told counts once, in order; a feed of one's own that is late by it does not count
-   * anew.
+   * A replicated event is applied once and in order; the own feed, which lags behind it, has not
+   * restarted its numbering.
    */
   @Test
   void aReplicatedEventIsKeptThoughTheOwnFeedIsBehind() throws Exception {
@@ -313,7 +307,7 @@
         new RecordingPolicy(new RatioTestPolicy(configuration.settings().settings(1)));
     EndpointRegistry registry = newRegistry(policy, configuration);
     registry.onEvents(EVENT.formatted(1, true, 0, "ready"));
-    Duration heard = registry.lastFeedReadAt();
+    Duration lastFeedRead = registry.lastFeedReadAt();
     String drain =
         "{\"n\":2,\"members\":{\"full\":false,\"servers\":[{\"id\":\"s-0\",\"state\":\"draining\"}]}}";
     assertThat(registry.applyReplicatedEvent(3, drain.replace("2", "3")))
@@ -333,7 +327,7 @@
     assertThat(registry.lastEventNumber()).isEqualTo(1);
     assertThat(registry.applyReplicatedEvent(2, drain)).isTrue();
     assertThat(policy.last.get(0).availability).isEqualTo(Cache.Availability.DRAINING);
-    assertThat(registry.lastFeedReadAt()).isEqualTo(heard);
+    assertThat(registry.lastFeedReadAt()).isEqualTo(lastFeedRead);
     registry.onEvents("{\"n\":1,\"events\":[]}");
     assertThat(registry.lastEventNumber()).isEqualTo(2);
     registry.onEvents("{\"n\":2,\"events\":[" + drain.replace("draining", "ready") + "]}");
--- a/router/src/test/java/tamarindroute/host/EventLoopTest.java
+++ b/router/src/test/java/tamarindroute/host/EventLoopTest.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-/** The clock under a system's clock that is set back and forward. */
+/** The event loop's times while the system clock is set back and forward. */
 class EventLoopTest {
 
-  /** Far more than a busy machine stops a test, far less than the steps. */
+  /** Far more than a busy machine delays a test, far less than the steps. */
   private static final Duration TOLERANCE = Duration.ofMinutes(1);
 
   private static final Duration STEP = Duration.ofHours(1);
@@ -19,7 +19,7 @@
       new AtomicReference<>(Instant.ofEpochSecond(1_764_576_000));
   private final EventLoop eventLoop = new EventLoop(wallClock::get);
 
-  /** Deadlines, windows and drains were measured by the system's clock, and timers by the other. */
+  /** Deadlines must not move with the system clock. */
   @Test
   void settingTheSystemClockDoesNotMoveTime() {
     Duration from = eventLoop.now();
@@ -29,7 +29,7 @@
     assertThat(eventLoop.now()).isBetween(from, from.plus(TOLERANCE));
   }
 
-  /** What is told now in Unix time lies now, whatever the system's clock was at the start. */
+  /** The current Unix time is now, whatever the system clock was at the start. */
   @Test
   void unixTimesAreConvertedWithTheCurrentSystemClock() {
     for (Duration step : new Duration[] {Duration.ZERO, STEP, STEP.multipliedBy(-2)}) {
--- a/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
+++ b/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
@@ -22,8 +22,8 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * The platform's formats word by word: the configuration file, the control feed's events, a cache's
- * load report.
+ * The platform's formats with their words as literals: configuration file, control feed events, and
+ * load reports.
  */
 class PlatformFormatTest {
 
@@ -33,7 +33,7 @@
   private final List<Purge> purges = new ArrayList<>();
 
   @Test
-  void theConfigurationFileKeepsItsWords() throws Exception {
+  void theConfigurationFileKeepsItsFormat() throws Exception {
     PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
     assertThat(configuration.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
     assertThat(configuration.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void theFeedsEventsKeepTheirWords() throws Exception {
+  void feedEventsKeepTheirFormat() throws Exception {
     EndpointRegistry endpoints = newRegistry();
     Duration before = eventLoop.now();
     endpoints.onEvents(
@@ -165,7 +165,7 @@
   }
 
   @Test
-  void theLoadReportKeepsItsWords() throws Exception {
+  void loadReportsKeepTheirFormat() throws Exception {
     assertThat(LoadReportParser.parse(FieldList.parse("first=3,rep=util:0.25;inflight:7")))
         .isEqualTo(new LoadReport(0.25, 7));
     assertThat(LoadReportParser.parse(FieldList.parse("rep=utilization:2;outstanding:1e3")))
--- a/router/src/test/java/tamarindroute/settings/SettingsValidatorTest.java
+++ b/router/src/test/java/tamarindroute/settings/SettingsValidatorTest.java
@@ -260,10 +260,10 @@
         "feed | \"127.0.0.1:0\" | feed is",
         "feed | \"127.0.0.1:70000\" | feed is",
         "feed | \"300.0.0.1:7\" | feed is",
-        "feed | {} | feed is no plain value",
-        "limits | 7 | limits is no object",
-        "limits/sockets | [] | limits.sockets is no plain value",
-        "settings | [] | settings is no object",
+        "feed | {} | feed is not a plain value",
+        "limits | 7 | limits is not an object",
+        "limits/sockets | [] | limits.sockets is not a plain value",
+        "settings | [] | settings is not an object",
         "settings/FamilyInfo/NeverKept | [false] | NeverKept holds 1 of 3"
       })
   void invalidValueIsNamedWithItsValue(String path, String value, String expectedMessage)
--- a/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
+++ b/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
@@ -9,13 +9,13 @@
 import tamarindroute.Interleavings;
 
 /**
- * Tasks handed over beside the owner's run and rest: none lost, none twice, in order, and no rest
- * with one waiting.
+ * Tasks added while the consumer polls and waits: none is lost or run twice, each producer's order
+ * is kept, and the consumer never waits with a task queued.
  */
 class TaskQueueRaceTest {
 
   /**
-   * Its rests never time out nor end for no reason: a wake-up that is lost is a thread that never
+   * Waits without timeouts and spurious wake-ups, so that a lost wake-up is a thread that never
    * ends.
    */
   private static class UntimedQueue extends TaskQueue {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Looks for tasks before it tells that it rests. */
+  /** Seeded fault: checks the queue before it sets the flag. */
   private static final class ChecksBeforeWaiting extends UntimedQueue {
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private volatile boolean waiting;
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Reads what is handed over, and sets it with one more. */
+  /** Seeded fault: adds a task by reading the list and writing it back. */
   private static final class ReadsThenWrites extends UntimedQueue {
     private volatile List<Runnable> tasks = List.of();
 
@@ -100,7 +100,7 @@
     }
   }
 
-  /** This thread is the owner; two others hand over, one of them twice. */
+  /** This thread is the consumer; two others add tasks, one of them twice. */
   private static void addFromTwoThreads(TaskQueue queue) {
     StringBuilder executionOrder = new StringBuilder();
     Runnable owner =
@@ -126,7 +126,7 @@
             && order.indexOf('a') >= 0
             && order.indexOf('c') >= 0,
         order);
-    must(queue.poll() == null, "none twice");
+    must(queue.poll() == null, "no task runs twice");
   }
 
   @Test
