--- a/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
+++ b/router/src/test/java/tamarindroute/gateway/WireFormatTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
-import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -11,11 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.ArrayBlockingQueue;
-import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
@@ -24,7 +19,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Decision;
@@ -33,7 +29,6 @@
 import tamarindroute.decision.Outcome.Detail;
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.Request;
-import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.host.EndpointRegistry;
 import tamarindroute.host.EventLoop;
 import tamarindroute.host.PlatformConfiguration;
@@ -67,36 +62,7 @@
   private final EventLoop eventLoop = new EventLoop();
   private final BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
   private final SocketTransport transport = new SocketTransport(eventLoop, bufferPool, 80);
-
-  /** What the policy decides next, in order. */
-  private final ArrayDeque<Function<Request, Decision>> script = new ArrayDeque<>();
-
-  private final BlockingQueue<Request> routed = new ArrayBlockingQueue<>(10);
-  private final BlockingQueue<Outcome> outcomes = new ArrayBlockingQueue<>(10);
-  private final List<LoadReport> loads = new ArrayList<>();
-  private final RoutingPolicy policy =
-      (RoutingPolicy)
-          Proxy.newProxyInstance(
-              RoutingPolicy.class.getClassLoader(),
-              new Class<?>[] {RoutingPolicy.class},
-              (proxy, method, arguments) -> {
-                if (method.getReturnType() == boolean.class) {
-                  return true;
-                }
-                if (arguments.length > 1 && arguments[1] instanceof LoadReport loadReport) {
-                  loads.add(loadReport);
-                } else if (arguments.length > 1 && arguments[1] instanceof Attempt attempt) {
-                  outcomes.add(attempt.outcome);
-                  return script.isEmpty()
-                      ? new Decision.Fail()
-                      : script.remove().apply((Request) arguments[0]);
-                } else if (arguments[0] instanceof Request request
-                    && method.getReturnType() == Decision.class) {
-                  routed.add(request);
-                  return script.remove().apply(request);
-                }
-                return null;
-              });
+  private final ScriptedPolicy policy = new ScriptedPolicy();
   private final ServerSocket cacheServer = new ServerSocket(0);
   private EndpointRegistry endpoints;
   private RequestPipeline pipeline;
@@ -195,7 +161,7 @@
   }
 
   private void decide(Function<Request, Decision> decision) throws Exception {
-    onLoop(() -> script.add(decision));
+    onLoop(() -> policy.decisions.add(decision));
   }
 
   private static void send(Socket socket, String bytes) throws IOException {
@@ -249,8 +215,21 @@
             + "\r\n");
   }
 
+  /** The first that the policy records, on the event loop. */
+  private <T> T awaitFirst(List<T> recorded) throws Exception {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+    while (System.nanoTime() < deadline) {
+      List<T> now = onLoop(() -> List.copyOf(recorded));
+      if (!now.isEmpty()) {
+        return now.get(0);
+      }
+      TimeUnit.MILLISECONDS.sleep(1);
+    }
+    throw new AssertionError("nothing was recorded");
+  }
+
   private Outcome outcome() throws Exception {
-    return outcomes.poll(5, TimeUnit.SECONDS);
+    return awaitFirst(policy.outcomes);
   }
 
   @Test
@@ -268,7 +247,7 @@
             + "lane=pick,name=7f3a9c21e0b4d655,piece=3,ttl=TIME,dedupe=5c0f6e1a2b3d4c59a8b7c6d5e4f30211,"
             + "parent=s-2,shelf=2,accept=345600000000,hints=local+revalidate,got=4be0c1927d55a6f3\r\n"
             + "$7\r\na\r\nbody\r\n");
-    Request request = routed.poll(5, TimeUnit.SECONDS);
+    Request request = awaitFirst(policy.routedRequests);
     assertThat(request.objectId).isEqualTo(0x7f3a9c21e0b4d655L);
     assertThat(request.part).isEqualTo(3);
     assertThat(request.purgeGroup).isEqualTo(17);
@@ -286,7 +265,8 @@
     assertThat(outcome.result()).isEqualTo(Result.SERVED);
     assertThat(outcome.detail()).isEqualTo(Detail.FILLED);
     assertThat(outcome.sourceWait()).isEqualTo(Duration.ofNanos(2_500_000));
-    assertThat(loads).containsExactly(new LoadReport(0.61, 7));
+    assertThat(onLoop(() -> List.copyOf(policy.loadReports)))
+        .containsExactly(new LoadReport(0.61, 7));
   }
 
   @Test
@@ -294,18 +274,22 @@
     startRequest();
     respond("AGAIN", "rep=outstanding:9;utilization:0.25", "");
     assertReads(client, "*4\r\n$1\r\n7\r\n$4\r\nFAIL\r\n$0\r\n\r\n$0\r\n\r\n");
-    assertThat(loads).containsExactly(new LoadReport(0.25, 9));
+    assertThat(onLoop(() -> List.copyOf(policy.loadReports)))
+        .containsExactly(new LoadReport(0.25, 9));
+  }
+
+  static List<Arguments> statuses() {
+    return List.of(
+        Arguments.of("NOENT", Result.MISS),
+        Arguments.of("AGAIN", Result.REJECTED),
+        Arguments.of("EIO", Result.FAILED),
+        Arguments.of("STALE", Result.DEADLINE_EXCEEDED),
+        Arguments.of("NOMOD", Result.FAILED),
+        Arguments.of("ack", Result.FAILED));
   }
 
   @ParameterizedTest
-  @CsvSource({
-    "NOENT, MISSED",
-    "AGAIN, TURNED_AWAY",
-    "EIO, ERRED",
-    "STALE, EXPIRED",
-    "NOMOD, ERRED",
-    "ack, ERRED"
-  })
+  @MethodSource("statuses")
   void everyStatusOfACacheIsDecoded(String status, Result result) throws Exception {
     startRequest();
     respond(status, "-", "");
@@ -313,20 +297,23 @@
     assertReads(client, "*4\r\n$1\r\n7\r\n$4\r\nFAIL\r\n$0\r\n\r\n$0\r\n\r\n");
   }
 
+  static List<Arguments> notes() {
+    return List.of(
+        Arguments.of("hit", Detail.HIT),
+        Arguments.of("filled", Detail.FILLED),
+        Arguments.of("via_origin", Detail.FROM_ORIGIN),
+        Arguments.of("joined", Detail.COALESCED),
+        Arguments.of("stale", Detail.STALE),
+        Arguments.of("src_refused", Detail.SOURCE_REFUSED),
+        Arguments.of("src_broke", Detail.SOURCE_FAILED),
+        Arguments.of("src_lacks", Detail.SOURCE_MISS),
+        Arguments.of("no_slot", Detail.FILL_CAPACITY_EXHAUSTED),
+        Arguments.of("origin_failed", Detail.ORIGIN_FAILED),
+        Arguments.of("other", Detail.UNKNOWN));
+  }
+
   @ParameterizedTest
-  @CsvSource({
-    "hit, HIT",
-    "filled, FILLED",
-    "via_origin, FROM_ORIGIN",
-    "joined, JOINED",
-    "stale, OLD",
-    "src_refused, SOURCE_REFUSED",
-    "src_broke, SOURCE_FAILED",
-    "src_lacks, SOURCE_LACKS",
-    "no_slot, NO_ROOM_FOR_FILL",
-    "origin_failed, ORIGIN_FAILED",
-    "other, UNTOLD"
-  })
+  @MethodSource("notes")
   void everyNoteOfACacheIsDecoded(String note, Detail detail) throws Exception {
     startRequest();
     respond("EIO", "why=" + note, "");
