--- a/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.protocol.FieldList;
 
-/** The bytes of the frames to a cache, and what is taken from its own. */
+/** The bytes of the frames to a cache, and the decoding of its frames. */
 @Timeout(30)
 class CacheFrameFormatTest {
 
@@ -37,8 +37,8 @@
   private ResponseHandler recording() {
     return new ResponseHandler() {
       @Override
-      public void onResponse(String word, FieldList fields, int length) {
-        received.add(word + " " + fields.format("-") + " " + length);
+      public void onResponse(String status, FieldList fields, int length) {
+        received.add(status + " " + fields.format("-") + " " + length);
       }
 
       @Override
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void framesKeepTheirBytes() throws Exception {
+  void framesKeepTheirFormat() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
       CacheConnectionPool connectionPool =
           new CacheConnectionPool(
