--- a/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
+++ b/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
@@ -18,8 +18,8 @@
 import tamarindroute.net.CacheConnectionPool;
 
 /**
- * The platform's formats word by word: the configuration file, the control feed's events, a cache's
- * load report.
+ * The platform's formats, written as literals: configuration file, control feed events, and load
+ * reports.
  */
 class PlatformFormatTest {
 
@@ -29,7 +29,7 @@
   private final List<Purge> purges = new ArrayList<>();
 
   @Test
-  void theConfigurationFileKeepsItsWords() throws Exception {
+  void theConfigurationFileKeepsItsFormat() throws Exception {
     PlatformConfiguration configuration = PlatformConfiguration.read("example/config.json");
     assertThat(configuration.listen()).isEqualTo(new InetSocketAddress("127.0.0.1", 7000));
     assertThat(configuration.feed()).isEqualTo(new InetSocketAddress("127.0.0.1", 7001));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theFeedsEventsKeepTheirWords() throws Exception {
+  void feedEventsKeepTheirFormat() throws Exception {
     EndpointRegistry endpoints = newRegistry();
     Duration before = eventLoop.now();
     endpoints.onEvents(
