--- a/net/src/main/java/tamarindroute/log/LogRateLimiter.java
+++ b/net/src/main/java/tamarindroute/log/LogRateLimiter.java
@@ -23,8 +23,7 @@
    *     #SUPPRESSED} if this one is
    */
   // Synchronized although the callee is: a time read before the lock could be earlier than the
-  // window of a thread that
-  // got the lock first, and would look like a clock that was set back.
+  // window of a thread that got the lock first, and would look like a clock that was set back.
   synchronized int admit(String topic) {
     return admit(topic, currentTimeMillis());
   }
--- a/net/src/main/java/tamarindroute/net/BufferPool.java
+++ b/net/src/main/java/tamarindroute/net/BufferPool.java
@@ -81,9 +81,8 @@
 
   /** Takes a buffer back; called once for each acquired one. */
   private void release(ByteBuffer bytes) {
-    // Counted in one step: with a separate look at the count, another thread could fill the pool in
-    // between, and
-    // nobody would be told of the capacity.
+    // Counted in one step: with a separate read of the count, another thread could fill the pool in
+    // between, and the listener would not be called.
     int remainingInUse = buffersInUse.decrementAndGet();
     if (bytes.capacity() == BUFFER_BYTES && freePermits.tryAcquire()) {
       free.add(bytes);
--- a/net/src/main/java/tamarindroute/net/CacheConnection.java
+++ b/net/src/main/java/tamarindroute/net/CacheConnection.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import org.apache.mina.core.buffer.IoBuffer;
 import tamarindroute.log.Log;
+import tamarindroute.protocol.CacheProtocol;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.RespWriter;
 
@@ -17,10 +18,6 @@
  */
 final class CacheConnection implements ConnectionHandler {
 
-  private static final String REQUEST_COMMAND = "ASK";
-  private static final String CANCEL_COMMAND = "QUIT";
-  private static final String HEALTH_CHECK_COMMAND = "INFO";
-
   private final CacheConnectionPool pool;
   private final SocketTransport transport;
   private final Scheduler scheduler;
@@ -116,7 +113,7 @@
   private void write(String id, PendingRequest request) {
     lastUsedAt = scheduler.now();
     if (request.isHealthCheck()) {
-      connection.write(RespWriter.frame(HEALTH_CHECK_COMMAND, id));
+      connection.write(CacheProtocol.encodeHealthCheck(id));
     } else {
       connection.write(requestFrame(id, request));
     }
@@ -126,7 +123,7 @@
   private ArrayDeque<IoBuffer> requestFrame(String id, PendingRequest request) {
     ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
     ByteBuffer header =
-        RespWriter.frameHeader(request.bodyLength(), REQUEST_COMMAND, id, request.fields().get());
+        CacheProtocol.encodeRequestHeader(id, request.fields().get(), request.bodyLength());
     Connection.copy(header, transport.bufferPool(), frame);
     for (IoBuffer part : request.body()) {
       Connection.copy(part.buf().duplicate(), transport.bufferPool(), frame);
@@ -155,11 +152,10 @@
   private void cancelWritten(String id, PendingRequest request) {
     lastCancelledUnsent = !request.isSent(connection);
     if (!request.isHealthCheck()) {
-      connection.write(RespWriter.frame(CANCEL_COMMAND, id));
+      connection.write(CacheProtocol.encodeCancel(id));
     }
     // A machine that vanished leaves its connections open and silent. The next request then takes a
-    // new one, which
-    // is established only if the machine is there.
+    // new one, which is established only if the machine is there.
     unresponsive |= request.isNewerThan(responseReader.lastReceivedAt());
     settledIds.addCancelled(id);
   }
--- a/net/src/main/java/tamarindroute/net/CacheResponseReader.java
+++ b/net/src/main/java/tamarindroute/net/CacheResponseReader.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import tamarindroute.log.Log;
+import tamarindroute.protocol.CacheProtocol;
 import tamarindroute.protocol.FieldList;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.RespReader;
@@ -15,14 +16,6 @@
  */
 final class CacheResponseReader {
 
-  /** A response is its request's id, a status and fields, before the body. */
-  private static final int HEADER_ARGUMENTS = 3;
-
-  private static final int MAX_ARGUMENT_BYTES = 4096;
-
-  /** The protocol allows bodies of 240,000 bytes. */
-  private static final int MAX_BODY_BYTES = 256 * 1024;
-
   /**
    * In place of a malformed response's status: no status of the protocol, so the request may have
    * been executed.
@@ -60,7 +53,10 @@
   private final String cacheId;
   private final ResponseEndListener endListener;
   private final RespReader reader =
-      new RespReader(HEADER_ARGUMENTS, MAX_ARGUMENT_BYTES, MAX_BODY_BYTES);
+      new RespReader(
+          CacheProtocol.MAX_ARGUMENTS,
+          CacheProtocol.MAX_ARGUMENT_BYTES,
+          CacheProtocol.MAX_BODY_BYTES);
   private Connection connection;
   private Runnable stallTimer;
   private Duration lastReceivedAt = Duration.ZERO;
@@ -86,7 +82,7 @@
    * @param stallTimeout for a response to continue: the time within which a healthy cache accepts a
    *     connection
    * @param cacheId for the log
-   * @param endListener told of each response's end
+   * @param endListener called at each response's end
    */
   CacheResponseReader(
       Map<String, PendingRequest> pendingRequests,
--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -156,11 +156,11 @@
   }
 
   /**
-   * Ends the connection; the handler is told at once. A client's connection that is flushed
+   * Ends the connection; the handler learns of it at once. A client's connection that is flushed
    * lingers, since a close with unread bytes would make the operating system reset it, and lose
    * responses that are still on their way.
    *
-   * @param reason told to the handler
+   * @param reason passed to the handler
    * @param flush whether what was written is still sent
    */
   public void close(CloseReason reason, boolean flush) {
@@ -168,10 +168,8 @@
       return;
     }
     // A connection that is still being established is closed once it is. MINA's cancel must not be
-    // used: for a
-    // connect that MINA has not registered yet it breaks MINA's count of connects, whereupon MINA's
-    // thread ends too
-    // early and later connects never complete.
+    // used: for a connect that MINA has not registered yet it breaks MINA's count of connects,
+    // whereupon MINA's thread ends too early and later connects never complete.
     if (session != null) {
       closeSession(flush);
     }
@@ -315,8 +313,8 @@
   }
 
   /**
-   * The other side has ended the connection; the handler is told once it was given all that was
-   * received before.
+   * The other side has ended the connection; the handler learns of it once it was given all that
+   * was received before.
    */
   void onSessionLost(CloseReason reason) {
     LingeringClose lingering = lingeringClose;
--- a/net/src/main/java/tamarindroute/net/InboundQueue.java
+++ b/net/src/main/java/tamarindroute/net/InboundQueue.java
@@ -66,8 +66,8 @@
 
   /**
    * Counts a read and suspends reading if there are too many, on MINA's thread: an owner that lags
-   * behind would be too late to stop a flood. The owner counts down and then looks whether reading
-   * is suspended; this counts, suspends and then looks at the count again, so that at least one of
+   * behind would be too late to stop a flood. The owner counts down and then checks whether reading
+   * is suspended; this counts, suspends and then checks the count again, so that at least one of
    * them resumes reading.
    */
   void beforeHandOver(IoSession session) {
--- a/net/src/main/java/tamarindroute/net/OutboundBytes.java
+++ b/net/src/main/java/tamarindroute/net/OutboundBytes.java
@@ -24,9 +24,8 @@
   void write(IoBuffer buffer, IoSession session) {
     int length = buffer.remaining();
     written += length;
-    // The future is the only one told of buffers that are still queued when the connection ends.
-    // The bytes are
-    // counted before the buffer is freed, since another user may change its limit from then on.
+    // Only the future learns of buffers that are still queued when the connection ends. The bytes
+    // are counted before the buffer is freed, since another user may change its limit from then on.
     session
         .write(buffer)
         .addListener(
--- a/net/src/main/java/tamarindroute/net/SocketTransport.java
+++ b/net/src/main/java/tamarindroute/net/SocketTransport.java
@@ -159,8 +159,8 @@
 
   /**
    * Opens a connection to the control feed with a reserved descriptor: the feed must be reachable
-   * even if caches use all of theirs, for it tells of the drains that free them. Such a connection
-   * is never closed for another.
+   * even if caches use all of theirs, since it announces the drains that free them. Such a
+   * connection is never closed for another.
    */
   Connection connectReserved(InetSocketAddress address, ConnectionHandler handler) {
     Connection connection = newConnection(handler);
--- a/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
+++ b/net/src/test/java/tamarindroute/log/LogLineFormatTest.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.event.Level;
 
-/** The form of the lines that the provider for small memories writes. */
+/** The format of the lines that the minimal provider writes. */
 class LogLineFormatTest {
 
   private static String written(Runnable logging) {
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void ofLibrariesOnlyWarningsAndErrorsAreWritten() {
+  void onlyWarningsAndErrorsOfLibrariesAreEnabled() {
     Logger library = new MinimalLogProvider().getLoggerFactory().getLogger("org.other");
     for (Level level : Level.values()) {
       assertThat(library.isEnabledForLevel(level))
--- a/net/src/test/java/tamarindroute/log/LogRateLimiterTest.java
+++ b/net/src/test/java/tamarindroute/log/LogRateLimiterTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** One line a second for each topic. */
+/** The limit of one line a second for each topic. */
 class LogRateLimiterTest {
 
   @Test
@@ -19,7 +19,7 @@
     assertThat(limiter.admit("a", 3000)).isZero();
   }
 
-  /** A clock that was set back by an hour silenced each topic for that hour. */
+  /** Otherwise a topic would be silent until the clock has caught up. */
   @Test
   void aClockSetBackSuppressesNothing() {
     LogRateLimiter limiter = new LogRateLimiter();
--- a/net/src/test/java/tamarindroute/net/NetTest.java
+++ b/net/src/test/java/tamarindroute/net/BufferPoolTest.java
@@ -8,14 +8,11 @@
 import java.util.List;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.EnumSource;
-import tamarindroute.decision.Outcome.Result;
 
-/** The pool of buffers, and what the endings of a connection mean. */
-class NetTest {
+/** Reuse and capacity of pooled buffers. */
+class BufferPoolTest {
 
-  /** MINA frees a buffer twice where a write fails; it must not be given out to two at once. */
+  /** MINA frees a buffer twice if a write fails; it must not be given to two users. */
   @Test
   void aBufferFreedTwiceIsGivenOutOnce() {
     BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
@@ -25,7 +22,10 @@
     assertThat(bufferPool.acquire().buf()).isNotSameAs(bufferPool.acquire().buf());
   }
 
-  /** MINA disposes of the allocator with every buffer made; what is free must outlive that. */
+  /**
+   * MINA disposes of the allocator with every buffer that it makes, which must not drop free
+   * buffers.
+   */
   @Test
   void aFreedBufferIsReused() {
     BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
@@ -67,25 +67,4 @@
     assertThat(copies).hasSize(3);
     assertThat(all.array()).isEqualTo(bytes);
   }
-
-  /**
-   * No effect twice: only what was not written whole, or never had a connection, is known not to
-   * have run.
-   */
-  @ParameterizedTest
-  @EnumSource(CloseReason.class)
-  void aRequestWrittenCompletelyMayHaveRun(CloseReason closeReason) {
-    assertThat(closeReason.result(false).provesNotExecuted).isTrue();
-    boolean neverUp =
-        List.of(
-                CloseReason.REFUSED,
-                CloseReason.UNREACHABLE,
-                CloseReason.TIMED_OUT,
-                CloseReason.NO_DESCRIPTOR,
-                CloseReason.NO_LONGER_WANTED)
-            .contains(closeReason);
-    assertThat(closeReason.result(true).provesNotExecuted).isEqualTo(neverUp);
-    assertThat(CloseReason.RESET.result(true)).isEqualTo(Result.CONNECTION_LOST);
-    assertThat(CloseReason.REFUSED.result(false)).isEqualTo(Result.CONNECT_FAILED);
-  }
 }
--- a/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
@@ -28,11 +28,11 @@
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.protocol.FieldList;
 
-/** Attempts on the connections to a cache that answers as a script says. */
+/** Requests on the connections to a scripted cache on real sockets. */
 @Timeout(30)
 class CacheConnectionPoolTest {
 
-  /** Its clock and timers run ten times as fast as the day's. */
+  /** Clock and timers that run ten times as fast as real time. */
   private static final class AcceleratedScheduler implements Scheduler {
 
     private static final int SPEED_UP = 10;
@@ -40,7 +40,7 @@
     private final ScheduledExecutorService thread =
         Executors.newSingleThreadScheduledExecutor(task -> ownerThread = new Thread(task, "owner"));
 
-    /** What MINA's thread waits for behind whatever it hands over. */
+    /** MINA's thread waits for this after each event that it hands over. */
     private volatile CompletableFuture<?> heldBackUntil = CompletableFuture.completedFuture(null);
 
     @Override
@@ -63,13 +63,11 @@
     }
   }
 
-  /**
-   * One attempt; what it is told is kept, and what follows then is done at once, in the same turn.
-   */
+  /** Records the outcome of a request, and runs the next step of the test in the same call. */
   private static class RecordingHandler implements ResponseHandler {
 
     final CompletableFuture<String> status = new CompletableFuture<>();
-    final CompletableFuture<String> ended = new CompletableFuture<>();
+    final CompletableFuture<String> failure = new CompletableFuture<>();
     Runnable afterwards = () -> {};
     boolean wanted = true;
 
@@ -93,7 +91,7 @@
 
     @Override
     public void onFailure(CloseReason closeReason, boolean written) {
-      ended.complete(closeReason + " " + written);
+      failure.complete(closeReason + " " + written);
       afterwards.run();
     }
   }
@@ -107,7 +105,7 @@
   @BeforeEach
   void start() throws IOException {
     server = new ServerSocket();
-    // Little may rest in the machine for a cache that does not read.
+    // A cache that does not read must soon block the sender.
     server.setReceiveBufferSize(16 * 1024);
     server.bind(new InetSocketAddress("127.0.0.1", 0), 200);
     server.setSoTimeout(5000);
@@ -145,7 +143,7 @@
     return cache;
   }
 
-  /** Reads until this text has come, and gives all that came. */
+  /** Reads until this text was received, and returns all that was received. */
   private static String readUntil(Socket cache, String text) throws IOException {
     StringBuilder received = new StringBuilder();
     InputStream in = cache.getInputStream();
@@ -180,8 +178,7 @@
   }
 
   /**
-   * A connection may come up a second after the request was decided: its time left and all else is
-   * as of then.
+   * A connection may be established a second after the decision, so the time left must be current.
    */
   @Test
   void fieldsAreEvaluatedWhenTheRequestIsWritten() throws Exception {
@@ -197,10 +194,7 @@
     }
   }
 
-  /**
-   * The end of one that waited for a connection may end another that waits there: that one must not
-   * go out.
-   */
+  /** The failure of one waiting request may cancel another one that waits behind it. */
   @Test
   void aRequestCancelledWhileOthersAreWrittenIsNotWritten() throws Exception {
     RecordingHandler unwanted = new RecordingHandler();
@@ -212,7 +206,7 @@
           send("3", new RecordingHandler());
           return null;
         });
-    assertThat(await(unwanted.ended)).isEqualTo("NO_LONGER_WANTED false");
+    assertThat(await(unwanted.failure)).isEqualTo("NO_LONGER_WANTED false");
     try (Socket cache = accept()) {
       assertThat(readUntil(cache, askFrameEnd("3")))
           .doesNotContain(askFrameEnd("1"))
@@ -221,9 +215,8 @@
   }
 
   /**
-   * MINA's thread may be in the midst of writing a request, and tells so only afterwards, when this
-   * gateway ends its connection: it must not be called one that never ran. Held up here, it has
-   * told nothing yet.
+   * MINA's thread may be sending a request while this process closes the connection, and reports it
+   * only afterwards. It is held up here, so that it has reported nothing yet.
    */
   @Test
   void aRequestWrittenToALocallyClosedConnectionMayHaveRun() throws Exception {
@@ -233,17 +226,14 @@
     onOwnerThread(() -> send("1", first));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
-      scheduler.heldBackUntil = second.ended;
+      scheduler.heldBackUntil = second.failure;
       write(cache, responseFrame("1", "NOENT") + "HTTP/1.1 200 OK\r\n\r\n");
-      assertThat(await(second.ended)).isEqualTo("PROTOCOL_ERROR true");
+      assertThat(await(second.failure)).isEqualTo("PROTOCOL_ERROR true");
     }
     assertThat(CloseReason.PROTOCOL_ERROR.result(true).provesNotExecuted).isFalse();
   }
 
-  /**
-   * A network that goes away under a connection that was up says the same as for one that never
-   * came up.
-   */
+  /** The message is the same as for a connection that could not be established. */
   @Test
   void anErrorOnAnOpenConnectionIsAlwaysAReset() throws Exception {
     Connection connection = new Connection(transport, false);
@@ -265,14 +255,14 @@
     assertThat(await(future)).isEqualTo(CloseReason.RESET);
   }
 
-  /** What this gateway let go before it was written never went, and is no fault of the cache's. */
+  /** A request that was not written when this process closed the connection was never sent. */
   @Test
   void aLocalCloseIsNoFailureOfTheCache() {
     assertThat(CloseReason.CLOSED_LOCALLY.result(false)).isEqualTo(Result.NOT_SENT);
     assertThat(CloseReason.CLOSED_LOCALLY.result(true)).isEqualTo(Result.CANCELLED);
   }
 
-  /** Taken for the next leg's, a second copy of a miss would prove that this one never ran. */
+  /** A duplicate of a miss would otherwise prove that the next attempt was not executed. */
   @Test
   void aResponseReadBeforeTheRequestWasWrittenIsNotItsResponse() throws Exception {
     RecordingHandler first = new RecordingHandler();
@@ -289,8 +279,8 @@
   }
 
   /**
-   * A second copy may come later than the next leg is written: where a cache did so lately, that
-   * goes elsewhere.
+   * A duplicate may come after the next attempt was written, so for a cache that sent one lately
+   * the attempt takes another connection.
    */
   @Test
   void theNextAttemptTakesAnotherConnectionOnlyAtACacheThatRespondedTwice() throws Exception {
@@ -314,7 +304,7 @@
     }
   }
 
-  /** What was given up while a cache that hangs left it unread must not run when that goes on. */
+  /** A cache that hangs must not execute, once it continues, what was cancelled meanwhile. */
   @Test
   void aCancelledUnsentRequestIsNeverSent() throws Exception {
     RecordingHandler large = new RecordingHandler();
@@ -350,13 +340,13 @@
           tail = tail.substring(Math.max(0, tail.length() - 200));
         }
       } catch (SocketException e) {
-        // The connection was cut off, as it has to be.
+        // The connection was reset, as it must be.
       }
       assertThat(tail).doesNotContain(askFrameEnd("2"));
     }
   }
 
-  /** Sound frames that nobody asked for, without an end. */
+  /** Well-formed frames without end. */
   @Test
   void aConnectionWithOnlyUnsolicitedResponsesIsClosed() throws Exception {
     RecordingHandler open = new RecordingHandler();
@@ -364,13 +354,12 @@
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       write(cache, responseFrame("9", "NOENT").repeat(700));
-      assertThat(await(open.ended)).isEqualTo("PROTOCOL_ERROR true");
+      assertThat(await(open.failure)).isEqualTo("PROTOCOL_ERROR true");
     }
   }
 
   /**
-   * An answer that comes on byte by byte holds up all behind it, long after whoever asked has given
-   * it up.
+   * A response that trickles in holds up all responses behind it, though its request was cancelled.
    */
   @Test
   void anUnwantedResponseIsCutOffAfterItsTimeLimit() throws Exception {
@@ -392,7 +381,7 @@
             return null;
           });
       List<IOException> cut = new ArrayList<>();
-      for (int i = 0; i < 1000 && !behind.ended.isDone(); i++) {
+      for (int i = 0; i < 1000 && !behind.failure.isDone(); i++) {
         try {
           write(cache, "x");
         } catch (IOException e) {
@@ -400,8 +389,8 @@
         }
         Thread.sleep(5);
       }
-      assertThat(behind.ended).isDone();
-      assertThat(await(behind.ended)).isEqualTo("STALLED true");
+      assertThat(behind.failure).isDone();
+      assertThat(await(behind.failure)).isEqualTo("STALLED true");
     }
   }
 }
--- a/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheFrameFormatTest.java
@@ -11,6 +11,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.apache.mina.core.buffer.IoBuffer;
@@ -19,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.protocol.FieldList;
 
-/** The bytes of the frames to a cache, and what is taken from its own. */
+/** The bytes of the frames to a cache, and the decoding of its frames. */
 @Timeout(30)
 class CacheFrameFormatTest {
 
@@ -37,8 +38,8 @@
   private ResponseHandler recording() {
     return new ResponseHandler() {
       @Override
-      public void onResponse(String word, FieldList fields, int length) {
-        received.add(word + " " + fields.format("-") + " " + length);
+      public void onResponse(String status, FieldList fields, int length) {
+        received.add(status + " " + fields.format("-") + " " + length);
       }
 
       @Override
@@ -79,7 +80,7 @@
   }
 
   @Test
-  void framesKeepTheirBytes() throws Exception {
+  void framesKeepTheirFormat() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
       CacheConnectionPool connectionPool =
           new CacheConnectionPool(
@@ -103,11 +104,18 @@
         respond(
             cache, "*4\r\n$2\r\np9\r\n$5\r\nREADY\r\n$20\r\nrep=util:0.5;x:3,y=2\r\n$0\r\n\r\n");
         expectReceived("READY rep=util:0.5;x:3,y=2 0", "whole");
+        // The request that stays pending keeps the connection open, so that the cancellation is
+        // sent.
+        CompletableFuture<Runnable> cancel = new CompletableFuture<>();
         scheduler.execute(
-            () -> connectionPool.send("8", () -> "-", List.of(), 0, recording()).run());
-        expect(
-            cache,
-            "*4\r\n$3\r\nASK\r\n$1\r\n8\r\n$1\r\n-\r\n$0\r\n\r\n*2\r\n$4\r\nQUIT\r\n$1\r\n8\r\n");
+            () -> {
+              connectionPool.send("9", () -> "-", List.of(), 0, recording());
+              cancel.complete(connectionPool.send("8", () -> "-", List.of(), 0, recording()));
+            });
+        expect(cache, "*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$1\r\n-\r\n$0\r\n\r\n");
+        expect(cache, "*4\r\n$3\r\nASK\r\n$1\r\n8\r\n$1\r\n-\r\n$0\r\n\r\n");
+        scheduler.execute(cancel.get(5, TimeUnit.SECONDS));
+        expect(cache, "*2\r\n$4\r\nQUIT\r\n$1\r\n8\r\n");
       }
     }
   }
--- a/net/src/test/java/tamarindroute/net/ConnectionCloseTest.java
+++ b/net/src/test/java/tamarindroute/net/ConnectionCloseTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How a client's connection is closed: what was written arrives, and nothing that the client does
- * holds it long.
+ * The close of a client's connection: what was written arrives, and no client can keep the
+ * connection open for long.
  */
 @Timeout(30)
 class ConnectionCloseTest {
 
-  /** More than both machines' buffers hold. */
+  /** More than the socket buffers of both sides hold. */
   private static final int LARGE_RESPONSE_BYTES = 12 * 1024 * 1024;
 
   private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
@@ -76,8 +76,8 @@
   }
 
   /**
-   * The large answer can't have left when the rest comes; a close over those unread bytes would
-   * reset it.
+   * The response cannot have been sent completely when more bytes come; a close with unread bytes
+   * would reset the connection.
    */
   @Test
   void writtenBytesArriveThoughTheClientKeepsSending() throws Exception {
@@ -92,7 +92,7 @@
       assertThat(in.read()).isZero();
       client.getOutputStream().write(new byte[1024 * 1024]);
       assertThat(in.readNBytes(LARGE_RESPONSE_BYTES - 1)).hasSize(LARGE_RESPONSE_BYTES - 1);
-      // A request that crossed the close, still on this side's word that it may send.
+      // A request that crosses the close.
       client.getOutputStream().write(new byte[100_000]);
       assertThat(in.read()).isEqualTo(-1);
       client.shutdownOutput();
@@ -125,9 +125,7 @@
     }
   }
 
-  /**
-   * One that reads nothing keeps what was written from leaving: the connection goes all the same.
-   */
+  /** The written bytes cannot be sent to such a client, but its connection must end. */
   @Test
   void aClientThatReadsNothingIsCutOffAfterTheFlushTimeout() throws Exception {
     onBytes =
@@ -143,8 +141,7 @@
   }
 
   /**
-   * Evicted connections hold descriptors: past a few, the first of them goes at once, not after its
-   * 200 ms.
+   * Each lingering connection holds a descriptor; beyond the limit the oldest is cut off at once.
    */
   @Test
   void onlyAFewConnectionsLingerAtOnce() throws Exception {
@@ -175,7 +172,7 @@
     }
   }
 
-  /** A close resets what the system still holds back of small writes: nothing may be held back. */
+  /** A close would lose small writes that the operating system still holds back. */
   @Test
   void acceptedConnectionsDisableNagle() throws Exception {
     CompletableFuture<Boolean> noDelay = new CompletableFuture<>();
--- a/net/src/test/java/tamarindroute/net/ControlFeedClientTest.java
+++ b/net/src/test/java/tamarindroute/net/ControlFeedClientTest.java
@@ -26,9 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tamarindroute.protocol.MalformedMessageException;
 
-/**
- * The feed's connection against a scripted feed on real sockets, with the time in the test's hand.
- */
+/** The client against a scripted feed on real sockets, with a clock that the test advances. */
 @Timeout(30)
 class ControlFeedClientTest {
 
@@ -37,7 +35,7 @@
   private static final Duration STALL_DEADLINE = Duration.ofSeconds(2);
   private static final Duration MOVE_DEADLINE = Duration.ofSeconds(4);
 
-  /** The owner's thread; its time stands still but for the test's steps. */
+  /** A scheduler whose time advances only when the test says so. */
   private static final class ManualScheduler implements Scheduler {
 
     private record Timer(Duration due, Runnable task) {}
@@ -56,7 +54,7 @@
       try {
         thread.execute(task);
       } catch (RejectedExecutionException e) {
-        // The test is over; MINA still ends what was open.
+        // The test is over; MINA still closes connections.
       }
     }
 
@@ -91,12 +89,12 @@
     }
   }
 
-  /** Where the next dials lead: to the scripted feed, or nowhere. */
+  /** The addresses of all connects, and how many of the next ones hang. */
   private final List<InetSocketAddress> connects = new CopyOnWriteArrayList<>();
 
   private volatile int hangingConnects;
 
-  /** Bytes that the feed has used, and connections that it was told the end of. */
+  /** Bytes that the client has consumed, and connections whose end it has seen. */
   private int consumedBytes;
 
   private int closedConnections;
@@ -160,7 +158,7 @@
         1);
   }
 
-  /** Passes all on and counts it, on the owner's thread. */
+  /** Counts what it passes on to the client's handler. */
   private final class CountingHandler implements ConnectionHandler {
 
     private final ConnectionHandler delegate;
@@ -198,7 +196,7 @@
     return feed;
   }
 
-  /** One connection that came to the scripted feed. */
+  /** One connection that the scripted feed has accepted. */
   private final class FeedSession implements AutoCloseable {
 
     private final Socket socket;
@@ -216,7 +214,7 @@
     String readRequest() throws IOException {
       String first = in.readLine();
       for (String line = first; line != null && !line.isEmpty(); line = in.readLine()) {
-        // The headers say nothing.
+        // The headers are not checked.
       }
       return first;
     }
@@ -230,7 +228,7 @@
       send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** The gateway has closed or reset it. */
+    /** The client has closed or reset the connection. */
     void assertClosed() {
       try {
         assertThat(in.read()).isEqualTo(-1);
@@ -245,22 +243,19 @@
     }
   }
 
-  /** Steps on until that many dials were made; how long it took. */
+  /** Advances the time until that many connects were made; returns how long that took. */
   private Duration advanceUntilConnects(int count) throws Exception {
     Duration from = scheduler.now;
     while (connects.size() < count) {
       scheduler.advance(STEP);
       assertThat(scheduler.now.minus(from))
-          .as("dials " + connects.size())
+          .as("connects " + connects.size())
           .isLessThan(Duration.ofSeconds(30));
     }
     return scheduler.now.minus(from);
   }
 
-  /**
-   * What has happened on MINA's thread is handed over within this; bounded, and no order hangs on
-   * it.
-   */
+  /** Waits, for a bounded time, until events from MINA's thread were handed over. */
   private void awaitTrue(Callable<Boolean> condition) throws Exception {
     for (int i = 0; i < 500 && !scheduler.call(condition); i++) {
       TimeUnit.MILLISECONDS.sleep(10);
@@ -269,7 +264,8 @@
   }
 
   /**
-   * A drain told right after the asking, a watch that is silent from then on, and dials that hang.
+   * An event published right after the request, on a connection that is silent from then on, and
+   * connects that hang.
    */
   @Test
   void aSilentFeedAndHangingConnectsAreOvercomeBeforeTheEventDeadline() throws Exception {
@@ -285,9 +281,7 @@
     assertThat(took).isLessThan(EVENT_DEADLINE.minusMillis(1000));
   }
 
-  /**
-   * One hanging dial after a feed that stopped: 2 s after the end of the wait that was asked for.
-   */
+  /** One hanging connect after a feed that has stopped. */
   @Test
   void aStalledFeedAndAHangingConnectAreOvercomeTwoSecondsAfterTheWait() throws Exception {
     ServerSocket server = server();
@@ -300,10 +294,7 @@
     assertThat(new FeedSession(server).readRequest()).startsWith("GET /v1/events");
   }
 
-  /**
-   * The connection after a silent one is as likely silent: the next one must be there in time as
-   * well.
-   */
+  /** A connection after a silent one is as likely to be silent. */
   @Test
   void twoSilentConnectionsInARowAreOvercomeBeforeTheEventDeadline() throws Exception {
     ServerSocket server = server();
@@ -317,10 +308,7 @@
     assertThat(both).isLessThan(EVENT_DEADLINE.minusMillis(1000));
   }
 
-  /**
-   * SIGHUP in the pause after a break: the new feed is asked at once, and one connection alone
-   * lives on.
-   */
+  /** A configuration reload during the retry delay: one connection to the new feed remains. */
   @Test
   void aMoveDuringTheRetryDelayConnectsAtOnceAndOnce() throws Exception {
     ServerSocket server = server();
@@ -342,12 +330,12 @@
     for (int i = 0; i < 20; i++) {
       scheduler.advance(STEP);
     }
-    assertThat(connects).as("the pause is called off").hasSize(2);
+    assertThat(connects).as("the retry is cancelled").hasSize(2);
     newSession.respond("{}");
     assertThat(newSession.readRequest()).startsWith("GET /v1/events?SUB=1");
   }
 
-  /** The first dial there may hang, and SIGHUP may come twice, also in the middle of a dial. */
+  /** Reloads may follow each other while a connect is pending, and a connect may hang. */
   @Test
   void movesInARowAndAHangingConnectLeaveOneConnectionInTime() throws Exception {
     ServerSocket server = server();
@@ -374,10 +362,7 @@
     assertThat(connects).hasSize(4);
   }
 
-  /**
-   * What the old feed sent before it was left, but was not read yet, is not taken for the new
-   * one's.
-   */
+  /** What the old feed sent before the move must not pass for a response of the new one. */
   @Test
   void theOldFeedsLateResponseIsIgnored() throws Exception {
     ServerSocket server = server();
@@ -400,7 +385,7 @@
     assertThat(receivedTexts).containsExactly("{\"new\":1}");
   }
 
-  /** A long answer on a slow way takes longer than any patience; it is cut only where it stops. */
+  /** A long response on a slow network may take longer than the timeouts of its parts. */
   @Test
   void aSlowResponseIsReadToItsEndAndAStalledOneIsCutOff() throws Exception {
     ServerSocket server = server();
@@ -424,10 +409,7 @@
     session.assertClosed();
   }
 
-  /**
-   * Whatever comes in place of an answer, or of its end, is asked for again with the same number,
-   * and soon.
-   */
+  /** The same events are requested again after a short delay. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -448,9 +430,7 @@
     assertRequestedAgain(server);
   }
 
-  /**
-   * Broken off in the middle of an event, in order or by a reset, as late as the owner is at it.
-   */
+  /** The connection ends in the middle of an event, by a close or a reset. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void anInterruptedResponseIsRequestedAgain(boolean reset) throws Exception {
@@ -477,7 +457,7 @@
     assertThat(closedConnections).isEqualTo(1);
   }
 
-  /** Caches that use every descriptor of their share do not make the gateway deaf to its feed. */
+  /** The connection to the feed has a descriptor of its own. */
   @Test
   void theFeedHasADescriptorWhenCachesUseTheirWholeShare() throws Exception {
     ServerSocket server = server();
--- a/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The bytes of the control feed's requests, and the text that is taken from its responses. */
+/** The bytes of the requests to the control feed, and the text extracted from its responses. */
 @Timeout(30)
 class ControlFeedFormatTest {
 
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void requestsAndResponsesKeepTheirBytes() throws Exception {
+  void requestsAndResponsesKeepTheirFormat() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
       int port = server.getLocalPort();
       ControlFeedClient feed =
--- a/net/src/test/java/tamarindroute/net/SentBytesTest.java
+++ b/net/src/test/java/tamarindroute/net/SentBytesTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.RepeatedTest;
 import org.junit.jupiter.api.Timeout;
 
-/** What has left is counted right, whoever has the written buffer next. */
+/** The count of sent bytes when written buffers are reused. */
 @Timeout(30)
 class SentBytesTest {
 
-  /** Eight buffers are the pool's share, and fewer than six of them out are room. */
+  /** Eight buffers, with capacity while fewer than six of them are in use. */
   private static final long MEMORY = 4L * 8 * BufferPool.BUFFER_BYTES;
 
   private static final int BUFFERS_HELD = 5;
@@ -38,9 +38,8 @@
   }
 
   /**
-   * A buffer that was written is another's from the instant in which it is freed, on MINA's thread,
-   * before MINA tells of the write. Counted by its limit then, a request that had run passed for
-   * one that never left.
+   * A buffer may be reused, with another limit, from when MINA's thread frees it, which is before
+   * MINA reports the write. A count by that limit would make an executed request look unsent.
    */
   @RepeatedTest(10)
   void aBufferReusedAtOnceDoesNotChangeTheSentByteCount() throws Exception {
@@ -72,7 +71,7 @@
         ConcurrentLinkedQueue<IoBuffer> others = new ConcurrentLinkedQueue<>();
         bufferPool.onCapacityAvailable(
             () -> {
-              // Whoever takes buffers next has limits of his own for them.
+              // The next user sets limits of its own.
               for (int i = 0; i < BUFFERS_HELD; i++) {
                 others.add(bufferPool.acquire().limit(0));
               }
@@ -90,7 +89,7 @@
             });
         reacquired.get(5, TimeUnit.SECONDS);
         assertThat(peer.getInputStream().readNBytes(100)).hasSize(100);
-        // MINA tells of a write after it: the second one's is behind the first one's.
+        // MINA reports writes in order: the first one's report precedes this write.
         scheduler.execute(() -> connection.write(new byte[1]));
         assertThat(peer.getInputStream().read()).isZero();
         long end = System.nanoTime() + Duration.ofSeconds(2).toNanos();
--- a/net/src/test/java/tamarindroute/net/SingleThreadScheduler.java
+++ b/net/src/test/java/tamarindroute/net/SingleThreadScheduler.java
@@ -5,10 +5,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/**
- * An owner's thread for tests: what is handed over and what is due runs on one thread. It must
- * never outlive its test.
- */
+/** A scheduler on one thread in real time, to be ended by its test. */
 class SingleThreadScheduler implements Scheduler {
 
   final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
--- a/net/src/test/java/tamarindroute/net/SocketTransportTest.java
+++ b/net/src/test/java/tamarindroute/net/SocketTransportTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import tamarindroute.protocol.FieldList;
 
-/** Connecting through MINA, which keeps threads and one allocator for the whole process. */
+/** Connections through MINA, which has threads and one buffer allocator for the whole process. */
 class SocketTransportTest {
 
   private final SingleThreadScheduler scheduler = new SingleThreadScheduler();
@@ -35,9 +35,7 @@
     scheduler.end();
   }
 
-  /**
-   * Counts what comes up; a connection given up while it was coming up must not cost a later one.
-   */
+  /** Counts established connections. */
   private record CountingHandler(CountDownLatch up) implements ConnectionHandler {
 
     @Override
@@ -54,9 +52,7 @@
     public void onClosed(CloseReason closeReason) {}
   }
 
-  /**
-   * The address of a cache that is gone may be another's by the time that the connection comes up.
-   */
+  /** The address may belong to another cache when the connection is established. */
   @Test
   void aRequestWaitingForAConnectionToARemovedCacheIsNotSent() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
@@ -87,8 +83,7 @@
   }
 
   /**
-   * A drain told while the connection comes up binds what waits for it; nothing has run, and nobody
-   * is to blame.
+   * A drain announced while the connection is established applies to the requests that wait for it.
    */
   @Test
   void aRequestNoLongerWantedWhenItsConnectionOpensIsNotSent() throws Exception {
@@ -135,7 +130,7 @@
       }
 
       @Override
-      public void onResponse(String word, FieldList fields, int length) {}
+      public void onResponse(String status, FieldList fields, int length) {}
 
       @Override
       public void onBody(ByteBuffer part, Connection from) {}
@@ -151,8 +146,8 @@
   }
 
   /**
-   * MINA sets what a connection waits for in two steps: two threads at once leave it deaf, or mute,
-   * for good.
+   * MINA changes its interest in reads and writes in two steps; two threads at once would make the
+   * connection hang.
    */
   @Test
   void suspendingAndResumingReadsDuringWritesNeverStalls() throws Exception {
@@ -198,15 +193,13 @@
           socket.setSoTimeout(2000);
         }
       } catch (SocketTimeoutException e) {
-        // Nothing more comes: told by the count.
+        // Nothing more comes; the count shows that.
       }
       assertThat(remainingBytes.getCount()).isZero();
     }
   }
 
-  /**
-   * MINA lets what is queued go without a word when a connection ends; the pool must get it back.
-   */
+  /** MINA drops queued buffers without an event when a connection ends. */
   @Test
   void buffersNeverSentAreReturnedToThePool() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 200)) {
@@ -236,10 +229,7 @@
     }
   }
 
-  /**
-   * MINA keeps the buffer of a read that ends in a reset; after some hundreds the pool had no room
-   * for good.
-   */
+  /** MINA does not free the buffer of such a read; a few hundred of them would exhaust the pool. */
   @Test
   void theBufferOfAReadEndingInAResetIsReturnedToThePool() throws Exception {
     BufferPool few = new BufferPool(1024 * 1024);
@@ -301,8 +291,7 @@
   }
 
   /**
-   * A dial that hangs keeps its socket after whoever wanted it has given it up; counted, it passes
-   * no share.
+   * A connect that hangs keeps its socket after it was abandoned, and must count towards the limit.
    */
   @Test
   void abandonedConnectsCountUntilTheirSocketsAreClosed() throws Exception {
@@ -333,10 +322,10 @@
                     return dials;
                   })
               .get();
-      assertThat(given).as("what the limit leaves to each side").isEqualTo(8);
+      assertThat(given).as("descriptors of each side").isEqualTo(8);
       InetSocketAddress address = new InetSocketAddress("127.0.0.1", there.getLocalPort());
       CountDownLatch up = new CountDownLatch(1);
-      // MINA gives them up after 3 s and looks each second.
+      // MINA gives them up after 3 s, which it checks each second.
       for (int i = 0; i < 700 && !scheduler.thread.submit(few::canConnect).get(); i++) {
         Thread.sleep(10);
       }
--- a/router/src/main/java/tamarindroute/host/EventLoop.java
+++ b/router/src/main/java/tamarindroute/host/EventLoop.java
@@ -53,8 +53,7 @@
    */
   public Duration fromUnixMillis(long unixMillis) {
     // The wall clock is read first: a pause between both readings then makes the event look later
-    // than it was,
-    // which is the safe side for purges and process starts.
+    // than it was, which is the safe side for purges and process starts.
     Duration elapsed = Duration.between(Instant.ofEpochMilli(unixMillis), wallClock.get());
     return now().minus(elapsed);
   }
--- a/router/src/main/java/tamarindroute/host/FeedFormat.java
+++ b/router/src/main/java/tamarindroute/host/FeedFormat.java
@@ -4,7 +4,7 @@
 import tamarindroute.decision.Cache;
 
 /**
- * The words of the control feed's JSON and the decoding of its entries. A response is {@code {"n":
+ * The keys of the control feed's JSON and the decoding of its entries. A response is {@code {"n":
  * newest number, "events": [event, ...]}}; an event has a number {@code n} and a list of caches
  * under {@code members}, a purge under {@code purge}, or something that this version does not know.
  */
--- a/router/src/main/java/tamarindroute/host/FeedSequence.java
+++ b/router/src/main/java/tamarindroute/host/FeedSequence.java
@@ -4,7 +4,7 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * The numbers of the control feed's events: decides which event is applied next, asks for missing
+ * The numbers of the control feed's events: decides which event is applied next, requests missing
  * ones again, and notices when the feed restarts its numbering. Events may also be replicated from
  * another gateway's feed, which can be ahead of this one's.
  */
--- a/router/src/main/java/tamarindroute/host/TaskQueue.java
+++ b/router/src/main/java/tamarindroute/host/TaskQueue.java
@@ -26,8 +26,7 @@
   /** Appends a task; may be called on any thread. */
   void add(Runnable task) {
     // Order matters: the task is queued before the flag is read, and awaitTask sets the flag before
-    // it reads the
-    // queue, so one of the two sides always sees the other.
+    // it reads the queue, so one of the two sides always sees the other.
     tasks.add(task);
     if (waiting) {
       unpark(consumer);
--- a/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
+++ b/router/src/test/java/tamarindroute/host/PlatformFormatTest.java
@@ -22,8 +22,8 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * The platform's formats with their words as literals: configuration file, control feed events, and
- * load reports.
+ * The platform's formats, written as literals: configuration file, control feed events, and load
+ * reports.
  */
 class PlatformFormatTest {
 
--- a/threads/src/test/java/tamarindroute/Interleavings.java
+++ b/threads/src/test/java/tamarindroute/Interleavings.java
@@ -6,30 +6,30 @@
 import org.jetbrains.lincheck.LincheckAssertionError;
 
 /**
- * Runs a body of few threads under a checker that switches between them at each access of shared
- * memory, fewest switches first, and always tries the same interleavings.
+ * Runs code with a few threads under Lincheck, which explores interleavings of their accesses to
+ * shared memory, those with the fewest switches first, and always the same ones.
  */
 public final class Interleavings {
 
-  /** Each seeded race shows within a tenth of these. */
-  private static final int TRIED = 400;
+  /** Ten times as many as show each seeded fault. */
+  private static final int INTERLEAVINGS = 400;
 
   private Interleavings() {}
 
-  /** The body ends, with no failure, in all interleavings tried. */
-  public static void hold(Runnable body) {
-    Lincheck.runConcurrentTest(TRIED, body);
+  /** Asserts that the body ends without failure in all interleavings explored. */
+  public static void assertHolds(Runnable body) {
+    Lincheck.runConcurrentTest(INTERLEAVINGS, body);
   }
 
-  /** Some interleaving fails, or never ends, and the checker prints it. */
-  public static void fail(Runnable body) {
-    assertThatThrownBy(() -> hold(body))
+  /** Asserts that some interleaving fails or never ends, and is reported. */
+  public static void assertFails(Runnable body) {
+    assertThatThrownBy(() -> assertHolds(body))
         .isInstanceOf(LincheckAssertionError.class)
         .hasMessageContaining("The following interleaving leads to the error");
   }
 
-  /** One in a thread of its own, beside the other in this one. */
-  public static void beside(Runnable one, Runnable other) {
+  /** Runs one in a new thread and the other in this one, and waits for both. */
+  public static void runConcurrently(Runnable one, Runnable other) {
     Thread thread = new Thread(one);
     thread.start();
     other.run();
@@ -40,8 +40,8 @@
     }
   }
 
-  /** AssertJ would be woven as well, which takes minutes. */
-  public static void must(boolean holds, String what) {
+  /** A plain assertion: Lincheck would instrument AssertJ as well, which takes minutes. */
+  public static void require(boolean holds, String what) {
     if (!holds) {
       throw new AssertionError(what);
     }
--- a/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
+++ b/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
@@ -1,6 +1,6 @@
 package tamarindroute.host;
 
-import static tamarindroute.Interleavings.must;
+import static tamarindroute.Interleavings.require;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -114,33 +114,35 @@
             }
           }
         };
-    Interleavings.beside(
+    Interleavings.runConcurrently(
         () -> {
           queue.add(() -> executionOrder.append('a'));
           queue.add(() -> executionOrder.append('b'));
         },
-        () -> Interleavings.beside(() -> queue.add(() -> executionOrder.append('c')), owner));
+        () ->
+            Interleavings.runConcurrently(
+                () -> queue.add(() -> executionOrder.append('c')), owner));
     String order = executionOrder.toString();
-    must(
+    require(
         order.indexOf('a') < order.indexOf('b')
             && order.indexOf('a') >= 0
             && order.indexOf('c') >= 0,
         order);
-    must(queue.poll() == null, "no task runs twice");
+    require(queue.poll() == null, "no task runs twice");
   }
 
   @Test
   void allTasksRunOnceInOrder() {
-    Interleavings.hold(() -> addFromTwoThreads(new UntimedQueue()));
+    Interleavings.assertHolds(() -> addFromTwoThreads(new UntimedQueue()));
   }
 
   @Test
   void aLostWakeUpIsFound() {
-    Interleavings.fail(() -> addFromTwoThreads(new ChecksBeforeWaiting()));
+    Interleavings.assertFails(() -> addFromTwoThreads(new ChecksBeforeWaiting()));
   }
 
   @Test
   void aLostTaskIsFound() {
-    Interleavings.fail(() -> addFromTwoThreads(new ReadsThenWrites()));
+    Interleavings.assertFails(() -> addFromTwoThreads(new ReadsThenWrites()));
   }
 }
--- a/threads/src/test/java/tamarindroute/log/LogRateLimiterRaceTest.java
+++ b/threads/src/test/java/tamarindroute/log/LogRateLimiterRaceTest.java
@@ -1,11 +1,14 @@
 package tamarindroute.log;
 
-import static tamarindroute.Interleavings.must;
+import static tamarindroute.Interleavings.require;
 
 import org.junit.jupiter.api.Test;
 import tamarindroute.Interleavings;
 
-/** Two threads tell of one topic: one line leaves, and the next tells of the other. */
+/**
+ * Two threads log a line of one topic: one is admitted, and the next reports the other as
+ * suppressed.
+ */
 class LogRateLimiterRaceTest {
 
   private static class CountingClock extends LogRateLimiter {
@@ -17,7 +20,7 @@
     }
   }
 
-  /** As it was: the time read before the lock. */
+  /** Seeded fault: reads the time before it takes the lock. */
   private static final class ReadsTimeBeforeLock extends CountingClock {
     @Override
     int admit(String topic) {
@@ -25,7 +28,7 @@
     }
   }
 
-  /** Its count is read and set in two steps. */
+  /** Seeded fault: reads and writes its count in two steps. */
   private static final class WithoutLock extends CountingClock {
     private long last;
     private int suppressed;
@@ -50,24 +53,24 @@
 
   private static void logFromTwoThreads(LogRateLimiter limiter) {
     int[] passed = new int[2];
-    Interleavings.beside(
+    Interleavings.runConcurrently(
         () -> passed[0] = limiter.admit("a"), () -> passed[1] = limiter.admit("a"));
-    must(passed[0] + passed[1] == -1, "one line of both");
-    must(limiter.admit("a", 7_000) == 1, "the other is counted");
+    require(passed[0] + passed[1] == -1, "one line is admitted");
+    require(limiter.admit("a", 7_000) == 1, "the other is counted as suppressed");
   }
 
   @Test
   void oneLinePerSecondAndTheOthersAreCounted() {
-    Interleavings.hold(() -> logFromTwoThreads(new CountingClock()));
+    Interleavings.assertHolds(() -> logFromTwoThreads(new CountingClock()));
   }
 
   @Test
   void aTimeReadBeforeTheLockIsFound() {
-    Interleavings.fail(() -> logFromTwoThreads(new ReadsTimeBeforeLock()));
+    Interleavings.assertFails(() -> logFromTwoThreads(new ReadsTimeBeforeLock()));
   }
 
   @Test
   void aLimiterWithoutALockIsFound() {
-    Interleavings.fail(() -> logFromTwoThreads(new WithoutLock()));
+    Interleavings.assertFails(() -> logFromTwoThreads(new WithoutLock()));
   }
 }
--- a/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
+++ b/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
@@ -1,6 +1,6 @@
 package tamarindroute.net;
 
-import static tamarindroute.Interleavings.must;
+import static tamarindroute.Interleavings.require;
 
 import java.nio.ByteBuffer;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -10,7 +10,8 @@
 import tamarindroute.Interleavings;
 
 /**
- * Buffers taken and given back by two threads: none to both, what is out counted, room again told.
+ * Buffers acquired and freed by two threads: none is given to both, those in use are counted, and
+ * the listener is called when capacity returns.
  */
 class BufferPoolRaceTest {
 
@@ -18,7 +19,7 @@
     return new BufferPool(4L * maxBuffers * BufferPool.BUFFER_BYTES);
   }
 
-  /** Looks at what is free, then takes it away. */
+  /** Seeded fault: reads the first free buffer, then removes it. */
   private static final class PeeksThenPolls {
     private final ConcurrentLinkedQueue<ByteBuffer> free = new ConcurrentLinkedQueue<>();
 
@@ -33,54 +34,55 @@
     }
   }
 
-  /** What was given back goes to one of both. */
+  /** Two threads acquire while one buffer is free. */
   private static void acquireFromTwoThreads(ByteBuffer free, Supplier<ByteBuffer> take) {
     ByteBuffer[] taken = new ByteBuffer[2];
-    Interleavings.beside(() -> taken[0] = take.get(), () -> taken[1] = take.get());
-    must(taken[0] == free ^ taken[1] == free, "to one of both");
+    Interleavings.runConcurrently(() -> taken[0] = take.get(), () -> taken[1] = take.get());
+    require(taken[0] == free ^ taken[1] == free, "given to one thread");
   }
 
-  /** Both free the same. */
+  /** Two threads free the same buffer. */
   private static void freeTwice(BufferPool bufferPool) {
     IoBuffer twice = bufferPool.acquire();
-    Interleavings.beside(twice::free, twice::free);
-    must(bufferPool.acquire().buf() != bufferPool.acquire().buf(), "given out once");
+    Interleavings.runConcurrently(twice::free, twice::free);
+    require(bufferPool.acquire().buf() != bufferPool.acquire().buf(), "given out once");
   }
 
-  /** There is room for one that stays free. */
+  /** Two threads free a buffer each, of which the pool keeps one. */
   private static void keepsOneFree(BufferPool bufferPool) {
     IoBuffer one = bufferPool.acquire();
     IoBuffer other = bufferPool.acquire();
     ByteBuffer bytes = one.buf();
     ByteBuffer others = other.buf();
-    Interleavings.beside(one::free, other::free);
+    Interleavings.runConcurrently(one::free, other::free);
     ByteBuffer next = bufferPool.acquire().buf();
     ByteBuffer last = bufferPool.acquire().buf();
-    must((next == bytes || next == others) && last != bytes && last != others, "one stays free");
+    require(
+        (next == bytes || next == others) && last != bytes && last != others, "one buffer is kept");
   }
 
   /**
-   * Room for two; one frees its own while the other takes the last and, finding no room, waits to
-   * be told.
+   * One thread frees its buffer while the other acquires the last and, finding no capacity, waits
+   * for the listener.
    */
   private static void notifiesWaiter(BufferPool bufferPool) {
     int[] notifications = {0};
     bufferPool.onCapacityAvailable(() -> notifications[0]++);
     IoBuffer one = bufferPool.acquire();
     boolean[] waits = {false};
-    Interleavings.beside(
+    Interleavings.runConcurrently(
         one::free,
         () -> {
           bufferPool.acquire();
           waits[0] = !bufferPool.hasCapacity();
         });
-    must(bufferPool.hasCapacity(), "one is out");
-    must(!waits[0] || notifications[0] == 1, "whoever found no room is told");
+    require(bufferPool.hasCapacity(), "one buffer is in use");
+    require(!waits[0] || notifications[0] == 1, "a waiter is notified");
   }
 
   @Test
   void aBufferGoesToOneThread() {
-    Interleavings.hold(
+    Interleavings.assertHolds(
         () -> {
           BufferPool bufferPool = pool(4);
           IoBuffer first = bufferPool.acquire();
@@ -92,7 +94,7 @@
 
   @Test
   void peekThenPollIsFound() {
-    Interleavings.fail(
+    Interleavings.assertFails(
         () -> {
           ByteBuffer bytes = ByteBuffer.allocate(BufferPool.BUFFER_BYTES);
           PeeksThenPolls pool = new PeeksThenPolls(bytes);
@@ -102,16 +104,16 @@
 
   @Test
   void aBufferFreedTwiceIsGivenOutOnce() {
-    Interleavings.hold(() -> freeTwice(pool(4)));
+    Interleavings.assertHolds(() -> freeTwice(pool(4)));
   }
 
   @Test
   void noMoreBuffersAreKeptThanTheLimit() {
-    Interleavings.hold(() -> keepsOneFree(pool(1)));
+    Interleavings.assertHolds(() -> keepsOneFree(pool(1)));
   }
 
   @Test
   void theWaiterIsNotifiedOfCapacity() {
-    Interleavings.hold(() -> notifiesWaiter(pool(3)));
+    Interleavings.assertHolds(() -> notifiesWaiter(pool(3)));
   }
 }
--- a/threads/src/test/java/tamarindroute/net/PermitCounterRaceTest.java
+++ b/threads/src/test/java/tamarindroute/net/PermitCounterRaceTest.java
@@ -1,17 +1,18 @@
 package tamarindroute.net;
 
-import static tamarindroute.Interleavings.must;
+import static tamarindroute.Interleavings.require;
 
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import tamarindroute.Interleavings;
 
 /**
- * The bound of what waits for the owner: never one too many, never one refused while there is room.
+ * Permits acquired and released by two threads: never one too many, and none refused while one is
+ * available.
  */
 class PermitCounterRaceTest {
 
-  /** As it was: whoever is refused counts for a moment. */
+  /** Seeded fault: a refused acquisition counts for a moment. */
   private static final class IncrementsThenDecrements extends PermitCounter {
     private final AtomicInteger in = new AtomicInteger();
 
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Looks, then counts. */
+  /** Seeded fault: checks the count, then increments it. */
   private static final class ChecksThenIncrements extends PermitCounter {
     private volatile int in;
 
@@ -57,47 +58,47 @@
     }
   }
 
-  /** Both try for the last place. */
+  /** Two threads try to acquire the last permit. */
   private static void acquireLastFromTwoThreads(PermitCounter permits) {
     boolean[] acquired = new boolean[2];
-    Interleavings.beside(
+    Interleavings.runConcurrently(
         () -> acquired[0] = permits.tryAcquire(), () -> acquired[1] = permits.tryAcquire());
-    must(acquired[0] ^ acquired[1], "one of both is in");
-    must(!permits.tryAcquire(), "none is left");
+    require(acquired[0] ^ acquired[1], "one thread has the permit");
+    require(!permits.tryAcquire(), "no permit is left");
     permits.release();
-    must(permits.tryAcquire(), "a place that is left can be had");
+    require(permits.tryAcquire(), "a released permit can be acquired");
   }
 
-  /** One is refused, or not, while the only one in leaves and comes again. */
+  /** One thread tries to acquire while the other releases the only permit and acquires again. */
   private static void acquireBesideRelease(PermitCounter permits) {
     permits.tryAcquire();
     boolean[] acquired = new boolean[2];
-    Interleavings.beside(
+    Interleavings.runConcurrently(
         () -> acquired[0] = permits.tryAcquire(),
         () -> {
           permits.release();
           acquired[1] = permits.tryAcquire();
         });
-    must(acquired[0] ^ acquired[1], "the place that was left goes to one of both");
+    require(acquired[0] ^ acquired[1], "the released permit goes to one thread");
   }
 
   @Test
   void theLastPermitGoesToOneThread() {
-    Interleavings.hold(() -> acquireLastFromTwoThreads(new PermitCounter(1)));
+    Interleavings.assertHolds(() -> acquireLastFromTwoThreads(new PermitCounter(1)));
   }
 
   @Test
   void aReleasedPermitCanBeAcquiredAtOnce() {
-    Interleavings.hold(() -> acquireBesideRelease(new PermitCounter(1)));
+    Interleavings.assertHolds(() -> acquireBesideRelease(new PermitCounter(1)));
   }
 
   @Test
   void incrementThenDecrementIsFound() {
-    Interleavings.fail(() -> acquireBesideRelease(new IncrementsThenDecrements()));
+    Interleavings.assertFails(() -> acquireBesideRelease(new IncrementsThenDecrements()));
   }
 
   @Test
   void checkThenIncrementIsFound() {
-    Interleavings.fail(() -> acquireLastFromTwoThreads(new ChecksThenIncrements()));
+    Interleavings.assertFails(() -> acquireLastFromTwoThreads(new ChecksThenIncrements()));
   }
 }
