--- a/net/src/main/java/tamarindroute/net/CacheResponseReader.java
+++ b/net/src/main/java/tamarindroute/net/CacheResponseReader.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import tamarindroute.log.Log;
 import tamarindroute.protocol.CacheProtocol;
-import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.CacheResponse;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.RespReader;
 
@@ -16,12 +16,6 @@
  */
 final class CacheResponseReader {
 
-  /**
-   * In place of a malformed response's status: no status of the protocol, so the request may have
-   * been executed.
-   */
-  private static final String MALFORMED_STATUS = "";
-
   /**
    * More unsolicited responses in a row than there can be late ones: the other side sends noise
    * without end.
@@ -168,15 +162,14 @@
 
   /** A malformed response costs only its own request, since its frame is intact. */
   private void deliverHeader(List<String> arguments) {
-    String status = arguments.size() > 1 ? arguments.get(1) : MALFORMED_STATUS;
-    FieldList fields = new FieldList();
+    CacheResponse response;
     try {
-      fields = FieldList.parse(arguments.size() > 2 ? arguments.get(2) : "");
+      response = CacheProtocol.decodeResponse(arguments);
     } catch (MalformedMessageException e) {
       Log.info("cache-protocol-error", cacheId + ": " + e.getMessage());
-      status = MALFORMED_STATUS;
+      response = CacheResponse.MALFORMED;
     }
-    currentRequest.handler.onResponse(status, fields, reader.bodyLength());
+    currentRequest.handler.onResponse(response, reader.bodyLength());
   }
 
   private void onBody() {
--- a/net/src/main/java/tamarindroute/net/ResponseHandler.java
+++ b/net/src/main/java/tamarindroute/net/ResponseHandler.java
@@ -1,7 +1,7 @@
 package tamarindroute.net;
 
 import java.nio.ByteBuffer;
-import tamarindroute.protocol.FieldList;
+import tamarindroute.protocol.CacheResponse;
 
 /**
  * Handles the response to one request to a cache; called on the owner's thread. A response is
@@ -21,11 +21,10 @@
   /**
    * The response begins.
    *
-   * @param status the status word; empty if the response is malformed
-   * @param fields of the response
+   * @param response status and fields
    * @param bodyLength in bytes
    */
-  void onResponse(String status, FieldList fields, int bodyLength);
+  void onResponse(CacheResponse response, int bodyLength);
 
   /**
    * A part of the body was received.
--- a/net/src/main/java/tamarindroute/protocol/CacheProtocol.java
+++ b/net/src/main/java/tamarindroute/protocol/CacheProtocol.java
@@ -102,12 +102,18 @@
   }
 
   /**
-   * Decodes a response without its body.
+   * Decodes a response without its body. Missing fields are none; a missing status is unknown.
    *
-   * @param status second bulk string of the response
-   * @param fields its field list
+   * @param arguments the frame's bulk strings before the body: id, status and fields
+   * @throws MalformedMessageException if the fields are not a field list
    */
-  public static CacheResponse decodeResponse(String status, FieldList fields) {
+  public static CacheResponse decodeResponse(List<String> arguments)
+      throws MalformedMessageException {
+    FieldList fields = arguments.size() > 2 ? FieldList.parse(arguments.get(2)) : new FieldList();
+    if (arguments.size() < 2) {
+      return new CacheResponse(CacheStatus.UNKNOWN, false, fields);
+    }
+    String status = arguments.get(1);
     return new CacheResponse(CacheStatus.decode(status), HEALTHY.equals(status), fields);
   }
 
--- a/net/src/main/java/tamarindroute/protocol/CacheResponse.java
+++ b/net/src/main/java/tamarindroute/protocol/CacheResponse.java
@@ -64,6 +64,10 @@
   private final boolean healthy;
   private final FieldList fields;
 
+  /** Stands for a response that can't be decoded: the request may have run. */
+  public static final CacheResponse MALFORMED =
+      new CacheResponse(CacheStatus.UNKNOWN, false, new FieldList());
+
   CacheResponse(CacheStatus status, boolean healthy, FieldList fields) {
     this.status = status;
     this.healthy = healthy;
--- a/net/src/main/java/tamarindroute/protocol/CacheStatus.java
+++ b/net/src/main/java/tamarindroute/protocol/CacheStatus.java
@@ -12,10 +12,12 @@
   MISS("NOENT", Result.MISS),
   /** The cache is full; nothing ran. */
   REJECTED("AGAIN", Result.REJECTED),
-  /** The request may have run. Unknown and unreadable statuses count as this one. */
+  /** The request may have run. */
   FAILED("EIO", Result.FAILED),
   /** The request's time was over when it arrived; nothing ran. */
-  EXPIRED("STALE", Result.DEADLINE_EXCEEDED);
+  EXPIRED("STALE", Result.DEADLINE_EXCEEDED),
+  /** Any other status, or none: the request may have run. */
+  UNKNOWN("", Result.FAILED);
 
   private final String wireName;
   private final Result result;
@@ -35,14 +37,14 @@
     return result;
   }
 
-  /** Decodes a status; {@link #FAILED} if it is unknown. */
+  /** Decodes a status; {@link #UNKNOWN} if it is none of the protocol. */
   static CacheStatus decode(String wireName) {
     for (CacheStatus status : VALUES) {
       if (status.wireName.equals(wireName)) {
         return status;
       }
     }
-    return FAILED;
+    return UNKNOWN;
   }
 
   private static final CacheStatus[] VALUES = values();
--- a/router/src/main/java/tamarindroute/gateway/AttemptSender.java
+++ b/router/src/main/java/tamarindroute/gateway/AttemptSender.java
@@ -14,7 +14,6 @@
 import tamarindroute.protocol.CacheRequest;
 import tamarindroute.protocol.CacheResponse;
 import tamarindroute.protocol.CacheStatus;
-import tamarindroute.protocol.FieldList;
 
 /**
  * Fourth stage of the pipeline: sends attempts to caches, cancels them, and passes on what their
@@ -66,7 +65,7 @@
 
     final PendingRequest pending;
     final Attempt attempt;
-    final ResponseRelay.PendingResponse response;
+    final ResponseRelay.PendingResponse clientResponse;
     private Runnable cancelOnConnection = () -> {};
     private boolean started;
     private CacheResponse head;
@@ -74,7 +73,7 @@
     InFlightAttempt(PendingRequest pending, Attempt attempt) {
       this.pending = pending;
       this.attempt = attempt;
-      this.response = relay.openResponse(pending);
+      this.clientResponse = relay.openResponse(pending);
     }
 
     /** Whether the attempt was written to a connection. */
@@ -132,17 +131,17 @@
     }
 
     @Override
-    public void onResponse(String status, FieldList fields, int bodyLength) {
-      head = CacheProtocol.decodeResponse(status, fields);
+    public void onResponse(CacheResponse response, int bodyLength) {
+      head = response;
       if (head.status() == CacheStatus.SERVED) {
-        response.begin(head, bodyLength);
+        clientResponse.begin(head, bodyLength);
       }
     }
 
     @Override
     public void onBody(ByteBuffer part, Connection source) {
       if (head.status() == CacheStatus.SERVED) {
-        response.append(part, source);
+        clientResponse.append(part, source);
       }
     }
 
--- a/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
+++ b/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
@@ -54,9 +54,9 @@
     boolean served = result == Result.SERVED;
     boolean finished = inFlight.pending.isFinished();
     if (served && !finished) {
-      inFlight.response.finish(response);
+      inFlight.clientResponse.finish(response);
     } else {
-      inFlight.response.discard();
+      inFlight.clientResponse.discard();
     }
     complete(inFlight, result, response.detail(), sourceWait, finished || served);
   }
@@ -108,7 +108,7 @@
 
   /** Handles an attempt that ended without a response. */
   void onFailure(InFlightAttempt inFlight, Result result) {
-    inFlight.response.discard();
+    inFlight.clientResponse.discard();
     complete(inFlight, result, Detail.UNKNOWN, null, inFlight.pending.isFinished());
   }
 
--- a/router/src/main/java/tamarindroute/nameserver/Prober.java
+++ b/router/src/main/java/tamarindroute/nameserver/Prober.java
@@ -14,9 +14,7 @@
 import tamarindroute.net.Connection;
 import tamarindroute.net.ResponseHandler;
 import tamarindroute.net.Scheduler;
-import tamarindroute.protocol.CacheProtocol;
 import tamarindroute.protocol.CacheResponse;
-import tamarindroute.protocol.FieldList;
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
@@ -78,8 +76,8 @@
     }
 
     @Override
-    public void onResponse(String status, FieldList fields, int length) {
-      response = CacheProtocol.decodeResponse(status, fields);
+    public void onResponse(CacheResponse head, int bodyLength) {
+      response = head;
     }
 
     @Override
