--- a/router/src/test/java/tamarindroute/gateway/AttemptSenderTest.java
+++ b/router/src/test/java/tamarindroute/gateway/AttemptSenderTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -28,10 +29,7 @@
 /** An attempt between its decision, its writing and its response, without sockets. */
 class AttemptSenderTest {
 
-  private static final String BOOTSTRAP_EVENTS =
-      "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,\"servers\":[{\"id\":\"s-1\","
-          + "\"addr\":\"127.0.0.1:9\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,\"state\":\"ready\","
-          + "\"weight\":40,\"started_ms\":0}]}}]}";
+  private static final InetSocketAddress CACHE_ADDRESS = new InetSocketAddress("127.0.0.1", 9);
   private static final String COPY_TAG = "4be0c1927d55a6f3";
 
   private final ScriptedPolicy policy = new ScriptedPolicy();
@@ -53,7 +51,7 @@
             List.of(policy),
             eventLoop,
             (id, address) -> new CacheConnectionPool(null, eventLoop, id, address, limits));
-    endpoints.onEvents(BOOTSTRAP_EVENTS);
+    endpoints.onEvents(EndpointList.of(EndpointList.entry("s-1", "edge", CACHE_ADDRESS)));
     Router router = new Router(policy, eventLoop);
     OutcomeHandler outcomeHandler = new OutcomeHandler(eventLoop, policy, router);
     ResponseRelay relay = new ResponseRelay(bufferPool, eventLoop);
--- a/router/src/test/java/tamarindroute/gateway/CacheWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/gateway/CacheWireFormatTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.List;
@@ -127,8 +126,7 @@
   @Test
   void healthCheckOfACacheHasItsBytes() throws Exception {
     CompletableFuture<CacheResponse> answer = new CompletableFuture<>();
-    CacheConnectionPool connectionPool =
-        connectionPool("s-3", new InetSocketAddress("127.0.0.1", cacheServer.getLocalPort()));
+    CacheConnectionPool connectionPool = connectionPool("s-3", cacheAddress());
     onLoop(
         () ->
             connectionPool.sendHealthCheck(
--- a/router/src/test/java/tamarindroute/gateway/PipelineHarness.java
+++ b/router/src/test/java/tamarindroute/gateway/PipelineHarness.java
@@ -110,11 +110,8 @@
         new EndpointRegistry(
             configuration.settings(), List.of(policy), eventLoop, this::connectionPool);
     endpoints.onEvents(
-        "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,\"servers\":["
-            + serverEntry("s-1", first)
-            + ","
-            + serverEntry("s-2", second)
-            + "]}}]}");
+        EndpointList.of(
+            EndpointList.entry("s-1", "edge", first), EndpointList.entry("s-2", "edge", second)));
     pipeline =
         onEventLoop(
             () -> {
@@ -129,15 +126,6 @@
     idleBufferCapacity = freeBuffers();
   }
 
-  private static String serverEntry(String id, InetSocketAddress address) {
-    return "{\"id\":\""
-        + id
-        + "\",\"addr\":\"127.0.0.1:"
-        + address.getPort()
-        + "\",\"zone\":\"shed\",\"kind\":\"edge\","
-        + "\"cell\":0,\"state\":\"ready\",\"weight\":40,\"started_ms\":0}";
-  }
-
   CacheConnectionPool connectionPool(String id, InetSocketAddress address) {
     return new CacheConnectionPool(
         transport,
--- a/router/src/test/java/tamarindroute/gateway/WireFormatHarness.java
+++ b/router/src/test/java/tamarindroute/gateway/WireFormatHarness.java
@@ -72,11 +72,9 @@
             eventLoop,
             (id, address) -> connectionPool(id, address));
     endpoints.onEvents(
-        "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,\"servers\":["
-            + server("s-1", "edge")
-            + ","
-            + server("s-2", "parent")
-            + "]}}]}");
+        EndpointList.of(
+            EndpointList.entry("s-1", "edge", cacheAddress()),
+            EndpointList.entry("s-2", "parent", cacheAddress())));
     pipeline =
         onLoop(
             () ->
@@ -106,14 +104,8 @@
         new CacheConnectionPool.Limits(1, 100, Duration.ofSeconds(2), Duration.ZERO));
   }
 
-  private String server(String id, String kind) {
-    return "{\"id\":\""
-        + id
-        + "\",\"addr\":\"127.0.0.1:"
-        + cacheServer.getLocalPort()
-        + "\",\"zone\":\"shed\",\"kind\":\""
-        + kind
-        + "\",\"cell\":0,\"state\":\"ready\",\"weight\":40,\"started_ms\":0}";
+  InetSocketAddress cacheAddress() {
+    return new InetSocketAddress("127.0.0.1", cacheServer.getLocalPort());
   }
 
   interface Work<T> {
