--- a/decision/src/main/java/tamarindroute/decision/Attempt.java
+++ b/decision/src/main/java/tamarindroute/decision/Attempt.java
@@ -3,37 +3,48 @@
 import java.time.Duration;
 import java.util.List;
 
-/** One sending of a view to a cache; the gateway fills in when it left and how it came back. */
+/**
+ * The sending of a request to a cache. The gateway sets {@link #sentAt} and {@link #outcome}; the
+ * rest is fixed.
+ */
 public final class Attempt implements Decision {
 
   public final Cache cache;
 
-  /** Where a miss is filled from; the cache itself for no fill. */
+  /** Where the cache fetches the object from on a miss; the cache itself if it must not. */
   public final Cache source;
 
-  /** 0 keeps no copy, 1 to 3 is the rank of the copy. */
+  /** Retention rank of the copy the cache keeps, 1 to 3; 0 keeps none. */
   public final int rank;
 
-  /** The oldest copy that will do; null for the profile's fresh time. */
+  /** Oldest copy that may be served; null for the maximum age of the request class. */
   public final Duration maxCopyAge;
 
+  /** Whether the source answers from its own copies only. */
   public final boolean onlyIfCached;
+
+  /** Whether a copy past its maximum age is revalidated in the background. */
   public final boolean revalidate;
 
   /**
-   * When it should have come back, and the gateway asks for a place again if it has not; null for
+   * When the gateway asks for a further decision if the attempt is still outstanding; null for
    * never.
    */
   public final Duration expectedBy;
 
-  /** When the processes of both had started, as far as was told when this was decided. */
+  /** {@link Cache#startedAt} of the cache when the attempt was decided. */
   public final Duration cacheStartedAt;
 
+  /** {@link Cache#startedAt} of the source when the attempt was decided. */
   public final Duration sourceStartedAt;
 
+  /** When the gateway sent the attempt; null before. */
   public Duration sentAt;
+
+  /** How it ended; null while it is outstanding. */
   public Outcome outcome;
 
+  /** Creates an attempt that is not sent yet; the parameters are the fields of the same names. */
   public Attempt(
       Cache cache,
       Cache source,
@@ -53,14 +64,13 @@
     this.sourceStartedAt = source.startedAt;
   }
 
-  /** Whether it is out and should have come back by then. */
+  /** Whether it is outstanding and was expected to end by now. */
   public boolean isLate(Duration now) {
     return outcome == null && expectedBy != null && expectedBy.compareTo(now) <= 0;
   }
 
   /**
-   * The caches that it is sent to or makes send something: its own, and its source if that is
-   * another.
+   * Returns the caches that the attempt puts load on: its own, and its source if that is another.
    */
   public List<Cache> contactedCaches() {
     return source == cache ? List.of(cache) : List.of(cache, source);
--- a/decision/src/main/java/tamarindroute/decision/CacheHealth.java
+++ b/decision/src/main/java/tamarindroute/decision/CacheHealth.java
@@ -1,19 +1,18 @@
 package tamarindroute.decision;
 
 /**
- * What the module holds of a cache just now, for a front that steers clients there and carries no
- * views itself.
+ * The policy's current view of a cache, for a front that directs clients to caches without carrying
+ * their requests.
  *
- * @param ready whether the list lets work be sent there
- * @param cold whether it started lately and is not warm yet
- * @param ejected whether its outcomes speak against it
- * @param failureEvidence how much they do, from 0
- * @param maxConcurrentTransfers the transfers that this instance may have under way there at once,
- *     by its share of what a cold cache bears; infinite where it is warm. It only grows until the
- *     cache starts anew
- * @param cpuUtilization the part of its cores that it last told as busy; fades to 1 where it tells
- *     nothing
- * @param weight the transfers that its link carries at once without one slowing another
+ * @param ready whether the endpoint list allows new requests there
+ * @param cold whether it started recently and has not warmed up
+ * @param ejected whether outlier detection has taken it out of use
+ * @param failureEvidence weight of the evidence against it, from 0
+ * @param maxConcurrentTransfers transfers that this instance may have in flight there within its
+ *     even share of what a cold cache can take; infinite for a warm cache. Grows until the cache
+ *     restarts
+ * @param cpuUtilization busy share of its cores as last reported; decays to 1 without reports
+ * @param weight relative capacity from the endpoint list
  */
 public record CacheHealth(
     boolean ready,
--- a/decision/src/main/java/tamarindroute/decision/Decision.java
+++ b/decision/src/main/java/tamarindroute/decision/Decision.java
@@ -2,19 +2,27 @@
 
 import java.time.Duration;
 
-/** What a gateway does with a view next. */
+/** What a gateway does next with a request. */
 public sealed interface Decision
     permits Attempt, Decision.Wait, Decision.Cancel, Decision.Reject, Decision.Fail {
 
-  /** Nothing for now; the view stays in hand. */
+  /** Do nothing for now and keep the request. */
   record Wait() implements Decision {}
 
-  /** Stop waiting for this trip; its outcome still comes. */
+  /**
+   * Stop waiting for an attempt. Its outcome is still reported.
+   *
+   * @param attempt the outstanding attempt to cancel
+   */
   record Cancel(Attempt attempt) implements Decision {}
 
-  /** The final answer that a new try is harmless; comeBack is null where nothing is advised. */
+  /**
+   * End the request and tell the client that sending it again is harmless.
+   *
+   * @param retryAfter how long the client is advised to wait first; null for no advice
+   */
   record Reject(Duration retryAfter) implements Decision {}
 
-  /** The final answer that promises nothing. */
+  /** End the request without a promise: it may have been executed. */
   record Fail() implements Decision {}
 }
--- a/decision/src/main/java/tamarindroute/decision/LoadReport.java
+++ b/decision/src/main/java/tamarindroute/decision/LoadReport.java
@@ -1,14 +1,14 @@
 package tamarindroute.decision;
 
 /**
- * A cache's own word on its load; what it does not tell is not a number.
+ * The load that a cache reports of itself; a value that it does not report is NaN.
  *
- * @param cpuUtilization the part of its cores that is busy, 1 for all
- * @param outstandingRequests the requests that it has in hand, from all gateways together
+ * @param cpuUtilization busy share of its cores, 1 for all
+ * @param outstandingRequests requests in flight at the cache, from all gateways together
  */
 public record LoadReport(double cpuUtilization, double outstandingRequests) {
 
-  /** Whether it tells anything that is read. */
+  /** Whether any value is reported. */
   public boolean hasValues() {
     return !Double.isNaN(cpuUtilization) || !Double.isNaN(outstandingRequests);
   }
--- a/decision/src/main/java/tamarindroute/decision/Request.java
+++ b/decision/src/main/java/tamarindroute/decision/Request.java
@@ -4,24 +4,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's wish for one part of an object, held by the gateway until its final answer. */
+/** A client's request for one part of an object, kept by the gateway until its final answer. */
 public final class Request {
 
   public final RequestClass requestClass;
   public final long objectId;
+
+  /** Index of the requested part of the object. */
   public final int part;
+
+  /** Group of objects that are purged together. */
   public final int purgeGroup;
 
-  /** 0 where sizes are not told. */
+  /** Size of the part; 0 if unknown. */
   public final double kilobytes;
 
   public final Duration arrivalTime;
 
-  /** When this try of the client is over. */
+  /** When the client stops waiting. */
   public final Duration deadline;
 
+  /** The attempts sent so far, oldest first. */
   public final List<Attempt> attempts = new ArrayList<>(2);
 
+  /** Creates a request without attempts; the parameters are the fields of the same names. */
   public Request(
       RequestClass requestClass,
       long objectId,
@@ -39,60 +45,60 @@
     this.deadline = deadline;
   }
 
-  /** The trip that has not come back yet; of two, the one that left first; null for none. */
+  /** Returns the earliest attempt without an outcome; null if there is none. */
   public Attempt outstandingAttempt() {
     return attempts.stream().filter(attempt -> attempt.outcome == null).findFirst().orElse(null);
   }
 
-  /** The first trip but this one that may have run, which proves nothing else; null for none. */
+  /**
+   * Returns the earliest attempt that may have been executed: it is outstanding or its result does
+   * not prove otherwise.
+   *
+   * @param excluded an attempt to leave out; null for none
+   * @return null if no attempt may have been executed
+   */
   public Attempt firstPossiblyExecuted(Attempt excluded) {
     return attempts.stream()
-        .filter(
-            attempt ->
-                attempt != excluded
-                    && (attempt.outcome == null || !attempt.outcome.result().provesNotExecuted))
+        .filter(attempt -> attempt != excluded)
+        .filter(attempt -> attempt.outcome == null || !attempt.outcome.result().provesNotExecuted)
         .findFirst()
         .orElse(null);
   }
 
-  /**
-   * Whether a cache is known to lack the object and, for another source than itself, that one too.
-   */
+  /** Whether an attempt at the cache with that fill source has ended in a miss. */
   public boolean isKnownMiss(Cache cache, Cache source) {
     return attempts.stream()
         .anyMatch(
-            attempt ->
-                attempt.cache == cache
-                    && attempt.source == source
-                    && attempt.outcome != null
-                    && attempt.outcome.result() == Outcome.Result.MISS);
+            attempt -> attempt.cache == cache && attempt.source == source && endedInMiss(attempt));
   }
 
-  /** When its answer is wanted, if its transfer alone takes this long. */
+  /** Returns when the answer is due if its transfer alone takes this long. */
   public Duration latencyObjectiveTime(Duration transferTime) {
-    return arrivalTime
-        .plus(requestClass.latencyObjective())
-        .plusNanos(Math.round(requestClass.transferTimeFactor() * transferTime.toNanos()));
+    long transferNanos = Math.round(requestClass.transferTimeFactor() * transferTime.toNanos());
+    return arrivalTime.plus(requestClass.latencyObjective()).plusNanos(transferNanos);
   }
 
-  /** How often it was tried: what follows a proven miss is the same try. */
+  /**
+   * Returns the number of tries: a fill after a proven miss belongs to the same try as the miss.
+   */
   public long attemptCount() {
-    return attempts.stream()
-        .filter(
-            attempt -> attempt.outcome == null || attempt.outcome.result() != Outcome.Result.MISS)
-        .count();
+    return attempts.stream().filter(attempt -> !endedInMiss(attempt)).count();
   }
 
-  /** How long until its first trip that is not late yet will be; null for none. */
+  /**
+   * Returns the time until the first outstanding attempt that is not late becomes so; null if there
+   * is none.
+   */
   public Duration delayUntilNextLate(Duration now) {
     return attempts.stream()
-        .filter(
-            attempt ->
-                attempt.outcome == null
-                    && attempt.expectedBy != null
-                    && attempt.expectedBy.compareTo(now) > 0)
+        .filter(attempt -> attempt.outcome == null && attempt.expectedBy != null)
+        .filter(attempt -> attempt.expectedBy.compareTo(now) > 0)
         .map(attempt -> attempt.expectedBy.minus(now))
         .findFirst()
         .orElse(null);
   }
+
+  private static boolean endedInMiss(Attempt attempt) {
+    return attempt.outcome != null && attempt.outcome.result() == Outcome.Result.MISS;
+  }
 }
--- a/decision/src/main/java/tamarindroute/decision/RequestClass.java
+++ b/decision/src/main/java/tamarindroute/decision/RequestClass.java
@@ -3,8 +3,15 @@
 import java.time.Duration;
 
 /**
- * What the operators agreed for one kind of view; the agreed time grows by stretch times the
- * sending time.
+ * Service terms of one class of requests.
+ *
+ * @param idempotency what a second execution would do
+ * @param deduplicationScope which caches recognize a repeated key
+ * @param deduplicationWindow how long a key is remembered
+ * @param latencyObjective time within which an answer is due, without its transfer
+ * @param transferTimeFactor times the transfer time that is added to the objective
+ * @param cacheable whether answers may be kept by caches
+ * @param maxAge how old a copy may be served without revalidation; zero if copies do not age
  */
 public record RequestClass(
     Idempotency idempotency,
@@ -15,20 +22,23 @@
     boolean cacheable,
     Duration maxAge) {
 
-  /** What a second run would do. */
+  /** The effect of executing a request twice, from the most to the least permissive. */
   public enum Idempotency {
+    /** A second execution has no further effect. */
     IDEMPOTENT,
+    /** A second execution is recognized by its idempotency key within the window and scope. */
     KEYED,
+    /** A second execution has an effect of its own. */
     NON_IDEMPOTENT
   }
 
-  /** The caches that know a numbered view again. */
+  /** The caches among which an idempotency key is known, from the widest to the narrowest. */
   public enum DeduplicationScope {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether a repeat at the other cache is known again. */
+    /** Whether a key used at one of the caches is recognized at the other. */
     public boolean sharedBy(Cache first, Cache second) {
       return switch (this) {
         case ALL -> true;
--- a/decision/src/main/java/tamarindroute/numeric/DecayingValue.java
+++ b/decision/src/main/java/tamarindroute/numeric/DecayingValue.java
@@ -1,20 +1,18 @@
 package tamarindroute.numeric;
 
-/** A value that returns to its rest exponentially; it is brought up to date when it is read. */
+/** A value that decays exponentially toward a resting value. It is brought up to date on access. */
 public final class DecayingValue {
 
-  /** As of the latest call of {@link #read}. */
-  public double value;
-
   private final double timeConstant;
+  private double value;
   private double rest;
   private double updatedAt;
 
   /**
-   * Starts at its rest.
+   * Starts at the resting value, at time 0.
    *
-   * @param timeConstant in which the distance from the rest falls to 1/e, in seconds
-   * @param rest the value it returns to
+   * @param timeConstant seconds in which the distance from the resting value falls to 1/e
+   * @param rest the resting value
    */
   public DecayingValue(double timeConstant, double rest) {
     this.timeConstant = timeConstant;
@@ -22,28 +20,40 @@
     this.value = rest;
   }
 
-  /** The value at this time, in seconds; times never go back. */
+  /** Returns the value at this time, in seconds; times never go back. */
   public double valueAt(double now) {
     value = rest + (value - rest) * Math.exp((updatedAt - now) / timeConstant);
     updatedAt = now;
     return value;
   }
 
+  /** Returns the value at the time of the latest access. */
+  public double lastValue() {
+    return value;
+  }
+
+  /** Replaces the value as of the latest access. */
+  public void reset(double newValue) {
+    value = newValue;
+  }
+
+  /** Adds an amount at this time. */
   public void add(double amount, double now) {
     value = valueAt(now) + amount;
   }
 
-  /** Moves by this part of the way toward a sample. */
+  /** Moves this fraction of the way toward a sample. */
   public void blendToward(double sample, double fraction, double now) {
     add(fraction * (sample - valueAt(now)), now);
   }
 
-  /** Moves the rest, so that the value becomes the rest's mean over the span. */
+  /** Moves the resting value, so that the value becomes its running mean. */
   public void shiftRest(double change, double now) {
     valueAt(now);
     rest += change;
   }
 
+  /** Returns the resting value. */
   public double rest() {
     return rest;
   }
--- a/decision/src/main/java/tamarindroute/numeric/Hashing.java
+++ b/decision/src/main/java/tamarindroute/numeric/Hashing.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** Hashes for placement, and draws that repeat with their seed. */
+/** Hash functions for placement, and pseudo-random numbers that can be repeated from their seed. */
 public final class Hashing {
 
   private static final double CRC_RANGE = 0x1p32;
@@ -12,9 +12,7 @@
 
   private Hashing() {}
 
-  /**
-   * The final mixing of SplitMix64: the result looks random though inputs may be near each other.
-   */
+  /** The finalizer of SplitMix64: inputs near each other give unrelated results. */
   public static long mix(long input) {
     long mixed = input + 0x9e3779b97f4a7c15L;
     mixed = (mixed ^ (mixed >>> 30)) * 0xbf58476d1ce4e5b9L;
@@ -22,15 +20,17 @@
     return mixed ^ (mixed >>> 31);
   }
 
-  /** The hash as a fraction between 0 and 1, neither of them included. */
+  /** Maps a hash to a fraction between 0 and 1, both excluded. */
   public static double fraction(long hash) {
     return ((hash >>> FRACTION_SHIFT) + 0.5) / FRACTION_RANGE;
   }
 
-  /** The draw of this number under this seed, between 0 and 1. */
-  public static double pseudoRandom(long seed, long number) {
+  /**
+   * Returns the pseudo-random number of this index under this seed, between 0 and 1, both excluded.
+   */
+  public static double pseudoRandom(long seed, long index) {
     CRC32 crc = new CRC32();
-    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(number).flip());
+    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(index).flip());
     return (crc.getValue() + 0.5) / CRC_RANGE;
   }
 }
--- a/decision/src/main/java/tamarindroute/numeric/Seconds.java
+++ b/decision/src/main/java/tamarindroute/numeric/Seconds.java
@@ -2,19 +2,20 @@
 
 import java.time.Duration;
 
-/** Spans of time as seconds and back. */
+/** Conversion between durations and seconds as floating-point numbers. */
 public final class Seconds {
 
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private Seconds() {}
 
-  public static double seconds(Duration span) {
-    return span.getSeconds() + span.getNano() / NANOS;
+  /** Converts a duration to seconds. */
+  public static double seconds(Duration duration) {
+    return duration.getSeconds() + duration.getNano() / NANOS_PER_SECOND;
   }
 
-  /** To the nearest nanosecond. */
-  public static Duration span(double seconds) {
-    return Duration.ofNanos(Math.round(seconds * NANOS));
+  /** Converts seconds to a duration, rounded to the nearest nanosecond. */
+  public static Duration toDuration(double seconds) {
+    return Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
   }
 }
--- a/decision/src/main/java/tamarindroute/numeric/package-info.java
+++ b/decision/src/main/java/tamarindroute/numeric/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Numeric helpers without any decision or tuned value: decaying values, spans in seconds, hashing.
+ * Numeric helpers without any tuned value, used by the routing policy: decaying values, hashing,
+ * times in seconds.
  */
 package tamarindroute.numeric;
--- a/policy/src/main/java/tamarindroute/policy/AttemptPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptPlanner.java
@@ -156,7 +156,7 @@
         tiers.statistics(request).spread * tiers.transferTime(request) * node.stretch(now);
     return request.requestClass.idempotency() == RequestClass.Idempotency.NON_IDEMPOTENT
         ? null
-        : span(now + sending + Math.max(0.1, 3 * tiers.fillLatency));
+        : toDuration(now + sending + Math.max(0.1, 3 * tiers.fillLatency));
   }
 
   /**
--- a/policy/src/main/java/tamarindroute/policy/CacheState.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheState.java
@@ -72,7 +72,8 @@
     if (!same) {
       startedAt = cache.startedAt;
       toldAt = allowanceAt = now;
-      allowance = failureEvidence.value = 0;
+      allowance = 0;
+      failureEvidence.reset(0);
       sampled = ejected = false;
     }
   }
@@ -147,7 +148,7 @@
   void judge(double weight, double now) {
     if (weight > 0) {
       failureEvidence.add(Math.min(9 - failureEvidence.valueAt(now), 3 * weight), now);
-      if (ejected || failureEvidence.value >= 6) {
+      if (ejected || failureEvidence.lastValue() >= 6) {
         wait = ejected ? Math.min(4, wait * 2) : 1;
         ejected = true;
         triedAt = now;
@@ -156,7 +157,7 @@
       failureEvidence.add(
           Math.max(-failureEvidence.valueAt(now), (ejected ? 4 : 1) * 0.5 * weight), now);
       wait = 0.25;
-      ejected &= failureEvidence.value >= 3;
+      ejected &= failureEvidence.lastValue() >= 3;
     }
   }
 
--- a/policy/src/main/java/tamarindroute/policy/CacheTiers.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheTiers.java
@@ -104,7 +104,7 @@
   }
 
   double agreed(Request request) {
-    return seconds(request.latencyObjectiveTime(span(transferTime(request))));
+    return seconds(request.latencyObjectiveTime(toDuration(transferTime(request))));
   }
 
   /**
--- a/policy/src/main/java/tamarindroute/policy/Rules.java
+++ b/policy/src/main/java/tamarindroute/policy/Rules.java
@@ -37,7 +37,9 @@
    */
   Duration oldest(Request request, double now) {
     double since = now - purgedAt(request), fresh = seconds(request.requestClass.maxAge());
-    return since > purgesBind() || fresh > 0 && fresh < since ? null : span(Math.max(0, since));
+    return since > purgesBind() || fresh > 0 && fresh < since
+        ? null
+        : toDuration(Math.max(0, since));
   }
 
   /**
@@ -96,6 +98,6 @@
     return !harmless
         ? new Decision.Fail()
         : new Decision.Reject(
-            most == null ? null : span(seconds(most) * (0.5 + 0.5 * tiers.nextRandom())));
+            most == null ? null : toDuration(seconds(most) * (0.5 + 0.5 * tiers.nextRandom())));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
@@ -246,7 +246,7 @@
   }
 
   static Duration at(double seconds) {
-    return Seconds.span(seconds);
+    return Seconds.toDuration(seconds);
   }
 
   private PolicySettings settings() {
