--- /dev/null
+++ b/policy/src/main/java/tamarindroute/policy/AttemptFactory.java
@@ -0,0 +1,99 @@
+package tamarindroute.policy;
+
+import static tamarindroute.numeric.Seconds.toDuration;
+
+import java.time.Duration;
+import tamarindroute.decision.Attempt;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass.Idempotency;
+
+/**
+ * Creates attempts with the oldest acceptable copy and the time by which they are expected back.
+ */
+final class AttemptFactory {
+
+  /** Rank of an answer that is not kept. */
+  private static final int RANK_NONE = 0;
+
+  /** Least time beyond the transfer before an attempt is late, in seconds. */
+  private static final double MIN_GRACE = 0.1;
+
+  /** The grace is at least so many times the usual wait for a fill. */
+  private static final double GRACE_FILL_LATENCIES = 3;
+
+  private final PurgeTracker purges;
+  private final TransferTimes transferTimes;
+  private final LatencyEstimates latencies;
+
+  AttemptFactory(PurgeTracker purges, TransferTimes transferTimes, LatencyEstimates latencies) {
+    this.purges = purges;
+    this.transferTimes = transferTimes;
+    this.latencies = latencies;
+  }
+
+  /** An attempt that is served from the edge's own copy or ends in a miss. */
+  Attempt lookup(PlanningContext context, CacheState edge, int rank) {
+    return atEdge(context, edge, edge, rank, false);
+  }
+
+  /** An attempt for which the edge fetches the object from the source. */
+  Attempt fill(PlanningContext context, CacheState edge, CacheState source, int rank) {
+    return atEdge(context, edge, source, rank, false);
+  }
+
+  /** An attempt for which the edge fetches the object if the source holds it. */
+  Attempt fillIfCached(PlanningContext context, CacheState edge, CacheState source, int rank) {
+    return atEdge(context, edge, source, rank, true);
+  }
+
+  private Attempt atEdge(
+      PlanningContext context, CacheState edge, CacheState source, int rank, boolean onlyIfCached) {
+    boolean revalidate = !context.request().requestClass.maxAge().isZero();
+    return new Attempt(
+        edge.cache(),
+        source.cache(),
+        rank,
+        maxCopyAge(context),
+        onlyIfCached,
+        revalidate,
+        expectedBy(context, edge));
+  }
+
+  /** An attempt that goes past the edges to a parent or the origin. */
+  Attempt bypass(PlanningContext context, CacheState target, CacheState origin) {
+    return new Attempt(
+        target.cache(),
+        origin.cache(),
+        RANK_NONE,
+        maxCopyAge(context),
+        false,
+        false,
+        expectedBy(context, target));
+  }
+
+  /** An attempt for what is never kept, by way of an edge. */
+  Attempt passThrough(PlanningContext context, CacheState edge, CacheState source) {
+    return new Attempt(
+        edge.cache(), source.cache(), RANK_NONE, null, false, false, expectedBy(context, edge));
+  }
+
+  /** An attempt for what is never kept, at the origin itself; it is never late. */
+  Attempt direct(CacheState origin) {
+    return new Attempt(origin.cache(), origin.cache(), RANK_NONE, null, false, false, null);
+  }
+
+  private Duration maxCopyAge(PlanningContext context) {
+    return purges.maxCopyAge(context.request(), context.now()).orElse(null);
+  }
+
+  /** Returns when the attempt is late; null for requests that must not be sent twice. */
+  private Duration expectedBy(PlanningContext context, CacheState target) {
+    Request request = context.request();
+    double now = context.now();
+    double transfer = transferTimes.upperTransferTime(request) * target.slowdown().factor(now);
+    double grace = Math.max(MIN_GRACE, GRACE_FILL_LATENCIES * latencies.fillLatency());
+    return request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+        ? null
+        : toDuration(now + transfer + grace);
+  }
+}
--- a/policy/src/main/java/tamarindroute/policy/CacheState.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheState.java
@@ -1,235 +1,175 @@
 package tamarindroute.policy;
 
-import static tamarindroute.numeric.Seconds.seconds;
-
 import java.time.Duration;
 import java.util.Objects;
-import tamarindroute.decision.*;
-import tamarindroute.numeric.DecayingValue;
+import tamarindroute.decision.Cache;
+import tamarindroute.decision.LoadReport;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.RequestClass;
 import tamarindroute.numeric.Hashing;
 
-/**
- * Owns what this gateway knows of one cache from its own trips: measures, cold share, sequential
- * test.
- */
+/** What a gateway knows about one cache, mostly from its own attempts there. */
 final class CacheState {
 
-  final Cache cache;
-  private final CacheTiers tiers;
-  private final PolicySettings.ColdStart start;
+  private final Cache cache;
+  private final PolicySettings settings;
+  private final AdaptiveConcurrencyLimit limit;
   private final long hashSeed;
+  private final CacheWeight weight;
+  private final OutlierDetector outliers = new OutlierDetector();
+  private final SlowStartBudget slowStart;
+  private final ConcurrencyEstimate concurrency;
+  private final SlowdownEstimate slowdown;
+  private final FillLatency fillLatency = new FillLatency();
   private Duration startedAt;
+  private int hubDistance;
+  private double rendezvousScore;
+
+  CacheState(
+      Cache cache,
+      PolicySettings settings,
+      AdaptiveConcurrencyLimit limit,
+      QuotaGrants quotaGrants,
+      RandomSequence random) {
+    this.cache = cache;
+    this.settings = settings;
+    this.limit = limit;
+    hashSeed = Hashing.mix(cache.stableId);
+    weight = new CacheWeight(settings.weightMeaning());
+    slowStart = new SlowStartBudget(cache, settings, weight, limit, quotaGrants, random);
+    concurrency = new ConcurrencyEstimate(cache, settings, weight);
+    slowdown = new SlowdownEstimate(concurrency, limit);
+  }
 
   /**
-   * 3 s even out some tens of views; waits and slowness are forgotten in 10 s, to be tried again.
+   * Takes over the cache's fields; resets what describes the previous process if the start time has
+   * changed.
    */
-  final DecayingValue inFlight = new DecayingValue(3, 0),
-      cpuUtilization = new DecayingValue(4, 1),
-      failureEvidence = new DecayingValue(20, 0);
+  void onEndpointUpdate(double now) {
+    boolean restarted = !Objects.equals(startedAt, cache.startedAt);
+    weight.update(cache.weight, restarted);
+    hubDistance = isParent() ? settings.hubDistance(cache.zone) : 0;
+    if (restarted) {
+      startedAt = cache.startedAt;
+      slowStart.reset(now);
+      outliers.reset();
+    }
+  }
 
-  final DecayingValue fillLatency = new DecayingValue(10, 0);
-  private final DecayingValue slowness = new DecayingValue(10, 0);
+  Cache cache() {
+    return cache;
+  }
 
-  /**
-   * The weight that places objects, the size that bounds what is sent, what the others have out
-   * there.
-   */
-  private double hashWeight = 1, others, othersAt = -1e9;
+  OutlierDetector outliers() {
+    return outliers;
+  }
 
-  double size = 1, allowance, score;
-  boolean ejected, sampled;
-  private double triedAt, wait, allowanceAt;
-  int hubDistance;
-  private Request drawnFor;
+  SlowStartBudget slowStart() {
+    return slowStart;
+  }
 
-  /** The odds added up toward the next view by lot, from a place of this gateway's own. */
-  private double samplingCredit = -1, toldAt;
+  ConcurrencyEstimate concurrency() {
+    return concurrency;
+  }
 
-  CacheState(Cache cache, CacheTiers tiers) {
-    this.cache = cache;
-    this.tiers = tiers;
-    this.hashSeed = Hashing.mix(cache.stableId);
-    this.start =
-        cache.tier == Cache.Tier.PARENT
-            ? tiers.settings.parentColdStart()
-            : tiers.settings.edgeColdStart();
-  }
-
-  void score(long key) {
-    score = -Math.log(Hashing.fraction(Hashing.mix(key ^ hashSeed))) / hashWeight;
-  }
-
-  /** A process that has just started owes nothing of its former self's. */
-  void onEndpoints(double now) {
-    boolean same = Objects.equals(startedAt, cache.startedAt);
-    double weight = Math.max(1e-6, cache.weight);
-    switch (tiers.settings.weightMeaning()) {
-      case OFF -> {}
-      // It shrinks with the load: that must neither move objects nor bound the cache a second time.
-      case LIVE -> size = same ? Math.max(size, weight) : weight;
-      default -> hashWeight = size = weight;
-    }
-    if (!same) {
-      startedAt = cache.startedAt;
-      toldAt = allowanceAt = now;
-      allowance = 0;
-      failureEvidence.reset(0);
-      sampled = ejected = false;
-    }
+  SlowdownEstimate slowdown() {
+    return slowdown;
   }
 
-  boolean isCold(double now) {
-    return cache.startedAt != null
-        && cache.tier != Cache.Tier.ORIGIN
-        && now < seconds(cache.startedAt) + seconds(start.warmAfter());
+  FillLatency fillLatency() {
+    return fillLatency;
   }
 
-  /** This instance's even share of the work a second that pushes a cold cache over. */
-  double rate(double now) {
-    double age = Math.max(0, now - seconds(cache.startedAt));
-    double warmth =
-        start.initialCapacity() + (1 - start.initialCapacity()) * age / seconds(start.warmAfter());
-    return start.overloadMultiple()
-        * warmth
-        * size
-        * tiers.concurrencyLimit.surely(tiers.weightsConfigured)
-        / sharers();
+  /** Returns the relative size used for capacity. */
+  double size() {
+    return weight.size();
   }
 
-  /**
-   * Whether a cold cache may get this much more work. Of this gateway's share 0.65 flows in and 0.3
-   * may wait, or one view if within 0.35: no window has more than the whole. Where less than a view
-   * may wait, it goes by lot at odds of what flowed in, lest gateways that each saved one up come
-   * together.
-   */
-  boolean bears(double work, double now) {
-    if (!isCold(now)) {
-      return true;
-    }
-    QuotaGrant grant = tiers.quotaGrants.getOrDefault(cache.tier, QuotaGrant.NONE);
-    double rate = rate(now) * grant.toEvenShares(sharers(), now, allowanceAt);
-    double whole = rate * seconds(start.overloadWindow());
-    double most = Math.max(Math.min(0.35 * whole, work), 0.3 * whole);
-    allowance = Math.min(most, allowance + 0.65 * rate * (now - allowanceAt));
-    allowanceAt = now;
-    if (most >= work || tiers.currentRequest == null) {
-      return allowance >= work;
-    }
-    if (drawnFor != tiers.currentRequest) {
-      drawnFor = tiers.currentRequest;
-      samplingCredit = samplingCredit < 0 ? tiers.nextRandom() : samplingCredit;
-      double odds = Math.max(0, allowance / work);
-      sampled = samplingCredit + odds >= 1;
-      samplingCredit += sampled ? 0 : odds;
-      allowance = sampled ? allowance : Math.min(0, allowance);
-    }
-    return sampled;
+  /** Returns the hops between the own hub and the cache's. */
+  int hubDistance() {
+    return hubDistance;
   }
 
-  void spend(double work) {
-    boolean drawn = sampled && drawnFor == tiers.currentRequest;
-    samplingCredit = drawn ? Math.max(0, samplingCredit + allowance / work - 1) : samplingCredit;
-    allowance = drawn ? 0 : allowance - work;
-    sampled = false;
+  boolean isReady() {
+    return cache.isReady();
   }
 
-  /**
-   * A trip that did not get here gives back what it took, but not to a process that was told of
-   * since.
-   */
-  void refund(double work, Duration sent) {
-    allowance += isCold(seconds(sent)) && seconds(sent) > toldAt ? work : 0;
+  boolean isEjected() {
+    return outliers.isEjected();
   }
 
-  /**
-   * The sequential test: the log of how much better outcomes fit a bad cache, which fails 4 in 10,
-   * than a good one, which fails 1 in 50. Guards against caches that fail fast, hang or are gone.
-   */
-  void judge(double weight, double now) {
-    if (weight > 0) {
-      failureEvidence.add(Math.min(9 - failureEvidence.valueAt(now), 3 * weight), now);
-      if (ejected || failureEvidence.lastValue() >= 6) {
-        wait = ejected ? Math.min(4, wait * 2) : 1;
-        ejected = true;
-        triedAt = now;
-      }
-    } else {
-      failureEvidence.add(
-          Math.max(-failureEvidence.valueAt(now), (ejected ? 4 : 1) * 0.5 * weight), now);
-      wait = 0.25;
-      ejected &= failureEvidence.lastValue() >= 3;
-    }
+  boolean isCold(double now) {
+    return slowStart.isCold(now);
   }
 
-  private int sharers() {
-    return cache.tier == Cache.Tier.PARENT
-        ? tiers.settings.gatewayCount()
-        : tiers.settings.zoneGatewayCount();
+  boolean isParent() {
+    return cache.tier == Cache.Tier.PARENT;
   }
 
-  /**
-   * The transfers a unit that one more would meet: as if all sent alike, or more by its own fresh
-   * word.
-   */
-  double concurrency(double now) {
-    double met = Math.max((sharers() - 1) * inFlight.valueAt(now), now < othersAt + 2 ? others : 0);
-    return cache.tier == Cache.Tier.ORIGIN ? 0 : (inFlight.rest() + met + 1) / size;
+  boolean isEdge() {
+    return cache.tier == Cache.Tier.EDGE;
   }
 
   /**
-   * How many times longer than alone a transfer takes there: by its crowd and its hits beyond that.
+   * Whether the request may be sent there: ready, not ejected, and within the share of a cold
+   * cache.
    */
-  double stretch(double now) {
-    double crowd =
-        cpuUtilization.valueAt(now) < 0.7 ? 1 : tiers.concurrencyLimit.stretch(concurrency(now));
-    return crowd * Math.exp(Math.max(0, slowness.valueAt(now)));
+  boolean isUsable(PlanningContext context) {
+    return isReady() && !isEjected() && slowStart.admits(context);
+  }
+
+  /** Whether any request of this cost could be sent there without sampling. */
+  boolean isUsable(double cost, double now) {
+    return isReady() && !isEjected() && slowStart.covers(cost, now);
   }
 
   /**
-   * A hit is slow by what edges bear, and beyond that by its cache; in logarithms, as sizes
-   * scatter.
+   * Whether the request is now used to probe the cache, which is ejected; starts the wait for the
+   * next probe.
    */
-  void hit(Request request, double took, double now) {
-    double work = tiers.transferTime(request), met = concurrency(now), expected = stretch(now);
-    double beyond = took / work / tiers.concurrencyLimit.stretch(met);
-    slowness.blendToward(Math.log(Math.max(0.05, Math.min(20, beyond))), 0.2, now);
-    if (!isCold(now)) {
-      tiers.concurrencyLimit.sample(met, took / work, tiers.isSizeKnown(request));
-    }
-    tiers.statistics(request).hit(took, work * expected);
-    if (!tiers.isSizeKnown(request)) {
-      tiers.statistics(request).transfer(took / expected);
+  boolean tryProbe(PlanningContext context) {
+    boolean due =
+        isReady()
+            && outliers.isProbeDue(context.now())
+            && slowStart.admits(context)
+            && context.request().requestClass.idempotency() == RequestClass.Idempotency.IDEMPOTENT;
+    if (due) {
+      outliers.onProbe(context.now());
     }
+    return due;
   }
 
   void onLoadReport(LoadReport report, double now) {
-    if (!Double.isNaN(report.cpuUtilization())) {
-      cpuUtilization.blendToward(report.cpuUtilization(), 1, now);
-    }
-    if (!Double.isNaN(report.outstandingRequests())) {
-      others = Math.max(0, report.outstandingRequests() - inFlight.rest());
-      othersAt = now;
-    }
+    slowdown.onLoadReport(report, now);
+    concurrency.onLoadReport(report, now);
   }
 
-  void waited(double sample, double now) {
-    fillLatency.blendToward(
-        Math.min(sample, 4 * Math.max(tiers.fillLatency, fillLatency.valueAt(now))), 0.2, now);
+  /**
+   * Records the duration of a hit.
+   *
+   * @param duration seconds, without the wait that every hit has
+   * @param transferTime what the transfer takes on an idle cache, in seconds
+   * @param sizeKnown whether the transfer time follows from a known size
+   * @return the factor by which the transfer was expected to take longer
+   */
+  double recordHit(double duration, double transferTime, boolean sizeKnown, double now) {
+    double ratio = duration / transferTime;
+    double perUnit = concurrency.perUnit(now);
+    double expectedSlowdown = slowdown.factor(now);
+    slowdown.recordHit(ratio, perUnit, now);
+    if (!isCold(now)) {
+      limit.sample(perUnit, ratio, sizeKnown);
+    }
+    return expectedSlowdown;
   }
 
-  boolean usable(double work, double now) {
-    return cache.isReady() && !ejected && bears(work, now);
+  /** Computes the score by which {@link CacheTiers} ranks caches for a key, the lowest first. */
+  void updateRendezvousScore(long key) {
+    rendezvousScore =
+        -Math.log(Hashing.fraction(Hashing.mix(key ^ hashSeed))) / weight.placementWeight();
   }
 
-  /** Whether a barred cache is due for a try: with a view that may run again, now and then. */
-  boolean trial(Request request, double now) {
-    boolean due =
-        ejected
-            && cache.isReady()
-            && now >= triedAt + wait
-            && bears(tiers.coldStartCharge(request), now)
-            && request.requestClass.idempotency() == RequestClass.Idempotency.IDEMPOTENT;
-    triedAt = due ? now : triedAt;
-    return due;
+  double rendezvousScore() {
+    return rendezvousScore;
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/CacheTiers.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheTiers.java
@@ -1,149 +1,133 @@
 package tamarindroute.policy;
 
-import static tamarindroute.numeric.Seconds.*;
-
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
 import java.util.function.Predicate;
-import tamarindroute.decision.*;
-import tamarindroute.numeric.DecayingValue;
-import tamarindroute.numeric.Hashing;
+import java.util.stream.Stream;
+import tamarindroute.decision.Cache;
+import tamarindroute.decision.PolicySettings;
 
 /**
- * Owns the caches in their tiers, their order for a key, and what is measured over all: waits,
- * fills.
+ * The caches of the endpoint list by tier, with the state kept of each, and their ranking for a
+ * key.
  */
 final class CacheTiers {
 
-  /** What is borne where nothing is told: more than is asked, until it is seen to queue. */
-  private static final double UNKNOWN = 1e6;
-
-  final PolicySettings settings;
-  final boolean weightsConfigured;
-  final Map<Cache.Tier, QuotaGrant> quotaGrants = new EnumMap<>(Cache.Tier.class);
-  final Map<Cache, CacheState> states = new IdentityHashMap<>();
-  List<CacheState> edges = List.of(), parents = List.of(), origins = List.of();
-  final AdaptiveConcurrencyLimit concurrencyLimit;
-  private long randomCount;
-
-  /** The view for which a place is sought just now; null while outcomes are noted. */
-  Request currentRequest;
-
-  /**
-   * The waits d (hits, siblings' copies) and D (fills from above) of the design page; hits' least
-   * wait.
-   */
-  double hitLatency = 0.005, fillLatency = 0.05, minHitLatency = 0.005;
-
-  private final DecayingValue fillsInFlight = new DecayingValue(3, 0);
-  private final Map<RequestClass, ClassStatistics> statisticsByClass = new IdentityHashMap<>();
-
-  CacheTiers(PolicySettings settings) {
+  private final PolicySettings settings;
+  private final AdaptiveConcurrencyLimit limit;
+  private final QuotaGrants quotaGrants;
+  private final RandomSequence random;
+  private final Map<Cache, CacheState> states = new IdentityHashMap<>();
+  private List<CacheState> edges = List.of();
+  private List<CacheState> parents = List.of();
+  private List<CacheState> origins = List.of();
+
+  CacheTiers(
+      PolicySettings settings,
+      AdaptiveConcurrencyLimit limit,
+      QuotaGrants quotaGrants,
+      RandomSequence random) {
     this.settings = settings;
-    weightsConfigured = settings.weightMeaning() != PolicySettings.WeightMeaning.OFF;
-    concurrencyLimit =
-        weightsConfigured
-            ? new AdaptiveConcurrencyLimit(1, 2)
-            : new AdaptiveConcurrencyLimit(UNKNOWN, 1);
-  }
-
-  double nextRandom() {
-    return Hashing.pseudoRandom(settings.seed(), randomCount++);
+    this.limit = limit;
+    this.quotaGrants = quotaGrants;
+    this.random = random;
   }
 
+  /** Replaces the list; the state of caches that stay on it is kept. */
   void onEndpoints(List<Cache> caches, double now) {
     states.keySet().retainAll(Set.copyOf(caches));
-    caches.forEach(
-        cache -> states.computeIfAbsent(cache, c -> new CacheState(c, this)).onEndpoints(now));
-    edges =
-        caches.stream()
-            .filter(c -> c.tier == Cache.Tier.EDGE && c.zone == settings.zone())
-            .map(states::get)
-            .toList();
-    parents = caches.stream().filter(c -> c.tier == Cache.Tier.PARENT).map(states::get).toList();
-    parents.forEach(parent -> parent.hubDistance = settings.hubDistance(parent.cache.zone));
-    origins = caches.stream().filter(c -> c.tier == Cache.Tier.ORIGIN).map(states::get).toList();
+    for (Cache cache : caches) {
+      states.computeIfAbsent(cache, this::newState).onEndpointUpdate(now);
+    }
+    edges = select(caches, cache -> cache.tier == Cache.Tier.EDGE && cache.zone == settings.zone());
+    parents = select(caches, cache -> cache.tier == Cache.Tier.PARENT);
+    origins = select(caches, cache -> cache.tier == Cache.Tier.ORIGIN);
   }
 
-  /**
-   * Weighted rendezvous hashing: all gateways rank alike, and a change moves only its own share.
-   */
-  static List<CacheState> rank(List<CacheState> among, long key) {
-    List<CacheState> ranked = new ArrayList<>(among);
-    ranked.forEach(state -> state.score(key));
-    ranked.sort(Comparator.comparingDouble(state -> state.score));
-    return ranked;
+  private CacheState newState(Cache cache) {
+    return new CacheState(cache, settings, limit, quotaGrants, random);
   }
 
-  /** The first of the ranked that fits, without ranking a long list whole. */
-  static CacheState home(List<CacheState> among, long key, Predicate<CacheState> fit) {
-    among.forEach(state -> state.score(key));
-    return among.stream()
-        .filter(fit)
-        .min(Comparator.comparingDouble(state -> state.score))
-        .orElse(null);
+  private List<CacheState> select(List<Cache> caches, Predicate<Cache> condition) {
+    return caches.stream().filter(condition).map(states::get).toList();
   }
 
-  static CacheState first(List<CacheState> order, Predicate<CacheState> fit) {
-    return order.stream().filter(fit).findFirst().orElse(null);
+  /** Returns the edges of the own zone. */
+  List<CacheState> edges() {
+    return edges;
   }
 
-  ClassStatistics statistics(Request request) {
-    return statisticsByClass.computeIfAbsent(
-        request.requestClass, p -> new ClassStatistics(seconds(p.latencyObjective())));
+  /** Returns the parents of all zones. */
+  List<CacheState> parents() {
+    return parents;
   }
 
-  boolean isSizeKnown(Request request) {
-    return request.kilobytes > 0 && settings.transferRateKbPerSecond() > 0;
+  List<CacheState> origins() {
+    return origins;
   }
 
-  /** How long a view's transfer takes alone: by its size, if it is told, else its class's mean. */
-  double transferTime(Request request) {
-    return isSizeKnown(request)
-        ? request.kilobytes / settings.transferRateKbPerSecond()
-        : statistics(request).mean;
+  /** Returns the caches of a tier in all zones, in no particular order. */
+  Stream<CacheState> all(Cache.Tier tier) {
+    return states.values().stream().filter(state -> state.cache().tier == tier);
   }
 
-  double agreed(Request request) {
-    return seconds(request.latencyObjectiveTime(toDuration(transferTime(request))));
+  /** Returns the state of a cache; empty if it is not on the list. */
+  Optional<CacheState> find(Cache cache) {
+    return Optional.ofNullable(states.get(cache));
   }
 
-  /**
-   * What a trip costs a cold cache, as the rule counts: by class, or the largest hardly ever got
-   * in.
-   */
-  double coldStartCharge(Request request) {
-    return statistics(request).mean;
+  /** Returns the state of a cache that is on the list. */
+  CacheState get(Cache cache) {
+    return states.get(cache);
+  }
+
+  Optional<CacheState> firstReadyOrigin() {
+    return first(origins, CacheState::isReady);
   }
 
-  static double toward(double mean, double sample) {
-    return mean + 0.05 * (Math.max(0.0005, Math.min(sample, 4 * mean)) - mean);
+  long readyEdgeCount() {
+    return edges.stream().filter(CacheState::isReady).count();
   }
 
-  /** A fill takes about half the place of a hit at its cache, since it waits before it sends. */
-  void countInFlight(Attempt attempt, int change, double now) {
-    boolean look =
-        attempt.cache.tier == Cache.Tier.EDGE
-            && (attempt.source == attempt.cache || attempt.onlyIfCached);
-    states.get(attempt.cache).inFlight.shiftRest(look ? change : 0.5 * change, now);
-    fillsInFlight.shiftRest(look ? 0 : change, now);
+  boolean hasReadyEdge() {
+    return edges.stream().anyMatch(CacheState::isReady);
+  }
+
+  /**
+   * Ranks caches for a key by weighted rendezvous hashing: all gateways rank alike, and a change of
+   * the list moves only the keys of the caches that changed.
+   */
+  static List<CacheState> ranked(List<CacheState> caches, long key) {
+    List<CacheState> ranked = new ArrayList<>(caches);
+    ranked.forEach(state -> state.updateRendezvousScore(key));
+    ranked.sort(Comparator.comparingDouble(CacheState::rendezvousScore));
+    return ranked;
   }
 
-  /** The fills that all gateways have out, and one more. */
-  double fleetFillsInFlight(double now) {
-    return fillsInFlight.rest()
-        + (settings.zoneGatewayCount() - 1) * fillsInFlight.valueAt(now)
-        + 1;
+  /** Returns the cache that would be the first to match in the ranking, without sorting. */
+  static Optional<CacheState> firstRanked(
+      List<CacheState> caches, long key, Predicate<CacheState> condition) {
+    caches.forEach(state -> state.updateRendezvousScore(key));
+    return caches.stream()
+        .filter(condition)
+        .min(Comparator.comparingDouble(CacheState::rendezvousScore));
   }
 
-  /** The fills that the location's link bears; untold, it is 0.45 of what its edges bear. */
-  double fillCapacity() {
-    return settings.inboundLinkCapacity() > 0
-        ? settings.inboundLinkCapacity()
-        : 0.45 * edgeCapacity();
+  /** Returns the first match in the order given. */
+  static Optional<CacheState> first(List<CacheState> caches, Predicate<CacheState> condition) {
+    return caches.stream().filter(condition).findFirst();
   }
 
-  double edgeCapacity() {
-    return concurrencyLimit.limit()
-        * edges.stream().filter(e -> e.cache.isReady()).mapToDouble(e -> e.size).sum();
+  /** Returns the match with the lowest concurrency per unit of size. */
+  static Optional<CacheState> leastBusy(
+      List<CacheState> caches, Predicate<CacheState> condition, double now) {
+    return caches.stream()
+        .filter(condition)
+        .min(Comparator.comparingDouble(state -> state.concurrency().perUnit(now)));
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/ClassStatistics.java
+++ b/policy/src/main/java/tamarindroute/policy/ClassStatistics.java
@@ -1,52 +1,77 @@
 package tamarindroute.policy;
 
 /**
- * What is measured of a class: its transfers' time, how far they scatter, what share of them is
- * answered.
+ * Running statistics of one request class: transfer times, their scatter, and the share served by
+ * size.
  */
 final class ClassStatistics {
 
-  /** Of a class's share its larger views are due two thirds on quiet days; this leaves room. */
-  private static final double OWED = 0.7;
+  /** Larger requests are underserved below this part of the share served of the whole class. */
+  private static final double FAIR_SHARE = 0.7;
+
+  private static final double MIN_TRANSFER_STEP = 0.02;
+  private static final double SERVED_STEP = 0.03;
+  private static final double MIN_SCATTER = 1.25;
+  private static final double SCATTER_STEP = 0.05;
+  private static final double SCATTER_UP = 0.9;
+  private static final double SCATTER_DOWN = -0.1;
+
+  private double meanTransferTime;
+  private double scatter = MIN_SCATTER;
+  private int transfers;
 
   /**
-   * The mean time of a transfer alone, by told sizes, else by hits; until then as long as is
-   * agreed.
+   * Share served of all requests, of those over the mean transfer time, and of those over twice
+   * that.
    */
-  double mean;
+  private final double[] servedShare = {1, 1, 1};
 
-  /** Nine in ten hits take no longer than this many times what was expected of them. */
-  double spread = 1.25;
+  /** Starts with a mean transfer time in seconds, which holds until the first transfer. */
+  ClassStatistics(double initialTransferTime) {
+    meanTransferTime = initialTransferTime;
+  }
 
-  /** The share answered lately of all, of those over the mean sending time, and over twice that. */
-  private final double[] answered = {1, 1, 1};
+  /** Returns the mean time of an undisturbed transfer, in seconds. */
+  double meanTransferTime() {
+    return meanTransferTime;
+  }
 
-  private int samples;
+  /** Returns the factor over their expected duration within which nine in ten hits stay. */
+  double scatter() {
+    return scatter;
+  }
 
-  ClassStatistics(double target) {
-    mean = target;
+  /** Records the time of an undisturbed transfer, in seconds. */
+  void recordTransfer(double transferTime) {
+    meanTransferTime +=
+        Math.max(MIN_TRANSFER_STEP, 1.0 / ++transfers) * (transferTime - meanTransferTime);
   }
 
-  void transfer(double alone) {
-    mean += Math.max(0.02, 1.0 / ++samples) * (alone - mean);
+  /** Records how long a hit took and was expected to take, in seconds. */
+  void recordHit(double duration, double expected) {
+    double direction = duration > scatter * expected ? SCATTER_UP : SCATTER_DOWN;
+    scatter = Math.max(MIN_SCATTER, scatter * Math.exp(SCATTER_STEP * direction));
   }
 
-  void hit(double took, double expected) {
-    spread = Math.max(1.25, spread * Math.exp(0.05 * (took > spread * expected ? 0.9 : -0.1)));
+  /** Records the end of a request. */
+  void recordEnd(double transferTime, boolean served) {
+    update(0, served);
+    int band = sizeBand(transferTime);
+    if (band > 0) {
+      update(band, served);
+    }
   }
 
-  private int size(double work) {
-    return (int) Math.min(2, work / mean);
+  private void update(int band, boolean served) {
+    servedShare[band] += SERVED_STEP * ((served ? 1 : 0) - servedShare[band]);
   }
 
-  void ended(double work, boolean well) {
-    answered[0] += 0.03 * ((well ? 1 : 0) - answered[0]);
-    int size = size(work);
-    answered[size] += size == 0 ? 0 : 0.03 * ((well ? 1 : 0) - answered[size]);
+  /** Whether requests of this size are served so rarely that they go first, in time or not. */
+  boolean isUnderserved(double transferTime) {
+    return servedShare[sizeBand(transferTime)] < FAIR_SHARE * servedShare[0];
   }
 
-  /** Whether views of this size are answered so seldom that it is their turn, in time or not. */
-  boolean owed(double work) {
-    return answered[size(work)] < OWED * answered[0];
+  private int sizeBand(double transferTime) {
+    return (int) Math.min(servedShare.length - 1, transferTime / meanTransferTime);
   }
 }
--- /dev/null
+++ b/policy/src/main/java/tamarindroute/policy/QuotaGrants.java
@@ -0,0 +1,21 @@
+package tamarindroute.policy;
+
+import java.util.EnumMap;
+import java.util.Map;
+import tamarindroute.decision.Cache;
+import tamarindroute.decision.QuotaGrant;
+
+/** The latest quota grant of each tier. */
+final class QuotaGrants {
+
+  private final Map<Cache.Tier, QuotaGrant> byTier = new EnumMap<>(Cache.Tier.class);
+
+  void put(Cache.Tier tier, QuotaGrant grant) {
+    byTier.put(tier, grant);
+  }
+
+  /** Returns {@link QuotaGrant#NONE} where nothing was granted. */
+  QuotaGrant get(Cache.Tier tier) {
+    return byTier.getOrDefault(tier, QuotaGrant.NONE);
+  }
+}
--- a/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
@@ -3,134 +3,164 @@
 import static tamarindroute.numeric.Seconds.seconds;
 
 import java.time.Duration;
-import java.util.*;
-import tamarindroute.decision.*;
+import java.util.List;
+import java.util.Optional;
+import tamarindroute.decision.Attempt;
+import tamarindroute.decision.Cache;
+import tamarindroute.decision.CacheHealth;
+import tamarindroute.decision.Decision;
+import tamarindroute.decision.LoadReport;
+import tamarindroute.decision.Outcome;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.Purge;
+import tamarindroute.decision.QuotaGrant;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RoutingPolicy;
 
 /**
- * All decisions of one gateway, called by the interface Decisions. On the ordinary path
- * (docs/design.md) the ratio test makes an object hot; hot ones are spread over the edges, others
- * keep one hashed cache.
+ * A routing policy that keeps one copy of an object at its hashed edge and spreads objects over all
+ * edges that pass the ratio test of density against latency ({@link RatioTest}). One instance per
+ * gateway; not thread-safe.
  */
 public final class RatioTestPolicy implements RoutingPolicy {
 
-  private final CacheTiers tiers;
-  private final OutcomeRecorder outcomeRecorder;
-  private final AttemptPlanner attemptPlanner;
+  /** Weight of a health check that timed out; one that failed counts 1. */
+  private static final double TIMEOUT_WEIGHT = 0.5;
+
+  /** Part of a cold cache's share that is offered to fronts without requests. */
+  private static final double ADVERTISED_SHARE = 0.7;
+
+  private static final Decision WAIT = new Decision.Wait();
 
+  private final boolean cancelAllowed;
+  private final CacheTiers tiers;
+  private final QuotaGrants quotaGrants;
+  private final TransferTimes transferTimes;
+  private final ObjectPopularity popularity;
+  private final PurgeTracker purges;
+  private final QueuedAttemptCheck queuedAttemptCheck;
+  private final AttemptPlanner planner;
+  private final LateAttemptPolicy lateAttempts;
+  private final OutcomeRecorder outcomes;
+
+  /** Creates a policy that knows no cache yet. */
   public RatioTestPolicy(PolicySettings settings) {
-    tiers = new CacheTiers(settings);
-    outcomeRecorder = new OutcomeRecorder(tiers, new ObjectPopularity(), new Rules(tiers));
-    attemptPlanner =
-        new AttemptPlanner(
-            tiers, outcomeRecorder.popularity(), outcomeRecorder.rules(), outcomeRecorder);
+    SharedState shared = SharedState.create(settings);
+    FailureAttribution failures = new FailureAttribution(settings, shared.tiers());
+    cancelAllowed = settings.cancelAllowed();
+    tiers = shared.tiers();
+    quotaGrants = shared.quotaGrants();
+    transferTimes = shared.transferTimes();
+    popularity = shared.popularity();
+    purges = shared.purges();
+    queuedAttemptCheck = new QueuedAttemptCheck(purges);
+    planner = shared.newPlanner();
+    lateAttempts = shared.newLateAttemptPolicy(failures, planner);
+    outcomes = shared.newOutcomeRecorder(failures);
   }
 
   @Override
-  public void onPurge(Purge purge, Duration now) {
-    outcomeRecorder.rules().purged(purge, seconds(now));
+  public Decision route(Request request, Duration at) {
+    double now = seconds(at);
+    if (request.attempts.isEmpty()) {
+      recordArrival(request, now);
+      return planner.next(request, now);
+    }
+    Optional<Attempt> late =
+        request.attempts.stream().filter(attempt -> attempt.isLate(at)).findFirst();
+    return late.isEmpty() ? WAIT : lateAttempts.onLate(request, late.get(), now);
+  }
+
+  private void recordArrival(Request request, double now) {
+    transferTimes.recordArrival(request);
+    if (request.requestClass.cacheable()) {
+      popularity.statistics(request, now).recordRequest();
+    }
   }
 
   @Override
-  public void onEndpoints(List<Cache> list, Duration now) {
-    tiers.onEndpoints(list, seconds(now));
+  public Decision onOutcome(Request request, Attempt attempt, Duration at) {
+    double now = seconds(at);
+    outcomes.recordOutcome(request, attempt, now);
+    Attempt outstanding = request.outstandingAttempt();
+    boolean completed = attempt.outcome.requestCompleted();
+    if (outstanding != null && completed && cancelAllowed) {
+      return new Decision.Cancel(outstanding);
+    }
+    return outstanding != null || completed ? WAIT : planner.next(request, now);
   }
 
   @Override
-  public void onLoadReport(Cache cache, LoadReport report, Duration now) {
-    Optional.ofNullable(tiers.states.get(cache))
-        .ifPresent(state -> state.onLoadReport(report, seconds(now)));
+  public boolean mayStillSend(Request request, Attempt attempt, Duration now) {
+    return queuedAttemptCheck.mayStillSend(request, attempt, seconds(now));
   }
 
-  /**
-   * What had flowed in by now came by the part before: savings must not follow the part to and fro.
-   */
   @Override
-  public void onQuotaGrant(Cache.Tier tier, double share, Duration expiresAt, Duration now) {
-    tiers.states.values().stream()
-        .filter(n -> n.cache.tier == tier)
-        .forEach(n -> n.bears(0, seconds(now)));
-    tiers.quotaGrants.put(
-        tier, new QuotaGrant(Math.max(0, Math.min(1, share)), seconds(expiresAt)));
+  public Duration nextDecisionDelay(Request request, Duration now) {
+    return request.delayUntilNextLate(now);
   }
 
   @Override
-  public CacheHealth cacheHealth(Cache cache, Duration at) {
-    CacheState state = tiers.states.get(cache);
-    double now = seconds(at);
-    return state == null
-        ? null
-        : new CacheHealth(
-            state.cache.isReady(),
-            state.isCold(now),
-            state.ejected,
-            state.failureEvidence.valueAt(now),
-            state.isCold(now) ? 0.7 * state.rate(now) : Double.POSITIVE_INFINITY,
-            state.cpuUtilization.valueAt(now),
-            cache.weight);
+  public void onEndpoints(List<Cache> caches, Duration now) {
+    tiers.onEndpoints(caches, seconds(now));
   }
 
   @Override
-  public List<Cache> rankedCaches(long object) {
-    return CacheTiers.rank(tiers.edges, ObjectPopularity.key(object, 0)).stream()
-        .map(n -> n.cache)
-        .toList();
+  public void onPurge(Purge purge, Duration now) {
+    purges.onPurge(purge, seconds(now));
   }
 
-  /** Probes are told as views' outcomes are: silence speaks half as loud as a refusal. */
   @Override
-  public void onHealthCheck(Cache cache, Outcome.Result result, Duration now) {
-    double weight =
-        switch (result) {
-          case SERVED -> -1;
-          case FAILED, CONNECTION_LOST, CONNECT_FAILED -> 1;
-          case TIMED_OUT -> 0.5;
-          default -> 0;
-        };
-    Optional.ofNullable(tiers.states.get(cache))
-        .filter(n -> weight != 0)
-        .ifPresent(n -> n.judge(weight, seconds(now)));
+  public void onLoadReport(Cache cache, LoadReport report, Duration now) {
+    tiers.find(cache).ifPresent(state -> state.onLoadReport(report, seconds(now)));
   }
 
   @Override
-  public Decision route(Request request, Duration at) {
-    double now = seconds(at);
-    tiers.currentRequest = request;
-    if (request.attempts.isEmpty()) {
-      if (tiers.isSizeKnown(request)) {
-        tiers.statistics(request).transfer(tiers.transferTime(request));
-      }
-      if (request.requestClass.cacheable()) {
-        outcomeRecorder.popularity().item(request, now).count++;
-      }
-      return attemptPlanner.next(request, now);
-    }
-    Attempt late = request.attempts.stream().filter(t -> t.isLate(at)).findFirst().orElse(null);
-    return late == null
-        ? OutcomeRecorder.WAIT
-        : outcomeRecorder.onLate(request, late, now, () -> attemptPlanner.next(request, now));
+  public void onQuotaGrant(Cache.Tier tier, double share, Duration expiresAt, Duration now) {
+    // What has accrued by now does so by the previous grant.
+    tiers.all(tier).forEach(state -> state.slowStart().accrue(seconds(now)));
+    quotaGrants.put(tier, new QuotaGrant(Math.max(0, Math.min(1, share)), seconds(expiresAt)));
   }
 
   @Override
-  public boolean mayStillSend(Request request, Attempt attempt, Duration now) {
-    return outcomeRecorder.rules().mayStillGo(request, attempt, seconds(now));
+  public CacheHealth cacheHealth(Cache cache, Duration at) {
+    return tiers.find(cache).map(state -> health(state, seconds(at))).orElse(null);
+  }
+
+  private static CacheHealth health(CacheState state, double now) {
+    boolean cold = state.isCold(now);
+    return new CacheHealth(
+        state.isReady(),
+        cold,
+        state.isEjected(),
+        state.outliers().evidence(now),
+        cold ? ADVERTISED_SHARE * state.slowStart().evenShareRate(now) : Double.POSITIVE_INFINITY,
+        state.slowdown().cpuUtilization(now),
+        state.cache().weight);
   }
 
   @Override
-  public Duration nextDecisionDelay(Request request, Duration now) {
-    return request.delayUntilNextLate(now);
+  public List<Cache> rankedCaches(long objectId) {
+    return CacheTiers.ranked(tiers.edges(), ObjectPopularity.key(objectId, 0)).stream()
+        .map(CacheState::cache)
+        .toList();
   }
 
   @Override
-  public Decision onOutcome(Request request, Attempt attempt, Duration now) {
-    tiers.currentRequest = null;
-    outcomeRecorder.recordOutcome(request, attempt, seconds(now));
-    tiers.currentRequest = request;
-    Attempt out = request.outstandingAttempt();
-    if (out != null && attempt.outcome.requestCompleted() && tiers.settings.cancelAllowed()) {
-      return new Decision.Cancel(out);
+  public void onHealthCheck(Cache cache, Outcome.Result result, Duration at) {
+    double now = seconds(at);
+    tiers.find(cache).ifPresent(state -> recordHealthCheck(state.outliers(), result, now));
+  }
+
+  private static void recordHealthCheck(
+      OutlierDetector outliers, Outcome.Result result, double now) {
+    switch (result) {
+      case SERVED -> outliers.recordSuccess(1, now);
+      case FAILED, CONNECTION_LOST, CONNECT_FAILED -> outliers.recordFailure(1, now);
+      case TIMED_OUT -> outliers.recordFailure(TIMEOUT_WEIGHT, now);
+      case REJECTED, CANCELLED, NOT_SENT, DEADLINE_EXCEEDED, MISS -> {
+        // Says nothing about the health of the cache.
+      }
     }
-    return out != null || attempt.outcome.requestCompleted()
-        ? OutcomeRecorder.WAIT
-        : attemptPlanner.next(request, seconds(now));
   }
 }
--- /dev/null
+++ b/policy/src/main/java/tamarindroute/policy/TransferTimes.java
@@ -0,0 +1,96 @@
+package tamarindroute.policy;
+
+import static tamarindroute.numeric.Seconds.seconds;
+import static tamarindroute.numeric.Seconds.toDuration;
+
+import java.util.IdentityHashMap;
+import java.util.Map;
+import tamarindroute.decision.PolicySettings;
+import tamarindroute.decision.Request;
+import tamarindroute.decision.RequestClass;
+
+/**
+ * Expected transfer times of requests, by their size or their class, and what follows from them.
+ * All in seconds.
+ */
+final class TransferTimes {
+
+  private final PolicySettings settings;
+  private final Map<RequestClass, ClassStatistics> statisticsByClass = new IdentityHashMap<>();
+
+  TransferTimes(PolicySettings settings) {
+    this.settings = settings;
+  }
+
+  private ClassStatistics statistics(Request request) {
+    return statisticsByClass.computeIfAbsent(
+        request.requestClass,
+        requestClass -> new ClassStatistics(seconds(requestClass.latencyObjective())));
+  }
+
+  /** Whether the transfer time of the request follows from its size. */
+  boolean isSizeKnown(Request request) {
+    return request.kilobytes > 0 && settings.transferRateKbPerSecond() > 0;
+  }
+
+  /**
+   * Returns the time of an undisturbed transfer: by size if that is known, else the mean of the
+   * class.
+   */
+  double transferTime(Request request) {
+    return isSizeKnown(request)
+        ? request.kilobytes / settings.transferRateKbPerSecond()
+        : classMean(request);
+  }
+
+  /** Returns the mean transfer time of the request's class. */
+  double classMean(Request request) {
+    return statistics(request).meanTransferTime();
+  }
+
+  /** Returns the time within which nine in ten hits of this request would end on an idle cache. */
+  double upperTransferTime(Request request) {
+    return statistics(request).scatter() * transferTime(request);
+  }
+
+  /**
+   * Returns when the answer is due by the latency objective, in seconds since the start of the
+   * instance.
+   */
+  double objectiveTime(Request request) {
+    return seconds(request.latencyObjectiveTime(toDuration(transferTime(request))));
+  }
+
+  /**
+   * Whether requests of this class and size are served so rarely that they go first, in time or
+   * not.
+   */
+  boolean isUnderserved(Request request) {
+    return statistics(request).isUnderserved(transferTime(request));
+  }
+
+  void recordArrival(Request request) {
+    if (isSizeKnown(request)) {
+      statistics(request).recordTransfer(transferTime(request));
+    }
+  }
+
+  /**
+   * Records a hit.
+   *
+   * @param duration seconds
+   * @param expectedSlowdown the factor by which it was expected to take longer than its transfer
+   *     time
+   */
+  void recordHit(Request request, double duration, double expectedSlowdown) {
+    statistics(request).recordHit(duration, transferTime(request) * expectedSlowdown);
+    if (!isSizeKnown(request)) {
+      statistics(request).recordTransfer(duration / expectedSlowdown);
+    }
+  }
+
+  /** Records the end of a request. */
+  void recordEnd(Request request, boolean served) {
+    statistics(request).recordEnd(transferTime(request), served);
+  }
+}
--- a/policy/src/test/java/tamarindroute/policy/AdaptiveConcurrencyLimitTest.java
+++ b/policy/src/test/java/tamarindroute/policy/AdaptiveConcurrencyLimitTest.java
@@ -3,54 +3,60 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
+import tamarindroute.decision.PolicySettings.WeightMeaning;
 
-/**
- * How far the limit of what caches bear follows hits, where a weight was told and where none was.
- */
+/** How far the limit follows hits, with configured weights and without. */
 class AdaptiveConcurrencyLimitTest {
 
-  /** Hits by turns among few and among many: the times that each took, over its time alone. */
-  private static AdaptiveConcurrencyLimit after(
-      AdaptiveConcurrencyLimit capacity,
-      int hits,
-      double few,
-      double many,
-      double slowerAmongMany) {
-    for (int i = 0; i < hits; i++) {
-      capacity.sample(few, 1, true);
-      capacity.sample(many, slowerAmongMany, true);
+  private static final int HITS = 300;
+
+  private static AdaptiveConcurrencyLimit configured() {
+    return AdaptiveConcurrencyLimit.of(WeightMeaning.NOMINAL);
+  }
+
+  /**
+   * Records hits at a low and a high concurrency by turns.
+   *
+   * @param slowdown how many times longer than on an idle cache the hits at high concurrency take
+   * @return the limit afterwards
+   */
+  private static double limitAfterHits(
+      AdaptiveConcurrencyLimit limit, double low, double high, double slowdown) {
+    for (int i = 0; i < HITS; i++) {
+      limit.sample(low, 1, true);
+      limit.sample(high, slowdown, true);
     }
-    return capacity;
+    return limit.limit();
   }
 
   /**
-   * Guards against an estimate that wanders with what is counted in hand: a told size is right
-   * within a factor.
+   * The estimate must not drift with the counted concurrency: a configured limit is right within a
+   * factor.
    */
   @Test
-  void aToldSizeStaysWhileHitsContradictItLittle() {
-    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 1.6, 1).limit()).isEqualTo(1);
-    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 2, 3).limit()).isEqualTo(1);
+  void configuredLimitHoldsAgainstSlightContradiction() {
+    assertThat(limitAfterHits(configured(), 0.5, 1.6, 1)).isEqualTo(1);
+    assertThat(limitAfterHits(configured(), 0.5, 2, 3)).isEqualTo(1);
   }
 
   @Test
-  void aToldSizeYieldsToHitsThatContradictItClearly() {
-    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 6, 1).limit()).isGreaterThan(5);
-    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 2, 10).limit()).isLessThan(0.3);
+  void configuredLimitYieldsToClearContradiction() {
+    assertThat(limitAfterHits(configured(), 0.5, 6, 1)).isGreaterThan(5);
+    assertThat(limitAfterHits(configured(), 0.5, 2, 10)).isLessThan(0.3);
   }
 
   /**
-   * Guards against room that was never there: a tenth more than alone, among ever more, is a crowd
-   * that begins.
+   * Hits that take a little longer at growing concurrency are the beginning of queueing, not spare
+   * capacity.
    */
   @Test
-  void hitsThatTookLongerAmongManyProveNoRoom() {
-    assertThat(after(new AdaptiveConcurrencyLimit(1, 2), 300, 0.5, 6, 1.15).limit()).isEqualTo(1);
+  void slightlySlowerHitsProveNoSpareCapacity() {
+    assertThat(limitAfterHits(configured(), 0.5, 6, 1.15)).isEqualTo(1);
   }
 
   @Test
-  void whatWasNotToldIsFoundOut() {
-    assertThat(after(new AdaptiveConcurrencyLimit(1e6, 1), 300, 4, 30, 2).limit())
-        .isBetween(10.0, 20.0);
+  void unknownLimitIsFound() {
+    AdaptiveConcurrencyLimit unknown = AdaptiveConcurrencyLimit.of(WeightMeaning.OFF);
+    assertThat(limitAfterHits(unknown, 4, 30, 2)).isBetween(10.0, 20.0);
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
@@ -1,6 +1,7 @@
 package tamarindroute.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.data.Offset.offset;
 
 import java.time.Duration;
 import java.util.List;
@@ -10,61 +11,73 @@
 import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.PolicySettings;
 
-/** What a cache's own count of requests in hand adds to what a gateway makes of its crowd. */
+/** How a cache's report of its outstanding requests changes the estimate of its concurrency. */
 class ReportedConcurrencyTest {
 
   private static final double NOW = 10;
   private static final int GATEWAYS = 4;
-  private final Cache edge = new Cache(1);
+  private static final int OWN_IN_FLIGHT = 5;
+  private static final double WEIGHT = 10;
+
   private CacheState state;
 
   @BeforeEach
-  void oneEdgeBehindFourGateways() {
+  void createEdgeSharedByFourGateways() {
+    Cache edge = new Cache(1);
     edge.tier = Cache.Tier.EDGE;
-    edge.weight = 10;
-    PolicySettings.ColdStart start =
+    edge.weight = WEIGHT;
+    SharedState shared = SharedState.create(settings());
+    shared.tiers().onEndpoints(List.of(edge), 0);
+    state = shared.tiers().get(edge);
+    state.concurrency().changeInFlight(OWN_IN_FLIGHT, 0);
+    assertThat(concurrency(NOW)).as("if all gateways send alike").isBetween(2.0, 2.2);
+  }
+
+  private static PolicySettings settings() {
+    PolicySettings.ColdStart coldStart =
         new PolicySettings.ColdStart(1, Duration.ZERO, 3, Duration.ofSeconds(2));
-    CacheTiers tiers =
-        new CacheTiers(
-            new PolicySettings(
-                5,
-                0,
-                GATEWAYS,
-                GATEWAYS,
-                List.of(0),
-                1000,
-                1e6,
-                false,
-                true,
-                true,
-                false,
-                true,
-                null,
-                8,
-                start,
-                start,
-                Duration.ofSeconds(6),
-                PolicySettings.WeightMeaning.NOMINAL));
-    tiers.onEndpoints(List.of(edge), 0);
-    state = tiers.states.get(edge);
-    state.inFlight.shiftRest(5, 0);
-    assertThat(state.concurrency(NOW)).as("as if all sent alike").isBetween(2.0, 2.2);
+    return new PolicySettings(
+        5,
+        0,
+        GATEWAYS,
+        GATEWAYS,
+        List.of(0),
+        1000,
+        1e6,
+        false,
+        true,
+        true,
+        false,
+        true,
+        null,
+        8,
+        coldStart,
+        coldStart,
+        Duration.ofSeconds(6),
+        PolicySettings.WeightMeaning.NOMINAL);
+  }
+
+  private double concurrency(double now) {
+    return state.concurrency().perUnit(now);
+  }
+
+  private void report(double outstandingRequests) {
+    state.onLoadReport(new LoadReport(Double.NaN, outstandingRequests), NOW);
   }
 
-  /** Guards against all gateways coming together after one quiet moment was reported. */
+  /** Otherwise all gateways would send at once after one quiet moment was reported. */
   @Test
-  void aQuietMomentDoesNotUnsayWhatTheOthersSend() {
-    double before = state.concurrency(NOW);
-    state.onLoadReport(new LoadReport(Double.NaN, 5), NOW);
-    assertThat(state.concurrency(NOW)).isEqualTo(before);
+  void reportOfLessDoesNotLowerTheEstimate() {
+    double before = concurrency(NOW);
+    report(OWN_IN_FLIGHT);
+    assertThat(concurrency(NOW)).isEqualTo(before);
   }
 
   @Test
-  void aGreaterCrowdIsBelievedForTwoSeconds() {
-    double before = state.concurrency(NOW);
-    state.onLoadReport(new LoadReport(Double.NaN, 55), NOW);
-    assertThat(state.concurrency(NOW)).isEqualTo((5 + 50 + 1) / 10.0);
-    assertThat(state.concurrency(NOW + 2.5))
-        .isCloseTo(before, org.assertj.core.data.Offset.offset(0.1));
+  void reportOfMoreCountsForTwoSeconds() {
+    double before = concurrency(NOW);
+    report(55);
+    assertThat(concurrency(NOW)).isEqualTo((OWN_IN_FLIGHT + 50 + 1) / WEIGHT);
+    assertThat(concurrency(NOW + 2.5)).isCloseTo(before, offset(0.1));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/Scenario.java
+++ b/policy/src/test/java/tamarindroute/policy/Scenario.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.time.Duration;
-import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -20,282 +19,309 @@
 import tamarindroute.decision.RequestClass;
 import tamarindroute.decision.RoutingPolicy;
 
-/** Plays one scenario file against a fresh module; the notation is described in the README. */
+/** Plays one scenario file against a new policy; the README describes the notation. */
 final class Scenario {
 
+  private static final long FIRST_STABLE_ID = 1000;
+  private static final long DEFAULT_WEIGHT = 10;
+
   private final Map<String, RequestClass> requestClasses = new HashMap<>();
   private final Map<String, Cache> caches = new HashMap<>();
-  private final Map<String, Cache> bound = new HashMap<>();
+  private final Map<String, Cache> boundCaches = new HashMap<>();
   private final Map<String, Request> requests = new HashMap<>();
   private final Map<String, Decision> decisions = new HashMap<>();
   private final Map<Cache, Integer> sent = new HashMap<>();
-  private PolicySettings settings = settings(Map.of());
+  private PolicySettings settings = settings(ScenarioStep.parse("settings"));
   private RoutingPolicy policy;
   private Duration now = Duration.ZERO;
-  private int steps;
+  private int checks;
 
+  /**
+   * Plays lines; {@code #} starts a comment, {@code ;} separates steps, and {@code N times} repeats
+   * a line.
+   */
   void play(List<String> lines) {
     for (String line : lines) {
-      String[] times = line.replaceAll("#.*", "").strip().split(" times ");
-      for (int n = 1; n <= (times.length > 1 ? Integer.parseInt(times[0]) : 1); n++) {
-        for (String step : times[times.length - 1].split("; ")) {
-          step(step.replace("$", "" + n));
+      String[] parts = line.replaceAll("#.*", "").strip().split(" times ");
+      int repetitions = parts.length > 1 ? Integer.parseInt(parts[0]) : 1;
+      String steps = parts[parts.length - 1];
+      for (int n = 1; n <= repetitions; n++) {
+        for (String step : steps.split("; ")) {
+          play(ScenarioStep.parse(step.replace("$", "" + n)));
         }
       }
     }
   }
 
+  /** Fails if the scenario has checked nothing. */
   void assertChecked() {
-    assertThat(steps).as("checks in the scenario").isPositive();
+    assertThat(checks).as("checks in the scenario").isPositive();
   }
 
-  private void step(String whole) {
-    String[] parts = whole.split(" -> ");
-    String line = parts[0];
-    if (line.isEmpty()) {
+  private void play(ScenarioStep step) {
+    if (step.isEmpty()) {
       return;
     }
-    String[] words = line.split("\\s+");
-    Map<String, String> facts = new HashMap<>();
-    for (String word : words) {
-      int equals = word.indexOf('=');
-      facts.put(
-          equals < 0 ? word : word.substring(0, equals),
-          equals < 0 ? "yes" : word.substring(equals + 1));
-    }
-    switch (words[0]) {
-      case "settings" -> settings = settings(facts);
-      case "profile" -> requestClasses.put(words[1], requestClass(words[2], facts));
-      case "cache" -> cache(words, facts);
-      case "list", "restart" -> {
-        policy =
-            policy == null || words[0].equals("restart") ? new RatioTestPolicy(settings) : policy;
-        policy.onEndpoints(
-            caches.values().stream().sorted(Comparator.comparingLong(c -> c.stableId)).toList(),
-            now);
-      }
-      case "load" ->
-          policy.onLoadReport(
-              caches.get(words[1]),
-              new LoadReport(
-                  facts.containsKey("busy") ? whole(facts, "busy", 0) / 100.0 : Double.NaN,
-                  whole(facts, "outstanding", -1) < 0
-                      ? Double.NaN
-                      : whole(facts, "outstanding", -1)),
-              now);
-      case "dealt" ->
-          policy.onQuotaGrant(
-              Cache.Tier.valueOf(words[1].toUpperCase(Locale.ROOT)),
-              whole(facts, "part", 0) / 100.0,
-              millis(facts.get("until")),
-              now);
-      case "at" -> now = millis(words[1]);
-      case "later" -> now = now.plus(millis(words[1]));
-      case "purge" ->
-          policy.onPurge(
-              new Purge(
-                  facts.containsKey("object") ? whole(facts, "object", 0) : null,
-                  (int) whole(facts, "group", 0),
-                  now.minus(millis(facts.getOrDefault("age", "0")))),
-              now);
-      case "view" -> {
-        Request request =
-            new Request(
-                requestClasses.get(words[2]),
-                whole(facts, "object", 1),
-                (int) whole(facts, "part", 0),
-                (int) whole(facts, "group", 0),
-                whole(facts, "kb", 100),
-                now,
-                now.plus(millis(facts.getOrDefault("left", "3000"))));
-        requests.put(words[1], request);
-        recordDecision(words[1], policy.route(request, now));
-      }
-      case "ask" -> recordDecision(words[1], policy.route(requests.get(words[1]), now));
-      case "outcome" -> outcome(words, facts);
-      case "expect" -> expect(line, words);
-      case "patience" -> {
-        Duration delay = policy.nextDecisionDelay(requests.get(words[1]), now);
-        check(line, String.valueOf(delay == null ? null : delay.toMillis() > 0), words[2]);
-      }
-      case "go" -> {
-        Request request = requests.get(words[1]);
-        check(
-            line,
-            policy.mayStillSend(request, request.attempts.get((int) whole(facts, "trip", 0)), now)
-                ? "yes"
-                : "no",
-            words[2]);
+    switch (step.verb()) {
+      case "settings" -> settings = settings(step);
+      case "class" -> requestClasses.put(step.name(), requestClass(step));
+      case "cache" -> updateCache(step);
+      case "endpoints" -> publishEndpoints();
+      case "restart" -> {
+        policy = null;
+        publishEndpoints();
       }
-      case "sent" -> {
-        steps++;
-        int count = sent.getOrDefault(caches.get(words[1]), 0);
-        assertThat(count)
-            .as(line)
-            .isBetween((int) whole(facts, "least", 0), (int) whole(facts, "most", 1 << 30));
-      }
-      case "forget-sent" -> sent.clear();
-      default -> throw new IllegalArgumentException("no such step: " + line);
-    }
-    if (parts.length > 1) {
-      step("expect " + words[1] + " " + parts[1]);
+      case "load" -> reportLoad(step);
+      case "grant" -> grantQuota(step);
+      case "at" -> now = Duration.ofMillis(Long.parseLong(step.name()));
+      case "later" -> now = now.plusMillis(Long.parseLong(step.name()));
+      case "purge" -> purge(step);
+      case "request" -> sendRequest(step);
+      case "decide" -> follow(step.name(), policy.route(requests.get(step.name()), now));
+      case "outcome" -> endAttempt(step);
+      case "expect" -> expect(step);
+      case "delay" -> checkDelay(step);
+      case "may-send" -> checkMaySend(step);
+      case "sent" -> checkSent(step);
+      case "reset-sent" -> sent.clear();
+      default -> throw new IllegalArgumentException("unknown step: " + step.text());
     }
+    step.expectation()
+        .ifPresent(
+            expectation -> play(ScenarioStep.parse("expect " + step.name() + " " + expectation)));
   }
 
-  private static Duration millis(String text) {
-    return Duration.ofMillis(Long.parseLong(text));
-  }
-
-  private static long whole(Map<String, String> facts, String key, long absent) {
-    return facts.containsKey(key) ? Long.parseLong(facts.get(key)) : absent;
-  }
-
-  private static boolean truth(Map<String, String> facts, String key, boolean absent) {
-    return facts.containsKey(key) ? facts.get(key).equals("yes") : absent;
+  private static PolicySettings settings(ScenarioStep step) {
+    step.allowOnly(
+        "gateways",
+        "zone-gateways",
+        "rate",
+        "link",
+        "bypass",
+        "sibling-fill",
+        "sources",
+        "hedging",
+        "cancel",
+        "retry-after",
+        "attempts",
+        "edge-start",
+        "parent-start",
+        "weights");
+    return new PolicySettings(
+        7,
+        1,
+        (int) step.number("gateways", 1),
+        (int) step.number("zone-gateways", 1),
+        List.of(0, 0),
+        step.number("rate", 1000),
+        step.number("link", 0),
+        step.flag("bypass", false),
+        step.flag("sibling-fill", true),
+        step.flag("sources", true),
+        step.flag("hedging", false),
+        step.flag("cancel", true),
+        step.millisOrNull("retry-after"),
+        (int) step.number("attempts", 6),
+        coldStart(step.text("edge-start", "0.2/10000/3/2000")),
+        coldStart(step.text("parent-start", "0.1/20000/2/2000")),
+        Duration.ofSeconds(6),
+        step.constant(PolicySettings.WeightMeaning.class, "weights", "rough"));
   }
 
-  /** FROM/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
+  /** INITIAL-CAPACITY/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
   private static PolicySettings.ColdStart coldStart(String text) {
     String[] parts = text.split("/");
     return new PolicySettings.ColdStart(
         Double.parseDouble(parts[0]),
-        millis(parts[1]),
+        Duration.ofMillis(Long.parseLong(parts[1])),
         Double.parseDouble(parts[2]),
-        millis(parts[3]));
-  }
-
-  private static PolicySettings settings(Map<String, String> facts) {
-    return new PolicySettings(
-        7,
-        1,
-        (int) whole(facts, "gateways", 1),
-        (int) whole(facts, "here", 1),
-        List.of(0, 0),
-        whole(facts, "pace", 1000),
-        whole(facts, "linkin", 0),
-        truth(facts, "direct", false),
-        truth(facts, "siblings", true),
-        truth(facts, "tells", true),
-        truth(facts, "second", false),
-        truth(facts, "recalls", true),
-        facts.containsKey("comeback") ? millis(facts.get("comeback")) : null,
-        (int) whole(facts, "trips", 6),
-        coldStart(facts.getOrDefault("edgecold", "0.2/10000/3/2000")),
-        coldStart(facts.getOrDefault("parentcold", "0.1/20000/2/2000")),
-        millis("6000"),
-        PolicySettings.WeightMeaning.valueOf(
-            facts.getOrDefault("weights", "rough").toUpperCase(Locale.ROOT)));
+        Duration.ofMillis(Long.parseLong(parts[3])));
   }
 
-  private static RequestClass requestClass(String repeat, Map<String, String> facts) {
+  private static RequestClass requestClass(ScenarioStep step) {
+    step.allowOnly("cacheable", "scope", "window", "objective", "max-age");
     return new RequestClass(
-        RequestClass.Idempotency.valueOf(repeat.toUpperCase(Locale.ROOT).replace('-', '_')),
-        RequestClass.DeduplicationScope.valueOf(
-            facts.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
-        millis(facts.getOrDefault("window", "3000")),
-        millis(facts.getOrDefault("agreed", "500")),
+        ScenarioStep.constant(RequestClass.Idempotency.class, step.argument()),
+        step.constant(RequestClass.DeduplicationScope.class, "scope", "all"),
+        step.millis("window", 3000),
+        step.millis("objective", 500),
         2,
-        truth(facts, "kept", true),
-        millis(facts.getOrDefault("fresh", "0")));
+        step.flag("cacheable", true),
+        step.millis("max-age", 0));
   }
 
-  private void cache(String[] words, Map<String, String> facts) {
-    Cache cache = caches.computeIfAbsent(words[1], name -> new Cache(1000 + caches.size()));
-    for (String word : words) {
+  private void updateCache(ScenarioStep step) {
+    step.allowOnly("weight", "cell", "started");
+    Cache cache =
+        caches.computeIfAbsent(step.name(), name -> new Cache(FIRST_STABLE_ID + caches.size()));
+    for (String word : step.wordsFrom(2)) {
       switch (word) {
         case "edge" -> cache.zone = 1;
         case "parent" -> cache.tier = Cache.Tier.PARENT;
         case "origin" -> cache.tier = Cache.Tier.ORIGIN;
         case "ready", "draining", "gone" ->
-            cache.availability = Cache.Availability.valueOf(word.toUpperCase(Locale.ROOT));
-        default -> {}
+            cache.availability = ScenarioStep.constant(Cache.Availability.class, word);
+        default -> assertThat(word).as(step.text()).contains("=");
       }
     }
-    cache.weight = whole(facts, "weight", cache.weight == 1 ? 10 : (long) cache.weight);
-    cache.cell = (int) whole(facts, "cell", cache.cell);
-    cache.startedAt = facts.containsKey("up") ? millis(facts.get("up")) : cache.startedAt;
+    cache.weight = step.number("weight", cache.weight == 1 ? DEFAULT_WEIGHT : (long) cache.weight);
+    cache.cell = (int) step.number("cell", cache.cell);
+    cache.startedAt = step.has("started") ? step.millis("started", 0) : cache.startedAt;
+  }
+
+  private void publishEndpoints() {
+    policy = policy == null ? new RatioTestPolicy(settings) : policy;
+    Comparator<Cache> byId = Comparator.comparingLong(cache -> cache.stableId);
+    policy.onEndpoints(caches.values().stream().sorted(byId).toList(), now);
+  }
+
+  private void reportLoad(ScenarioStep step) {
+    step.allowOnly("cpu", "outstanding");
+    double cpu = step.has("cpu") ? step.number("cpu", 0) / 100.0 : Double.NaN;
+    double outstanding = step.has("outstanding") ? step.number("outstanding", 0) : Double.NaN;
+    policy.onLoadReport(caches.get(step.name()), new LoadReport(cpu, outstanding), now);
+  }
+
+  private void grantQuota(ScenarioStep step) {
+    step.allowOnly("share", "expires");
+    Cache.Tier tier = ScenarioStep.constant(Cache.Tier.class, step.name());
+    policy.onQuotaGrant(tier, step.number("share", 0) / 100.0, step.millis("expires", 0), now);
+  }
+
+  private void purge(ScenarioStep step) {
+    step.allowOnly("object", "group", "age");
+    Long objectId = step.has("object") ? step.number("object", 0) : null;
+    int group = (int) step.number("group", 0);
+    policy.onPurge(new Purge(objectId, group, now.minus(step.millis("age", 0))), now);
   }
 
-  private void recordDecision(String name, Decision decision) {
+  private void sendRequest(ScenarioStep step) {
+    step.allowOnly("object", "part", "group", "kb", "timeout");
+    Request request =
+        new Request(
+            requestClasses.get(step.argument()),
+            step.number("object", 1),
+            (int) step.number("part", 0),
+            (int) step.number("group", 0),
+            step.number("kb", 100),
+            now,
+            now.plus(step.millis("timeout", 3000)));
+    requests.put(step.name(), request);
+    follow(step.name(), policy.route(request, now));
+  }
+
+  private void follow(String name, Decision decision) {
     decisions.put(name, decision);
     if (decision instanceof Attempt attempt) {
       attempt.sentAt = now;
       requests.get(name).attempts.add(attempt);
-      sent.merge(attempt.cache, 1, Integer::sum);
-      if (attempt.source != attempt.cache) {
-        sent.merge(attempt.source, 1, Integer::sum);
-      }
+      attempt.contactedCaches().forEach(cache -> sent.merge(cache, 1, Integer::sum));
     }
   }
 
   /**
-   * The outcome of the view's latest trip that is out, or of trip=N; an honoured one closes the
-   * view.
+   * Ends the request's latest outstanding attempt, or {@code attempt=N}; a served one completes the
+   * request.
    */
-  private void outcome(String[] words, Map<String, String> facts) {
-    Request request = requests.get(words[1]);
-    Outcome.Result result =
-        Outcome.Result.valueOf(words[2].toUpperCase(Locale.ROOT).replace('-', '_'));
-    String told = facts.getOrDefault("detail", "unknown");
-    Outcome.Detail detail = Outcome.Detail.valueOf(told.toUpperCase(Locale.ROOT).replace('-', '_'));
+  private void endAttempt(ScenarioStep step) {
+    step.allowOnly("detail", "duration", "source-wait", "attempt");
+    Request request = requests.get(step.name());
+    Outcome.Result result = ScenarioStep.constant(Outcome.Result.class, step.argument());
     Attempt attempt =
-        facts.containsKey("trip")
-            ? request.attempts.get((int) whole(facts, "trip", 0))
-            : request.attempts.stream()
-                .filter(t -> t.outcome == null)
-                .reduce((a, b) -> b)
-                .orElseThrow();
+        step.has("attempt")
+            ? request.attempts.get((int) step.number("attempt", 0))
+            : latestOutstanding(request);
     attempt.outcome =
         new Outcome(
             result,
-            detail,
-            millis(facts.getOrDefault("took", "100")),
-            facts.containsKey("wait") ? millis(facts.get("wait")) : null,
+            step.constant(Outcome.Detail.class, "detail", "unknown"),
+            step.millis("duration", 100),
+            step.millisOrNull("source-wait"),
             result == Outcome.Result.SERVED);
-    recordDecision(words[1], policy.onOutcome(request, attempt, now));
+    follow(step.name(), policy.onOutcome(request, attempt, now));
   }
 
-  /** A fact is compared with = or !=; a cache's name with ? before it is bound on the spot. */
-  private void expect(String line, String[] words) {
-    Decision decision = decisions.get(words[1]);
-    check(line, decision.getClass().getSimpleName().toLowerCase(Locale.ROOT), words[2]);
-    for (String word : Arrays.asList(words).subList(3, words.length)) {
-      boolean not = word.contains("!=");
-      String key = word.substring(0, word.indexOf(not ? "!=" : "="));
-      String wanted = word.substring(word.indexOf('=') + 1);
-      Object found;
-      if (decision instanceof Attempt attempt) {
-        found =
-            switch (key) {
-              case "to" -> attempt.cache;
-              case "from" -> attempt.source;
-              case "rank" -> attempt.rank;
-              case "held" -> attempt.onlyIfCached ? "yes" : "no";
-              case "renew" -> attempt.revalidate ? "yes" : "no";
-              case "oldest" -> attempt.maxCopyAge == null ? "any" : attempt.maxCopyAge.toMillis();
-              default -> throw new IllegalArgumentException(line);
-            };
-      } else if (decision instanceof Decision.Reject dismissal && key.equals("comeback")) {
-        found = dismissal.retryAfter() == null ? "none" : "some";
-      } else {
-        throw new IllegalArgumentException(line);
-      }
-      if (wanted.startsWith("?")) {
-        bound.put(wanted.substring(1), (Cache) found);
-      } else if (not) {
-        steps++;
-        assertThat(found).as(line).isNotEqualTo(bound.getOrDefault(wanted, caches.get(wanted)));
-      } else {
-        check(
-            line,
-            found instanceof Cache ? found : String.valueOf(found),
-            found instanceof Cache ? bound.getOrDefault(wanted, caches.get(wanted)) : wanted);
-      }
+  private static Attempt latestOutstanding(Request request) {
+    return request.attempts.stream()
+        .filter(attempt -> attempt.outcome == null)
+        .reduce((earlier, later) -> later)
+        .orElseThrow();
+  }
+
+  private void checkDelay(ScenarioStep step) {
+    Duration delay = policy.nextDecisionDelay(requests.get(step.name()), now);
+    String found = delay == null ? "none" : delay.toMillis() > 0 ? "some" : "zero";
+    check(step, found, step.argument());
+  }
+
+  private void checkMaySend(ScenarioStep step) {
+    step.allowOnly("attempt");
+    Request request = requests.get(step.name());
+    Attempt attempt = request.attempts.get((int) step.number("attempt", 0));
+    check(step, policy.mayStillSend(request, attempt, now) ? "yes" : "no", step.argument());
+  }
+
+  private void checkSent(ScenarioStep step) {
+    step.allowOnly("min", "max");
+    checks++;
+    assertThat(sent.getOrDefault(caches.get(step.name()), 0))
+        .as(step.text())
+        .isBetween((int) step.number("min", 0), (int) step.number("max", Integer.MAX_VALUE));
+  }
+
+  private void expect(ScenarioStep step) {
+    Decision decision = decisions.get(step.name());
+    check(step, decision.getClass().getSimpleName().toLowerCase(Locale.ROOT), step.argument());
+    for (String fact : step.wordsFrom(3)) {
+      expectFact(step, decision, fact);
+    }
+  }
+
+  /**
+   * Compares a fact with {@code =} or {@code !=}; a cache's name with {@code ?} before it is bound
+   * on the spot.
+   */
+  private void expectFact(ScenarioStep step, Decision decision, String fact) {
+    boolean negated = fact.contains("!=");
+    String key = fact.substring(0, fact.indexOf(negated ? "!=" : "="));
+    String expected = fact.substring(fact.indexOf('=') + 1);
+    Object found = fact(step, decision, key);
+    if (expected.startsWith("?")) {
+      boundCaches.put(expected.substring(1), (Cache) found);
+    } else if (negated) {
+      checks++;
+      assertThat(found).as(step.text()).isNotEqualTo(cache(expected));
+    } else if (found instanceof Cache) {
+      check(step, found, cache(expected));
+    } else {
+      check(step, String.valueOf(found), expected);
     }
   }
 
-  private void check(String line, Object found, Object wanted) {
-    steps++;
-    assertThat(found).as(line).isEqualTo(wanted);
+  private static Object fact(ScenarioStep step, Decision decision, String key) {
+    if (decision instanceof Attempt attempt) {
+      return switch (key) {
+        case "to" -> attempt.cache;
+        case "from" -> attempt.source;
+        case "rank" -> attempt.rank;
+        case "only-if-cached" -> attempt.onlyIfCached ? "yes" : "no";
+        case "revalidate" -> attempt.revalidate ? "yes" : "no";
+        case "max-copy-age" -> attempt.maxCopyAge == null ? "any" : attempt.maxCopyAge.toMillis();
+        default -> throw new IllegalArgumentException("unknown fact of an attempt: " + step.text());
+      };
+    }
+    if (decision instanceof Decision.Reject reject && key.equals("retry-after")) {
+      return reject.retryAfter() == null ? "none" : "some";
+    }
+    throw new IllegalArgumentException("unknown fact of the decision: " + step.text());
+  }
+
+  private Cache cache(String name) {
+    return boundCaches.getOrDefault(name, caches.get(name));
+  }
+
+  private void check(ScenarioStep step, Object found, Object expected) {
+    checks++;
+    assertThat(found).as(step.text()).isEqualTo(expected);
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ScenarioTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioTest.java
@@ -8,29 +8,27 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario under policy/src/test/resources/scenarios. */
+/** Plays every scenario file, each after the settings of its first line and the common world. */
 class ScenarioTest {
 
+  private static final Path RESOURCES = Path.of("policy/src/test/resources");
+
   @TestFactory
   Stream<DynamicTest> scenarios() throws IOException {
     List<Path> files;
-    try (Stream<Path> found = Files.list(Path.of("policy/src/test/resources/scenarios"))) {
+    try (Stream<Path> found = Files.list(RESOURCES.resolve("scenarios"))) {
       files = found.sorted().toList();
     }
     return files.stream()
-        .map(
-            file ->
-                DynamicTest.dynamicTest(
-                    file.getFileName().toString(),
-                    () -> {
-                      Scenario scenario = new Scenario();
-                      List<String> lines = Files.readAllLines(file);
-                      scenario.play(
-                          lines.stream().filter(line -> line.startsWith("settings")).toList());
-                      scenario.play(
-                          Files.readAllLines(Path.of("policy/src/test/resources/world.txt")));
-                      scenario.play(lines);
-                      scenario.assertChecked();
-                    }));
+        .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> play(file)));
+  }
+
+  private static void play(Path file) throws IOException {
+    Scenario scenario = new Scenario();
+    List<String> lines = Files.readAllLines(file);
+    scenario.play(lines.stream().filter(line -> line.startsWith("settings")).toList());
+    scenario.play(Files.readAllLines(RESOURCES.resolve("world.txt")));
+    scenario.play(lines);
+    scenario.assertChecked();
   }
 }
