--- a/policy/src/main/java/tamarindroute/policy/AttemptFactory.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptFactory.java
@@ -12,7 +12,7 @@
  */
 final class AttemptFactory {
 
-  /** Rank of an answer that is not kept. */
+  /** Rank of an answer that is not stored. */
   private static final int RANK_NONE = 0;
 
   /** Least time beyond the transfer before an attempt is late, in seconds. */
@@ -71,13 +71,13 @@
         expectedBy(context, target));
   }
 
-  /** An attempt for what is never kept, by way of an edge. */
+  /** An attempt of an uncacheable request by way of an edge. */
   Attempt passThrough(PlanningContext context, CacheState edge, CacheState source) {
     return new Attempt(
         edge.cache(), source.cache(), RANK_NONE, null, false, false, expectedBy(context, edge));
   }
 
-  /** An attempt for what is never kept, at the origin itself; it is never late. */
+  /** An attempt of an uncacheable request at the origin itself; it is never late. */
   Attempt direct(CacheState origin) {
     return new Attempt(origin.cache(), origin.cache(), RANK_NONE, null, false, false, null);
   }
--- a/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
@@ -27,8 +27,8 @@
         || attempt.outcome.result() != Result.MISS && !hasSourceFailed(attempt);
   }
 
-  /** Whether this source was asked in vain to fill for the request, or is being asked. */
-  boolean wasAskedToFill(Request request, CacheState source) {
+  /** Whether this source was tried in vain for the request, or is being tried. */
+  boolean wasTriedAsSource(Request request, CacheState source) {
     return request.attempts.stream()
         .anyMatch(attempt -> attempt.source == source.cache() && isSpentFill(attempt, source));
   }
--- a/policy/src/main/java/tamarindroute/policy/CacheTiers.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheTiers.java
@@ -12,10 +12,7 @@
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.PolicySettings;
 
-/**
- * The caches of the endpoint list by tier, with the state kept of each, and their ranking for a
- * key.
- */
+/** The caches of the endpoint list by tier, with the state of each, and their ranking for a key. */
 final class CacheTiers {
 
   private final PolicySettings settings;
@@ -38,7 +35,7 @@
     this.random = random;
   }
 
-  /** Replaces the list; the state of caches that stay on it is kept. */
+  /** Replaces the list; caches that stay on it retain their state. */
   void onEndpoints(List<Cache> caches, double now) {
     states.keySet().retainAll(Set.copyOf(caches));
     for (Cache cache : caches) {
--- a/policy/src/main/java/tamarindroute/policy/CacheableRequestPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheableRequestPlanner.java
@@ -7,16 +7,16 @@
 import tamarindroute.decision.Request;
 
 /**
- * Plans attempts of requests whose answers may be kept: a hot object at the least busy edge, any
- * other at its hashed edge. A lookup goes first: a hit needs no source, and a miss is known before
- * its fill takes capacity.
+ * Plans attempts of cacheable requests: a hot object at the least busy edge, any other at its
+ * hashed edge. A lookup goes first: a hit needs no source, and a miss is known before its fill
+ * takes capacity.
  */
 final class CacheableRequestPlanner {
 
-  /** Retention rank of objects kept by one edge. */
+  /** Retention rank of objects stored by one edge. */
   private static final int RANK_SINGLE = 1;
 
-  /** Retention rank of hot objects, kept by several edges. */
+  /** Retention rank of hot objects, stored by several edges. */
   private static final int RANK_HOT = 2;
 
   /** Part of the latency objective that an attempt at an edge has to meet. */
@@ -92,6 +92,6 @@
   }
 
   private boolean mayFillFromHome(Request request, CacheState edge, CacheState home) {
-    return home != edge && !history.wasAskedToFill(request, home);
+    return home != edge && !history.wasTriedAsSource(request, home);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/CopyRecorder.java
+++ b/policy/src/main/java/tamarindroute/policy/CopyRecorder.java
@@ -50,7 +50,7 @@
       recordFill(request, attempt, sourceWait, now);
     }
     if (atHome) {
-      object.recordHeldAtHome(now);
+      object.recordStoredAtHome(now);
     }
   }
 
@@ -63,7 +63,7 @@
         .isPresent();
   }
 
-  /** A hit asked nothing of its source, unless the copy is revalidated in the background. */
+  /** A hit did not use its source, unless the copy is revalidated in the background. */
   private void refundUnusedSource(Request request, Attempt attempt) {
     if (attempt.source != attempt.cache && !attempt.revalidate) {
       tiers
--- a/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
+++ b/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
@@ -50,7 +50,7 @@
   }
 
   private boolean isAvailable(PlanningContext context, CacheState parent) {
-    return !history.wasAskedToFill(context.request(), parent)
+    return !history.wasTriedAsSource(context.request(), parent)
         && (parent.isUsable(context) || parent.tryProbe(context));
   }
 
@@ -61,7 +61,7 @@
 
   private boolean isOriginAvailable(PlanningContext context, CacheState origin) {
     return origin.isReady()
-        && !history.wasAskedToFill(context.request(), origin)
+        && !history.wasTriedAsSource(context.request(), origin)
         && (!origin.isEjected() || origin.tryProbe(context));
   }
 
@@ -102,7 +102,7 @@
     return first(
         rankedParents(request, false),
         parent ->
-            !history.wasAskedToFill(request, parent)
+            !history.wasTriedAsSource(request, parent)
                 && !request.isKnownMiss(edge.cache(), parent.cache())
                 && (parent == selected || parent.isUsable(context)));
   }
--- a/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
@@ -9,8 +9,8 @@
 
 /**
  * Decides about an attempt that is late. It counts against its cache and source; a second one is
- * sent beside it where that is allowed, else it is cancelled once its cache or source is suspected
- * for other requests' failures.
+ * sent where hedging is allowed, else it is cancelled once its cache or source is suspected for
+ * other requests' failures.
  */
 final class LateAttemptPolicy {
 
@@ -80,8 +80,8 @@
   }
 
   /**
-   * What cannot be kept has the one origin as its source wherever it is sent: there only the cache
-   * counts.
+   * An uncacheable request has the one origin as its source wherever it is sent: there only the
+   * cache counts.
    */
   private boolean isSuspected(Request request, Attempt attempt, double now) {
     double ofCache = tiers.get(attempt.cache).outliers().evidence(now);
--- a/policy/src/main/java/tamarindroute/policy/ObjectPlacement.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectPlacement.java
@@ -32,14 +32,14 @@
     ObjectStatistics object = popularity.statistics(request, now);
     List<CacheState> ranked = CacheTiers.ranked(tiers.edges(), ObjectPopularity.key(request));
     boolean hot = ratioTest.test(object);
-    return new Placement(ranked, hot, hot && isHeldSincePurge(object, request));
+    return new Placement(ranked, hot, hot && isStoredSincePurge(object, request));
   }
 
   /**
    * After a purge no edge holds the object: until the hashed edge has proved to hold it again, it
    * alone fetches it.
    */
-  private boolean isHeldSincePurge(ObjectStatistics object, Request request) {
-    return object.lastHeldAtHome() > purges.lastPurge(request);
+  private boolean isStoredSincePurge(ObjectStatistics object, Request request) {
+    return object.lastStoredAtHome() > purges.lastPurge(request);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
@@ -16,7 +16,7 @@
   private int requestsInWindow;
   private long window;
   private boolean hot;
-  private double heldAtHome = NEVER;
+  private double storedAtHome = NEVER;
 
   /**
    * Starts without requests.
@@ -43,12 +43,12 @@
   }
 
   /** Returns when its hashed edge last proved to hold it; negative if never. */
-  double lastHeldAtHome() {
-    return heldAtHome;
+  double lastStoredAtHome() {
+    return storedAtHome;
   }
 
-  void recordHeldAtHome(double now) {
-    heldAtHome = now;
+  void recordStoredAtHome(double now) {
+    storedAtHome = now;
   }
 
   void recordRequest() {
--- a/policy/src/main/java/tamarindroute/policy/RatioTest.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTest.java
@@ -3,7 +3,7 @@
 import tamarindroute.decision.PolicySettings;
 
 /**
- * The ratio test of the collaborative caching algorithm: an object is hot, and kept by several
+ * The ratio test of the collaborative caching algorithm: an object is hot, and stored by several
  * edges, if its density exceeds the marginal density by more than what a copy less costs over what
  * a further copy saves.
  */
--- a/policy/src/main/java/tamarindroute/policy/UncacheableRequestPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/UncacheableRequestPlanner.java
@@ -3,10 +3,7 @@
 import java.util.Optional;
 import tamarindroute.decision.Attempt;
 
-/**
- * Plans attempts of requests whose answers are not kept: at the origin, directly where that is
- * allowed.
- */
+/** Plans attempts of uncacheable requests: at the origin, directly where that is allowed. */
 final class UncacheableRequestPlanner {
 
   private final boolean bypassAllowed;
--- a/policy/src/main/java/tamarindroute/policy/package-info.java
+++ b/policy/src/main/java/tamarindroute/policy/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The routing policy of the project: which cache a request is sent to, where a miss is filled from,
- * which copies are kept, and when a request is retried, cancelled or given up. {@code
+ * which copies are stored, and when a request is retried, cancelled or given up. {@code
  * docs/design.md} describes the mechanism.
  *
  * <p>{@link tamarindroute.policy.RatioTestPolicy} is the entry point and the only public type. The
--- a/policy/src/test/java/tamarindroute/policy/CapacityDiscoveryTest.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityDiscoveryTest.java
@@ -17,26 +17,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What the module makes of caches whose capacity it is told wrongly or not at all, in {@link
- * CapacityWorld}: it serves about as much as if it were told, settles after each change, and keeps
- * the rules on cold caches and on effects.
+ * How the policy copes with caches whose capacity is advertised wrongly or not at all, in {@link
+ * CapacitySimulation}: it serves about as much as with full information, settles after each change,
+ * and keeps to the limits of cold caches and to the deduplication scope.
  */
 class CapacityDiscoveryTest {
 
-  private static final Map<String, CapacitySimulation> TOLD_ALL = new HashMap<>();
+  private static final Map<String, CapacitySimulation> INFORMED = new HashMap<>();
   private static final double[] EDGES = {8, 10, 12, 16};
 
-  /** The play of the same requests in which all is told, truly, and nothing happens. */
-  private static CapacitySimulation toldAll(
-      int gateways, double load, boolean uneven, double... edges) {
-    String key = gateways + " " + load + " " + uneven + " " + Arrays.toString(edges);
-    return TOLD_ALL.computeIfAbsent(
+  /**
+   * Returns the simulation of the same requests with true and full information in which nothing
+   * happens.
+   */
+  private static CapacitySimulation informed(
+      int gateways, double load, boolean unevenClients, double... edges) {
+    String key = gateways + " " + load + " " + unevenClients + " " + Arrays.toString(edges);
+    return INFORMED.computeIfAbsent(
         key,
-        k -> {
-          SimulationPlan plan = new SimulationPlan(gateways, load, edges);
-          plan.uneven = uneven;
-          return plan.simulate();
-        });
+        k -> new SimulationPlan(gateways, load, edges).withUnevenClients(unevenClients).simulate());
   }
 
   @ParameterizedTest
@@ -48,39 +47,39 @@
     "4, 0.9, 0.9",
     "12, 0.9, 0.9"
   })
-  void servesWhatIsToldTruly(int gateways, double load, double least) {
-    assertThat(toldAll(gateways, load, false, EDGES).served(5, 40)).isGreaterThan(least);
+  void servesTheLoadWithFullInformation(int gateways, double load, double least) {
+    double served = informed(gateways, load, false, EDGES).result().served(5, 40);
+    assertThat(served).isGreaterThan(least);
   }
 
-  private static Stream<Arguments> untold() {
+  private static Stream<Arguments> missingInformation() {
     return Stream.of("OFF", "TENFOLD", "TENTH", "LIVE", "no-sizes", "no-reports", "no-details")
-        .flatMap(
-            option ->
-                Stream.of(0.5, 0.9)
-                    .flatMap(
-                        load ->
-                            Stream.of(1, 4, 12)
-                                .map(gateways -> Arguments.of(option, gateways, load))));
+        .flatMap(CapacityDiscoveryTest::withGatewaysAndLoads);
+  }
+
+  private static Stream<Arguments> withGatewaysAndLoads(String option) {
+    return Stream.of(0.5, 0.9)
+        .flatMap(load -> Stream.of(1, 4, 12).map(gateways -> Arguments.of(option, gateways, load)));
   }
 
   /**
-   * A tenth less at most. Without weights, caches that bear 8 and 16 are homes to as many objects:
-   * at nine tenths of the load the smallest is a third over what it bears, and what goes elsewhere
-   * is filled once more.
+   * At most a tenth less. Without weights, caches of capacity 8 and 16 are homes to as many
+   * objects: at nine tenths of the load the smallest is a third over its capacity, and what is
+   * served elsewhere is filled once more.
    */
   @ParameterizedTest
-  @MethodSource("untold")
-  void servesAsMuchWithoutBeingTold(String option, int gateways, double load) {
-    double told = toldAll(gateways, load, false, EDGES).served(5, 40);
-    CapacitySimulation world =
+  @MethodSource("missingInformation")
+  void servesAsMuchWithMissingInformation(String option, int gateways, double load) {
+    double informed = informed(gateways, load, false, EDGES).result().served(5, 40);
+    CapacitySimulation simulation =
         new SimulationPlan(gateways, load, EDGES).withOption(option).simulate();
     double least = option.equals("OFF") && load > 0.8 ? 0.86 : 0.9;
-    assertThat(world.served(5, 40) / told).isGreaterThan(least);
+    assertThat(simulation.result().served(5, 40) / informed).isGreaterThan(least);
   }
 
   /**
-   * Where nothing is told of sizes, capacities and details together, or the clients or capacities
-   * are very uneven.
+   * Sizes, capacities and details are unknown together, or the clients or capacities are very
+   * uneven.
    */
   @ParameterizedTest
   @CsvSource({
@@ -93,36 +92,45 @@
     "OFF, 12, 0.9, true, 8, 16",
     "TENFOLD, 12, 0.9, true, 8, 16"
   })
-  void servesNearlyAsMuchWhereMoreIsUneven(
-      String option, int gateways, double load, boolean uneven, double least, double most) {
-    double told = toldAll(gateways, load, uneven, least, 10, 12, most).served(5, 40);
-    SimulationPlan plan =
-        new SimulationPlan(gateways, load, least, 10, 12, most).withOption(option);
-    plan.uneven = uneven;
-    assertThat(plan.simulate().served(5, 40) / told).isGreaterThan(0.8);
+  void servesNearlyAsMuchInUnevenLocations(
+      String option,
+      int gateways,
+      double load,
+      boolean unevenClients,
+      double smallest,
+      double largest) {
+    double informed =
+        informed(gateways, load, unevenClients, smallest, 10, 12, largest).result().served(5, 40);
+    CapacitySimulation simulation =
+        new SimulationPlan(gateways, load, smallest, 10, 12, largest)
+            .withOption(option)
+            .withUnevenClients(unevenClients)
+            .simulate();
+    assertThat(simulation.result().served(5, 40) / informed).isGreaterThan(0.8);
   }
 
   @ParameterizedTest
   @CsvSource({"1, 0.5", "4, 0.5", "1, 0.9", "4, 0.9", "12, 0.9"})
-  void homesStandStillWhereWeightsAreLive(int gateways, double load) {
-    assertThat(new SimulationPlan(gateways, load, EDGES).withOption("LIVE").simulate().homesMoved)
-        .isLessThan(0.02);
+  void liveWeightsDoNotMoveHomes(int gateways, double load) {
+    CapacitySimulation simulation =
+        new SimulationPlan(gateways, load, EDGES).withOption("LIVE").simulate();
+    assertThat(simulation.peakHomesMoved()).isLessThan(0.02);
   }
 
   private static Consumer<CapacitySimulation> change(String name) {
     return switch (name) {
-      case "slow" -> world -> world.edges.get(0).speed = 0.1;
-      case "half" -> world -> world.startAnew(0, 5);
-      case "double" -> world -> world.startAnew(0, 20);
-      case "cold" -> world -> world.startAnew(0, 10);
-      case "restart" -> world -> world.restartGateway(0);
-      default -> throw new IllegalArgumentException(name);
+      case "slow" -> simulation -> simulation.edge(0).setSpeed(0.1);
+      case "half" -> simulation -> simulation.restartEdge(0, 5);
+      case "double" -> simulation -> simulation.restartEdge(0, 20);
+      case "cold" -> simulation -> simulation.restartEdge(0, 10);
+      case "restart" -> simulation -> simulation.restartGateway(0);
+      default -> throw new IllegalArgumentException("unknown change: " + name);
     };
   }
 
   /**
-   * After 15 s or more, as if the change had been from the start; with weights told truly, the
-   * other caches as if none.
+   * From 15 s after the change, as if it had been from the start; the other caches as if there had
+   * been none.
    */
   @ParameterizedTest
   @CsvSource({
@@ -142,31 +150,35 @@
   })
   void settlesAfterAChange(String change, double load, String option) {
     double[] edges = {10, 10, 10, 10};
-    CapacitySimulation none = toldAll(4, load, false, edges);
-    CapacitySimulation early =
-        new SimulationPlan(4, load, edges).withOption(option).at(0, change(change)).simulate();
-    CapacitySimulation late =
+    SimulationResult unchanged = informed(4, load, false, edges).result();
+    SimulationResult early =
+        new SimulationPlan(4, load, edges)
+            .withOption(option)
+            .at(0, change(change))
+            .simulate()
+            .result();
+    CapacitySimulation lateSimulation =
         new SimulationPlan(4, load, edges).withOption(option).at(15, change(change)).simulate();
-    long mark = late.edges.get(0).cache.stableId;
-    Predicate<CapacitySimulation.SimulatedRequest> there =
-        simulated -> simulated.home().stableId == mark;
-    Predicate<CapacitySimulation.SimulatedRequest> others = there.negate();
+    SimulationResult late = lateSimulation.result();
+    long changedId = lateSimulation.edge(0).cache().stableId;
+    Predicate<SimulatedRequest> atChanged = request -> request.home().stableId == changedId;
+    Predicate<SimulatedRequest> atOthers = atChanged.negate();
     SoftAssertions softly = new SoftAssertions();
     softly.assertThat(late.served(30, 40)).as("all").isGreaterThan(early.served(30, 40) - 0.1);
     softly
-        .assertThat(late.served(30, 40, there))
-        .as("at home there")
-        .isGreaterThan(early.served(30, 40, there) - 0.1);
+        .assertThat(late.served(30, 40, atChanged))
+        .as("at home at the changed edge")
+        .isGreaterThan(early.served(30, 40, atChanged) - 0.1);
     softly
-        .assertThat(late.served(30, 40, others))
-        .as("others")
-        .isGreaterThan(none.served(30, 40, others) - 0.1);
+        .assertThat(late.served(30, 40, atOthers))
+        .as("at home elsewhere")
+        .isGreaterThan(unchanged.served(30, 40, atOthers) - 0.1);
     softly.assertAll();
   }
 
   /**
-   * What is left could bear it all: few are turned away unsent, and of the rest most are served in
-   * time.
+   * The other caches could take the whole load: few requests are rejected, and most of the rest is
+   * served in time.
    */
   @ParameterizedTest
   @CsvSource({
@@ -177,20 +189,20 @@
     "2, 0.15, no-details",
     "4, 0.3, no-details"
   })
-  void servesBesideHungCaches(int hung, double mostRejected, String option) {
+  void servesDespiteHungCaches(int hung, double mostRejected, String option) {
     SimulationPlan plan = new SimulationPlan(4, 0.4, 8, 8, 8, 8, 8, 8, 8, 8).withOption(option);
-    for (int edge = 0; edge < hung; edge++) {
-      int which = edge;
-      plan.at(10, world -> world.edges.get(which).hung = true)
-          .at(25, world -> world.edges.get(which).hung = false);
+    for (int i = 0; i < hung; i++) {
+      int edge = i;
+      plan.at(10, simulation -> simulation.edge(edge).setHung(true))
+          .at(25, simulation -> simulation.edge(edge).setHung(false));
     }
-    CapacitySimulation world = plan.simulate();
-    assertThat(world.share(CapacitySimulation.Ending.REJECTED, 15, 25))
+    SimulationResult result = plan.simulate().result();
+    assertThat(result.share(SimulationResult.Ending.REJECTED, 15, 25))
         .as("rejected")
         .isLessThanOrEqualTo(mostRejected);
-    assertThat(world.served(15, 25)).as("served").isGreaterThan(1 - 2 * mostRejected);
-    assertThat(world.abandoned).as("held").isZero();
-    assertThat(world.open()).as("open at the end").isZero();
+    assertThat(result.served(15, 25)).as("served").isGreaterThan(1 - 2 * mostRejected);
+    assertThat(result.abandonedCount()).as("abandoned").isZero();
+    assertThat(result.openCount()).as("open at the end").isZero();
   }
 
   @ParameterizedTest
@@ -209,52 +221,56 @@
     "LIVE, 30, 1",
     "nothing, 30, 1"
   })
-  void keepsTheColdRule(String option, int gateways, int seed) {
-    SimulationPlan plan =
+  void doesNotOverloadAColdEdge(String option, int gateways, int seed) {
+    CapacitySimulation simulation =
         new SimulationPlan(gateways, 0.8, 30, 30, 30, 30)
             .withOption(option)
-            .at(10, world -> world.startAnew(0, 30));
-    plan.seed = seed;
-    plan.seconds = 22;
-    CapacitySimulation world = plan.simulate();
-    assertThat(world.coldMost).as("something reached it").isPositive();
-    assertThat(world.coldMostOfChance).isLessThan(1);
+            .withSeed(seed)
+            .lasting(22)
+            .at(10, running -> running.restartEdge(0, 30))
+            .simulate();
+    assertThat(simulation.peakColdLoad()).as("something reached it").isPositive();
+    assertThat(simulation.peakColdLoadBeyondScatter()).isLessThan(1);
   }
 
   @ParameterizedTest
   @CsvSource({"no-details, 1", "no-details, 4", "hit-details, 1", "hit-details, 4", "TRUE, 4"})
-  void servesAsBeforeOnceTheOriginIsWell(String option, int gateways) {
-    double before =
-        new SimulationPlan(gateways, 0.7, EDGES).withOption(option).simulate().served(20, 40);
-    CapacitySimulation world =
+  void recoversAfterAnOriginFailure(String option, int gateways) {
+    SimulationResult undisturbed =
+        new SimulationPlan(gateways, 0.7, EDGES).withOption(option).simulate().result();
+    SimulationResult disturbed =
         new SimulationPlan(gateways, 0.7, EDGES)
             .withOption(option)
-            .at(5, it -> it.originFails = true)
-            .at(8, it -> it.originFails = false)
-            .simulate();
-    assertThat(world.served(20, 40)).isGreaterThan(before - 0.03);
+            .at(5, simulation -> simulation.setOriginFailing(true))
+            .at(8, simulation -> simulation.setOriginFailing(false))
+            .simulate()
+            .result();
+    assertThat(disturbed.served(20, 40)).isGreaterThan(undisturbed.served(20, 40) - 0.03);
   }
 
   /** With errors and a hung cache, second attempts are made, and each in the cell of the first. */
   @ParameterizedTest
-  @ValueSource(strings = {"", "direct", "second-copies"})
-  void keptTokensStayInTheirCell(String allowed) {
-    SimulationPlan plan =
+  @ValueSource(strings = {"", "bypass", "hedging"})
+  void keyedRequestsStayInTheirCell(String allowed) {
+    SimulationResult result =
         new SimulationPlan(4, 0.5, EDGES)
-            .at(10, world -> world.edges.get(0).hung = true)
-            .at(25, world -> world.edges.get(0).hung = false);
-    plan.token = true;
-    plan.failing = 0.1;
-    plan.direct = allowed.equals("direct");
-    plan.secondCopies = allowed.equals("second-copies");
-    CapacitySimulation world = plan.simulate();
-    assertThat(world.cellsLeft).as("attempts in another cell").isZero();
-    assertThat(world.cellsKept).as("attempts in the same cell").isPositive();
+            .keyedWithinCell()
+            .withFailingShare(0.1)
+            .withEdgeBypass(allowed.equals("bypass"))
+            .withHedging(allowed.equals("hedging"))
+            .at(10, running -> running.edge(0).setHung(true))
+            .at(25, running -> running.edge(0).setHung(false))
+            .simulate()
+            .result();
+    assertThat(result.attemptsInOtherCell()).as("attempts in another cell").isZero();
+    assertThat(result.attemptsInSameCell()).as("attempts in the same cell").isPositive();
   }
 
   @Test
-  void aPlayIsTheSameEachTime() {
+  void simulationIsDeterministic() {
     SimulationPlan plan = new SimulationPlan(4, 0.9, EDGES);
-    assertThat(plan.simulate().served(0, 40)).isEqualTo(plan.simulate().served(0, 40));
+    double first = plan.simulate().result().served(0, 40);
+    double second = plan.simulate().result().served(0, 40);
+    assertThat(first).isEqualTo(second);
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdStartRefundTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartRefundTest.java
@@ -1,6 +1,7 @@
 package tamarindroute.policy;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static tamarindroute.numeric.Seconds.toDuration;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -16,171 +17,153 @@
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.Request;
-import tamarindroute.decision.RequestClass;
 
-/**
- * What a gateway's trips took of a cold cache's bound comes back if they never got there, and in no
- * other case.
- */
+/** Attempts that never reached a cold cache are returned to its budget, and no others. */
 class ColdStartRefundTest {
 
-  private static final PolicySettings.ColdStart START =
-      new PolicySettings.ColdStart(0.2, at(20), 3, at(2));
-
-  private final Cache edge = cache(1, Cache.Tier.EDGE);
-  private final Cache parent = cache(3, Cache.Tier.PARENT);
-  private final Cache origin = cache(7, Cache.Tier.ORIGIN);
-  private final List<Request> out = new ArrayList<>();
+  private static final PolicySettings.ColdStart COLD_START =
+      new PolicySettings.ColdStart(0.2, toDuration(20), 3, toDuration(2));
+  private static final Duration STARTED = toDuration(10);
+  private static final Duration NOW = toDuration(15);
+  private static final Duration TRANSFER_TIME = toDuration(0.1);
+  private static final Duration MAX_AGE = toDuration(8);
+  private static final double WEIGHT = 20;
+  private static final int MORE_THAN_ADMITTED = 500;
+
+  private final Cache edge = TestValues.cache(1, Cache.Tier.EDGE, WEIGHT);
+  private final Cache parent = TestValues.cache(3, Cache.Tier.PARENT, WEIGHT);
+  private final Cache origin = TestValues.cache(7, Cache.Tier.ORIGIN, WEIGHT);
+  private final List<Request> sent = new ArrayList<>();
   private RatioTestPolicy policy;
   private long objects;
 
-  private static Duration at(double seconds) {
-    return Duration.ofNanos(Math.round(seconds * 1e9));
-  }
-
-  private static Cache cache(long stableId, Cache.Tier tier) {
-    Cache cache = new Cache(stableId);
-    cache.tier = tier;
-    cache.weight = 20;
-    return cache;
-  }
-
-  private static RequestClass requestClass(Duration maxAge) {
-    return new RequestClass(
-        RequestClass.Idempotency.IDEMPOTENT,
-        RequestClass.DeduplicationScope.ALL,
-        Duration.ZERO,
-        at(0.1),
-        20,
-        true,
-        maxAge);
-  }
-
-  private void startPolicy(boolean direct, Cache... caches) {
+  private void createPolicy(boolean edgeBypass, Cache... caches) {
     policy =
         new RatioTestPolicy(
-            new PolicySettings(
-                5,
-                0,
-                1,
-                1,
-                List.of(0),
-                1000,
-                1e6,
-                direct,
-                true,
-                true,
-                false,
-                true,
-                null,
-                8,
-                START,
-                START,
-                at(6),
-                PolicySettings.WeightMeaning.ROUGH));
-    policy.onEndpoints(List.of(caches), at(10));
+            new PolicySettingsBuilder()
+                .seed(5)
+                .inboundLink(1e6)
+                .edgeBypass(edgeBypass)
+                .coldStart(COLD_START)
+                .build());
+    policy.onEndpoints(List.of(caches), STARTED);
   }
 
-  /** How many views went to the cache, or had it as their source, before it bore no more. */
-  private int countSentTo(Cache to, Duration maxAge, double now) {
-    out.clear();
-    policy.onLoadReport(edge, new LoadReport(0.1, Double.NaN), at(now));
-    for (int i = 0; i < 500; i++) {
-      Request request =
-          new Request(requestClass(maxAge), ++objects, 0, 1, 100, at(now), at(now + 9));
-      if (policy.route(request, at(now)) instanceof Attempt attempt
-          && (attempt.cache == to || attempt.source == to)) {
-        attempt.sentAt = at(now);
+  /** Sends requests until the cache, as target or source, gets no more; returns how many it got. */
+  private int exhaust(Cache cache, Duration maxAge) {
+    sent.clear();
+    policy.onLoadReport(edge, new LoadReport(0.1, Double.NaN), NOW);
+    for (int i = 0; i < MORE_THAN_ADMITTED; i++) {
+      Request request = newRequest(maxAge);
+      if (policy.route(request, NOW) instanceof Attempt attempt
+          && attempt.contactedCaches().contains(cache)) {
+        attempt.sentAt = NOW;
         request.attempts.add(attempt);
-        out.add(request);
+        sent.add(request);
       }
     }
-    return out.size();
+    return sent.size();
+  }
+
+  private int exhaust(Cache cache) {
+    return exhaust(cache, Duration.ZERO);
+  }
+
+  private Request newRequest(Duration maxAge) {
+    double kilobytes = 100;
+    return new Request(
+        TestValues.cacheableClass(TRANSFER_TIME, 20, maxAge),
+        ++objects,
+        0,
+        1,
+        kilobytes,
+        NOW,
+        NOW.plusSeconds(9));
   }
 
-  private void end(Result result, Detail detail, double now) {
-    for (Request request : out) {
+  private void endAll(Result result, Detail detail) {
+    for (Request request : sent) {
       Attempt attempt = request.attempts.get(0);
-      attempt.outcome = new Outcome(result, detail, at(0.1), null, true);
-      policy.onOutcome(request, attempt, at(now));
+      attempt.outcome = new Outcome(result, detail, TRANSFER_TIME, null, true);
+      policy.onOutcome(request, attempt, NOW);
     }
   }
 
   /**
-   * An unreached cache is also judged bad; the only one, it is tried all the same, within its
-   * bound.
+   * A cache without a connection is ejected as well; being the only one, it is used all the same,
+   * within its budget.
    */
   @ParameterizedTest
   @EnumSource(
       value = Result.class,
       names = {"NOT_SENT", "CONNECT_FAILED"})
-  void tripsThatNeverLeftGiveBack(Result result) {
-    parent.startedAt = at(10);
-    edge.startedAt = at(10);
-    startPolicy(false, edge, parent, origin);
-    int first = countSentTo(edge, Duration.ZERO, 15);
+  void attemptsThatWereNotSentAreRefunded(Result result) {
+    parent.startedAt = STARTED;
+    edge.startedAt = STARTED;
+    createPolicy(false, edge, parent, origin);
+    int first = exhaust(edge);
     assertThat(first).isEqualTo(144);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isZero();
-    // The same modules with the first ones out.
-    startPolicy(false, edge, parent, origin);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isEqualTo(first);
-    end(result, Detail.UNKNOWN, 15);
-    assertThat(policy.cacheHealth(edge, at(15)).ejected())
-        .isEqualTo(result == Result.CONNECT_FAILED);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isEqualTo(first);
+    assertThat(exhaust(edge)).isZero();
+    // The same again, so that the first requests are the ones in flight.
+    createPolicy(false, edge, parent, origin);
+    assertThat(exhaust(edge)).isEqualTo(first);
+    endAll(result, Detail.UNKNOWN);
+    assertThat(policy.cacheHealth(edge, NOW).ejected()).isEqualTo(result == Result.CONNECT_FAILED);
+    assertThat(exhaust(edge)).isEqualTo(first);
   }
 
   @Test
-  void otherEndingsGiveNothingBack() {
-    edge.startedAt = at(10);
-    startPolicy(false, edge, parent, origin);
-    countSentTo(edge, Duration.ZERO, 15);
-    end(Result.CANCELLED, Detail.UNKNOWN, 15);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isZero();
+  void otherOutcomesAreNotRefunded() {
+    edge.startedAt = STARTED;
+    createPolicy(false, edge, parent, origin);
+    exhaust(edge);
+    endAll(Result.CANCELLED, Detail.UNKNOWN);
+    assertThat(exhaust(edge)).isZero();
   }
 
   /**
-   * What the former process never got is not there for the next, which has had nothing flow in yet.
+   * What the previous process did not get is not there for the next, for which nothing has accrued
+   * yet.
    */
   @Test
-  void aProcessThatStartedSinceGetsNothingOfIt() {
-    edge.startedAt = at(10);
-    startPolicy(false, edge, parent, origin);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isPositive();
-    edge.startedAt = at(14.9);
-    policy.onEndpoints(List.of(edge, parent, origin), at(15));
-    end(Result.NOT_SENT, Detail.UNKNOWN, 15);
-    assertThat(countSentTo(edge, Duration.ZERO, 15)).isZero();
+  void nothingIsRefundedToANewProcess() {
+    edge.startedAt = STARTED;
+    createPolicy(false, edge, parent, origin);
+    assertThat(exhaust(edge)).isPositive();
+    edge.startedAt = toDuration(14.9);
+    policy.onEndpoints(List.of(edge, parent, origin), NOW);
+    endAll(Result.NOT_SENT, Detail.UNKNOWN);
+    assertThat(exhaust(edge)).isZero();
   }
 
-  /** A hit at the edge asked nothing of the parent; one that is renewed behind did. */
+  /** A hit at the edge did not use the parent, unless the copy is revalidated in the background. */
   @Test
-  void aFillThatWasNotNeededGivesBackUnlessItsCopyIsRenewed() {
-    parent.startedAt = at(10);
-    edge.startedAt = at(10);
-    startPolicy(false, edge, parent);
+  void unusedFillIsRefundedUnlessItsCopyIsRevalidated() {
+    parent.startedAt = STARTED;
+    edge.startedAt = STARTED;
+    createPolicy(false, edge, parent);
     edge.startedAt = null;
-    policy.onEndpoints(List.of(edge, parent), at(10));
-    edge.startedAt = at(1);
-    policy.onEndpoints(List.of(edge, parent), at(10));
-    int first = countSentTo(parent, at(8), 15);
+    policy.onEndpoints(List.of(edge, parent), STARTED);
+    edge.startedAt = toDuration(1);
+    policy.onEndpoints(List.of(edge, parent), STARTED);
+    int first = exhaust(parent, MAX_AGE);
     assertThat(first).isPositive();
-    end(Result.SERVED, Detail.HIT, 15);
-    assertThat(countSentTo(parent, at(8), 15)).as("renewed").isZero();
-    startPolicy(false, edge, parent);
-    assertThat(countSentTo(parent, Duration.ZERO, 15)).isEqualTo(first);
-    end(Result.SERVED, Detail.HIT, 15);
+    endAll(Result.SERVED, Detail.HIT);
+    assertThat(exhaust(parent, MAX_AGE)).as("revalidated").isZero();
+    createPolicy(false, edge, parent);
+    assertThat(exhaust(parent)).isEqualTo(first);
+    endAll(Result.SERVED, Detail.HIT);
     edge.weight = 1000;
-    assertThat(countSentTo(parent, Duration.ZERO, 15)).as("plain").isPositive();
+    assertThat(exhaust(parent)).as("not revalidated").isPositive();
   }
 
-  /** A view that went straight to a parent was there, whatever it found. */
+  /** A request that bypassed the edges did use the parent, whatever it found. */
   @Test
-  void aHitAtTheParentItselfGivesNothingBack() {
-    parent.startedAt = at(10);
-    startPolicy(true, parent);
-    assertThat(countSentTo(parent, Duration.ZERO, 15)).isPositive();
-    end(Result.SERVED, Detail.HIT, 15);
-    assertThat(countSentTo(parent, Duration.ZERO, 15)).isZero();
+  void hitAtTheParentItselfIsNotRefunded() {
+    parent.startedAt = STARTED;
+    createPolicy(true, parent);
+    assertThat(exhaust(parent)).isPositive();
+    endAll(Result.SERVED, Detail.HIT);
+    assertThat(exhaust(parent)).isZero();
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.data.Offset.offset;
 
-import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -23,9 +22,7 @@
 
   @BeforeEach
   void createEdgeSharedByFourGateways() {
-    Cache edge = new Cache(1);
-    edge.tier = Cache.Tier.EDGE;
-    edge.weight = WEIGHT;
+    Cache edge = TestValues.cache(1, Cache.Tier.EDGE, WEIGHT);
     SharedState shared = SharedState.create(settings());
     shared.tiers().onEndpoints(List.of(edge), 0);
     state = shared.tiers().get(edge);
@@ -34,27 +31,12 @@
   }
 
   private static PolicySettings settings() {
-    PolicySettings.ColdStart coldStart =
-        new PolicySettings.ColdStart(1, Duration.ZERO, 3, Duration.ofSeconds(2));
-    return new PolicySettings(
-        5,
-        0,
-        GATEWAYS,
-        GATEWAYS,
-        List.of(0),
-        1000,
-        1e6,
-        false,
-        true,
-        true,
-        false,
-        true,
-        null,
-        8,
-        coldStart,
-        coldStart,
-        Duration.ofSeconds(6),
-        PolicySettings.WeightMeaning.NOMINAL);
+    return new PolicySettingsBuilder()
+        .seed(5)
+        .gateways(GATEWAYS)
+        .inboundLink(1e6)
+        .weights(PolicySettings.WeightMeaning.NOMINAL)
+        .build();
   }
 
   private double concurrency(double now) {
--- a/policy/src/test/java/tamarindroute/policy/Scenario.java
+++ b/policy/src/test/java/tamarindroute/policy/Scenario.java
@@ -31,7 +31,7 @@
   private final Map<String, Request> requests = new HashMap<>();
   private final Map<String, Decision> decisions = new HashMap<>();
   private final Map<Cache, Integer> sent = new HashMap<>();
-  private PolicySettings settings = settings(ScenarioStep.parse("settings"));
+  private PolicySettings settings = ScenarioValues.settings(ScenarioStep.parse("settings"));
   private RoutingPolicy policy;
   private Duration now = Duration.ZERO;
   private int checks;
@@ -63,8 +63,8 @@
       return;
     }
     switch (step.verb()) {
-      case "settings" -> settings = settings(step);
-      case "class" -> requestClasses.put(step.name(), requestClass(step));
+      case "settings" -> settings = ScenarioValues.settings(step);
+      case "class" -> requestClasses.put(step.name(), ScenarioValues.requestClass(step));
       case "cache" -> updateCache(step);
       case "endpoints" -> publishEndpoints();
       case "restart" -> {
@@ -91,65 +91,6 @@
             expectation -> play(ScenarioStep.parse("expect " + step.name() + " " + expectation)));
   }
 
-  private static PolicySettings settings(ScenarioStep step) {
-    step.allowOnly(
-        "gateways",
-        "zone-gateways",
-        "rate",
-        "link",
-        "bypass",
-        "sibling-fill",
-        "sources",
-        "hedging",
-        "cancel",
-        "retry-after",
-        "attempts",
-        "edge-start",
-        "parent-start",
-        "weights");
-    return new PolicySettings(
-        7,
-        1,
-        (int) step.number("gateways", 1),
-        (int) step.number("zone-gateways", 1),
-        List.of(0, 0),
-        step.number("rate", 1000),
-        step.number("link", 0),
-        step.flag("bypass", false),
-        step.flag("sibling-fill", true),
-        step.flag("sources", true),
-        step.flag("hedging", false),
-        step.flag("cancel", true),
-        step.millisOrNull("retry-after"),
-        (int) step.number("attempts", 6),
-        coldStart(step.text("edge-start", "0.2/10000/3/2000")),
-        coldStart(step.text("parent-start", "0.1/20000/2/2000")),
-        Duration.ofSeconds(6),
-        step.constant(PolicySettings.WeightMeaning.class, "weights", "rough"));
-  }
-
-  /** INITIAL-CAPACITY/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
-  private static PolicySettings.ColdStart coldStart(String text) {
-    String[] parts = text.split("/");
-    return new PolicySettings.ColdStart(
-        Double.parseDouble(parts[0]),
-        Duration.ofMillis(Long.parseLong(parts[1])),
-        Double.parseDouble(parts[2]),
-        Duration.ofMillis(Long.parseLong(parts[3])));
-  }
-
-  private static RequestClass requestClass(ScenarioStep step) {
-    step.allowOnly("cacheable", "scope", "window", "objective", "max-age");
-    return new RequestClass(
-        ScenarioStep.constant(RequestClass.Idempotency.class, step.argument()),
-        step.constant(RequestClass.DeduplicationScope.class, "scope", "all"),
-        step.millis("window", 3000),
-        step.millis("objective", 500),
-        2,
-        step.flag("cacheable", true),
-        step.millis("max-age", 0));
-  }
-
   private void updateCache(ScenarioStep step) {
     step.allowOnly("weight", "cell", "started");
     Cache cache =
