--- a/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
+++ b/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
@@ -42,13 +42,13 @@
   void aLineTellsTheTestItsModuleAndItsKind() throws Exception {
     assertThat(run("list", folder.resolve("absent").toString())).isEqualTo(new Ended(0, ""));
     assertThat(list("\n  \n")).isEqualTo(new Ended(0, ""));
-    assertThat(list(ONE + "GatewayIT#aCopyThatTheClientHoldsIsNotSentAgain | b | #8"))
+    assertThat(list(ONE + "GatewayIT#copyThatTheClientHoldsIsNotSentAgain | b | #8"))
         .isEqualTo(
             new Ended(
                 0,
                 """
                 KnownRedTest aLineTellsTheTestItsModuleAndItsKind cli unit tamarindroute.cli.KnownRedTest
-                GatewayIT aCopyThatTheClientHoldsIsNotSentAgain cli it tamarindroute.gateway.GatewayIT
+                GatewayIT copyThatTheClientHoldsIsNotSentAgain cli it tamarindroute.gateway.GatewayIT
                 """));
   }
 
