--- a/agreement/src/test/java/tamarindroute/agreement/store/InMemoryStorageMedium.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/InMemoryStorageMedium.java
@@ -4,31 +4,39 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** A disk in memory that loses, at a crash, what was not forced. */
-public class InMemoryStorageMedium implements StorageMedium {
+/** Storage in memory that loses, in a simulated crash, what was not forced. */
+public final class InMemoryStorageMedium implements StorageMedium {
 
-  private final ByteArrayOutputStream written = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream content = new ByteArrayOutputStream();
   private int forcedBytes;
+  private boolean full;
 
-  /** Set: nothing more can be written. */
-  public boolean full;
+  /** Returns the medium after a crash: what was forced, and at most so many bytes more. */
+  public InMemoryStorageMedium crashed(int unforcedBytes) {
+    int size = Math.min(content.size(), forcedBytes + unforcedBytes);
+    InMemoryStorageMedium survivor = new InMemoryStorageMedium();
+    survivor.replace(Arrays.copyOf(content.toByteArray(), size));
+    return survivor;
+  }
+
+  /** Sets whether {@link #force} fails. */
+  public void setFull(boolean isFull) {
+    full = isFull;
+  }
 
-  /** After a crash: what was forced, and at most so many bytes more. */
-  public InMemoryStorageMedium crashed(int more) {
-    InMemoryStorageMedium after = new InMemoryStorageMedium();
-    after.replace(
-        Arrays.copyOf(written.toByteArray(), Math.min(written.size(), forcedBytes + more)));
-    return after;
+  /** Returns whether {@link #force} fails. */
+  public boolean isFull() {
+    return full;
   }
 
   @Override
   public byte[] read() {
-    return written.toByteArray();
+    return content.toByteArray();
   }
 
   @Override
   public void append(byte[] bytes) {
-    written.writeBytes(bytes);
+    content.writeBytes(bytes);
   }
 
   @Override
@@ -36,18 +44,18 @@
     if (full) {
       throw new IOException("disk full");
     }
-    forcedBytes = written.size();
+    forcedBytes = content.size();
   }
 
   @Override
   public void truncate(long length) {
-    replace(Arrays.copyOf(written.toByteArray(), (int) length));
+    replace(Arrays.copyOf(content.toByteArray(), (int) length));
   }
 
   @Override
   public void replace(byte[] bytes) {
-    written.reset();
-    written.writeBytes(bytes);
+    content.reset();
+    content.writeBytes(bytes);
     forcedBytes = bytes.length;
   }
 
--- a/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
@@ -16,69 +16,73 @@
 
   private static final int[] LENGTHS = {1, 7, 40, 3};
 
-  /** Bodies that end in zeros and hold them, as numbers do. */
+  /** Header and end mark of a record, in bytes. */
+  private static final int FRAME_BYTES = 13;
+
+  /** Returns a body that contains zeros and ends in them, as encoded numbers do. */
   private static byte[] body(int length) {
     byte[] body = new byte[length];
     body[0] = (byte) length;
     return body;
   }
 
-  private static InMemoryStorageMedium written() throws IOException {
+  private static byte[] writtenLog() throws IOException {
     InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
     for (int length : LENGTHS) {
       log.append(body(length));
     }
     log.force();
-    return medium;
+    return medium.read();
   }
 
-  private static List<byte[]> opened(byte[] bytes, InMemoryStorageMedium medium)
+  private static List<byte[]> open(byte[] content, InMemoryStorageMedium medium)
       throws IOException {
-    medium.replace(bytes);
+    medium.replace(content);
     return new RecordLog(medium).open();
   }
 
   @Test
   void truncationAtAnyByteKeepsExactlyTheCompleteRecords() throws IOException {
-    byte[] all = written().read();
-    for (int length = 0; length <= all.length; length++) {
+    byte[] content = writtenLog();
+    for (int length = 0; length <= content.length; length++) {
       InMemoryStorageMedium medium = new InMemoryStorageMedium();
-      List<byte[]> records = opened(Arrays.copyOf(all, length), medium);
-      int whole = 0;
+      List<byte[]> records = open(Arrays.copyOf(content, length), medium);
+      int complete = 0;
       int end = 0;
-      while (whole < LENGTHS.length && end + 13 + LENGTHS[whole] <= length) {
-        end += 13 + LENGTHS[whole++];
+      while (complete < LENGTHS.length && end + FRAME_BYTES + LENGTHS[complete] <= length) {
+        end += FRAME_BYTES + LENGTHS[complete];
+        complete++;
       }
-      assertThat(records).as("cut at " + length).hasSize(whole);
+      assertThat(records).as("truncated to " + length).hasSize(complete);
       assertThat(medium.read()).hasSize(end);
-      RecordLog on = new RecordLog(medium);
-      on.open();
-      on.append(body(9));
-      assertThat(new RecordLog(medium).open()).hasSize(whole + 1).last().isEqualTo(body(9));
+      RecordLog log = new RecordLog(medium);
+      log.open();
+      log.append(body(9));
+      assertThat(new RecordLog(medium).open()).hasSize(complete + 1).last().isEqualTo(body(9));
     }
   }
 
-  /** A crash may leave the file longer than what was written into it: zeros from some place on. */
+  /** After a crash the file may be longer than what was written, filled with zeros. */
   @Test
   void zeroFilledTailIsTreatedAsTornRecord() throws IOException {
-    byte[] all = written().read();
-    int last = all.length - 13 - LENGTHS[3];
-    for (int from = last; from < all.length; from++) {
-      byte[] torn = Arrays.copyOf(Arrays.copyOf(all, from), all.length + 30);
-      assertThat(opened(torn, new InMemoryStorageMedium())).as("zeros from " + from).hasSize(3);
+    byte[] content = writtenLog();
+    int lastRecord = content.length - FRAME_BYTES - LENGTHS[3];
+    for (int from = lastRecord; from < content.length; from++) {
+      byte[] torn = Arrays.copyOf(Arrays.copyOf(content, from), content.length + 30);
+      assertThat(open(torn, new InMemoryStorageMedium())).as("zeros from " + from).hasSize(3);
     }
   }
 
   @Test
   void anyFlippedBitIsReportedAsCorruption() throws IOException {
-    byte[] all = written().read();
-    for (int bit = 0; bit < all.length * 8; bit++) {
-      byte[] flipped = all.clone();
+    byte[] content = writtenLog();
+    for (int bit = 0; bit < content.length * 8; bit++) {
+      byte[] flipped = content.clone();
       flipped[bit / 8] ^= (byte) (1 << bit % 8);
-      assertThatThrownBy(() -> opened(flipped, new InMemoryStorageMedium()))
+      assertThatThrownBy(() -> open(flipped, new InMemoryStorageMedium()))
           .as("bit " + bit)
-          .isInstanceOf(RecordLog.CorruptedLogException.class);
+          .isInstanceOf(CorruptedLogException.class);
     }
   }
 
@@ -103,15 +107,15 @@
     assertThat(directory.resolve("voter.new")).doesNotExist();
   }
 
-  /** After a failed write nothing more is taken: what is on the disk is not known. */
+  /** The medium's content is unknown after a failed write. */
   @Test
   void rejectsWritesAfterFailedWrite() throws IOException {
     InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
     log.append(body(3));
-    medium.full = true;
+    medium.setFull(true);
     assertThatThrownBy(log::force).hasMessage("disk full");
-    medium.full = false;
+    medium.setFull(false);
     assertThat(log.hasFailed()).isTrue();
     assertThatThrownBy(() -> log.append(body(3))).isInstanceOf(IOException.class);
     assertThatThrownBy(log::force).isInstanceOf(IOException.class);
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
@@ -21,10 +21,10 @@
 import tamarindroute.agreement.ViewLease;
 import tamarindroute.agreement.ViewResponse;
 import tamarindroute.agreement.ViewTransitions;
-import tamarindroute.agreement.proto.WAnswer;
-import tamarindroute.agreement.proto.WCommand;
-import tamarindroute.agreement.proto.WEnvelope;
-import tamarindroute.agreement.proto.WProposal;
+import tamarindroute.agreement.proto.CommandProto;
+import tamarindroute.agreement.proto.EnvelopeProto;
+import tamarindroute.agreement.proto.ProposalProto;
+import tamarindroute.agreement.proto.ViewResponseProto;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
@@ -45,7 +45,7 @@
   void encodedMessagesDecodeToSameValues() {
     assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(sampleResponse())))
         .contains(new DecodedMessage.ViewReply(sampleResponse()));
-    ViewResponse since =
+    ViewResponse withCommands =
         new ViewResponse(
             1,
             true,
@@ -57,12 +57,12 @@
                 new Command.Remove("a", 3),
                     new Command.MembershipChange(4, List.of(MEMBER), List.of()),
                 new Command.SetVoters(5, List.of(MEMBER)), new Command.NoOp()));
-    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(since)))
-        .contains(new DecodedMessage.ViewReply(since));
-    ProposalResult outcome =
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(withCommands)))
+        .contains(new DecodedMessage.ViewReply(withCommands));
+    ProposalResult result =
         new ProposalResult(ProposalStatus.REJECTED, 4, "why", Optional.of(MEMBER));
-    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeProposalReply(8, outcome)))
-        .contains(new DecodedMessage.ProposalReply(8, outcome));
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeProposalReply(8, result)))
+        .contains(new DecodedMessage.ProposalReply(8, result));
     assertThat(
             DecodedMessage.decode(AgreementMessageCodec.encodeOffer(MEMBER, List.of(MEMBER), true)))
         .contains(new DecodedMessage.BootstrapOffer(MEMBER, List.of(MEMBER), true));
@@ -70,65 +70,68 @@
         (DecodedMessage.Proposal)
             DecodedMessage.decode(AgreementMessageCodec.encodeProposal(3, PUT)).orElseThrow();
     assertThat(((Command.Put) proposal.command()).value()).containsExactly(0, 1);
-    ViewLease asked = ViewLease.initial(MEMBER).requestSent(Duration.ZERO);
-    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewRequest(asked)))
-        .contains(new DecodedMessage.ViewRequest(asked.requestNumber(), 0, 0));
+    ViewLease lease = ViewLease.initial(MEMBER).requestSent(Duration.ZERO);
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewRequest(lease)))
+        .contains(new DecodedMessage.ViewRequest(lease.requestNumber(), 0, 0));
   }
 
   /**
-   * Cut short or with bytes changed it is read whole, within bounds, or not at all; never is there
-   * an exception.
+   * A truncated or changed message is decoded within its limits or not at all, never with an
+   * exception.
    */
   @Property(seed = "33", tries = 2_000)
   void damagedMessagesAreNotDecodedOutOfLimits(
-      @ForAll @IntRange(max = 200) int length, @ForAll @IntRange(max = 255) int with) {
-    byte[] whole = AgreementMessageCodec.encodeViewReply(sampleResponse());
-    byte[] damaged = Arrays.copyOf(whole, Math.min(length, whole.length));
+      @ForAll @IntRange(max = 200) int length, @ForAll @IntRange(max = 255) int change) {
+    byte[] encoded = AgreementMessageCodec.encodeViewReply(sampleResponse());
+    byte[] damaged = Arrays.copyOf(encoded, Math.min(length, encoded.length));
     if (damaged.length > 0) {
-      damaged[with % damaged.length] ^= (byte) (1 + with % 255);
+      damaged[change % damaged.length] ^= (byte) (1 + change % 255);
     }
     DecodedMessage.decode(damaged)
         .ifPresent(
-            heard ->
+            decoded ->
                 assertThat(
-                        heard instanceof DecodedMessage.ViewReply it
-                            && (it.response().lease().isNegative()
-                                || it.response().lease().compareTo(ViewLease.MAX_LEASE) > 0))
+                        decoded instanceof DecodedMessage.ViewReply reply
+                            && (reply.response().lease().isNegative()
+                                || reply.response().lease().compareTo(ViewLease.MAX_LEASE) > 0))
                     .isFalse());
   }
 
   @Test
   void messagesBeyondLimitsAreNotDecoded() {
-    WCommand large =
-        WCommand.newBuilder()
-            .setKind(WCommand.Kind.PUT)
+    CommandProto tooLarge =
+        CommandProto.newBuilder()
+            .setKind(CommandProto.Kind.PUT)
             .setKey("k")
             .setType("t")
             .setValue(ByteString.copyFrom(new byte[ViewTransitions.MAX_VALUE_BYTES + 1]))
             .build();
     assertThat(
             DecodedMessage.decode(
-                WEnvelope.newBuilder()
-                    .setProposal(WProposal.newBuilder().setCommand(large))
+                EnvelopeProto.newBuilder()
+                    .setProposal(ProposalProto.newBuilder().setCommand(tooLarge))
                     .build()
                     .toByteArray()))
         .isEmpty();
-    WAnswer.Builder many = WAnswer.newBuilder();
+    ViewResponseProto.Builder tooMany = ViewResponseProto.newBuilder();
     IntStream.rangeClosed(0, AgreementMessageCodec.MAX_REPLAYED_COMMANDS)
-        .forEach(i -> many.addSince(AgreementMessageCodec.toProto(PUT)));
-    assertThat(DecodedMessage.decode(WEnvelope.newBuilder().setAnswer(many).build().toByteArray()))
+        .forEach(i -> tooMany.addCommands(ViewCodec.toProto(PUT)));
+    assertThat(
+            DecodedMessage.decode(
+                EnvelopeProto.newBuilder().setViewResponse(tooMany).build().toByteArray()))
         .isEmpty();
-    WAnswer longer =
-        WAnswer.newBuilder().setLeaseMillis(ViewLease.MAX_LEASE.toMillis() + 1).build();
+    ViewResponseProto tooLong =
+        ViewResponseProto.newBuilder().setLeaseMillis(ViewLease.MAX_LEASE.toMillis() + 1).build();
     assertThat(
-            DecodedMessage.decode(WEnvelope.newBuilder().setAnswer(longer).build().toByteArray()))
+            DecodedMessage.decode(
+                EnvelopeProto.newBuilder().setViewResponse(tooLong).build().toByteArray()))
         .isEmpty();
     assertThat(DecodedMessage.decode(new byte[AgreementMessageCodec.MAX_MESSAGE_BYTES + 1]))
         .isEmpty();
     assertThat(DecodedMessage.decode(new byte[0])).isEmpty();
   }
 
-  /** The largest view there can be goes into one message. */
+  /** A view at all its limits fits in one message. */
   @Test
   void largestViewFitsInOneMessage() {
     String name = "x".repeat(ViewTransitions.MAX_NAME_LENGTH - 5);
@@ -147,12 +150,12 @@
     }
     MembershipView view =
         new MembershipView(7, Long.MAX_VALUE, 2, members, List.of(MEMBER), entries);
-    ViewResponse answer =
+    ViewResponse response =
         new ViewResponse(
             1, true, Optional.of(MEMBER), Duration.ofSeconds(10), 7, Optional.of(view), List.of());
-    assertThat(AgreementMessageCodec.encodeViewReply(answer).length)
+    assertThat(AgreementMessageCodec.encodeViewReply(response).length)
         .isLessThan(AgreementMessageCodec.MAX_MESSAGE_BYTES);
-    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(answer)))
-        .contains(new DecodedMessage.ViewReply(answer));
+    assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(response)))
+        .contains(new DecodedMessage.ViewReply(response));
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
@@ -49,24 +49,24 @@
 
   @Test
   void viewRequestWithoutAndWithHeldView() {
-    ViewLease none = ViewLease.initial(SECOND).requestSent(Duration.ZERO);
-    assertThat(hex(AgreementMessageCodec.encodeViewRequest(none))).isEqualTo("220508ca8db701");
+    ViewLease initial = ViewLease.initial(SECOND).requestSent(Duration.ZERO);
+    assertThat(hex(AgreementMessageCodec.encodeViewRequest(initial))).isEqualTo("220508ca8db701");
     assertThat(decoded("220508ca8db701"))
-        .isEqualTo(new DecodedMessage.ViewRequest(none.requestNumber(), 0, 0));
-    ViewResponse answer =
+        .isEqualTo(new DecodedMessage.ViewRequest(initial.requestNumber(), 0, 0));
+    ViewResponse response =
         new ViewResponse(
-            none.requestNumber(),
+            initial.requestNumber(),
             true,
             Optional.empty(),
             Duration.ofSeconds(10),
             7_000_000_007L,
             Optional.of(view()),
             List.of());
-    ViewLease held = none.onResponse(answer).requestSent(Duration.ofSeconds(3));
+    ViewLease held = initial.onResponse(response).requestSent(Duration.ofSeconds(3));
     assertThat(hex(AgreementMessageCodec.encodeViewRequest(held)))
         .isEqualTo("220d08cb8db70110878cee891a1809");
     assertThat(decoded("220d08cb8db70110878cee891a1809"))
-        .isEqualTo(new DecodedMessage.ViewRequest(none.requestNumber() + 1, 7_000_000_007L, 9));
+        .isEqualTo(new DecodedMessage.ViewRequest(initial.requestNumber() + 1, 7_000_000_007L, 9));
   }
 
   @Test
@@ -103,9 +103,11 @@
 
   @Test
   void bootstrapOffer() {
-    String free = "42160a140a0831302e302e302e3110d8361881d095ffbc31";
-    assertThat(hex(AgreementMessageCodec.encodeOffer(FIRST, List.of(), false))).isEqualTo(free);
-    assertThat(decoded(free)).isEqualTo(new DecodedMessage.BootstrapOffer(FIRST, List.of(), false));
+    String unpledged = "42160a140a0831302e302e302e3110d8361881d095ffbc31";
+    assertThat(hex(AgreementMessageCodec.encodeOffer(FIRST, List.of(), false)))
+        .isEqualTo(unpledged);
+    assertThat(decoded(unpledged))
+        .isEqualTo(new DecodedMessage.BootstrapOffer(FIRST, List.of(), false));
     String founded =
         "42420a140a0831302e302e302e3110d8361881d095ffbc3112140a0831302e302e302e31"
             + "10d8361881d095ffbc3112120a0a76322e6578616d706c6510ffff0318031801";
@@ -117,7 +119,7 @@
 
   @Test
   void viewResponseWithFullView() {
-    assertAnswer(
+    assertResponse(
         new ViewResponse(
             1,
             true,
@@ -135,7 +137,7 @@
 
   @Test
   void viewResponseWithCommands() {
-    assertAnswer(
+    assertResponse(
         new ViewResponse(
             2,
             true,
@@ -154,15 +156,15 @@
 
   @Test
   void viewResponseOfVoterThatIsNotLeader() {
-    assertAnswer(
+    assertResponse(
         ViewResponse.notLeader(3, Optional.of(FIRST)),
         "2a1808031a140a0831302e302e302e3110d8361881d095ffbc31");
-    assertAnswer(ViewResponse.notLeader(3, Optional.empty()), "2a020803");
+    assertResponse(ViewResponse.notLeader(3, Optional.empty()), "2a020803");
   }
 
-  private static void assertAnswer(ViewResponse answer, String hex) {
-    assertThat(hex(AgreementMessageCodec.encodeViewReply(answer))).isEqualTo(hex);
-    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ViewReply(answer));
+  private static void assertResponse(ViewResponse response, String hex) {
+    assertThat(hex(AgreementMessageCodec.encodeViewReply(response))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ViewReply(response));
   }
 
   @ParameterizedTest
@@ -174,11 +176,11 @@
     "4, 3a200808100418ac0222037768792a120a0a76322e6578616d706c6510ffff031803"
   })
   void proposalReplyOfEachStatus(int ordinal, String hex) {
-    ProposalResult outcome =
+    ProposalResult result =
         new ProposalResult(
             ProposalStatus.values()[ordinal], 300, ordinal == 0 ? "" : "why", Optional.of(SECOND));
-    assertThat(hex(AgreementMessageCodec.encodeProposalReply(8, outcome))).isEqualTo(hex);
-    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ProposalReply(8, outcome));
+    assertThat(hex(AgreementMessageCodec.encodeProposalReply(8, result))).isEqualTo(hex);
+    assertThat(decoded(hex)).isEqualTo(new DecodedMessage.ProposalReply(8, result));
   }
 
   @Test
@@ -194,10 +196,10 @@
 
   @Test
   void proposalReplyWithoutLeaderAndWithLongReason() {
-    ProposalResult outcome =
+    ProposalResult result =
         new ProposalResult(ProposalStatus.UNKNOWN, 0, "x".repeat(500), Optional.empty());
     String prefix = "3a970308081003229003";
-    String hex = hex(AgreementMessageCodec.encodeProposalReply(8, outcome));
+    String hex = hex(AgreementMessageCodec.encodeProposalReply(8, result));
     assertThat(hex).isEqualTo(prefix + "78".repeat(400));
     assertThat(decoded(hex))
         .isEqualTo(
