--- a/facts/src/main/java/tamarindroute/facts/CacheOpinion.java
+++ b/facts/src/main/java/tamarindroute/facts/CacheOpinion.java
@@ -3,34 +3,44 @@
 import java.time.Duration;
 
 /**
- * What is thought of a cache, and how the thoughts of several are joined: the greater doubt, the
- * shorter time up, down if any says so. So a word of others can make a cache worse and colder here,
- * never better or warmer, whatever its age; and it fades, so that an old one says nothing.
- * Immutable.
+ * An opinion of a cache, of one member or merged from several. Merging takes the greater failure
+ * evidence, the shorter uptime, and "down" if anyone says so. Opinions of others therefore make a
+ * cache look worse or colder here, never better or warmer, and they decay with age. Immutable.
  *
- * @param uptime how long it has been up, at least; null where that is not known
+ * @param failureEvidence 0 to 9, decayed by age
+ * @param uptime lower bound of how long the cache has been up, or null if unknown
  */
 public record CacheOpinion(double failureEvidence, boolean up, Duration uptime) {
 
-  /** Of whom nothing is known: the neutral one in every joining. */
+  /** Opinion without any information; the neutral element of {@link #merge}. */
   public static final CacheOpinion NEUTRAL = new CacheOpinion(0, true, null);
 
-  /** As the policy's own evidence fades. */
+  /** Time constant of the decay, the same as of the policy's own evidence. */
   static final Duration DECAY_TIME = Duration.ofSeconds(20);
 
+  /** Returns the merged opinion. Commutative, associative and idempotent. */
   public CacheOpinion merge(CacheOpinion other) {
-    Duration shorter =
-        uptime == null || other.uptime != null && other.uptime.compareTo(uptime) < 0
-            ? other.uptime
-            : uptime;
     return new CacheOpinion(
-        Math.max(failureEvidence, other.failureEvidence), up && other.up, shorter);
+        Math.max(failureEvidence, other.failureEvidence),
+        up && other.up,
+        shorterKnown(uptime, other.uptime));
   }
 
-  /** What a word of this age still says. That it was down is said for as long as evidence fades. */
+  private static Duration shorterKnown(Duration one, Duration other) {
+    if (one == null) {
+      return other;
+    }
+    if (other == null) {
+      return one;
+    }
+    return other.compareTo(one) < 0 ? other : one;
+  }
+
+  /** Returns the opinion that a fact of this age still supports; "down" lasts one decay time. */
   static CacheOpinion of(Fact.CacheHealth health, Duration age, Duration uptime) {
-    double faded =
-        health.failureEvidence() * Math.exp(-age.toNanos() / (double) DECAY_TIME.toNanos());
-    return new CacheOpinion(faded, health.up() || age.compareTo(DECAY_TIME) >= 0, uptime);
+    double decayTimes = age.toNanos() / (double) DECAY_TIME.toNanos();
+    double decayedEvidence = health.failureEvidence() * Math.exp(-decayTimes);
+    boolean up = health.up() || age.compareTo(DECAY_TIME) >= 0;
+    return new CacheOpinion(decayedEvidence, up, uptime);
   }
 }
--- a/facts/src/main/java/tamarindroute/facts/FactDelta.java
+++ b/facts/src/main/java/tamarindroute/facts/FactDelta.java
@@ -5,12 +5,15 @@
 import tamarindroute.membership.Member;
 
 /**
- * What one member sends another of what it holds.
+ * What one member sends another in an exchange: what it knows already, and facts that the other is
+ * not known to have.
  *
- * @param knownUpTo up to where the sender has all of each life's words: what is sent back begins
- *     there, so that what was lost is sent again
- * @param eventsUpTo up to which number of the feed's generation nothing is missing at the sender
- * @param events of the feed
+ * @param knownUpTo by incarnation, the sequence up to which the sender has all facts. The other's
+ *     next delta starts there, so that lost facts are sent again
+ * @param eventGeneration the feed generation that the sender knows
+ * @param eventsUpTo the event number up to which the sender lacks nothing of that generation
+ * @param ranges facts about caches, by origin
+ * @param events events of the control feed
  */
 public record FactDelta(
     Map<Member, Long> knownUpTo,
@@ -25,7 +28,7 @@
     events = List.copyOf(events);
   }
 
-  /** All that is held of a life from after one sequence up to another. */
+  /** All facts that the sender holds of an origin, after one sequence up to another. */
   public record FactRange(Member origin, long after, long upTo, List<Fact> facts) {
 
     public FactRange {
--- a/facts/src/main/java/tamarindroute/facts/FactStore.java
+++ b/facts/src/main/java/tamarindroute/facts/FactStore.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -11,69 +11,68 @@
 import tamarindroute.membership.Member;
 
 /**
- * Owns all that one member holds of what members share, and what it sends to whom. Joining is by
- * the greatest, so that order, doubling and loss of words change nothing in the end. Used by one
- * owner; holds no clock.
+ * All facts that one member holds, and what it sends to whom. Copies are merged by maximum, so that
+ * order, duplication and loss of messages do not affect the final state. Not thread-safe; times are
+ * passed in, on the local monotonic clock.
  */
 public final class FactStore {
 
-  /**
-   * What a way may take at most; a word that waited longer comes to one that was stopped, which
-   * finds out by itself.
-   */
+  /** Bound of a message's transit time. A member that was stopped for longer notices it itself. */
   static final Duration MAX_TRANSIT_TIME = Duration.ofSeconds(1);
 
   /**
-   * An opinion of this age is worth a twentieth of what it was; an origin tells it anew well
-   * before, if it still holds.
+   * Facts older than this are discarded. An opinion has decayed to a twentieth by then, and its
+   * origin repeats it well before if it still holds.
    */
   static final Duration RETENTION = Duration.ofSeconds(60);
 
-  /** Longer times are no times. */
+  /** Longer durations in a fact are invalid. */
   static final Duration MAX_DURATION = Duration.ofDays(3650);
 
-  /** The members that are to be borne; their lists are not cut below that. */
+  /** Bound of the incarnations held: the largest fleet. */
   static final int MAX_INCARNATIONS = 5000;
 
-  /** All opinions and work in hand: about 3 MB. */
+  /** Bound of all facts about caches; about 3 MB. */
   static final int MAX_FACTS = 20_000;
 
-  /** Of whom it is remembered what they have; others are sent all anew. */
-  private static final int MAX_TRACKED_PEERS = 256;
-
-  private record PeerState(Map<Member, Long> knownUpTo, long eventGeneration, long eventsUpTo) {}
+  /** Fewest facts that are evicted at once. */
+  private static final int MIN_EVICTED_FACTS = MAX_FACTS / 64;
 
   private final Member self;
   private final EventLog eventLog;
   private final TreeMap<Address, IncarnationFacts> incarnations = new TreeMap<>();
-  private final Map<Address, PeerState> peerStates = new LinkedHashMap<>();
+  private final PeerStates peerStates = new PeerStates();
   private long lastSequence;
+
+  /** Origin that the next delta starts from, so that small deltas cover all origins in turn. */
   private Address nextOrigin;
 
+  /** Creates the store of a member for the events of one feed. */
   public FactStore(Member self, String feed) {
     this.self = self;
     this.eventLog = new EventLog(feed);
     incarnations.put(self.address(), new IncarnationFacts(self, Duration.ZERO));
   }
 
-  /** What this member found out itself; the fact as it is told to others. */
+  /** Adds what this member observed itself. Returns the fact to be sent to others. */
   public Fact recordOwn(Fact.Body body, Duration now) {
     if (body instanceof Fact.Event event) {
       eventLog.add(event, now);
       return new Fact(self, event.number(), Duration.ZERO, event);
     }
-    IncarnationFacts own = incarnations.get(self.address());
     lastSequence++;
     Fact fact = new Fact(self, lastSequence, Duration.ZERO, body);
+    IncarnationFacts own = incarnations.get(self.address());
     own.add(fact, now, now);
-    own.contiguousUpTo = lastSequence;
+    own.advanceTo(lastSequence);
     enforceLimit();
     return fact;
   }
 
   /**
-   * What was told by others. What comes back is new and urgent, to be passed on at once: the feed's
-   * events.
+   * Adds facts received from others.
+   *
+   * @return events that were new, to be pushed on at once
    */
   public List<Fact> receive(List<Fact> facts, Duration now) {
     List<Fact> urgent = new ArrayList<>();
@@ -87,170 +86,196 @@
           urgent.add(new Fact(fact.origin(), fact.sequence(), age, event));
         }
       } else if (age.compareTo(RETENTION) < 0) {
-        IncarnationFacts incarnation = incarnationOf(fact.origin(), now);
-        if (incarnation != null) {
-          incarnation.add(fact, now.minus(age), now);
-        }
+        addCacheFact(fact, age, now);
       }
     }
     enforceLimit();
     return urgent;
   }
 
+  private void addCacheFact(Fact fact, Duration age, Duration now) {
+    IncarnationFacts incarnation = incarnationOf(fact.origin(), now);
+    if (incarnation != null) {
+      incarnation.add(fact, now.minus(age), now);
+    }
+  }
+
   /**
-   * The life that this word is of, or null: a former one's, or one's own, which nobody else knows
-   * better.
+   * Returns the facts of an incarnation, which replaces an earlier one at its address. Null if a
+   * later one is known, if the address is this member's own, or if there are too many.
    */
   private IncarnationFacts incarnationOf(Member origin, Duration now) {
     if (origin.address().equals(self.address())) {
       return null;
     }
-    IncarnationFacts incarnation = incarnations.get(origin.address());
-    if (incarnation == null && incarnations.size() >= MAX_INCARNATIONS
-        || incarnation != null && incarnation.member.incarnation() > origin.incarnation()) {
+    IncarnationFacts current = incarnations.get(origin.address());
+    if (current == null && incarnations.size() >= MAX_INCARNATIONS) {
+      return null;
+    }
+    if (current != null && current.member().incarnation() > origin.incarnation()) {
       return null;
     }
-    if (incarnation == null || incarnation.member.incarnation() < origin.incarnation()) {
-      incarnation = new IncarnationFacts(origin, now);
-      incarnations.put(origin.address(), incarnation);
+    if (current != null && current.member().incarnation() == origin.incarnation()) {
+      return current;
     }
-    return incarnation;
+    IncarnationFacts added = new IncarnationFacts(origin, now);
+    incarnations.put(origin.address(), added);
+    return added;
   }
 
-  /** Who is there tells of this life: what a former one said counts no more. */
+  /** Records that an incarnation exists. Facts of earlier ones at its address are discarded. */
   public void onIncarnation(Member member, Duration now) {
     incarnationOf(member, now);
   }
 
-  /** What another sent; what comes back is to be passed on at once. */
+  /**
+   * Adds a delta received from another member.
+   *
+   * @return events that were new, to be pushed on at once
+   */
   public List<Fact> receive(Address from, FactDelta delta, Duration now) {
-    rememberPeer(
-        from, new PeerState(delta.knownUpTo(), delta.eventGeneration(), delta.eventsUpTo()));
+    peerStates.put(
+        from,
+        new PeerStates.PeerState(delta.knownUpTo(), delta.eventGeneration(), delta.eventsUpTo()));
     List<Fact> urgent = receive(delta.events(), now);
     for (FactDelta.FactRange range : delta.ranges()) {
-      receive(
-          range.facts().stream().filter(one -> one.origin().equals(range.origin())).toList(), now);
-      IncarnationFacts incarnation = incarnationOf(range.origin(), now);
-      // What came after a hole says nothing of the hole.
-      if (incarnation != null && range.after() <= incarnation.contiguousUpTo) {
-        incarnation.contiguousUpTo = Math.max(incarnation.contiguousUpTo, range.upTo());
-      }
+      receive(range, now);
     }
     return urgent;
   }
 
-  private void rememberPeer(Address peer, PeerState peerState) {
-    peerStates.remove(peer);
-    peerStates.put(peer, peerState);
-    if (peerStates.size() > MAX_TRACKED_PEERS) {
-      peerStates.remove(peerStates.keySet().iterator().next());
+  private void receive(FactDelta.FactRange range, Duration now) {
+    List<Fact> facts =
+        range.facts().stream().filter(fact -> fact.origin().equals(range.origin())).toList();
+    receive(facts, now);
+    IncarnationFacts incarnation = incarnationOf(range.origin(), now);
+    boolean leavesNoGap = incarnation != null && range.after() <= incarnation.contiguousUpTo();
+    if (leavesNoGap) {
+      incarnation.advanceTo(range.upTo());
     }
   }
 
   /**
-   * At most so many facts for that one: what it is not known to have. Lost ones are sent again once
-   * it told what it has.
+   * Returns the next delta for a peer: at most so many facts that it is not known to have. Facts of
+   * a lost delta are sent again once the peer has reported what it has.
    */
   public FactDelta deltaFor(Address to, Duration now, int maxFacts) {
     expire(now);
-    PeerState peerState = peerStates.getOrDefault(to, new PeerState(Map.of(), 0, 0));
-    List<Fact> events =
-        eventLog.eventsSince(peerState.eventGeneration, peerState.eventsUpTo, maxFacts).stream()
-            .map(
-                one ->
-                    new Fact(self, one.getKey().number(), now.minus(one.getValue()), one.getKey()))
-            .toList();
-    Map<Member, Long> peerKnownUpTo = new HashMap<>(peerState.knownUpTo);
+    PeerStates.PeerState peerState = peerStates.get(to);
+    List<Fact> events = eventsFor(peerState, now, maxFacts);
+    Map<Member, Long> peerKnownUpTo = new HashMap<>(peerState.knownUpTo());
+    List<FactDelta.FactRange> ranges = rangesFor(to, peerKnownUpTo, now, maxFacts - events.size());
+    peerStates.onDeltaSent(to, peerKnownUpTo);
+    return new FactDelta(
+        knownUpTo(), eventLog.generation(), eventLog.contiguousUpTo(), ranges, events);
+  }
+
+  private List<Fact> eventsFor(PeerStates.PeerState peerState, Duration now, int maxFacts) {
+    return eventLog
+        .eventsSince(peerState.eventGeneration(), peerState.eventsUpTo(), maxFacts)
+        .stream()
+        .map(
+            event ->
+                new Fact(
+                    self, event.getKey().number(), now.minus(event.getValue()), event.getKey()))
+        .toList();
+  }
+
+  /** Selects facts for a peer, and advances what the peer is taken to know by them. */
+  private List<FactDelta.FactRange> rangesFor(
+      Address to, Map<Member, Long> peerKnownUpTo, Duration now, int maxFacts) {
     List<FactDelta.FactRange> ranges = new ArrayList<>();
-    int remaining = maxFacts - events.size();
-    List<IncarnationFacts> rotation = new ArrayList<>();
-    if (nextOrigin != null) {
-      rotation.addAll(incarnations.tailMap(nextOrigin, true).values());
-      rotation.addAll(incarnations.headMap(nextOrigin, false).values());
-    } else {
-      rotation.addAll(incarnations.values());
-    }
-    for (IncarnationFacts incarnation : rotation) {
-      long after = peerKnownUpTo.getOrDefault(incarnation.member, 0L);
-      if (remaining <= 0
-          || incarnation.member.address().equals(to)
-          || after >= incarnation.contiguousUpTo) {
-        continue;
+    int remaining = maxFacts;
+    for (IncarnationFacts incarnation : rotation()) {
+      Member origin = incarnation.member();
+      long after = peerKnownUpTo.getOrDefault(origin, 0L);
+      boolean isUnknown = after < incarnation.contiguousUpTo();
+      if (remaining > 0 && isUnknown && !origin.address().equals(to)) {
+        FactDelta.FactRange range = incarnation.rangeAfter(after, remaining, now);
+        ranges.add(range);
+        peerKnownUpTo.put(origin, range.upTo());
+        remaining -= range.facts().size();
+        nextOrigin = origin.address();
       }
-      List<IncarnationFacts.StoredFact> candidates = incarnation.factsSince(after);
-      List<IncarnationFacts.StoredFact> sent =
-          candidates.subList(0, Math.min(remaining, candidates.size()));
-      long upTo =
-          sent.size() < candidates.size()
-              ? sent.get(sent.size() - 1).sequence()
-              : incarnation.contiguousUpTo;
-      ranges.add(
-          new FactDelta.FactRange(
-              incarnation.member,
-              after,
-              upTo,
-              sent.stream().map(one -> one.toFact(incarnation.member, now)).toList()));
-      peerKnownUpTo.put(incarnation.member, upTo);
-      remaining -= sent.size();
-      nextOrigin = incarnation.member.address();
     }
-    if (peerStates.containsKey(to)) {
-      rememberPeer(
-          to, new PeerState(peerKnownUpTo, peerState.eventGeneration, peerState.eventsUpTo));
+    return ranges;
+  }
+
+  /** Returns all incarnations, beginning with the origin that the last delta ended with. */
+  private List<IncarnationFacts> rotation() {
+    if (nextOrigin == null) {
+      return new ArrayList<>(incarnations.values());
     }
+    List<IncarnationFacts> rotation =
+        new ArrayList<>(incarnations.tailMap(nextOrigin, true).values());
+    rotation.addAll(incarnations.headMap(nextOrigin, false).values());
+    return rotation;
+  }
+
+  private Map<Member, Long> knownUpTo() {
     Map<Member, Long> knownUpTo = new HashMap<>();
     incarnations
         .values()
-        .forEach(incarnation -> knownUpTo.put(incarnation.member, incarnation.contiguousUpTo));
-    return new FactDelta(
-        knownUpTo, eventLog.generation(), eventLog.contiguousUpTo(), ranges, events);
+        .forEach(incarnation -> knownUpTo.put(incarnation.member(), incarnation.contiguousUpTo()));
+    return knownUpTo;
   }
 
-  /** Words that are too old, and members of whom there are none left. */
+  /** Discards facts beyond their retention, and incarnations without facts. */
   private void expire(Duration now) {
-    incarnations.values().forEach(incarnation -> incarnation.expire(now.minus(RETENTION)));
+    Duration before = now.minus(RETENTION);
+    incarnations.values().forEach(incarnation -> incarnation.expire(before));
     incarnations
         .values()
         .removeIf(
             incarnation ->
                 incarnation.size() == 0
-                    && !incarnation.member.equals(self)
-                    && incarnation.firstHeardAt.compareTo(now.minus(RETENTION)) < 0);
+                    && isPeer(incarnation)
+                    && incarnation.firstHeardAt().compareTo(before) < 0);
+  }
+
+  private boolean isPeer(IncarnationFacts incarnation) {
+    return !incarnation.member().equals(self);
   }
 
+  /** Evicts facts of the incarnations that hold the most. */
   private void enforceLimit() {
-    int all = incarnations.values().stream().mapToInt(IncarnationFacts::size).sum();
-    while (all > MAX_FACTS) {
+    int total = incarnations.values().stream().mapToInt(IncarnationFacts::size).sum();
+    while (total > MAX_FACTS) {
       IncarnationFacts largest =
           incarnations.values().stream()
-              .max((a, b) -> Integer.compare(a.size(), b.size()))
+              .max(Comparator.comparingInt(IncarnationFacts::size))
               .orElseThrow();
-      int many = Math.min(largest.size(), Math.max(all - MAX_FACTS, MAX_FACTS / 64));
-      largest.evict(many);
-      all -= many;
+      int count = Math.min(largest.size(), Math.max(total - MAX_FACTS, MIN_EVICTED_FACTS));
+      largest.evict(count);
+      total -= count;
     }
   }
 
   /**
-   * What others say of a cache, joined; to be joined with what is known here by {@link
-   * CacheOpinion#merge}.
+   * Returns the merged opinion of all other members of a cache, to be merged with what is known
+   * here.
    */
-  public CacheOpinion peerOpinion(long cache, Duration now) {
-    CacheOpinion all = CacheOpinion.NEUTRAL;
+  public CacheOpinion peerOpinion(long cacheId, Duration now) {
+    CacheOpinion merged = CacheOpinion.NEUTRAL;
     for (IncarnationFacts incarnation : incarnations.values()) {
-      all = incarnation.member.equals(self) ? all : all.merge(incarnation.opinion(cache, now));
+      if (isPeer(incarnation)) {
+        merged = merged.merge(incarnation.opinion(cacheId, now));
+      }
     }
-    return all;
+    return merged;
   }
 
-  /** What all others have out on a cold cache, as far as it was told of late. */
-  public double peerWorkInFlight(long cache) {
+  /**
+   * Returns the work that all others have in flight on a cold cache, in seconds, as last reported.
+   */
+  public double peerWorkInFlight(long cacheId) {
     return incarnations.values().stream()
-        .filter(incarnation -> !incarnation.member.equals(self))
-        .mapToDouble(incarnation -> incarnation.workInFlight(cache))
+        .filter(this::isPeer)
+        .mapToDouble(incarnation -> incarnation.workInFlight(cacheId))
         .sum();
   }
 
+  /** Returns the events of the control feed. */
   public EventLog events() {
     return eventLog;
   }
--- a/facts/src/main/java/tamarindroute/facts/FanoutPolicy.java
+++ b/facts/src/main/java/tamarindroute/facts/FanoutPolicy.java
@@ -7,46 +7,49 @@
 import tamarindroute.membership.Address;
 
 /**
- * Owns to whom an urgent fact is passed on by whoever hears it first. To all at once in small
- * fleets; else to a few, twice, a tenth of a second apart. Each that hears does the same, so that
- * after r rounds up to 12^r have it: three for 500.
+ * Chooses the members to whom an urgent fact is pushed by each member that receives it for the
+ * first time: all of them in a small fleet, otherwise a random few, twice. After r rounds up to
+ * 12^r members have it.
  */
 public final class FanoutPolicy {
 
-  /** All of them get it at once up to here: 64 datagrams. */
+  /** Fleets of up to so many other members are addressed directly. */
   static final int DIRECT_LIMIT = 64;
 
   /**
-   * Of those that heard of a push with 12 others each a share of e^-24 is missed by both, or e^-19
-   * at 20% loss; lost ones are healed by exchange.
+   * Targets per push in larger fleets. With two pushes per member a share of about e^-24 of the
+   * members is missed, e^-19 at 20% message loss; these are reached by the next exchange.
    */
   static final int FANOUT = 12;
 
   private FanoutPolicy() {}
 
   /**
-   * To whom. The alive ones in the same order at each call.
+   * Returns the targets of a push.
    *
-   * @param turn of the pushes of one fact, 0 and 1
-   * @param seed of this member and this fact
+   * @param alive members that are alive, in the same order at each call
+   * @param seed identifies this member and the fact
+   * @param turn number of the push of one fact: 0 or 1
    */
   public static List<Address> targets(List<Address> alive, Address self, long seed, int turn) {
-    List<Address> others = new ArrayList<>(alive);
-    others.remove(self);
-    if (others.size() <= DIRECT_LIMIT) {
-      return others;
+    List<Address> candidates = new ArrayList<>(alive);
+    candidates.remove(self);
+    if (candidates.size() <= DIRECT_LIMIT) {
+      return candidates;
     }
-    List<Address> chosen = new ArrayList<>();
+    List<Address> targets = new ArrayList<>();
     for (int i = 0; i < FANOUT; i++) {
-      // A further draw among those that are left, so that none is chosen twice.
-      chosen.add(others.remove((int) (draw(seed, turn * FANOUT + i) % others.size())));
+      int index = (int) (draw(seed, turn * FANOUT + i) % candidates.size());
+      targets.add(candidates.remove(index));
     }
-    return chosen;
+    return targets;
   }
 
-  private static long draw(long seed, long count) {
+  private static long draw(long seed, long counter) {
+    ByteBuffer input = ByteBuffer.allocate(2 * Long.BYTES);
+    input.putLong(seed).putLong(counter).flip();
     CRC32 crc = new CRC32();
-    crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(count).flip());
+    crc.update(input);
     return crc.getValue();
   }
 }
--- a/facts/src/main/java/tamarindroute/facts/IncarnationFacts.java
+++ b/facts/src/main/java/tamarindroute/facts/IncarnationFacts.java
@@ -10,33 +10,44 @@
 import tamarindroute.membership.Member;
 
 /**
- * Owns what is held of one life of a member: the latest word about each thing, and up to where all
- * its words came.
+ * Facts of one incarnation of a member: the latest about each subject, and the sequence up to which
+ * all of its facts were received.
  */
 final class IncarnationFacts {
 
-  /** A thousand caches, each with an opinion and work in hand. */
+  /** Bound of the facts held: a thousand caches, each with an opinion and work in flight. */
   static final int MAX_FACTS = 2048;
 
-  /** About what a word is. */
+  /** Share of the facts that is evicted at once, as each eviction sorts them all. */
+  private static final int EVICTION_DIVISOR = 16;
+
+  /** What a fact is about: a cache's health, or work in flight on it. */
   private record Subject(boolean health, long cacheId) {}
 
-  /** A word; times by the own clock. Of two copies the tighter bounds hold: both are true. */
-  record StoredFact(long sequence, Duration observedAt, Duration upSince, Fact.Body body) {
+  /**
+   * A fact with its times on the local clock. Both bounds of two copies of one fact hold, so
+   * merging keeps the tighter ones.
+   *
+   * @param observedAt when it was observed, at the earliest
+   * @param upSince since when the cache was up, at the latest; null if unknown
+   */
+  private record StoredFact(long sequence, Duration observedAt, Duration upSince, Fact.Body body) {
 
     StoredFact merge(StoredFact other) {
       if (other.sequence != sequence) {
         return other.sequence > sequence ? other : this;
       }
-      return new StoredFact(
-          sequence,
-          observedAt.compareTo(other.observedAt) > 0 ? observedAt : other.observedAt,
-          upSince == null
-              ? null
-              : other.upSince != null && other.upSince.compareTo(upSince) < 0
-                  ? other.upSince
-                  : upSince,
-          body);
+      Duration laterObserved =
+          observedAt.compareTo(other.observedAt) > 0 ? observedAt : other.observedAt;
+      return new StoredFact(sequence, laterObserved, earlierUpSince(other), body);
+    }
+
+    private Duration earlierUpSince(StoredFact other) {
+      if (upSince == null) {
+        return null;
+      }
+      boolean otherIsEarlier = other.upSince != null && other.upSince.compareTo(upSince) < 0;
+      return otherIsEarlier ? other.upSince : upSince;
     }
 
     Fact toFact(Member origin, Duration now) {
@@ -54,17 +65,9 @@
     }
   }
 
-  final Member member;
-
-  /**
-   * When it was first heard of here. While its former life's words may still be told as young, it
-   * is remembered.
-   */
-  final Duration firstHeardAt;
-
-  /** Up to here all of its words came, but those that later ones made old. */
-  long contiguousUpTo;
-
+  private final Member member;
+  private final Duration firstHeardAt;
+  private long contiguousUpTo;
   private final Map<Subject, StoredFact> facts = new HashMap<>();
 
   IncarnationFacts(Member member, Duration firstHeardAt) {
@@ -72,22 +75,43 @@
     this.firstHeardAt = firstHeardAt;
   }
 
+  Member member() {
+    return member;
+  }
+
+  /**
+   * Returns when this incarnation was first heard of here. It is remembered while facts of an
+   * earlier incarnation may still arrive.
+   */
+  Duration firstHeardAt() {
+    return firstHeardAt;
+  }
+
+  /** Returns the sequence up to which all facts were received, except for superseded ones. */
+  long contiguousUpTo() {
+    return contiguousUpTo;
+  }
+
+  /** Records that all facts up to this sequence were received. */
+  void advanceTo(long sequence) {
+    contiguousUpTo = Math.max(contiguousUpTo, sequence);
+  }
+
   void add(Fact fact, Duration observedAt, Duration now) {
     Subject subject;
     Duration upSince = null;
     Fact.Body body = fact.body();
-    if (fact.body() instanceof Fact.CacheHealth health) {
+    if (body instanceof Fact.CacheHealth health) {
       subject = new Subject(true, health.cacheId());
       upSince = health.uptime() == null ? null : now.minus(health.uptime());
       body = new Fact.CacheHealth(health.cacheId(), health.failureEvidence(), health.up(), null);
     } else {
-      subject = new Subject(false, ((Fact.WorkInFlight) fact.body()).cacheId());
+      subject = new Subject(false, ((Fact.WorkInFlight) body).cacheId());
     }
     facts.merge(
         subject, new StoredFact(fact.sequence(), observedAt, upSince, body), StoredFact::merge);
     if (facts.size() > MAX_FACTS) {
-      // Some at once, for each time all are put in order.
-      evict(MAX_FACTS / 16);
+      evict(MAX_FACTS / EVICTION_DIVISOR);
     }
   }
 
@@ -95,40 +119,53 @@
     return facts.size();
   }
 
-  /** Work in hand first, then opinions, the oldest first. */
+  /** Evicts work in flight first, then opinions, the oldest first. */
   void evict(int count) {
-    List<Map.Entry<Subject, StoredFact>> all = new ArrayList<>(facts.entrySet());
-    Function<Map.Entry<Subject, StoredFact>, Boolean> opinion = one -> one.getKey().health;
-    all.sort(
-        Comparator.comparing(opinion)
-            .thenComparing(one -> one.getValue().observedAt)
-            .thenComparing(one -> one.getKey().cacheId));
-    all.stream().limit(count).forEach(one -> facts.remove(one.getKey()));
+    Function<Map.Entry<Subject, StoredFact>, Boolean> isHealth = fact -> fact.getKey().health;
+    List<Map.Entry<Subject, StoredFact>> byPriority = new ArrayList<>(facts.entrySet());
+    byPriority.sort(
+        Comparator.comparing(isHealth)
+            .thenComparing(fact -> fact.getValue().observedAt)
+            .thenComparing(fact -> fact.getKey().cacheId));
+    byPriority.stream().limit(count).forEach(fact -> facts.remove(fact.getKey()));
   }
 
-  /** What was found out before then says nothing any more. */
+  /** Discards facts that were observed before this time. */
   void expire(Duration before) {
-    facts.values().removeIf(one -> one.observedAt.compareTo(before) < 0);
+    facts.values().removeIf(fact -> fact.observedAt.compareTo(before) < 0);
+  }
+
+  /** Returns at most so many facts after a sequence, in order. */
+  FactDelta.FactRange rangeAfter(long after, int maxFacts, Duration now) {
+    List<StoredFact> candidates = factsSince(after);
+    List<StoredFact> selected = candidates.subList(0, Math.min(maxFacts, candidates.size()));
+    long upTo =
+        selected.size() < candidates.size()
+            ? selected.get(selected.size() - 1).sequence
+            : contiguousUpTo;
+    List<Fact> copies = selected.stream().map(fact -> fact.toFact(member, now)).toList();
+    return new FactDelta.FactRange(member, after, upTo, copies);
   }
 
-  /** By sequence. */
-  List<StoredFact> factsSince(long after) {
+  private List<StoredFact> factsSince(long after) {
     return facts.values().stream()
-        .filter(one -> one.sequence > after && one.sequence <= contiguousUpTo)
+        .filter(fact -> fact.sequence > after && fact.sequence <= contiguousUpTo)
         .sorted(Comparator.comparingLong(StoredFact::sequence))
         .toList();
   }
 
   CacheOpinion opinion(long cacheId, Duration now) {
-    StoredFact one = facts.get(new Subject(true, cacheId));
-    return one == null
+    StoredFact fact = facts.get(new Subject(true, cacheId));
+    return fact == null
         ? CacheOpinion.NEUTRAL
-        : CacheOpinion.of((Fact.CacheHealth) one.body, now.minus(one.observedAt), one.uptime(now));
+        : CacheOpinion.of(
+            (Fact.CacheHealth) fact.body, now.minus(fact.observedAt), fact.uptime(now));
   }
 
+  /** Returns the work in flight on a cache, in seconds. */
   double workInFlight(long cacheId) {
-    StoredFact one = facts.get(new Subject(false, cacheId));
-    return one == null ? 0 : ((Fact.WorkInFlight) one.body).workSeconds();
+    StoredFact fact = facts.get(new Subject(false, cacheId));
+    return fact == null ? 0 : ((Fact.WorkInFlight) fact.body).workSeconds();
   }
 
   @Override
--- a/facts/src/main/java/tamarindroute/facts/Payload.java
+++ b/facts/src/main/java/tamarindroute/facts/Payload.java
@@ -2,18 +2,20 @@
 
 import java.util.Arrays;
 
-/** Bytes that nobody here reads or changes. */
+/** Opaque bytes, passed on unchanged. Immutable. */
 public record Payload(byte[] bytes) {
 
   public Payload {
     bytes = bytes.clone();
   }
 
+  /** Returns a copy of the bytes. */
   @Override
   public byte[] bytes() {
     return bytes.clone();
   }
 
+  /** Returns the size in bytes. */
   public int size() {
     return bytes.length;
   }
--- a/facts/src/main/java/tamarindroute/shares/LeaseSlot.java
+++ b/facts/src/main/java/tamarindroute/shares/LeaseSlot.java
@@ -3,23 +3,21 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Owns what a dealer counts for one told address: what whoever lives there may use at most.
+ * The allocator's account of one configured address: what the gateway there may use at most.
  * Immutable.
  *
- * @param incarnation the latest life that was heard; 0 for none
- * @param incarnationSeenAt when that one was first heard
+ * @param incarnation the latest incarnation seen; 0 for none
+ * @param incarnationSeenAt when that one was first seen
  * @param ended whether that one is proven to have ended
- * @param provenEmptyAt whoever lives here and was not heard has begun after this, or null; it is
- *     quiet until well past it
- * @param decommissioned an agreed word of an operator says that nothing runs here
- * @param assumedEmptyUntil until when leases of others rely on nobody being here
- * @param lastRequestAt when it last asked, also while nothing was dealt yet: those that asked of
- *     late are dealt equal parts. With the holders of leases alone the first that asked a new
- *     dealer was dealt all, and the rest waited for its end
- * @param grants the leases that may be in use; of two the one that is neither larger nor longer is
- *     left out
+ * @param provenEmptyAt last time at which nobody was running here, or null. Whoever runs here and
+ *     was not seen has started after it, and is quiet until well past it
+ * @param decommissioned whether operators agreed that nothing runs here
+ * @param assumedEmptyUntil until when leases of others rely on nobody running here
+ * @param lastRequestAt when the gateway last requested a share, granted or not
+ * @param grants grants that may be in use; one that is covered by a later, larger one is left out
  */
 record LeaseSlot(
     long incarnation,
@@ -32,24 +30,36 @@
     List<LeaseGrant> grants) {
 
   /**
-   * A holder asks every third of a length, so that sound ones have three or four; more are refused.
+   * Bound of the grants. A holder requests each third of a lease, so that a correct one has three
+   * or four; more are not granted.
    */
   private static final int MAX_GRANTS = 6;
 
+  /** Slot of an address that nobody was seen at. */
   static final LeaseSlot NEVER_SEEN =
       new LeaseSlot(0, Duration.ZERO, true, null, false, Duration.ZERO, Duration.ZERO, List.of());
 
-  record LeaseGrant(long requestNumber, long share, Duration grantedAt, Duration expiresAt) {}
+  /**
+   * A grant of a share.
+   *
+   * @param share in millionths
+   */
+  record LeaseGrant(long requestNumber, long share, Duration grantedAt, Duration expiresAt) {
+
+    boolean isInUse(Duration now) {
+      return now.compareTo(expiresAt) < 0;
+    }
+  }
 
   /**
-   * Whoever speaks lives, if it is no former life; what a former one had is free, for that life is
-   * over. It may speak against an operator's word: then its fixed share is kept back again, but it
-   * gets no lease until the word is taken back.
+   * Returns the slot after a sign of an incarnation. A later incarnation proves that the previous
+   * one has ended. One at a decommissioned address gets its fixed share reserved again, but no
+   * lease.
    */
-  LeaseSlot onIncarnationSeen(long from, Duration now) {
-    if (from > incarnation) {
+  LeaseSlot onIncarnationSeen(long seen, Duration now) {
+    if (seen > incarnation) {
       return new LeaseSlot(
-          from,
+          seen,
           now,
           false,
           provenEmptyAt,
@@ -58,55 +68,56 @@
           lastRequestAt,
           List.of());
     }
-    return from == incarnation && decommissioned
+    return seen == incarnation && decommissioned
         ? withIncarnationEnded(false, provenEmptyAt)
         : this;
   }
 
   /**
-   * Nobody lived here at this time. That ends the life that was heard before then; one that was
-   * first heard since, or at the same reading of the clock, may have begun since: its lease was
-   * dropped here while it used it.
+   * Returns the slot after proof that nobody was running here at a time. It ends an incarnation
+   * that was first seen before. One seen since then, or at the same reading of the clock, may have
+   * started since.
    */
   LeaseSlot onProvenEmpty(Duration at) {
     Duration latest = provenEmptyAt != null && provenEmptyAt.compareTo(at) > 0 ? provenEmptyAt : at;
-    return incarnationSeenAt.compareTo(at) < 0
-        ? withIncarnationEnded(true, latest)
-        : new LeaseSlot(
-            incarnation,
-            incarnationSeenAt,
-            ended,
-            latest,
-            decommissioned,
-            assumedEmptyUntil,
-            lastRequestAt,
-            grants);
+    if (incarnationSeenAt.compareTo(at) < 0) {
+      return withIncarnationEnded(true, latest);
+    }
+    return new LeaseSlot(
+        incarnation,
+        incarnationSeenAt,
+        ended,
+        latest,
+        decommissioned,
+        assumedEmptyUntil,
+        lastRequestAt,
+        grants);
   }
 
   /**
-   * That life is over. It lived when its asking was answered, so that whoever follows has begun
-   * since.
+   * Returns the slot after an incarnation left. It was running when its request was granted, so
+   * that any successor has started since.
    */
-  LeaseSlot onLeave(long life, long number) {
-    if (life != incarnation || ended) {
+  LeaseSlot onLeave(long left, long requestNumber) {
+    if (left != incarnation || ended) {
       return this;
     }
-    return withIncarnationEnded(
-        true,
-        grants.stream()
-            .filter(one -> one.requestNumber == number)
-            .map(LeaseGrant::grantedAt)
-            .findFirst()
-            .orElse(provenEmptyAt));
+    Optional<LeaseGrant> lastGrant =
+        grants.stream().filter(grant -> grant.requestNumber == requestNumber).findFirst();
+    return withIncarnationEnded(true, lastGrant.map(LeaseGrant::grantedAt).orElse(provenEmptyAt));
   }
 
-  LeaseSlot onRelease(long life, long number) {
-    return life != incarnation
-        ? this
-        : withGrants(grants.stream().filter(one -> one.requestNumber > number).toList());
+  /** Returns the slot after an incarnation released what it had requested up to a number. */
+  LeaseSlot onRelease(long releasing, long requestNumber) {
+    if (releasing != incarnation) {
+      return this;
+    }
+    return withGrants(
+        grants.stream().filter(grant -> grant.requestNumber > requestNumber).toList());
   }
 
-  LeaseSlot decommissioned(boolean agreed) {
+  /** Returns the slot after operators agreed that nothing runs here, or withdrew that. */
+  LeaseSlot withDecommissioned(boolean agreed) {
     return new LeaseSlot(
         incarnation,
         incarnationSeenAt,
@@ -118,7 +129,7 @@
         agreed ? List.of() : grants);
   }
 
-  /** Whatever was dealt before is waited out by whoever calls this. */
+  /** Returns the slot at the start of a leadership, which waits until earlier grants have ended. */
   LeaseSlot withoutGrants() {
     return new LeaseSlot(
         incarnation,
@@ -131,39 +142,45 @@
         List.of());
   }
 
-  /** Somebody else's lease until then counts on nobody being here, if that is so. */
+  /** Returns the slot after a grant to another, which relies on this slot if it is proven empty. */
   LeaseSlot assumeEmpty(Duration until, SharedQuota quota) {
-    return isProvenEmpty(until, quota)
-        ? new LeaseSlot(
-            incarnation,
-            incarnationSeenAt,
-            ended,
-            provenEmptyAt,
-            decommissioned,
-            until,
-            lastRequestAt,
-            grants)
-        : this;
+    if (!isProvenEmpty(until, quota)) {
+      return this;
+    }
+    return new LeaseSlot(
+        incarnation,
+        incarnationSeenAt,
+        ended,
+        provenEmptyAt,
+        decommissioned,
+        until,
+        lastRequestAt,
+        grants);
   }
 
+  /** Returns whether an incarnation is running here, as far as known. */
   boolean isAlive() {
     return !ended && !decommissioned;
   }
 
+  /** Returns whether no further grant fits. */
   boolean isFull() {
     return grants.size() >= MAX_GRANTS;
   }
 
-  LeaseSlot grants(LeaseGrant next, Duration now) {
-    List<LeaseGrant> kept =
-        new ArrayList<>(
-            grants.stream()
-                .filter(one -> now.compareTo(one.expiresAt) < 0 && one.share > next.share)
-                .toList());
-    kept.add(next);
+  /** Returns the slot after a grant. */
+  LeaseSlot addGrant(LeaseGrant added, Duration now) {
+    List<LeaseGrant> kept = new ArrayList<>();
+    for (LeaseGrant grant : grants) {
+      if (grant.isInUse(now) && grant.share > added.share) {
+        kept.add(grant);
+      }
+    }
+    kept.add(added);
     return withGrants(kept);
   }
 
+  /** Returns the slot after a request. */
   LeaseSlot onRequest(Duration now) {
     return new LeaseSlot(
         incarnation,
@@ -176,59 +193,66 @@
         grants);
   }
 
-  /** Whether it is one of those among whom is dealt. */
+  /**
+   * Returns whether this is one of the gateways that the quota is divided among: it holds a lease,
+   * or has requested one recently. With holders alone, a new leader would allocate everything to
+   * the first that asks, and the others would wait until that lease ends.
+   */
   boolean isSharing(Duration now, SharedQuota quota) {
-    return isAlive()
-        && (holdsLease(now) || lastRequestAt.plus(quota.leaseDuration()).compareTo(now) > 0);
+    boolean requestedRecently = lastRequestAt.plus(quota.leaseDuration()).compareTo(now) > 0;
+    return isAlive() && (holdsLease(now) || requestedRecently);
   }
 
+  /** Returns whether a grant may be in use. */
   boolean holdsLease(Duration now) {
-    return grants.stream().anyMatch(one -> now.compareTo(one.expiresAt) < 0);
+    return grants.stream().anyMatch(grant -> grant.isInUse(now));
   }
 
-  /**
-   * Whether nobody uses anything here until then: nobody lives, and whoever starts is quiet until
-   * then.
-   */
+  /** Returns whether nothing is used here until then: whoever starts is quiet for so long. */
   boolean isProvenEmpty(Duration until, SharedQuota quota) {
-    return ended
-        && (decommissioned
-            || provenEmptyAt != null
-                && provenEmptyAt
-                        .plus(SharedQuota.shortenedForDrift(quota.quietPeriod()))
-                        .compareTo(until)
-                    >= 0);
+    return ended && (decommissioned || isQuietUntil(until, quota));
   }
 
-  /** Whether the fixed share is kept back for whoever is here, in all that was dealt to others. */
+  private boolean isQuietUntil(Duration until, SharedQuota quota) {
+    if (provenEmptyAt == null) {
+      return false;
+    }
+    Duration quietPeriod = SharedQuota.shortenedForDrift(quota.quietPeriod());
+    return provenEmptyAt.plus(quietPeriod).compareTo(until) >= 0;
+  }
+
+  /** Returns whether the fixed share of this slot is kept back in all leases of others. */
   boolean isFixedShareReserved(Duration now) {
     return assumedEmptyUntil.compareTo(now) <= 0;
   }
 
-  /** The most that may be in use here until then. */
+  /** Returns the most that may be in use here until then, in millionths. */
   long maxUse(Duration now, Duration until, SharedQuota quota) {
+    if (isProvenEmpty(until, quota)) {
+      return 0;
+    }
     long maxGrant =
         grants.stream()
-            .filter(one -> now.compareTo(one.expiresAt) < 0)
+            .filter(grant -> grant.isInUse(now))
             .mapToLong(LeaseGrant::share)
             .max()
             .orElse(0);
-    return isProvenEmpty(until, quota) ? 0 : Math.max(maxGrant, quota.fixedShare());
+    return Math.max(maxGrant, quota.fixedShare());
   }
 
-  private LeaseSlot withIncarnationEnded(boolean proven, Duration empty) {
+  private LeaseSlot withIncarnationEnded(boolean proven, Duration emptyAt) {
     return new LeaseSlot(
         incarnation,
         incarnationSeenAt,
         proven,
-        empty,
+        emptyAt,
         decommissioned,
         assumedEmptyUntil,
         lastRequestAt,
         List.of());
   }
 
-  private LeaseSlot withGrants(List<LeaseGrant> other) {
+  private LeaseSlot withGrants(List<LeaseGrant> newGrants) {
     return new LeaseSlot(
         incarnation,
         incarnationSeenAt,
@@ -237,6 +261,6 @@
         decommissioned,
         assumedEmptyUntil,
         lastRequestAt,
-        List.copyOf(other));
+        List.copyOf(newGrants));
   }
 }
--- a/facts/src/main/java/tamarindroute/shares/QuotaAllocator.java
+++ b/facts/src/main/java/tamarindroute/shares/QuotaAllocator.java
@@ -8,13 +8,15 @@
 import tamarindroute.membership.Member;
 
 /**
- * Owns what one dealer has dealt. There is one at a time, by agreement; each gateway may become it.
- * It keeps back the fixed share of each told gateway that is not proven to be gone, for that is
- * what it uses when its lease ends or never comes; what is left is dealt in equal parts to those
- * that ask. Silence proves nothing. Immutable.
+ * Allocation of a shared quota by one gateway. One gateway leads at a time, by agreement, and any
+ * may become the leader. The fixed share of every configured gateway that is not proven to have
+ * ended is reserved, since it uses that share once its lease ends or never comes; the rest is
+ * allocated in equal parts to those that request it. Silence proves nothing. Immutable.
  *
- * @param allocatesFrom when it may begin: all that others dealt before is over by then
- * @param leadsUntil when its leadership ends, unless told again; asked at the moment of dealing
+ * @param term number of the leadership
+ * @param allocatesFrom when allocation may begin: all leases of earlier leaders have ended by then
+ * @param leadsUntil when the leadership ends unless it is renewed
+ * @param slots the account of each configured address
  */
 public record QuotaAllocator(
     SharedQuota quota,
@@ -23,60 +25,73 @@
     Duration leadsUntil,
     Map<Address, LeaseSlot> slots) {
 
-  /** What follows, and the answer, or null. */
+  /**
+   * Result of a message.
+   *
+   * @param allocator the state after the message
+   * @param grant the response to the sender, or null
+   */
   public record Step(QuotaAllocator allocator, LeaseMessage.Grant grant) {}
 
   public QuotaAllocator {
     slots = Map.copyOf(slots);
   }
 
-  /** Of a process that has just started: it deals nothing. */
+  /**
+   * Returns the state of a process that has just started, which allocates nothing.
+   *
+   * @throws IllegalArgumentException if there are not as many addresses as the quota has gateways:
+   *     the fixed share of an address left out would not be reserved
+   */
   public static QuotaAllocator initial(SharedQuota quota, Set<Address> configuredGateways) {
     if (configuredGateways.size() != quota.gateways()) {
-      // The fixed share of one that is not told of would not be kept back.
       throw new IllegalArgumentException(
-          "told of " + configuredGateways.size() + " of " + quota.gateways());
+          configuredGateways.size()
+              + " gateway addresses configured, quota requires "
+              + quota.gateways());
     }
     Map<Address, LeaseSlot> slots = new HashMap<>();
-    configuredGateways.forEach(one -> slots.put(one, LeaseSlot.NEVER_SEEN));
+    configuredGateways.forEach(address -> slots.put(address, LeaseSlot.NEVER_SEEN));
     return new QuotaAllocator(quota, 0, Duration.ZERO, Duration.ZERO, slots);
   }
 
   /**
-   * Leads until then. Unless it did so without a break, another may have dealt meanwhile: it waits
-   * for a whole length.
+   * Returns the state after this gateway was made or confirmed as leader. Unless it has led without
+   * a break, another may have allocated meanwhile, and it waits for one lease duration.
    */
-  public QuotaAllocator onLeadership(long number, Duration end, Duration now) {
-    if (number == term && now.compareTo(leadsUntil) < 0) {
-      return new QuotaAllocator(
-          quota, term, allocatesFrom, end.compareTo(leadsUntil) > 0 ? end : leadsUntil, slots);
+  public QuotaAllocator onLeadership(long newTerm, Duration until, Duration now) {
+    if (newTerm == term && now.compareTo(leadsUntil) < 0) {
+      Duration later = until.compareTo(leadsUntil) > 0 ? until : leadsUntil;
+      return new QuotaAllocator(quota, term, allocatesFrom, later, slots);
     }
     Map<Address, LeaseSlot> fresh = new HashMap<>();
     slots.forEach((address, slot) -> fresh.put(address, slot.withoutGrants()));
-    return new QuotaAllocator(quota, number, now.plus(quota.leaseDuration()), end, fresh);
+    return new QuotaAllocator(quota, newTerm, now.plus(quota.leaseDuration()), until, fresh);
   }
 
+  /** Returns the state after this gateway lost the leadership. */
   public QuotaAllocator onLeadershipLost(Duration now) {
     return new QuotaAllocator(quota, term, allocatesFrom, now, slots);
   }
 
+  /** Returns whether shares may be allocated now. */
   public boolean canAllocate(Duration now) {
     return now.compareTo(allocatesFrom) >= 0 && now.compareTo(leadsUntil) < 0;
   }
 
-  /** The machine refused, so that nobody listened there at some time after this asking was sent. */
-  public QuotaAllocator onConnectionRefused(Address address, Duration sent) {
+  /** Returns the state after a host refused a connection, attempted at the given time. */
+  public QuotaAllocator onConnectionRefused(Address address, Duration attemptedAt) {
     LeaseSlot slot = slots.get(address);
-    return slot == null ? this : withSlot(address, slot.onProvenEmpty(sent));
+    return slot == null ? this : withSlot(address, slot.onProvenEmpty(attemptedAt));
   }
 
-  /** By agreed word of an operator nothing runs there, nor will until the word is taken back. */
+  /** Returns the state after operators agreed that nothing runs at an address, or withdrew that. */
   public QuotaAllocator onDecommissioned(Address address, boolean agreed) {
     LeaseSlot slot = slots.get(address);
-    return slot == null ? this : withSlot(address, slot.decommissioned(agreed));
+    return slot == null ? this : withSlot(address, slot.withDecommissioned(agreed));
   }
 
-  /** Any sign of a later life ends the former one. */
+  /** Returns the state after any sign of an incarnation; a later one ends its predecessor. */
   public QuotaAllocator onMemberSeen(Member member, Duration now) {
     LeaseSlot slot = slots.get(member.address());
     return slot == null
@@ -84,80 +99,86 @@
         : withSlot(member.address(), slot.onIncarnationSeen(member.incarnation(), now));
   }
 
+  /** Handles a message of a holder. */
   public Step onMessage(LeaseMessage message, Duration now) {
-    Member member = message.holder();
-    QuotaAllocator next = onMemberSeen(member, now);
-    LeaseSlot slot = next.slots.get(member.address());
+    Member holder = message.holder();
+    QuotaAllocator next = onMemberSeen(holder, now);
+    LeaseSlot slot = next.slots.get(holder.address());
     if (slot == null) {
       return new Step(this, null);
     }
-    if (message instanceof LeaseMessage.Release back) {
-      return new Step(
-          next.withSlot(
-              member.address(), slot.onRelease(member.incarnation(), back.requestNumber())),
-          null);
+    if (message instanceof LeaseMessage.Release release) {
+      LeaseSlot released = slot.onRelease(holder.incarnation(), release.requestNumber());
+      return new Step(next.withSlot(holder.address(), released), null);
     }
     if (message instanceof LeaseMessage.Leave leave) {
-      return new Step(
-          next.withSlot(
-              member.address(), slot.onLeave(member.incarnation(), leave.requestNumber())),
-          null);
+      LeaseSlot left = slot.onLeave(holder.incarnation(), leave.requestNumber());
+      return new Step(next.withSlot(holder.address(), left), null);
     }
-    if (!(message instanceof LeaseMessage.Request)
-        || !slot.isAlive()
-        || member.incarnation() != slot.incarnation()) {
-      return new Step(next, null);
+    boolean isCurrent = slot.isAlive() && holder.incarnation() == slot.incarnation();
+    if (message instanceof LeaseMessage.Request request && isCurrent) {
+      return next.onRequest(request, now);
     }
-    next = next.withSlot(member.address(), slot.onRequest(now));
+    return new Step(next, null);
+  }
+
+  private Step onRequest(LeaseMessage.Request request, Duration now) {
+    Member holder = request.holder();
+    LeaseSlot slot = slots.get(holder.address());
+    QuotaAllocator next = withSlot(holder.address(), slot.onRequest(now));
     return canAllocate(now) && !slot.isFull()
-        ? next.allocate(member, message.requestNumber(), now)
+        ? next.allocate(holder, request.requestNumber(), now)
         : new Step(next, null);
   }
 
-  private Step allocate(Member member, long number, Duration now) {
-    LeaseSlot slot = slots.get(member.address());
-    Duration end = now.plus(quota.leaseDuration());
-    long part =
-        Math.min(equalShare(now, end), quota.limit() - claimedByOthers(member.address(), now, end));
+  private Step allocate(Member holder, long requestNumber, Duration now) {
+    LeaseSlot slot = slots.get(holder.address());
+    Duration expiresAt = now.plus(quota.leaseDuration());
+    long available = quota.limit() - claimedByOthers(holder.address(), now, expiresAt);
+    long share = Math.min(equalShare(now, expiresAt), available);
     if (slot.isFixedShareReserved(now)) {
-      part = Math.max(part, quota.fixedShare());
+      share = Math.max(share, quota.fixedShare());
     }
-    if (part <= 0) {
+    if (share <= 0) {
       return new Step(this, null);
     }
-    Map<Address, LeaseSlot> more = new HashMap<>();
-    slots.forEach((address, one) -> more.put(address, one.assumeEmpty(end, quota)));
-    more.put(member.address(), slot.grants(new LeaseSlot.LeaseGrant(number, part, now, end), now));
+    Map<Address, LeaseSlot> updated = new HashMap<>();
+    slots.forEach((address, other) -> updated.put(address, other.assumeEmpty(expiresAt, quota)));
+    LeaseSlot.LeaseGrant grant = new LeaseSlot.LeaseGrant(requestNumber, share, now, expiresAt);
+    updated.put(holder.address(), slot.addGrant(grant, now));
     return new Step(
-        new QuotaAllocator(quota, term, allocatesFrom, leadsUntil, more),
-        new LeaseMessage.Grant(member, number, part, quota.leaseDuration()));
+        new QuotaAllocator(quota, term, allocatesFrom, leadsUntil, updated),
+        new LeaseMessage.Grant(holder, requestNumber, share, quota.leaseDuration()));
   }
 
-  /** An equal part, of those that ask, of all that need not be kept back for others. */
-  private long equalShare(Duration now, Duration end) {
+  /** Returns an equal part, of those that request, of what need not be reserved for others. */
+  private long equalShare(Duration now, Duration until) {
     long reserved = 0;
-    int holders = 0;
-    for (LeaseSlot one : slots.values()) {
-      if (one.isSharing(now, quota)) {
-        holders++;
+    int sharing = 0;
+    for (LeaseSlot slot : slots.values()) {
+      if (slot.isSharing(now, quota)) {
+        sharing++;
       } else {
-        reserved += one.maxUse(now, end, quota);
+        reserved += slot.maxUse(now, until, quota);
       }
     }
-    return (quota.limit() - reserved) / holders;
+    return (quota.limit() - reserved) / sharing;
   }
 
-  /** What all others may use at most until then. */
-  private long claimedByOthers(Address asking, Duration now, Duration end) {
-    return slots.entrySet().stream()
-        .filter(one -> !one.getKey().equals(asking))
-        .mapToLong(one -> one.getValue().maxUse(now, end, quota))
-        .sum();
+  /** Returns what all others may use at most until then. */
+  private long claimedByOthers(Address holder, Duration now, Duration until) {
+    long claimed = 0;
+    for (Map.Entry<Address, LeaseSlot> slot : slots.entrySet()) {
+      if (!slot.getKey().equals(holder)) {
+        claimed += slot.getValue().maxUse(now, until, quota);
+      }
+    }
+    return claimed;
   }
 
   private QuotaAllocator withSlot(Address address, LeaseSlot slot) {
-    Map<Address, LeaseSlot> more = new HashMap<>(slots);
-    more.put(address, slot);
-    return new QuotaAllocator(quota, term, allocatesFrom, leadsUntil, more);
+    Map<Address, LeaseSlot> updated = new HashMap<>(slots);
+    updated.put(address, slot);
+    return new QuotaAllocator(quota, term, allocatesFrom, leadsUntil, updated);
   }
 }
--- a/facts/src/main/java/tamarindroute/shares/SharedQuota.java
+++ b/facts/src/main/java/tamarindroute/shares/SharedQuota.java
@@ -3,73 +3,67 @@
 import java.time.Duration;
 
 /**
- * Owns what is dealt and for how long; the same at every gateway that shares it. One for the edges
- * of a location, one for the parents of all. Parts are whole millionths of what today's fixed
- * shares make together, so that sums are exact.
+ * A quota that gateways share, and the times of its leases; the same at every gateway. There is one
+ * for the edges of a location, and one for the parents of all. Shares are whole millionths of what
+ * the fixed shares make together, so that sums are exact.
  *
- * @param gateways that are told to share it, the dead among them
- * @param limit that may be in use at once; {@link #WHOLE} leaves the policy's headroom as it is
- * @param leaseDuration of a lease
- * @param quietPeriod a new life that has no lease uses nothing for so long: what proved its former
- *     life's end may have been dealt
+ * @param gateways number of gateways configured to share it, whether or not they run
+ * @param limit most that may be in use at once, in millionths; {@link #FULL_QUOTA} leaves the
+ *     policy's headroom as it is
+ * @param leaseDuration duration of a lease
+ * @param quietPeriod how long a new incarnation without a lease uses nothing, as the share may have
+ *     been allocated to others when the end of its predecessor was proven
  */
 public record SharedQuota(int gateways, long limit, Duration leaseDuration, Duration quietPeriod) {
 
+  /** All fixed shares together, in millionths. */
   public static final long FULL_QUOTA = 1_000_000;
 
-  /**
-   * A lease is asked for anew every third of it: two asks may be lost. 4 s, as a cold cache's
-   * window is 2 s.
-   */
+  /** Default duration of a lease. It is requested anew each third; two requests may be lost. */
   public static final Duration LEASE_DURATION = Duration.ofSeconds(4);
 
   /**
-   * Three lengths: a refusal is seen anew each length, and leases that rely on one are whole within
-   * the next.
+   * Default quiet period: a refused connection is observed anew each lease duration, and leases
+   * that rely on one end within the next.
    */
   public static final Duration QUIET_PERIOD = Duration.ofSeconds(12);
 
-  /**
-   * What is given up for clocks that do not run alike: one part in so many, as for the grants of a
-   * shared address.
-   */
+  /** This fraction of a time span allows for differing clock rates. */
   private static final long CLOCK_DRIFT_DIVISOR = 100;
 
   public SharedQuota {
-    if (gateways < 1
-        || limit < FULL_QUOTA
-        || leaseDuration.isNegative()
-        || leaseDuration.isZero()
-        || quietPeriod.compareTo(leaseDuration) <= 0) {
+    if (gateways < 1) {
+      throw new IllegalArgumentException("gateways is " + gateways + ", at least 1 required");
+    }
+    if (limit < FULL_QUOTA) {
       throw new IllegalArgumentException(
-          "no bound to share: "
-              + gateways
-              + ", "
-              + limit
-              + ", "
-              + leaseDuration
-              + ", "
-              + quietPeriod);
+          "limit is " + limit + " millionths, at least " + FULL_QUOTA + " required");
+    }
+    if (leaseDuration.isNegative() || leaseDuration.isZero()) {
+      throw new IllegalArgumentException(
+          "lease duration is " + leaseDuration + ", must be positive");
+    }
+    if (quietPeriod.compareTo(leaseDuration) <= 0) {
+      throw new IllegalArgumentException(
+          "quiet period is "
+              + quietPeriod
+              + ", must be longer than the lease duration "
+              + leaseDuration);
     }
   }
 
-  /** With the figures above. */
+  /** Creates a quota with the default limit and times. */
   public static SharedQuota of(int gateways) {
     return new SharedQuota(gateways, FULL_QUOTA, LEASE_DURATION, QUIET_PERIOD);
   }
 
-  /** What each may use that is out of touch. */
+  /** Returns the share of each gateway without a lease, in millionths. */
   public long fixedShare() {
     return FULL_QUOTA / gateways;
   }
 
-  /** What the one that relies on the other's clock counts with. */
+  /** Returns the time span that may be relied on if it is measured by another's clock. */
   static Duration shortenedForDrift(Duration span) {
     return span.minus(span.dividedBy(CLOCK_DRIFT_DIVISOR));
   }
-
-  /** What the one counts with that must be sure that another's span is over. */
-  static Duration lengthenedForDrift(Duration span) {
-    return span.plus(span.dividedBy(CLOCK_DRIFT_DIVISOR));
-  }
 }
--- a/facts/src/main/java/tamarindroute/shares/package-info.java
+++ b/facts/src/main/java/tamarindroute/shares/package-info.java
@@ -1,7 +1,10 @@
 /**
- * Owns who may use how much of what a cold cache or parent bears: a dealer's count of what it has
- * dealt, a holder's count of what it has got, and the fixed share for whoever is out of touch. It
- * must never take silence for death, deal what a living one may still use, nor touch a clock, a
- * socket or a thread.
+ * Division of a shared quota among gateways: how much each may use of what a cold cache or a parent
+ * can bear. One gateway, the leader, allocates shares as leases; a gateway without a lease uses its
+ * fixed share.
+ *
+ * <p>Pure: no clocks, sockets or threads; times are passed in. Silence is never taken as proof that
+ * a gateway has ended, and nothing is allocated that a live one may still use. Package {@code
+ * tamarindroute.members.shares} carries the messages.
  */
 package tamarindroute.shares;
