--- a/facts/src/test/java/tamarindroute/facts/EventLogTest.java
+++ b/facts/src/test/java/tamarindroute/facts/EventLogTest.java
@@ -60,8 +60,7 @@
   }
 
   /** Checks that updates continue from a state, and returns the number of the state after them. */
-  private static long applyUpdates(
-      EventLog.Updates updates, long applied, long latestSnapshot) {
+  private static long applyUpdates(EventLog.Updates updates, long applied, long latestSnapshot) {
     long state = applied;
     if (updates.snapshot() != null) {
       long number = updates.snapshot().number();
@@ -86,8 +85,7 @@
     log.add(event(2, false, "drain a"), seconds(0));
     log.add(event(3, false, "purge"), seconds(0));
 
-    assertThat(log.updatesAfter(1, seconds(1)))
-        .isEqualTo(new EventLog.Updates(null, List.of(), 2));
+    assertThat(log.updatesAfter(1, seconds(1))).isEqualTo(new EventLog.Updates(null, List.of(), 2));
     assertThat(log.conflictingNumbers()).containsExactly(2L);
     log.add(event(3, true, "all"), seconds(0));
     assertThat(log.updatesAfter(1, seconds(1)).snapshot().number()).isEqualTo(3);
--- a/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
+++ b/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
@@ -45,8 +45,7 @@
       Member origin, long sequence, Kind kind, int observedAtSeconds, int ageSurplusSeconds) {
 
     Fact at(Duration now) {
-      Duration age =
-          now.minus(seconds(observedAtSeconds)).plus(seconds(ageSurplusSeconds));
+      Duration age = now.minus(seconds(observedAtSeconds)).plus(seconds(ageSurplusSeconds));
       return new Fact(origin, sequence, age, body(now));
     }
 
@@ -121,8 +120,7 @@
     FactStore second = new FactStore(member(2, 1), FEED);
     FactStore third = new FactStore(member(3, 1), FEED);
     // The clocks of the three differ by 1,000 s each.
-    first.recordOwn(
-        new Fact.CacheHealth(5, failureEvidence, false, seconds(uptime)), seconds(0));
+    first.recordOwn(new Fact.CacheHealth(5, failureEvidence, false, seconds(uptime)), seconds(0));
     FactDelta fromFirst = first.deltaFor(address(2), seconds(0), 9);
     second.receive(address(1), fromFirst, seconds(1000 + firstTransit));
     FactDelta fromSecond =
@@ -228,8 +226,7 @@
     for (int i = 0; i < 24; i++) {
       FactStore store = new FactStore(member(i, 1), FEED);
       for (int cacheId = 0; cacheId < 30; cacheId++) {
-        store.recordOwn(
-            new Fact.CacheHealth(cacheId, i % 10, true, seconds(cacheId)), seconds(1));
+        store.recordOwn(new Fact.CacheHealth(cacheId, i % 10, true, seconds(cacheId)), seconds(1));
       }
       fleet.add(store);
     }
--- a/facts/src/test/java/tamarindroute/facts/FanoutPolicyTest.java
+++ b/facts/src/test/java/tamarindroute/facts/FanoutPolicyTest.java
@@ -13,8 +13,8 @@
 class FanoutPolicyTest {
 
   /**
-   * One in five messages is lost. Each member pushes a fact on when it receives it for the first time,
-   * and once more a round later.
+   * One in five messages is lost. Each member pushes a fact on when it receives it for the first
+   * time, and once more a round later.
    */
   @ParameterizedTest
   @CsvSource({"48, 2", "128, 4", "500, 5"})
@@ -40,8 +40,7 @@
       for (int i = 0; i < alive.size(); i++) {
         int turn = round - receivedInRound[i];
         if (receivedInRound[i] > 0 && (turn == 0 || turn == 1)) {
-          for (Address target :
-              FanoutPolicy.targets(alive, alive.get(i), seed * 1000L + i, turn)) {
+          for (Address target : FanoutPolicy.targets(alive, alive.get(i), seed * 1000L + i, turn)) {
             int index = alive.indexOf(target);
             if (receivedInRound[index] == 0 && random.nextInt(5) > 0) {
               receivedInRound[index] = round + 1;
--- a/facts/src/test/java/tamarindroute/shares/SimulatedFleet.java
+++ b/facts/src/test/java/tamarindroute/shares/SimulatedFleet.java
@@ -13,24 +13,34 @@
 import tamarindroute.membership.Member;
 
 /**
- * A fleet in virtual time: gateways of which most are killed at one moment, with words that are
- * late, lost and doubled, random one-way cuts, stops, restarts, and a lead that moves. What the
- * living may use is summed up at every step.
+ * A fleet in virtual time of which most gateways are killed at one moment. Messages are delayed,
+ * lost and duplicated; there are random one-way partitions, pauses and restarts, and the leadership
+ * moves. What live gateways may use is added up at every step.
  */
 final class SimulatedFleet {
 
-  /** Whether the machines of the killed still stand, so that they refuse. */
-  record Plan(int size, int killed, boolean machinesStand, long limit, int restarted, long seed) {}
+  /**
+   * What happens to the fleet.
+   *
+   * @param hostsRefuse whether the hosts of killed gateways refuse connections
+   * @param restarted attempts to restart a killed gateway, one per second from 32 s after the kill
+   */
+  record Plan(int size, int killed, boolean hostsRefuse, long limit, int restarted, long seed) {}
 
   /**
-   * Seconds after the kill, and the part of the whole that the living may use; the most ever in
-   * use.
+   * What live gateways may use, as parts of the full quota.
+   *
+   * @param used by seconds after the kill
+   * @param maxUse most at any time
    */
-  record Result(Map<Integer, Double> used, double maxEver) {}
+  record Result(Map<Integer, Double> used, double maxUse) {}
 
-  static final Duration STEP_DURATION = Duration.ofMillis(50);
-  private static final int KILL_AT = 300;
-  private static final int END = KILL_AT + 900;
+  private static final Duration STEP_DURATION = Duration.ofMillis(50);
+  private static final int STEPS_PER_SECOND = 20;
+  private static final int KILL_STEP = 15 * STEPS_PER_SECOND;
+  private static final int RESTART_STEP = KILL_STEP + 32 * STEPS_PER_SECOND;
+  private static final int END_STEP = KILL_STEP + 45 * STEPS_PER_SECOND;
+  private static final int LEADERSHIP_STEPS = 3 * STEPS_PER_SECOND;
 
   private final Plan plan;
   private final SharedQuota quota;
@@ -38,10 +48,10 @@
   private final List<LeaseHolder> holders = new ArrayList<>();
   private final List<QuotaAllocator> allocators = new ArrayList<>();
   private final boolean[] dead;
-  private final int[] stoppedUntil;
-  private final int[] cutOutUntil;
-  private final int[] cutInUntil;
-  private final TreeMap<Integer, List<Runnable>> due = new TreeMap<>();
+  private final int[] pausedUntil;
+  private final int[] sendingFailsUntil;
+  private final int[] receivingFailsUntil;
+  private final TreeMap<Integer, List<Runnable>> events = new TreeMap<>();
   private int leader;
   private long term = 1;
   private int leadsUntil;
@@ -49,163 +59,183 @@
 
   SimulatedFleet(Plan plan) {
     this.plan = plan;
-    quota =
+    this.quota =
         new SharedQuota(
             plan.size, plan.limit, SharedQuota.LEASE_DURATION, SharedQuota.QUIET_PERIOD);
-    random = new Random(plan.seed);
-    dead = new boolean[plan.size];
-    stoppedUntil = new int[plan.size];
-    cutOutUntil = new int[plan.size];
-    cutInUntil = new int[plan.size];
+    this.random = new Random(plan.seed);
+    this.dead = new boolean[plan.size];
+    this.pausedUntil = new int[plan.size];
+    this.sendingFailsUntil = new int[plan.size];
+    this.receivingFailsUntil = new int[plan.size];
     for (int i = 0; i < plan.size; i++) {
-      holders.add(LeaseHolder.startedAt(new Member(QuotaModelChecker.address(i), 1), quota, now()));
-      allocators.add(fresh());
+      Member member = new Member(ModelState.address(i), 1);
+      holders.add(LeaseHolder.startedAt(member, quota, now()));
+      allocators.add(freshAllocator());
     }
   }
 
-  Result play() {
+  Result run() {
     Map<Integer, Double> used = new HashMap<>();
-    double most = 0;
-    for (step = 0; step < END; step++) {
-      faults();
+    double maxUse = 0;
+    for (step = 0; step < END_STEP; step++) {
+      injectFaults();
       updateLeadership();
-      for (Runnable event : due.getOrDefault(step, List.of())) {
-        event.run();
-      }
-      due.remove(step);
-      for (int i = 0; i < plan.size; i++) {
-        if (runs(i) && now().compareTo(holders.get(i).nextRequestAt()) >= 0) {
-          LeaseHolder.Step asked = holders.get(i).request(now());
-          holders.set(i, asked.holder());
-          send(i, leader, asked.message());
-        }
-      }
-      if (step % 20 == 0) {
+      runEvents();
+      sendRequests();
+      if (step % STEPS_PER_SECOND == 0) {
         probe();
       }
-      long sum =
-          IntStream.range(0, plan.size)
-              .filter(i -> !dead[i])
-              .mapToLong(i -> holders.get(i).usableShare(now()).share())
-              .sum();
-      most = Math.max(most, (double) sum / SharedQuota.FULL_QUOTA);
-      if ((step - KILL_AT) % 20 == 0) {
-        used.put((step - KILL_AT) / 20, (double) sum / SharedQuota.FULL_QUOTA);
+      double use = use();
+      maxUse = Math.max(maxUse, use);
+      if ((step - KILL_STEP) % STEPS_PER_SECOND == 0) {
+        used.put((step - KILL_STEP) / STEPS_PER_SECOND, use);
       }
     }
-    return new Result(used, most);
+    return new Result(used, maxUse);
+  }
+
+  private void runEvents() {
+    events.getOrDefault(step, List.of()).forEach(Runnable::run);
+    events.remove(step);
+  }
+
+  private void sendRequests() {
+    for (int i = 0; i < plan.size; i++) {
+      if (isRunning(i) && now().compareTo(holders.get(i).nextRequestAt()) >= 0) {
+        LeaseHolder.Step request = holders.get(i).request(now());
+        holders.set(i, request.holder());
+        send(i, leader, request.message());
+      }
+    }
+  }
+
+  private double use() {
+    long used =
+        IntStream.range(0, plan.size)
+            .filter(i -> !dead[i])
+            .mapToLong(i -> holders.get(i).usableShare(now()).share())
+            .sum();
+    return (double) used / SharedQuota.FULL_QUOTA;
   }
 
   private Duration now() {
     return STEP_DURATION.multipliedBy(step);
   }
 
-  private boolean runs(int i) {
-    return !dead[i] && step >= stoppedUntil[i];
+  private boolean isRunning(int index) {
+    return !dead[index] && step >= pausedUntil[index];
   }
 
-  private QuotaAllocator fresh() {
+  private QuotaAllocator freshAllocator() {
     return QuotaAllocator.initial(
         quota,
-        IntStream.range(0, plan.size)
-            .mapToObj(QuotaModelChecker::address)
-            .collect(Collectors.toSet()));
+        IntStream.range(0, plan.size).mapToObj(ModelState::address).collect(Collectors.toSet()));
   }
 
-  private void faults() {
-    for (int i = 0; step == KILL_AT && i < plan.killed; i++) {
-      // Never all: the last ones stay. The one that leads is among the killed.
-      dead[i] = true;
+  private void injectFaults() {
+    if (step == KILL_STEP) {
+      // The first ones, the leader among them; the last ones stay alive.
+      for (int i = 0; i < plan.killed; i++) {
+        dead[i] = true;
+      }
     }
-    // One cut begins a second, for up to 8 s, one way; one stop each three seconds, for up to 6 s.
-    if (random.nextInt(20) == 0) {
-      (random.nextBoolean() ? cutOutUntil : cutInUntil)[random.nextInt(plan.size)] =
-          step + random.nextInt(160);
+    // Once per second on average a one-way partition of up to 8 s.
+    if (random.nextInt(STEPS_PER_SECOND) == 0) {
+      int[] failsUntil = random.nextBoolean() ? sendingFailsUntil : receivingFailsUntil;
+      int index = random.nextInt(plan.size);
+      failsUntil[index] = step + random.nextInt(8 * STEPS_PER_SECOND);
     }
-    if (random.nextInt(60) == 0) {
-      stoppedUntil[random.nextInt(plan.size)] = step + random.nextInt(120);
+    // Once per three seconds on average a pause of up to 6 s.
+    if (random.nextInt(3 * STEPS_PER_SECOND) == 0) {
+      int index = random.nextInt(plan.size);
+      pausedUntil[index] = step + random.nextInt(6 * STEPS_PER_SECOND);
     }
-    if (step > KILL_AT + 640
-        && step % 20 == 0
-        && step / 20 - (KILL_AT + 640) / 20 <= plan.restarted) {
-      int i = random.nextInt(plan.killed);
-      if (dead[i]) {
-        dead[i] = false;
-        holders.set(
-            i,
-            LeaseHolder.startedAt(
-                new Member(QuotaModelChecker.address(i), holders.get(i).self().incarnation() + 1),
-                quota,
-                now()));
-        allocators.set(i, fresh());
-      }
+    int secondsSinceRestarts = (step - RESTART_STEP) / STEPS_PER_SECOND;
+    if (step > RESTART_STEP
+        && step % STEPS_PER_SECOND == 0
+        && secondsSinceRestarts <= plan.restarted) {
+      restartIfDead(random.nextInt(plan.killed));
+    }
+  }
+
+  private void restartIfDead(int index) {
+    if (dead[index]) {
+      dead[index] = false;
+      Member previous = holders.get(index).self();
+      Member successor = new Member(previous.address(), previous.incarnation() + 1);
+      holders.set(index, LeaseHolder.startedAt(successor, quota, now()));
+      allocators.set(index, freshAllocator());
     }
   }
 
   /**
-   * The lead is renewed each half second for 3 s; once it is over, another takes it a second later.
+   * The leadership lasts 3 s and is renewed twice per second. A second after its end another
+   * gateway becomes the leader.
    */
   private void updateLeadership() {
-    if (runs(leader)
-        && step % 10 == 0
-        && cutOutUntil[leader] <= step
-        && (step < leadsUntil || step == 0)) {
-      leadsUntil = step + 60;
-      allocators.set(
-          leader,
-          allocators.get(leader).onLeadership(term, STEP_DURATION.multipliedBy(leadsUntil), now()));
-    } else if (step > leadsUntil + 20) {
+    boolean canRenew = isRunning(leader) && step % 10 == 0 && sendingFailsUntil[leader] <= step;
+    if (canRenew && (step < leadsUntil || step == 0)) {
+      lead();
+    } else if (step > leadsUntil + STEPS_PER_SECOND) {
       int next = random.nextInt(plan.size);
-      if (runs(next)) {
+      if (isRunning(next)) {
         leader = next;
         term++;
-        leadsUntil = step + 60;
-        allocators.set(
-            leader,
-            allocators
-                .get(leader)
-                .onLeadership(term, STEP_DURATION.multipliedBy(leadsUntil), now()));
+        lead();
       }
     }
   }
 
-  /**
-   * The leader tries, a second apart, all from whom no lease is out; where a machine stands and
-   * nobody listens it refuses.
-   */
+  private void lead() {
+    leadsUntil = step + LEADERSHIP_STEPS;
+    Duration until = STEP_DURATION.multipliedBy(leadsUntil);
+    allocators.set(leader, allocators.get(leader).onLeadership(term, until, now()));
+  }
+
+  /** The leader tries to connect to all without a lease; hosts without a gateway may refuse. */
   private void probe() {
-    int from = leader;
-    Duration sent = now();
-    for (int i = 0; runs(from) && plan.machinesStand && i < plan.size; i++) {
-      Address address = QuotaModelChecker.address(i);
-      if (dead[i] && !allocators.get(from).slots().get(address).holdsLease(sent)) {
-        at(
-            1 + random.nextInt(4),
-            from,
-            () -> allocators.set(from, allocators.get(from).onConnectionRefused(address, sent)));
+    if (!isRunning(leader) || !plan.hostsRefuse) {
+      return;
+    }
+    int prober = leader;
+    Duration attemptedAt = now();
+    for (int i = 0; i < plan.size; i++) {
+      Address address = ModelState.address(i);
+      if (dead[i] && !allocators.get(prober).slots().get(address).holdsLease(attemptedAt)) {
+        int delaySteps = 1 + random.nextInt(4);
+        schedule(delaySteps, prober, () -> onRefused(prober, address, attemptedAt));
       }
     }
   }
 
+  private void onRefused(int prober, Address address, Duration attemptedAt) {
+    QuotaAllocator allocator = allocators.get(prober);
+    allocators.set(prober, allocator.onConnectionRefused(address, attemptedAt));
+  }
+
   private void send(int from, int to, LeaseMessage message) {
-    if (cutOutUntil[from] > step || cutInUntil[to] > step || random.nextInt(20) == 0) {
+    if (sendingFailsUntil[from] > step
+        || receivingFailsUntil[to] > step
+        || random.nextInt(20) == 0) {
       return;
     }
-    for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-      // Up to 150 ms, one in fifty far later.
-      int way = random.nextInt(50) == 0 ? random.nextInt(100) : random.nextInt(3);
-      at(1 + way, to, () -> deliver(to, message));
+    int copies = random.nextInt(20) == 0 ? 2 : 1;
+    for (int i = 0; i < copies; i++) {
+      // Up to 150 ms, one in fifty up to 5 s.
+      int delaySteps = random.nextInt(50) == 0 ? random.nextInt(100) : random.nextInt(3);
+      schedule(1 + delaySteps, to, () -> deliver(to, message));
     }
   }
 
-  /** What comes to a stopped one waits until it goes on; to a dead one it is lost. */
-  private void at(int steps, int to, Runnable event) {
-    due.computeIfAbsent(step + steps, key -> new ArrayList<>())
+  /** Runs an event at a gateway: later if it is paused then, never if it is dead. */
+  private void schedule(int delaySteps, int index, Runnable event) {
+    events
+        .computeIfAbsent(step + delaySteps, key -> new ArrayList<>())
         .add(
             () -> {
-              if (!dead[to] && step < stoppedUntil[to]) {
-                at(stoppedUntil[to] - step, to, event);
-              } else if (!dead[to]) {
+              if (!dead[index] && step < pausedUntil[index]) {
+                schedule(pausedUntil[index] - step, index, event);
+              } else if (!dead[index]) {
                 event.run();
               }
             });
@@ -216,10 +246,10 @@
       holders.set(to, holders.get(to).onGrant(grant));
       return;
     }
-    QuotaAllocator.Step dealt = allocators.get(to).onMessage(message, now());
-    allocators.set(to, dealt.allocator());
-    if (dealt.grant() != null) {
-      send(to, message.holder().address().port() - 1, dealt.grant());
+    QuotaAllocator.Step result = allocators.get(to).onMessage(message, now());
+    allocators.set(to, result.allocator());
+    if (result.grant() != null) {
+      send(to, ModelState.index(message.holder().address()), result.grant());
     }
   }
 }
