--- a/facts/src/test/java/tamarindroute/shares/SystemUnderTest.java
+++ b/facts/src/test/java/tamarindroute/shares/ModelOperations.java
@@ -8,10 +8,10 @@
  * The operations that {@link QuotaModelChecker} explores. A seeded defect overrides the one that it
  * breaks.
  */
-interface SystemUnderTest {
+interface ModelOperations {
 
   /** The operations as they are. */
-  SystemUnderTest CORRECT = new SystemUnderTest() {};
+  ModelOperations CORRECT = new ModelOperations() {};
 
   default LeaseHolder start(Member self, SharedQuota quota) {
     return LeaseHolder.startedAt(self, quota, ModelState.NOW);
--- a/facts/src/test/java/tamarindroute/shares/QuotaModelChecker.java
+++ b/facts/src/test/java/tamarindroute/shares/QuotaModelChecker.java
@@ -37,15 +37,15 @@
     }
   }
 
-  private final SystemUnderTest system;
+  private final ModelOperations operations;
   private final SharedQuota quota;
   private final Actors actors;
   private final int size;
   private final QuotaAllocator fresh;
   private final StateNormalizer normalizer;
 
-  QuotaModelChecker(SystemUnderTest system, SharedQuota quota, Actors actors) {
-    this.system = system;
+  QuotaModelChecker(ModelOperations operations, SharedQuota quota, Actors actors) {
+    this.operations = operations;
     this.quota = quota;
     this.actors = actors;
     this.size = quota.gateways();
@@ -122,7 +122,7 @@
   private ModelState restart(ModelState state, int index) {
     Member previous = state.nodes().get(index).holder().self();
     Member successor = new Member(previous.address(), previous.incarnation() + 1);
-    return state.withNode(index, new Node(system.start(successor, quota), fresh, false, false));
+    return state.withNode(index, new Node(operations.start(successor, quota), fresh, false, false));
   }
 
   private void addFaults(ModelState state, int index, List<ModelState> successors) {
@@ -187,7 +187,7 @@
   private ModelState lead(ModelState state, int index, long term, Budget budget) {
     Duration until = leadershipEnd();
     Node node = state.nodes().get(index);
-    QuotaAllocator allocator = system.onLeadership(node.allocator(), term, until);
+    QuotaAllocator allocator = operations.onLeadership(node.allocator(), term, until);
     ModelState led = state.withNode(index, node.withAllocator(allocator), budget);
     return new ModelState(led.nodes(), led.inFlight(), index, term, until, budget);
   }
@@ -217,11 +217,11 @@
     if (message.payload() == null) {
       Address refusing = ModelState.address(message.refusedBy());
       QuotaAllocator allocator =
-          system.onConnectionRefused(node.allocator(), refusing, message.sentAt());
+          operations.onConnectionRefused(node.allocator(), refusing, message.sentAt());
       return state.withNode(message.to(), node.withAllocator(allocator));
     }
     if (message.payload() instanceof LeaseMessage.Grant grant) {
-      LeaseHolder holder = system.onGrant(node.holder(), grant);
+      LeaseHolder holder = operations.onGrant(node.holder(), grant);
       return state.withNode(message.to(), node.withHolder(holder));
     }
     QuotaAllocator.Step step = node.allocator().onMessage(message.payload(), ModelState.NOW);
@@ -243,7 +243,7 @@
       if (!leader.dead() && !leader.paused()) {
         leadsUntil = leadershipEnd();
         QuotaAllocator allocator =
-            system.onLeadership(leader.allocator(), state.term(), leadsUntil);
+            operations.onLeadership(leader.allocator(), state.term(), leadsUntil);
         nodes.set(state.leader(), leader.withAllocator(allocator));
       }
     }
@@ -257,7 +257,7 @@
     boolean isRunning = !node.dead() && !node.paused();
     return new Node(
         TimeShift.earlier(node.holder()),
-        isRunning ? system.onTick(allocator) : allocator,
+        isRunning ? operations.onTick(allocator) : allocator,
         node.paused(),
         node.dead());
   }
--- a/facts/src/test/java/tamarindroute/shares/QuotaModelCheckerTest.java
+++ b/facts/src/test/java/tamarindroute/shares/QuotaModelCheckerTest.java
@@ -24,9 +24,9 @@
           TimeShift.TICK.multipliedBy(4));
 
   private static long maxUsed(
-      SystemUnderTest system, Actors actors, int pauses, int kills, int leaders) {
+      ModelOperations operations, Actors actors, int pauses, int kills, int leaders) {
     Budget budget = new Budget(pauses, kills, leaders, 0, 1, 1);
-    return new QuotaModelChecker(system, QUOTA, actors).maxUsed(budget, MAX_STATES);
+    return new QuotaModelChecker(operations, QUOTA, actors).maxUsed(budget, MAX_STATES);
   }
 
   /** Gateways that request, release, are paused, die and lead; then the budget of faults. */
@@ -50,12 +50,12 @@
       int leaders) {
     Actors actors = new Actors(requesting, releasing, pausing, dying, leading);
 
-    assertThat(maxUsed(SystemUnderTest.CORRECT, actors, pauses, kills, leaders))
+    assertThat(maxUsed(ModelOperations.CORRECT, actors, pauses, kills, leaders))
         .isEqualTo(SharedQuota.FULL_QUOTA);
   }
 
   /** Plausible mistakes. */
-  private enum Defect implements SystemUnderTest {
+  private enum Defect implements ModelOperations {
     NEW_LEADER_DOES_NOT_WAIT {
       @Override
       public QuotaAllocator onLeadership(QuotaAllocator allocator, long term, Duration until) {
