--- a/agreement/src/main/java/tamarindroute/agreement/MembershipView.java
+++ b/agreement/src/main/java/tamarindroute/agreement/MembershipView.java
@@ -1,6 +1,7 @@
 package tamarindroute.agreement;
 
 import java.util.Collections;
+import java.util.Comparator;
 import java.util.List;
 import java.util.SortedMap;
 import java.util.TreeMap;
@@ -27,6 +28,10 @@
     List<Member> voters,
     SortedMap<String, ReplicatedEntry> entries) {
 
+  /** Order of the members in a view. */
+  public static final Comparator<Member> MEMBER_ORDER =
+      Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
+
   public MembershipView {
     members = List.copyOf(members);
     voters = List.copyOf(voters);
--- a/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
@@ -1,7 +1,6 @@
 package tamarindroute.agreement;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
 import java.util.SortedMap;
@@ -36,10 +35,6 @@
 
   private static final int MAX_PORT = 0xffff;
 
-  /** Order of the members in a view. */
-  private static final Comparator<Member> MEMBER_ORDER =
-      Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
-
   /**
    * Result of applying a command.
    *
@@ -86,21 +81,21 @@
    */
   public static Optional<String> findViolation(Command command) {
     if (command instanceof Command.MembershipChange change) {
-      return findViolation(change);
+      return findChangeViolation(change);
     }
     if (command instanceof Command.Put put) {
-      return findViolation(put);
+      return findPutViolation(put);
     }
     if (command instanceof Command.Remove remove) {
       return findNameViolation("key", remove.key());
     }
     if (command instanceof Command.SetVoters setVoters) {
-      return findViolation(setVoters);
+      return findVotersViolation(setVoters);
     }
     return Optional.empty();
   }
 
-  private static Optional<String> findViolation(Command.MembershipChange change) {
+  private static Optional<String> findChangeViolation(Command.MembershipChange change) {
     int changes = change.removed().size() + change.added().size();
     if (changes > 2 * MAX_MEMBERS) {
       return Optional.of(
@@ -109,7 +104,7 @@
     return findAddressViolation(change.removed()).or(() -> findAddressViolation(change.added()));
   }
 
-  private static Optional<String> findViolation(Command.Put put) {
+  private static Optional<String> findPutViolation(Command.Put put) {
     int bytes = put.value().length;
     if (bytes > MAX_VALUE_BYTES) {
       return Optional.of("value of " + bytes + " bytes, at most " + MAX_VALUE_BYTES + " allowed");
@@ -117,7 +112,7 @@
     return findNameViolation("key", put.key()).or(() -> findNameViolation("type", put.type()));
   }
 
-  private static Optional<String> findViolation(Command.SetVoters setVoters) {
+  private static Optional<String> findVotersViolation(Command.SetVoters setVoters) {
     int voters = setVoters.voters().size();
     if (voters == 0 || voters > MAX_VOTERS) {
       return Optional.of(voters + " voters, 1 to " + MAX_VOTERS + " allowed");
@@ -126,26 +121,26 @@
   }
 
   private static Optional<String> findNameViolation(String what, String name) {
-    return isValidName(name)
+    int length = name.length();
+    return length > 0 && length <= MAX_NAME_LENGTH
         ? Optional.empty()
-        : Optional.of(
-            what + " of " + name.length() + " characters, 1 to " + MAX_NAME_LENGTH + " allowed");
+        : Optional.of(what + " of " + length + " characters, 1 to " + MAX_NAME_LENGTH + " allowed");
   }
 
   private static Optional<String> findAddressViolation(List<Member> members) {
     return members.stream()
-        .map(Member::address)
-        .filter(address -> !isValidAddress(address))
-        .findFirst()
-        .map(address -> "invalid member address " + address);
-  }
-
-  private static boolean isValidName(String name) {
-    return !name.isEmpty() && name.length() <= MAX_NAME_LENGTH;
+        .map(member -> findViolation(member.address()))
+        .flatMap(Optional::stream)
+        .findFirst();
   }
 
-  private static boolean isValidAddress(Address address) {
-    return isValidName(address.host()) && address.port() >= 0 && address.port() <= MAX_PORT;
+  /** Returns which limit a member's address violates; empty if none. */
+  public static Optional<String> findViolation(Address address) {
+    int port = address.port();
+    if (port < 0 || port > MAX_PORT) {
+      return Optional.of("port " + port + ", 0 to " + MAX_PORT + " allowed");
+    }
+    return findNameViolation("host", address.host());
   }
 
   private static Transition changeMembers(MembershipView view, Command.MembershipChange change) {
@@ -155,7 +150,7 @@
     if (change.added().stream().anyMatch(change.removed()::contains)) {
       return Transition.rejected(view, "a member is both removed and added");
     }
-    TreeSet<Member> members = new TreeSet<>(MEMBER_ORDER);
+    TreeSet<Member> members = new TreeSet<>(MembershipView.MEMBER_ORDER);
     members.addAll(view.members());
     change.removed().forEach(members::remove);
     members.addAll(change.added());
--- a/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
@@ -6,18 +6,15 @@
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.report.RaftNodeReport;
 import java.time.Duration;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
 import tamarindroute.agreement.Agreement.GroupStatus;
+import tamarindroute.agreement.MembershipView;
 import tamarindroute.membership.Member;
 
 /** Derives a voter's {@link GroupStatus} from MicroRaft's reports. */
 final class GroupStatusMonitor {
 
-  private static final Comparator<Member> VOTER_ORDER =
-      Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
-
   private final EventLoop eventLoop;
   private final Member self;
   private final Duration startedAt;
@@ -110,7 +107,7 @@
   private static List<Member> voters(RaftGroupMembers members) {
     return members.getVotingMembers().stream()
         .map(VoterEndpoint::memberOf)
-        .sorted(VOTER_ORDER)
+        .sorted(MembershipView.MEMBER_ORDER)
         .toList();
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
@@ -3,6 +3,7 @@
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import tamarindroute.agreement.Command;
@@ -25,8 +26,6 @@
   /** Largest encoded command in bytes: a change of all 5,000 members with ordinary host names. */
   public static final int MAX_COMMAND_BYTES = 512 * 1024;
 
-  private static final int MAX_PORT = 0xffff;
-
   private ViewCodec() {}
 
   /** Converts a member. */
@@ -40,20 +39,9 @@
 
   /** Reads a member. */
   public static Member fromProto(MemberProto proto) {
-    String host = proto.getHost();
-    if (host.isEmpty() || host.length() > ViewTransitions.MAX_NAME_LENGTH) {
-      throw new InvalidMessageException(
-          "host name of "
-              + host.length()
-              + " characters, 1 to "
-              + ViewTransitions.MAX_NAME_LENGTH
-              + " allowed");
-    }
-    if (proto.getPort() < 0 || proto.getPort() > MAX_PORT) {
-      throw new InvalidMessageException(
-          "port " + proto.getPort() + ", 0 to " + MAX_PORT + " allowed");
-    }
-    return new Member(new Address(host, proto.getPort()), proto.getIncarnation());
+    Address address = new Address(proto.getHost(), proto.getPort());
+    requireNone(ViewTransitions.findViolation(address));
+    return new Member(address, proto.getIncarnation());
   }
 
   /** Reads a list of at most so many members. */
@@ -110,11 +98,7 @@
           case UNRECOGNIZED ->
               throw new InvalidMessageException("unknown command kind " + proto.getKindValue());
         };
-    ViewTransitions.findViolation(command)
-        .ifPresent(
-            violation -> {
-              throw new InvalidMessageException(violation);
-            });
+    requireNone(ViewTransitions.findViolation(command));
     return command;
   }
 
@@ -174,6 +158,12 @@
     return entries;
   }
 
+  private static void requireNone(Optional<String> violation) {
+    if (violation.isPresent()) {
+      throw new InvalidMessageException(violation.get());
+    }
+  }
+
   static void requireAtMost(int count, int max, String what) {
     if (count > max) {
       throw new InvalidMessageException(count + " " + what + ", at most " + max + " allowed");
--- a/facts/src/main/java/tamarindroute/facts/FactStore.java
+++ b/facts/src/main/java/tamarindroute/facts/FactStore.java
@@ -230,7 +230,7 @@
             incarnation ->
                 incarnation.size() == 0
                     && isPeer(incarnation)
-                    && incarnation.firstHeardAt().compareTo(before) < 0);
+                    && incarnation.firstSeenAt().compareTo(before) < 0);
   }
 
   private boolean isPeer(IncarnationFacts incarnation) {
--- a/facts/src/main/java/tamarindroute/facts/IncarnationFacts.java
+++ b/facts/src/main/java/tamarindroute/facts/IncarnationFacts.java
@@ -66,13 +66,13 @@
   }
 
   private final Member member;
-  private final Duration firstHeardAt;
+  private final Duration firstSeenAt;
   private long contiguousUpTo;
   private final Map<Subject, StoredFact> facts = new HashMap<>();
 
-  IncarnationFacts(Member member, Duration firstHeardAt) {
+  IncarnationFacts(Member member, Duration firstSeenAt) {
     this.member = member;
-    this.firstHeardAt = firstHeardAt;
+    this.firstSeenAt = firstSeenAt;
   }
 
   Member member() {
@@ -80,11 +80,11 @@
   }
 
   /**
-   * Returns when this incarnation was first heard of here. It is remembered while facts of an
-   * earlier incarnation may still arrive.
+   * Returns when this incarnation was first seen here. It is remembered while facts of an earlier
+   * incarnation may still arrive.
    */
-  Duration firstHeardAt() {
-    return firstHeardAt;
+  Duration firstSeenAt() {
+    return firstSeenAt;
   }
 
   /** Returns the sequence up to which all facts were received, except for superseded ones. */
--- a/facts/src/main/java/tamarindroute/facts/PeerStates.java
+++ b/facts/src/main/java/tamarindroute/facts/PeerStates.java
@@ -5,7 +5,7 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** What peers are known to have, for the peers heard of or sent to most recently. */
+/** What peers are known to have, for the peers that deltas were exchanged with most recently. */
 final class PeerStates {
 
   /** Bound of the peers remembered; others are sent everything anew. */
--- a/facts/src/main/java/tamarindroute/shares/LeaseSlot.java
+++ b/facts/src/main/java/tamarindroute/shares/LeaseSlot.java
@@ -170,14 +170,14 @@
 
   /** Returns the slot after a grant. */
   LeaseSlot addGrant(LeaseGrant added, Duration now) {
-    List<LeaseGrant> kept = new ArrayList<>();
+    List<LeaseGrant> remaining = new ArrayList<>();
     for (LeaseGrant grant : grants) {
       if (grant.isInUse(now) && grant.share > added.share) {
-        kept.add(grant);
+        remaining.add(grant);
       }
     }
-    kept.add(added);
-    return withGrants(kept);
+    remaining.add(added);
+    return withGrants(remaining);
   }
 
   /** Returns the slot after a request. */
@@ -221,7 +221,7 @@
     return provenEmptyAt.plus(quietPeriod).compareTo(until) >= 0;
   }
 
-  /** Returns whether the fixed share of this slot is kept back in all leases of others. */
+  /** Returns whether the fixed share of this slot is reserved in all leases of others. */
   boolean isFixedShareReserved(Duration now) {
     return assumedEmptyUntil.compareTo(now) <= 0;
   }
