--- a/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
@@ -37,11 +37,13 @@
    * @param founded whether the sender knows the group to be established
    */
   public record Offer(Member self, List<Member> pledgedFounders, boolean founded) {
+    /** Copies the founders. */
     public Offer {
       pledgedFounders = List.copyOf(pledgedFounders);
     }
   }
 
+  /** Copies the collections. */
   public Bootstrap {
     configuredVoters = List.copyOf(configuredVoters);
     pledgedFounders = List.copyOf(pledgedFounders);
--- a/agreement/src/main/java/tamarindroute/agreement/Command.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Command.java
@@ -15,6 +15,7 @@
   /** Removes and adds members in one step. Derived from the view with the base number. */
   record MembershipChange(long baseNumber, List<Member> removed, List<Member> added)
       implements Command {
+    /** Copies the members. */
     public MembershipChange {
       removed = List.copyOf(removed);
       added = List.copyOf(added);
@@ -23,10 +24,12 @@
 
   /** Sets an entry. Derived from what {@link MembershipView#baseNumber} returned for its key. */
   record Put(String key, long baseNumber, String type, byte[] value) implements Command {
+    /** Copies the value. */
     public Put {
       value = value.clone();
     }
 
+    /** Returns a copy of the value. */
     @Override
     public byte[] value() {
       return value.clone();
@@ -38,6 +41,7 @@
 
   /** Records the voters of the group in the view. Derived from the view with the base number. */
   record SetVoters(long baseNumber, List<Member> voters) implements Command {
+    /** Copies the voters. */
     public SetVoters {
       voters = List.copyOf(voters);
     }
--- a/agreement/src/main/java/tamarindroute/agreement/MembershipView.java
+++ b/agreement/src/main/java/tamarindroute/agreement/MembershipView.java
@@ -32,6 +32,7 @@
   public static final Comparator<Member> MEMBER_ORDER =
       Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
 
+  /** Copies the collections. */
   public MembershipView {
     members = List.copyOf(members);
     voters = List.copyOf(voters);
--- a/agreement/src/main/java/tamarindroute/agreement/ViewResponse.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewResponse.java
@@ -26,6 +26,7 @@
     Optional<MembershipView> fullView,
     List<Command> commands) {
 
+  /** Copies the commands. */
   public ViewResponse {
     commands = List.copyOf(commands);
   }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
@@ -14,9 +14,12 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.microraft.MembershipChangeMode;
+import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.message.RaftMessage;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -29,6 +32,20 @@
 class RaftMessageFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
+  private static final String SNAPSHOT_REQUEST_WITH_CHUNK =
+      "0808120f0a0831302e302e302e3110d83618641804200328f4033806400748015a6708f4"
+          + "0310031a030800ff200128023257080c120f0a0831302e302e302e3110d836186412100a"
+          + "0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a083130"
+          + "2e302e302e3110d83618641a100a0831302e302e302e3210d83618ac0260026a0f0a0831"
+          + "302e302e302e3110d83618646a100a0831302e302e302e3210d83618ac027257080c120f"
+          + "0a0831302e302e302e3110d836186412100a0831302e302e302e3210d83618ac02120d0a"
+          + "02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a100a0831302e"
+          + "302e302e3210d83618ac02";
+  private static final String SNAPSHOT_REQUEST_WITHOUT_CHUNK =
+      "0808120f0a0831302e302e302e3110d83618641804200328f4033806400760026a0f0a08"
+          + "31302e302e302e3110d83618647257080c120f0a0831302e302e302e3110d83618641210"
+          + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831"
+          + "302e302e302e3110d83618641a100a0831302e302e302e3210d83618ac02";
 
   private static void assertFormat(RaftMessage message, String hex)
       throws InvalidProtocolBufferException {
@@ -167,49 +184,8 @@
   @Test
   void snapshotRequestAndResponse() throws InvalidProtocolBufferException {
     assertFormat(
-        MODEL_FACTORY
-            .createInstallSnapshotRequestBuilder()
-            .setGroupId(GROUP)
-            .setSender(FIRST)
-            .setTerm(4)
-            .setSenderLeader(true)
-            .setSnapshotTerm(3)
-            .setSnapshotIndex(500)
-            .setTotalSnapshotChunkCount(2)
-            .setSnapshotChunk(chunk())
-            .setSnapshottedMembers(members(FIRST, SECOND))
-            .setGroupMembersView(group())
-            .setQuerySequenceNumber(6)
-            .setFlowControlSequenceNumber(7)
-            .build(),
-        "0808120f0a0831302e302e302e3110d83618641804200328f4033806400748015a6708f4"
-            + "0310031a030800ff200128023257080c120f0a0831302e302e302e3110d836186412100a"
-            + "0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a083130"
-            + "2e302e302e3110d83618641a100a0831302e302e302e3210d83618ac0260026a0f0a0831"
-            + "302e302e302e3110d83618646a100a0831302e302e302e3210d83618ac027257080c120f"
-            + "0a0831302e302e302e3110d836186412100a0831302e302e302e3210d83618ac02120d0a"
-            + "02763310011881d095ffbc311a0f0a0831302e302e302e3110d83618641a100a0831302e"
-            + "302e302e3210d83618ac02");
-    assertFormat(
-        MODEL_FACTORY
-            .createInstallSnapshotRequestBuilder()
-            .setGroupId(GROUP)
-            .setSender(FIRST)
-            .setTerm(4)
-            .setSenderLeader(false)
-            .setSnapshotTerm(3)
-            .setSnapshotIndex(500)
-            .setTotalSnapshotChunkCount(2)
-            .setSnapshotChunk(null)
-            .setSnapshottedMembers(members(FIRST))
-            .setGroupMembersView(group())
-            .setQuerySequenceNumber(6)
-            .setFlowControlSequenceNumber(7)
-            .build(),
-        "0808120f0a0831302e302e302e3110d83618641804200328f4033806400760026a0f0a08"
-            + "31302e302e302e3110d83618647257080c120f0a0831302e302e302e3110d83618641210"
-            + "0a0831302e302e302e3210d83618ac02120d0a02763310011881d095ffbc311a0f0a0831"
-            + "302e302e302e3110d83618641a100a0831302e302e302e3210d83618ac02");
+        snapshotRequest(true, chunk(), members(FIRST, SECOND)), SNAPSHOT_REQUEST_WITH_CHUNK);
+    assertFormat(snapshotRequest(false, null, members(FIRST)), SNAPSHOT_REQUEST_WITHOUT_CHUNK);
     assertFormat(
         MODEL_FACTORY
             .createInstallSnapshotResponseBuilder()
@@ -224,6 +200,25 @@
         "080912100a0831302e302e302e3210d83618ac02180428f403380640076001");
   }
 
+  private static RaftMessage snapshotRequest(
+      boolean senderLeader, SnapshotChunk chunk, Collection<RaftEndpoint> snapshottedMembers) {
+    return MODEL_FACTORY
+        .createInstallSnapshotRequestBuilder()
+        .setGroupId(GROUP)
+        .setSender(FIRST)
+        .setTerm(4)
+        .setSenderLeader(senderLeader)
+        .setSnapshotTerm(3)
+        .setSnapshotIndex(500)
+        .setTotalSnapshotChunkCount(2)
+        .setSnapshotChunk(chunk)
+        .setSnapshottedMembers(snapshottedMembers)
+        .setGroupMembersView(group())
+        .setQuerySequenceNumber(6)
+        .setFlowControlSequenceNumber(7)
+        .build();
+  }
+
   @Test
   void triggerLeaderElectionRequest() throws InvalidProtocolBufferException {
     assertFormat(
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
@@ -1,12 +1,15 @@
 package tamarindroute.agreement.raft;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static tamarindroute.agreement.raft.RaftModelCodec.MODEL_FACTORY;
 
 import com.google.protobuf.ByteString;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
+import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
 import java.util.Collection;
@@ -58,7 +61,7 @@
   private static RaftGroupMembersView group() {
     Collection<RaftEndpoint> members =
         new LinkedHashSet<>(List.of(new VoterEndpoint(SELF), new VoterEndpoint(OTHER)));
-    return RaftModelCodec.MODEL_FACTORY
+    return MODEL_FACTORY
         .createRaftGroupMembersViewBuilder()
         .setLogIndex(0)
         .setMembers(members)
@@ -67,7 +70,7 @@
   }
 
   private static LogEntry entry(long index) {
-    return RaftModelCodec.MODEL_FACTORY
+    return MODEL_FACTORY
         .createLogEntryBuilder()
         .setIndex(index)
         .setTerm(2)
@@ -76,7 +79,7 @@
   }
 
   private static SnapshotChunk chunk() {
-    return RaftModelCodec.MODEL_FACTORY
+    return MODEL_FACTORY
         .createSnapshotChunkBuilder()
         .setIndex(500)
         .setTerm(2)
@@ -87,6 +90,22 @@
         .build();
   }
 
+  private static RaftEndpointPersistentState endpoint() {
+    return MODEL_FACTORY
+        .createRaftEndpointPersistentStateBuilder()
+        .setLocalEndpoint(new VoterEndpoint(SELF))
+        .setVoting(true)
+        .build();
+  }
+
+  private static RaftTermPersistentState term(int term, RaftEndpoint votedFor) {
+    return MODEL_FACTORY
+        .createRaftTermPersistentStateBuilder()
+        .setTerm(term)
+        .setVotedFor(votedFor)
+        .build();
+  }
+
   private interface Step {
     void run() throws IOException;
   }
@@ -106,40 +125,13 @@
     assertThat(added(medium, () -> store.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
     store.beginGroup(77);
     assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN);
-    assertThat(
-            added(
-                medium,
-                () ->
-                    store.persistAndFlushLocalEndpoint(
-                        RaftModelCodec.MODEL_FACTORY
-                            .createRaftEndpointPersistentStateBuilder()
-                            .setLocalEndpoint(new VoterEndpoint(SELF))
-                            .setVoting(true)
-                            .build())))
+    assertThat(added(medium, () -> store.persistAndFlushLocalEndpoint(endpoint())))
         .isEqualTo(ENDPOINT);
     assertThat(added(medium, () -> store.persistAndFlushInitialGroupMembers(group())))
         .isEqualTo(INITIAL_MEMBERS);
-    assertThat(
-            added(
-                medium,
-                () ->
-                    store.persistAndFlushTerm(
-                        RaftModelCodec.MODEL_FACTORY
-                            .createRaftTermPersistentStateBuilder()
-                            .setTerm(1)
-                            .setVotedFor(new VoterEndpoint(OTHER))
-                            .build())))
+    assertThat(added(medium, () -> store.persistAndFlushTerm(term(1, new VoterEndpoint(OTHER)))))
         .isEqualTo(TERM_WITH_VOTE);
-    assertThat(
-            added(
-                medium,
-                () ->
-                    store.persistAndFlushTerm(
-                        RaftModelCodec.MODEL_FACTORY
-                            .createRaftTermPersistentStateBuilder()
-                            .setTerm(2)
-                            .setVotedFor(null)
-                            .build())))
+    assertThat(added(medium, () -> store.persistAndFlushTerm(term(2, null))))
         .isEqualTo(TERM_WITHOUT_VOTE);
     assertThat(added(medium, () -> store.persistLogEntries(List.of(entry(501))))).isEqualTo(ENTRY);
     assertThat(added(medium, () -> store.persistSnapshotChunk(chunk()))).isEqualTo(CHUNK);
@@ -202,7 +194,7 @@
         HEX.parseHex(BEGIN + ENDPOINT + INITIAL_MEMBERS + TERM_WITHOUT_VOTE + ENTRY + CHUNK));
     PersistentRaftStore store = PersistentRaftStore.open(medium);
     LogEntry large =
-        RaftModelCodec.MODEL_FACTORY
+        MODEL_FACTORY
             .createLogEntryBuilder()
             .setIndex(502)
             .setTerm(2)
--- a/facts/src/main/java/tamarindroute/facts/FactDelta.java
+++ b/facts/src/main/java/tamarindroute/facts/FactDelta.java
@@ -22,6 +22,7 @@
     List<FactRange> ranges,
     List<Fact> events) {
 
+  /** Copies the collections. */
   public FactDelta {
     knownUpTo = Map.copyOf(knownUpTo);
     ranges = List.copyOf(ranges);
@@ -31,6 +32,7 @@
   /** All facts that the sender holds of an origin, after one sequence up to another. */
   public record FactRange(Member origin, long after, long upTo, List<Fact> facts) {
 
+    /** Copies the facts. */
     public FactRange {
       facts = List.copyOf(facts);
     }
--- a/facts/src/main/java/tamarindroute/facts/Payload.java
+++ b/facts/src/main/java/tamarindroute/facts/Payload.java
@@ -5,6 +5,7 @@
 /** Opaque bytes, passed on unchanged. Immutable. */
 public record Payload(byte[] bytes) {
 
+  /** Copies the bytes. */
   public Payload {
     bytes = bytes.clone();
   }
--- a/facts/src/main/java/tamarindroute/shares/LeaseHolder.java
+++ b/facts/src/main/java/tamarindroute/shares/LeaseHolder.java
@@ -57,6 +57,7 @@
    */
   public record Step(LeaseHolder holder, LeaseMessage message) {}
 
+  /** Copies the request times. */
   public LeaseHolder {
     requestTimes = new TreeMap<>(requestTimes);
   }
--- a/facts/src/main/java/tamarindroute/shares/QuotaAllocator.java
+++ b/facts/src/main/java/tamarindroute/shares/QuotaAllocator.java
@@ -33,6 +33,7 @@
    */
   public record Step(QuotaAllocator allocator, LeaseMessage.Grant grant) {}
 
+  /** Copies the slots. */
   public QuotaAllocator {
     slots = Map.copyOf(slots);
   }
--- a/facts/src/main/java/tamarindroute/shares/SharedQuota.java
+++ b/facts/src/main/java/tamarindroute/shares/SharedQuota.java
@@ -31,6 +31,11 @@
   /** This fraction of a time span allows for differing clock rates. */
   private static final long CLOCK_DRIFT_DIVISOR = 100;
 
+  /**
+   * Checks the limits of each component.
+   *
+   * @throws IllegalArgumentException if one is violated
+   */
   public SharedQuota {
     if (gateways < 1) {
       throw new IllegalArgumentException("gateways is " + gateways + ", at least 1 required");
--- a/facts/src/test/java/tamarindroute/shares/QuotaAllocationTest.java
+++ b/facts/src/test/java/tamarindroute/shares/QuotaAllocationTest.java
@@ -9,13 +9,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
 /** Single steps of the allocation, and whole fleets that lose most of their gateways. */
 class QuotaAllocationTest {
 
   private static final long HALF = SharedQuota.FULL_QUOTA / 2;
+  private static final Member HOLDER = new Member(ModelState.address(0), 1);
+  private static final Member OTHER = new Member(ModelState.address(1), 1);
+
+  /** Leads from second 0 on, and allocates from second 4 on. */
+  private static final QuotaAllocator LEADER =
+      QuotaAllocator.initial(SharedQuota.of(2), Set.of(HOLDER.address(), OTHER.address()))
+          .onLeadership(1, at(100), at(0));
 
   private static Duration at(int second) {
     return Duration.ofSeconds(second);
@@ -28,59 +34,50 @@
 
   @Test
   void onlyProofFreesShareAndLeaseBelongsToOneIncarnation() {
-    Member holder = new Member(ModelState.address(0), 1);
-    Member other = new Member(ModelState.address(1), 1);
-    Address otherAddress = other.address();
-    QuotaAllocator leader =
-        QuotaAllocator.initial(SharedQuota.of(2), Set.of(holder.address(), otherAddress))
-            .onLeadership(1, at(100), at(0));
-
-    assertThat(leader.onMessage(new LeaseMessage.Request(holder, 1), at(3)).grant())
+    assertThat(LEADER.onMessage(new LeaseMessage.Request(HOLDER, 1), at(3)).grant())
         .as("while grants of an earlier leader may be in use")
         .isNull();
-    assertThat(grantedShare(leader, holder, 5)).as("silence").isEqualTo(HALF);
-
-    QuotaAllocator refused = leader.onConnectionRefused(otherAddress, at(4));
-    assertThat(grantedShare(refused, holder, 5)).isEqualTo(SharedQuota.FULL_QUOTA);
-    assertThat(grantedShare(refused, holder, 14)).as("outdated proof").isEqualTo(HALF);
-
-    QuotaAllocator refusedBeforeSeen =
-        leader.onMemberSeen(other, at(5)).onConnectionRefused(otherAddress, at(4));
-    assertThat(grantedShare(refusedBeforeSeen, holder, 6)).isEqualTo(HALF);
-    QuotaAllocator refusedWhenSeen =
-        leader.onMemberSeen(other, at(4)).onConnectionRefused(otherAddress, at(4));
-    assertThat(grantedShare(refusedWhenSeen, holder, 6))
+    assertThat(grantedShare(LEADER, HOLDER, 5)).as("silence").isEqualTo(HALF);
+
+    QuotaAllocator refused = LEADER.onConnectionRefused(OTHER.address(), at(4));
+    assertThat(grantedShare(refused, HOLDER, 5)).isEqualTo(SharedQuota.FULL_QUOTA);
+    assertThat(grantedShare(refused, HOLDER, 14)).as("outdated proof").isEqualTo(HALF);
+    assertThat(grantedShare(refusedAt4AndSeenAt(5), HOLDER, 6)).isEqualTo(HALF);
+    assertThat(grantedShare(refusedAt4AndSeenAt(4), HOLDER, 6))
         .as("at one reading of the clock")
         .isEqualTo(HALF);
 
-    QuotaAllocator decommissioned = leader.onDecommissioned(otherAddress, true);
-    assertThat(grantedShare(decommissioned, holder, 90)).isEqualTo(SharedQuota.FULL_QUOTA);
-    assertThat(grantedShare(decommissioned.onMemberSeen(other, at(5)), holder, 6)).isEqualTo(HALF);
+    QuotaAllocator decommissioned = LEADER.onDecommissioned(OTHER.address(), true);
+    assertThat(grantedShare(decommissioned, HOLDER, 90)).isEqualTo(SharedQuota.FULL_QUOTA);
+    assertThat(grantedShare(decommissioned.onMemberSeen(OTHER, at(5)), HOLDER, 6)).isEqualTo(HALF);
 
     QuotaAllocator granted =
-        leader.onMessage(new LeaseMessage.Request(other, 7), at(5)).allocator();
-    QuotaAllocator left = granted.onMessage(new LeaseMessage.Leave(other, 7), at(6)).allocator();
-    assertThat(grantedShare(left, holder, 7)).isEqualTo(SharedQuota.FULL_QUOTA);
+        LEADER.onMessage(new LeaseMessage.Request(OTHER, 7), at(5)).allocator();
+    QuotaAllocator left = granted.onMessage(new LeaseMessage.Leave(OTHER, 7), at(6)).allocator();
+    assertThat(grantedShare(left, HOLDER, 7)).isEqualTo(SharedQuota.FULL_QUOTA);
     QuotaAllocator released =
-        granted.onMessage(new LeaseMessage.Release(other, 7), at(6)).allocator();
-    assertThat(grantedShare(released, holder, 7)).isEqualTo(HALF);
-    Member predecessor = new Member(otherAddress, 0);
+        granted.onMessage(new LeaseMessage.Release(OTHER, 7), at(6)).allocator();
+    assertThat(grantedShare(released, HOLDER, 7)).isEqualTo(HALF);
+    Member predecessor = new Member(OTHER.address(), 0);
     assertThat(granted.onMessage(new LeaseMessage.Request(predecessor, 9), at(6)).grant())
         .as("previous incarnation")
         .isNull();
   }
 
+  private static QuotaAllocator refusedAt4AndSeenAt(int second) {
+    return LEADER.onMemberSeen(OTHER, at(second)).onConnectionRefused(OTHER.address(), at(4));
+  }
+
   @Test
   void lateGrantForEarlierRequestIsIgnored() {
-    Member self = new Member(ModelState.address(0), 1);
     LeaseHolder holder =
-        LeaseHolder.startedAt(self, SharedQuota.of(2), at(0))
+        LeaseHolder.startedAt(HOLDER, SharedQuota.of(2), at(0))
             .request(at(20))
             .holder()
             .request(at(21))
             .holder()
-            .onGrant(new LeaseMessage.Grant(self, 2, 600_000, SharedQuota.LEASE_DURATION))
-            .onGrant(new LeaseMessage.Grant(self, 1, 900_000, SharedQuota.LEASE_DURATION));
+            .onGrant(new LeaseMessage.Grant(HOLDER, 2, 600_000, SharedQuota.LEASE_DURATION))
+            .onGrant(new LeaseMessage.Grant(HOLDER, 1, 900_000, SharedQuota.LEASE_DURATION));
 
     assertThat(holder.usableShare(at(22)).share()).isEqualTo(600_000);
     assertThat(holder.usableShare(at(25)).share()).as("after the lease").isEqualTo(HALF);
