--- a/agreement/src/main/java/tamarindroute/agreement/ViewLease.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewLease.java
@@ -16,9 +16,9 @@
  * @param view the last view received; to be used through {@link #validView} only
  * @param expiresAt when the lease ends
  * @param requestNumber number of the last request
- * @param requestSent when the last request was sent
+ * @param requestSentAt when the last request was sent
  * @param awaitingResponse whether the last request is unanswered
- * @param nextVoter index of the voter to ask next, modulo the number of voters
+ * @param nextVoterIndex index of the voter to ask next, modulo the number of voters
  * @param leaderHint address of the leader as last reported
  * @param requestsPerLease rate of requests: the next one is due this fraction of a lease after the
  *     last
@@ -27,9 +27,9 @@
     Optional<MembershipView> view,
     Duration expiresAt,
     long requestNumber,
-    Duration requestSent,
+    Duration requestSentAt,
     boolean awaitingResponse,
-    long nextVoter,
+    long nextVoterIndex,
     Optional<Address> leaderHint,
     int requestsPerLease) {
 
@@ -76,14 +76,14 @@
 
   /** Returns whether a request is due, for leases of this duration. */
   public boolean isRequestDue(Duration now, Duration lease) {
-    return requestSent.equals(NEVER)
-        || now.compareTo(requestSent.plus(lease.dividedBy(requestsPerLease))) >= 0;
+    return requestSentAt.equals(NEVER)
+        || now.compareTo(requestSentAt.plus(lease.dividedBy(requestsPerLease))) >= 0;
   }
 
   /** Returns the voter to ask: the leader if known, otherwise the voters in turn. */
   public Address nextVoter(List<Address> voters) {
     return leaderHint.orElseGet(
-        () -> voters.get((int) Math.floorMod(nextVoter, (long) voters.size())));
+        () -> voters.get((int) Math.floorMod(nextVoterIndex, (long) voters.size())));
   }
 
   /**
@@ -97,7 +97,7 @@
         requestNumber + 1,
         now,
         true,
-        awaitingResponse ? nextVoter + 1 : nextVoter,
+        awaitingResponse ? nextVoterIndex + 1 : nextVoterIndex,
         awaitingResponse ? Optional.empty() : leaderHint,
         REQUESTS_PER_LEASE_UNANSWERED);
   }
@@ -119,7 +119,7 @@
       return answered(Optional.empty(), Duration.ZERO, REQUESTS_PER_LEASE_UNANSWERED);
     }
     Duration lease = response.lease();
-    Duration expiry = requestSent.plus(lease).minus(lease.dividedBy(CLOCK_DRIFT_DIVISOR));
+    Duration expiry = requestSentAt.plus(lease).minus(lease.dividedBy(CLOCK_DRIFT_DIVISOR));
     return answered(next, expiry, REQUESTS_PER_LEASE);
   }
 
@@ -128,16 +128,16 @@
         view,
         expiresAt,
         requestNumber,
-        requestSent,
+        requestSentAt,
         false,
-        nextVoter + 1,
+        nextVoterIndex + 1,
         leader.map(Member::address),
         leader.isPresent() ? REQUESTS_PER_LEASE_REDIRECTED : REQUESTS_PER_LEASE_UNANSWERED);
   }
 
   private ViewLease answered(Optional<MembershipView> newView, Duration expiry, int newRate) {
     return new ViewLease(
-        newView, expiry, requestNumber, requestSent, false, nextVoter, leaderHint, newRate);
+        newView, expiry, requestNumber, requestSentAt, false, nextVoterIndex, leaderHint, newRate);
   }
 
   private boolean isAcceptable(MembershipView next, ViewResponse response) {
--- a/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
@@ -73,7 +73,9 @@
             false, Optional.empty(), 0, voters(members), false, Optional.of(noQuorumSince()));
   }
 
-  /** Returns whether there has been no quorum for so long, nor since this monitor was created. */
+  /**
+   * Returns whether there has been no quorum for so long, counted from this start at the earliest.
+   */
   boolean isLeaderlessFor(Duration timeout) {
     Duration now = eventLoop.now();
     Duration deadline = status.noQuorumSince().orElse(now).plus(timeout);
--- a/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
+++ b/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
@@ -55,7 +55,10 @@
         case WORK_IN_FLIGHT -> new Fact.WorkInFlight(cacheId, (double) sequence);
         case HEALTH ->
             new Fact.CacheHealth(
-                cacheId, sequence % 10, sequence % 2 == 0, now.minus(seconds(sequence - 9)));
+                cacheId,
+                (double) (sequence % 10),
+                sequence % 2 == 0,
+                now.minus(seconds(sequence - 9)));
         case CHANGE, SNAPSHOT -> event(sequence, kind == Kind.SNAPSHOT, text());
       };
     }
