--- a/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
+++ b/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
@@ -9,13 +9,33 @@
 import java.util.Arrays;
 import tamarindroute.decision.Attempt;
 
-/** The action records of one reply, written as the decisions fall. */
+/**
+ * Encodes the actions of one reply on the simulator's wire: records of equal size, then a tail for
+ * data of variable length. All numbers are little-endian.
+ */
 final class ActionWriter {
 
+  private static final int LOOK_UP = 80;
+  private static final int REJECT = 81;
+  private static final int FAIL = 82;
+  private static final int CANCEL = 83;
+  private static final int SET_TIMER = 84;
+  private static final int REPORT_FAILURE = 89;
+  private static final int SUBSCRIBE = 90;
+  private static final int SEND = 92;
+
+  private static final int ONLY_IF_CACHED_FLAG = 2;
+  private static final int REVALIDATE_FLAG = 8;
+
+  private static final byte SUBSCRIPTION_ON = 1;
+
+  private static final int HEADER_BYTES = 8;
   private static final int RECORD_BYTES = 40;
+  private static final int INITIAL_RECORDS = 64;
+  private static final int INITIAL_TAIL_BYTES = 256;
 
-  private ByteBuffer records = buffer(64 * RECORD_BYTES);
-  private ByteBuffer tail = buffer(256);
+  private ByteBuffer records = buffer(INITIAL_RECORDS * RECORD_BYTES);
+  private ByteBuffer tail = buffer(INITIAL_TAIL_BYTES);
   private int recordCount;
 
   private static ByteBuffer buffer(int size) {
@@ -31,7 +51,7 @@
     return ByteBuffer.wrap(wider).order(ByteOrder.LITTLE_ENDIAN).position(buffer.position());
   }
 
-  /** A zeroed record with its code and instance filled in, the position behind them. */
+  /** Appends a record of zeros with its code and instance, positioned behind them. */
   private ByteBuffer record(int code, int instance) {
     records = ensureRemaining(records, RECORD_BYTES);
     ByteBuffer record =
@@ -42,56 +62,78 @@
     return record.put((byte) code).putShort((short) instance);
   }
 
-  void send(int instance, int request, Attempt attempt) {
-    boolean cacheLookup =
-        attempt.source == attempt.cache
-            && attempt.rank == 0
-            && attempt.maxCopyAge == null
-            && !attempt.revalidate;
-    if (cacheLookup) {
-      record(80, instance).putInt(request).putInt((int) attempt.cache.stableId);
+  /** Sends an attempt of a request to a cache. */
+  void send(int instance, int requestId, Attempt attempt) {
+    if (isPlainLookUp(attempt)) {
+      record(LOOK_UP, instance).putInt(requestId).putInt((int) attempt.cache.stableId);
       return;
     }
-    int flags = (attempt.onlyIfCached ? 2 : 0) + (attempt.revalidate ? 8 : 0);
-    record(92, instance)
-        .putInt(request)
+    record(SEND, instance)
+        .putInt(requestId)
         .putInt((int) attempt.source.stableId)
         .putInt((int) attempt.cache.stableId)
-        .putLong(attempt.maxCopyAge == null ? 0 : Math.max(1, attempt.maxCopyAge.toNanos()))
-        .put((byte) flags)
+        .putLong(maxCopyAgeNanos(attempt))
+        .put((byte) flags(attempt))
         .put((byte) attempt.rank);
   }
 
-  void cancel(int instance, int request, int attemptIndex) {
-    record(83, instance).putInt(request).put((byte) attemptIndex);
+  /** Whether the attempt asks for the cache's own fresh copy alone. */
+  private static boolean isPlainLookUp(Attempt attempt) {
+    return attempt.source == attempt.cache
+        && attempt.rank == 0
+        && attempt.maxCopyAge == null
+        && !attempt.revalidate;
+  }
+
+  /** Zero would stand for no limit. */
+  private static long maxCopyAgeNanos(Attempt attempt) {
+    return attempt.maxCopyAge == null ? 0 : Math.max(1, attempt.maxCopyAge.toNanos());
+  }
+
+  private static int flags(Attempt attempt) {
+    return (attempt.onlyIfCached ? ONLY_IF_CACHED_FLAG : 0)
+        | (attempt.revalidate ? REVALIDATE_FLAG : 0);
+  }
+
+  /** Cancels an attempt. */
+  void cancel(int instance, int requestId, int attemptIndex) {
+    record(CANCEL, instance).putInt(requestId).put((byte) attemptIndex);
   }
 
-  void reject(int instance, int request, Duration retryAfter) {
-    record(81, instance).putInt(request).putLong(retryAfter == null ? 0 : retryAfter.toNanos());
+  /** Rejects a request, which was not executed; retryAfter is null for no advice. */
+  void reject(int instance, int requestId, Duration retryAfter) {
+    record(REJECT, instance)
+        .putInt(requestId)
+        .putLong(retryAfter == null ? 0 : retryAfter.toNanos());
   }
 
-  void fail(int instance, int request) {
-    record(82, instance).putInt(request);
+  /** Fails a request, which may have been executed. */
+  void fail(int instance, int requestId) {
+    record(FAIL, instance).putInt(requestId);
   }
 
-  void setTimer(int instance, long wireTime, long cookie) {
-    record(84, instance).putLong(wireTime).putLong(cookie);
+  /** Sets a timer, which returns the cookie at the clock time. */
+  void setTimer(int instance, long clockNanos, long cookie) {
+    record(SET_TIMER, instance).putLong(clockNanos).putLong(cookie);
   }
 
+  /** Requests all changes of the list of caches from now on. */
   void subscribeToList(int instance) {
-    record(90, instance).put((byte) 1);
+    record(SUBSCRIBE, instance).put(SUBSCRIPTION_ON);
   }
 
+  /** Reports that the policy of an instance has failed, which ends the simulation. */
   void reportFailure(int instance, String cause) {
     byte[] text = cause.getBytes(StandardCharsets.UTF_8);
     tail = ensureRemaining(tail, text.length);
-    record(89, instance).putInt(tail.position()).putInt(text.length);
+    record(REPORT_FAILURE, instance).putInt(tail.position()).putInt(text.length);
     tail.put(text);
   }
 
-  /** Writes all and starts anew. */
+  /** Writes all actions as one frame, and starts the next one. */
   void flush(OutputStream out) throws IOException {
-    ByteBuffer header = buffer(8).putInt(recordCount).putInt(records.position() + tail.position());
+    ByteBuffer header =
+        buffer(HEADER_BYTES).putInt(recordCount).putInt(records.position() + tail.position());
     out.write(header.array());
     out.write(records.array(), 0, records.position());
     out.write(tail.array(), 0, tail.position());
--- a/router/src/main/java/tamarindroute/wirehost/EventFrame.java
+++ b/router/src/main/java/tamarindroute/wirehost/EventFrame.java
@@ -6,11 +6,20 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** One batch of event records with its tail, as read from the wire. */
+/**
+ * One frame of the simulator's wire: event records of the same clock time, and a tail for their
+ * data of variable length. All numbers are little-endian.
+ */
 final class EventFrame {
 
-  static final int HEADER_BYTES = 16;
-  static final int RECORD_BYTES = 56;
+  private static final int HEADER_BYTES = 16;
+  private static final int HEADER_CLOCK = 0;
+  private static final int HEADER_LENGTH = 8;
+  private static final int HEADER_RECORD_COUNT = 12;
+  private static final int RECORD_BYTES = 56;
+
+  /** The longest array that Java allocates. */
+  private static final int MAX_LENGTH = Integer.MAX_VALUE - 8;
 
   final long clockNanos;
   final int recordCount;
@@ -22,7 +31,13 @@
     this.body = body;
   }
 
-  /** The next frame, or null at the end of the input. */
+  /**
+   * Reads the next frame.
+   *
+   * @return null at the end of the input
+   * @throws MalformedFrameException if the input ends within a frame, or its lengths do not fit
+   *     together
+   */
   static EventFrame read(InputStream in) throws IOException {
     byte[] head = in.readNBytes(HEADER_BYTES);
     if (head.length == 0) {
@@ -32,15 +47,16 @@
       throw new MalformedFrameException("the input ends inside a header");
     }
     ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
-    long clockNanos = header.getLong(0);
-    long length = Integer.toUnsignedLong(header.getInt(8));
-    long recordCount = Integer.toUnsignedLong(header.getInt(12));
+    long clockNanos = header.getLong(HEADER_CLOCK);
+    long length = Integer.toUnsignedLong(header.getInt(HEADER_LENGTH));
+    long recordCount = Integer.toUnsignedLong(header.getInt(HEADER_RECORD_COUNT));
     if (recordCount * RECORD_BYTES > length) {
       throw new MalformedFrameException(
           recordCount + " records do not fit in " + length + " bytes");
     }
-    if (length > Integer.MAX_VALUE - 8) {
-      throw new MalformedFrameException("a frame of " + length + " bytes is too long");
+    if (length > MAX_LENGTH) {
+      throw new MalformedFrameException(
+          "a frame of " + length + " bytes is longer than " + MAX_LENGTH);
     }
     byte[] bytes = in.readNBytes((int) length);
     if (bytes.length < length) {
@@ -51,15 +67,21 @@
         clockNanos, (int) recordCount, ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN));
   }
 
-  /** The record at this place, its code at byte 0. */
+  /** The record of this index. */
   ByteBuffer record(int index) {
     return body.slice(index * RECORD_BYTES, RECORD_BYTES).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  /** The part of the tail that a record's field at this byte names, its length counted in units. */
+  /**
+   * The part of the tail that a field of a record refers to.
+   *
+   * @param record that refers to the tail
+   * @param field offset of the field, which holds the part's offset and its length in units
+   * @param unit length of a unit in bytes
+   */
   ByteBuffer tail(ByteBuffer record, int field, int unit) throws MalformedFrameException {
     long offset = Integer.toUnsignedLong(record.getInt(field));
-    long length = Integer.toUnsignedLong(record.getInt(field + 4)) * unit;
+    long length = Integer.toUnsignedLong(record.getInt(field + Integer.BYTES)) * unit;
     int start = recordCount * RECORD_BYTES;
     if (offset + length > body.capacity() - start) {
       throw new MalformedFrameException(
@@ -68,6 +90,7 @@
     return body.slice(start + (int) offset, (int) length).order(ByteOrder.LITTLE_ENDIAN);
   }
 
+  /** Decodes UTF-8. */
   static String text(ByteBuffer bytes) {
     return StandardCharsets.UTF_8.decode(bytes).toString();
   }
--- a/router/src/main/java/tamarindroute/wirehost/MalformedFrameException.java
+++ b/router/src/main/java/tamarindroute/wirehost/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** What was read is not a frame of the wire. */
+/** The input is not in the simulator's wire format. */
 public final class MalformedFrameException extends IOException {
 
   private static final long serialVersionUID = 1L;
--- a/router/src/main/java/tamarindroute/wirehost/SimulatedGateway.java
+++ b/router/src/main/java/tamarindroute/wirehost/SimulatedGateway.java
@@ -2,19 +2,14 @@
 
 import java.nio.ByteBuffer;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Decision;
 import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.Outcome;
-import tamarindroute.decision.Outcome.Detail;
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.Purge;
 import tamarindroute.decision.Request;
@@ -23,38 +18,40 @@
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.settings.SettingsReader;
 
-/** One gateway: its views in hand, its timers and the ids at its door. It decides nothing. */
+/**
+ * One gateway of the simulator: its caches, pending requests and timers. Turns events into calls of
+ * the routing policy, and the policy's decisions into actions.
+ */
 final class SimulatedGateway {
 
-  /** A view in hand, or one that is over with trips still out. */
-  private static final class PendingRequest {
-    final int requestId;
-    final Request request;
-    int attemptsInFlight;
-    int timerGeneration;
-    boolean finished;
-
-    PendingRequest(int requestId, Request request) {
-      this.requestId = requestId;
-      this.request = request;
-    }
-  }
-
+  /**
+   * The cookie of the timer for another request of the list of caches; no request's timer has it.
+   */
   private static final long LIST_TIMER_COOKIE = 1L << 62;
-  private static final Detail[] DETAILS = Detail.values();
+
+  /** A broken subscription is renewed after this part of the time that the settings allow. */
+  private static final int LIST_REQUEST_DIVISOR = 4;
 
   private final int instance;
   private final long openedNanos;
-  private final int parentKind;
-  private final int originKind;
   private final Duration listRequestInterval;
   private final List<RequestClass> requestClasses;
-  private final List<String> reportFields;
+  private final LoadReportDecoder loadReports;
   private final RoutingPolicy policy;
   private final ActionWriter actions;
-  private final Map<Integer, PendingRequest> pendingRequests = new HashMap<>();
-  private final TreeMap<Long, Cache> caches = new TreeMap<>();
-
+  private final Map<Integer, SimulatedRequest> pendingRequests = new HashMap<>();
+  private final SimulatedCaches caches;
+
+  /**
+   * Starts a gateway.
+   *
+   * @param instance its number
+   * @param openedNanos the clock time, which is the zero of the policy's times
+   * @param settings of the gateway
+   * @param policy that decides for this gateway alone
+   * @param actions that decisions are written to
+   * @throws MalformedSettingsException if a setting is unusable
+   */
   SimulatedGateway(
       int instance,
       long openedNanos,
@@ -64,11 +61,10 @@
       throws MalformedSettingsException {
     this.instance = instance;
     this.openedNanos = openedNanos;
-    this.parentKind = settings.parentKind();
-    this.originKind = settings.originKind();
+    this.caches = new SimulatedCaches(settings, openedNanos);
     this.listRequestInterval = settings.subscribeWithin();
     this.requestClasses = settings.requestClasses();
-    this.reportFields = settings.reportFields();
+    this.loadReports = new LoadReportDecoder(settings.reportFields());
     this.policy = policy;
     this.actions = actions;
     if (settings.mustSubscribe()) {
@@ -76,167 +72,148 @@
     }
   }
 
-  void handleEvent(int code, ByteBuffer record, ByteBuffer list, long clock)
+  /**
+   * Handles an event other than the news of the list of caches.
+   *
+   * @param code of the event
+   * @param event of this instance
+   * @param clockNanos the clock time
+   */
+  void handleEvent(EventCode code, EventRecord event, long clockNanos)
       throws MalformedFrameException {
-    Duration now = Duration.ofNanos(clock - openedNanos);
+    Duration now = sinceOpened(clockNanos);
     switch (code) {
-      case 17 -> onEndpoints(record, list, clock, now);
-      case 18 -> onArrival(record, now);
-      case 19 -> onStarted(record);
-      case 20 -> onOutcome(record, now);
-      case 21 -> onClientGone(record);
-      case 22 -> onTimer(record.getLong(3), now);
-      case 23 -> onLoadReport(cache(record.getInt(3)), record, 17, now);
-      case 24 -> {}
-      case 26 -> onPurge(record, now);
-      default -> throw new MalformedFrameException("no open instance gets the event code " + code);
+      case ARRIVAL -> onArrival(event, now);
+      case STARTED -> onStarted(event);
+      case OUTCOME -> onOutcome(event, now);
+      case CLIENT_GONE -> onClientGone(event);
+      case TIMER -> onTimer(event.cookie(), now);
+      case HEALTH -> onLoadReport(caches.get(event.checkedCache()), event.healthLoadReport(), now);
+      case PURGE -> onPurge(event, now);
+      case PEER_MESSAGE -> {
+        // Gateways send each other nothing in the simulator.
+      }
+      case OPEN_INSTANCE, ENDPOINTS_CHANGED, CLOSE_INSTANCE, DEFINE_LIST ->
+          throw new IllegalArgumentException(code + " is not handled by the instance");
     }
   }
 
-  private void onEndpoints(ByteBuffer record, ByteBuffer list, long clock, Duration now)
+  private Duration sinceOpened(long clockNanos) {
+    return Duration.ofNanos(clockNanos - openedNanos);
+  }
+
+  /**
+   * A request for the list of caches has failed, or the subscription has broken: it is renewed
+   * later.
+   */
+  void onEndpointsFailed(long clockNanos) {
+    long retryNanos = listRequestInterval.toNanos() / LIST_REQUEST_DIVISOR;
+    actions.setTimer(instance, clockNanos + retryNanos, LIST_TIMER_COOKIE);
+  }
+
+  /**
+   * The list of caches has changed.
+   *
+   * @param kind of the list
+   * @param entries of the list
+   * @param clockNanos the clock time
+   */
+  void onEndpoints(EndpointListKind kind, ByteBuffer entries, long clockNanos)
       throws MalformedFrameException {
-    int listKind = record.get(7);
-    if (listKind == 3) {
-      // A broken subscription is asked for again well within the time that the settings allow.
-      actions.setTimer(instance, clock + listRequestInterval.toNanos() / 4, LIST_TIMER_COOKIE);
-      return;
-    }
-    if (listKind < 0 || listKind > 3) {
-      throw new MalformedFrameException("no list news is of the kind " + listKind);
-    }
-    Set<Cache> listed = new HashSet<>();
-    while (list.hasRemaining()) {
-      Cache cache = caches.computeIfAbsent(Integer.toUnsignedLong(list.getInt()), Cache::new);
-      cache.zone = Byte.toUnsignedInt(list.get());
-      int state = list.get();
-      if (state < 0 || state > 2) {
-        throw new MalformedFrameException("no cache has the availability " + state);
-      }
-      cache.availability =
-          switch (state) {
-            case 2 -> Cache.Availability.READY;
-            case 1 -> Cache.Availability.DRAINING;
-            default -> Cache.Availability.GONE;
-          };
-      cache.cell = Short.toUnsignedInt(list.getShort());
-      long startedNanos = list.getLong();
-      cache.startedAt = startedNanos == 0 ? null : Duration.ofNanos(startedNanos - openedNanos);
-      int kind = Byte.toUnsignedInt(list.get());
-      cache.tier =
-          kind == originKind
-              ? Cache.Tier.ORIGIN
-              : kind == parentKind ? Cache.Tier.PARENT : Cache.Tier.EDGE;
-      cache.weight = list.getFloat();
-      listed.add(cache);
-    }
-    if (listKind != 0) {
-      for (Cache cache : caches.values()) {
-        if (!listed.contains(cache)) {
-          cache.availability = Cache.Availability.GONE;
-        }
-      }
-    }
-    policy.onEndpoints(new ArrayList<>(caches.values()), now);
+    caches.update(entries, kind.isComplete());
+    policy.onEndpoints(caches.sorted(), sinceOpened(clockNanos));
   }
 
-  private void onArrival(ByteBuffer record, Duration now) throws MalformedFrameException {
-    int classIndex = Short.toUnsignedInt(record.getShort(7));
+  private void onArrival(EventRecord event, Duration now) throws MalformedFrameException {
+    int classIndex = event.classIndex();
     if (classIndex >= requestClasses.size()) {
-      throw new MalformedFrameException("no class stands at " + classIndex);
+      throw new MalformedFrameException(
+          "request class "
+              + classIndex
+              + " is not among the "
+              + requestClasses.size()
+              + " of the settings");
     }
     Request request =
         new Request(
             requestClasses.get(classIndex),
-            record.getLong(12),
-            (int) record.getFloat(28),
-            (int) record.getFloat(32),
-            record.getFloat(36),
+            event.objectId(),
+            event.part(),
+            event.group(),
+            event.kilobytes(),
             now,
-            now.plusNanos(record.getLong(20)));
-    PendingRequest arrived = new PendingRequest(record.getInt(3), request);
-    pendingRequests.put(arrived.requestId, arrived);
-    act(arrived, policy.route(request, now), now);
+            now.plus(event.timeLeft()));
+    SimulatedRequest pending = new SimulatedRequest(event.requestId(), request);
+    pendingRequests.put(pending.requestId, pending);
+    act(pending, policy.route(request, now), now);
   }
 
-  /** Writes an answer and sets the timer for the next question, if one is due. */
-  private void act(PendingRequest pending, Decision decision, Duration now) {
+  /**
+   * Writes the action for a decision, and sets a timer if the policy wants to decide again later.
+   */
+  private void act(SimulatedRequest pending, Decision decision, Duration now) {
     pending.timerGeneration++;
     if (decision instanceof Attempt attempt) {
-      attempt.sentAt = now;
-      pending.request.attempts.add(attempt);
-      pending.attemptsInFlight++;
-      actions.send(instance, pending.requestId, attempt);
+      send(pending, attempt, now);
     } else if (decision instanceof Decision.Cancel cancel) {
-      actions.cancel(
-          instance, pending.requestId, pending.request.attempts.indexOf(cancel.attempt()));
-    } else if (decision instanceof Decision.Reject dismissal) {
-      actions.reject(instance, pending.requestId, dismissal.retryAfter());
+      int attemptIndex = pending.request.attempts.indexOf(cancel.attempt());
+      actions.cancel(instance, pending.requestId, attemptIndex);
+    } else if (decision instanceof Decision.Reject reject) {
+      actions.reject(instance, pending.requestId, reject.retryAfter());
       finish(pending);
     } else if (decision instanceof Decision.Fail) {
       actions.fail(instance, pending.requestId);
       finish(pending);
     }
     if (!pending.finished) {
-      Duration delay = policy.nextDecisionDelay(pending.request, now);
-      if (delay != null) {
-        long cookie =
-            Integer.toUnsignedLong(pending.requestId) << 24 | pending.timerGeneration & 0xffffff;
-        actions.setTimer(instance, openedNanos + now.plus(delay).toNanos(), cookie);
-      }
+      setTimer(pending, now);
     }
   }
 
-  private void finish(PendingRequest pending) {
+  private void send(SimulatedRequest pending, Attempt attempt, Duration now) {
+    attempt.sentAt = now;
+    pending.request.attempts.add(attempt);
+    pending.attemptsInFlight++;
+    actions.send(instance, pending.requestId, attempt);
+  }
+
+  private void setTimer(SimulatedRequest pending, Duration now) {
+    Duration delay = policy.nextDecisionDelay(pending.request, now);
+    if (delay != null) {
+      actions.setTimer(instance, openedNanos + now.plus(delay).toNanos(), pending.timerCookie());
+    }
+  }
+
+  /** Completes the request, and forgets it once its last attempt has ended. */
+  private void finish(SimulatedRequest pending) {
     pending.finished = true;
     if (pending.attemptsInFlight == 0) {
       pendingRequests.remove(pending.requestId);
     }
   }
 
-  private void onStarted(ByteBuffer record) {
-    PendingRequest pending = pendingRequests.get(record.getInt(3));
+  /** The response has begun: no timer applies any more. */
+  private void onStarted(EventRecord event) {
+    SimulatedRequest pending = pendingRequests.get(event.requestId());
     if (pending != null) {
       pending.timerGeneration++;
     }
   }
 
-  private void onOutcome(ByteBuffer record, Duration now) throws MalformedFrameException {
-    PendingRequest pending = pendingRequests.get(record.getInt(3));
-    int attemptIndex = Byte.toUnsignedInt(record.get(7));
-    Result result =
-        switch (record.getShort(12)) {
-          case 10 -> Result.SERVED;
-          case 20 -> Result.FAILED;
-          case 30 -> Result.REJECTED;
-          case 40 -> Result.TIMED_OUT;
-          case 50 -> Result.CONNECT_FAILED;
-          case 60 -> Result.CONNECTION_LOST;
-          case 70 -> Result.CANCELLED;
-          case 80 -> Result.NOT_SENT;
-          case 90 -> Result.MISS;
-          default ->
-              throw new MalformedFrameException("no outcome has the code " + record.getShort(12));
-        };
-    onLoadReport(cache(record.getInt(8)), record, 35, now);
-    if (pending == null
-        || attemptIndex >= pending.request.attempts.size()
-        || pending.request.attempts.get(attemptIndex).outcome != null) {
+  private void onOutcome(EventRecord event, Duration now) throws MalformedFrameException {
+    Result result = event.result();
+    onLoadReport(caches.get(event.attemptedCache()), event.outcomeLoadReport(), now);
+    SimulatedRequest pending = pendingRequests.get(event.requestId());
+    Attempt attempt = pending == null ? null : pending.attemptInFlight(event.attemptIndex());
+    if (attempt == null) {
       return;
     }
-    int detail = record.getInt(23);
-    long sourceWait = record.getLong(27);
-    boolean closed = pending.finished || record.get(22) != 0;
-    Attempt attempt = pending.request.attempts.get(attemptIndex);
+    boolean completed = pending.finished || event.requestCompleted();
     attempt.outcome =
-        new Outcome(
-            result,
-            detail > 0 && detail < DETAILS.length ? DETAILS[detail] : Detail.UNKNOWN,
-            Duration.ofNanos(record.getLong(14)),
-            sourceWait == 0 ? null : Duration.ofNanos(sourceWait),
-            closed);
+        new Outcome(result, event.detail(), event.duration(), event.sourceWait(), completed);
     pending.attemptsInFlight--;
     Decision decision = policy.onOutcome(pending.request, attempt, now);
-    if (closed) {
+    if (completed) {
       pending.finished = true;
     }
     act(pending, decision, now);
@@ -245,8 +222,8 @@
     }
   }
 
-  private void onClientGone(ByteBuffer record) {
-    PendingRequest pending = pendingRequests.get(record.getInt(3));
+  private void onClientGone(EventRecord event) {
+    SimulatedRequest pending = pendingRequests.get(event.requestId());
     if (pending != null) {
       finish(pending);
     }
@@ -257,44 +234,21 @@
       actions.subscribeToList(instance);
       return;
     }
-    PendingRequest pending = pendingRequests.get((int) (cookie >>> 24));
-    if (pending != null
-        && !pending.finished
-        && (pending.timerGeneration & 0xffffff) == (cookie & 0xffffff)) {
+    SimulatedRequest pending = pendingRequests.get(SimulatedRequest.requestIdOf(cookie));
+    if (pending != null && !pending.finished && pending.isCurrentTimer(cookie)) {
       act(pending, policy.route(pending.request, now), now);
     }
   }
 
-  private void onPurge(ByteBuffer record, Duration now) {
-    long object = record.getLong(3);
-    policy.onPurge(
-        new Purge(
-            object == 0 ? null : object,
-            Short.toUnsignedInt(record.getShort(11)),
-            now.minusNanos(record.getLong(13))),
-        now);
+  private void onPurge(EventRecord event, Duration now) {
+    Duration issuedAt = now.minus(event.purgeAge());
+    policy.onPurge(new Purge(event.purgedObject(), event.purgedGroup(), issuedAt), now);
   }
 
-  private Cache cache(int id) throws MalformedFrameException {
-    Cache cache = caches.get(Integer.toUnsignedLong(id));
-    if (cache == null) {
-      throw new MalformedFrameException(
-          "no list has named the cache " + Integer.toUnsignedString(id));
+  private void onLoadReport(Cache cache, ByteBuffer bytes, Duration now) {
+    LoadReport report = loadReports.decode(bytes);
+    if (report != null) {
+      policy.onLoadReport(cache, report, now);
     }
-    return cache;
-  }
-
-  private void onLoadReport(Cache cache, ByteBuffer record, int at, Duration now) {
-    LoadReport loadReport =
-        new LoadReport(value(record, at, "utilization"), value(record, at, "outstanding"));
-    if (loadReport.hasValues()) {
-      policy.onLoadReport(cache, loadReport, now);
-    }
-  }
-
-  /** A value of the load report; not a number where it is not told. */
-  private double value(ByteBuffer record, int at, String name) {
-    int place = reportFields.indexOf(name);
-    return place < 0 || place >= record.get(at) ? Double.NaN : record.getFloat(at + 1 + 4 * place);
   }
 }
--- a/router/src/main/java/tamarindroute/wirehost/WireHost.java
+++ b/router/src/main/java/tamarindroute/wirehost/WireHost.java
@@ -14,78 +14,105 @@
 import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.settings.SettingsReader;
 
-/** Hosts many gateways on one pipe of the simulator's wire; they share nothing but the pipe. */
+/**
+ * Hosts many gateways of the simulator on one pipe: reads frames of events and writes a frame of
+ * actions for each. The gateways share nothing but the pipe.
+ */
 public final class WireHost {
 
+  private static final int PIPE_BUFFER_BYTES = 1 << 16;
+
+  /** Lists of caches that are defined at the same time, by their numbers. */
   private static final int LIST_SLOTS = 16;
-  private static final int LIST_ENTRY_BYTES = 21;
 
   private final Function<PolicySettings, RoutingPolicy> policyFactory;
   private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
   private final byte[][] lists = new byte[LIST_SLOTS][];
   private final ActionWriter actions = new ActionWriter();
 
+  /**
+   * Creates a host without gateways.
+   *
+   * @param policyFactory creates the policy of each gateway
+   */
   public WireHost(Function<PolicySettings, RoutingPolicy> policyFactory) {
     this.policyFactory = policyFactory;
   }
 
-  /** Answers every batch until the input ends. */
+  /**
+   * Answers frames until the input ends.
+   *
+   * @throws MalformedFrameException if the input is not in the simulator's format
+   * @throws IOException if the input or the output fails
+   */
   public void serve(InputStream input, OutputStream output) throws IOException {
-    InputStream in = new BufferedInputStream(input, 1 << 16);
-    OutputStream out = new BufferedOutputStream(output, 1 << 16);
+    InputStream in = new BufferedInputStream(input, PIPE_BUFFER_BYTES);
+    OutputStream out = new BufferedOutputStream(output, PIPE_BUFFER_BYTES);
     for (EventFrame frame = EventFrame.read(in); frame != null; frame = EventFrame.read(in)) {
       for (int i = 0; i < frame.recordCount; i++) {
-        dispatch(frame, frame.record(i));
+        dispatch(frame, new EventRecord(frame.record(i)));
       }
       actions.flush(out);
     }
   }
 
-  private void dispatch(EventFrame frame, ByteBuffer record) throws IOException {
-    int code = record.get(0);
-    if (code == 27) {
-      defineList(frame, record);
-      return;
-    }
-    if (code < 16 || code > 26) {
-      throw new MalformedFrameException(
-          "no event has the code " + Byte.toUnsignedInt(record.get(0)));
-    }
-    int instance = Short.toUnsignedInt(record.getShort(1));
-    if (code == 16) {
-      SettingsReader settings = SettingsReader.ofLines(EventFrame.text(frame.tail(record, 11, 1)));
-      PolicySettings gatewaySettings = settings.settings(record.getLong(3));
-      runGuarded(
-          instance,
-          () ->
-              gateways.put(
-                  instance,
-                  new SimulatedGateway(
-                      instance,
-                      frame.clockNanos,
-                      settings,
-                      policyFactory.apply(gatewaySettings),
-                      actions)));
-      return;
+  private void dispatch(EventFrame frame, EventRecord event) throws IOException {
+    EventCode code = event.code();
+    switch (code) {
+      case DEFINE_LIST -> defineList(frame, event);
+      case OPEN_INSTANCE -> open(frame, event);
+      case CLOSE_INSTANCE -> {
+        gateway(code, event);
+        gateways.remove(event.instance());
+      }
+      case ENDPOINTS_CHANGED -> changeEndpoints(frame, event, gateway(code, event));
+      default -> {
+        SimulatedGateway gateway = gateway(code, event);
+        runGuarded(event.instance(), () -> gateway.handleEvent(code, event, frame.clockNanos));
+      }
     }
-    SimulatedGateway gateway = gateways.get(instance);
+  }
+
+  private void open(EventFrame frame, EventRecord event) throws IOException {
+    int instance = event.instance();
+    SettingsReader settings = SettingsReader.ofLines(event.settings(frame));
+    PolicySettings policySettings = settings.settings(event.seed());
+    runGuarded(
+        instance,
+        () -> {
+          RoutingPolicy policy = policyFactory.apply(policySettings);
+          gateways.put(
+              instance,
+              new SimulatedGateway(instance, frame.clockNanos, settings, policy, actions));
+        });
+  }
+
+  private SimulatedGateway gateway(EventCode code, EventRecord event)
+      throws MalformedFrameException {
+    SimulatedGateway gateway = gateways.get(event.instance());
     if (gateway == null) {
       throw new MalformedFrameException(
-          "an event of code " + code + " for instance " + instance + ", which is not open");
+          "an event " + code + " is for instance " + event.instance() + ", which is not open");
     }
-    if (code == 25) {
-      gateways.remove(instance);
+    return gateway;
+  }
+
+  private void changeEndpoints(EventFrame frame, EventRecord event, SimulatedGateway gateway)
+      throws IOException {
+    EndpointListKind kind = event.listKind();
+    if (kind == EndpointListKind.FAILED) {
+      runGuarded(event.instance(), () -> gateway.onEndpointsFailed(frame.clockNanos));
       return;
     }
-    ByteBuffer list = code == 17 && record.get(7) != 3 ? list(record.getInt(3)) : null;
-    runGuarded(instance, () -> gateway.handleEvent(code, record, list, frame.clockNanos));
+    ByteBuffer entries = list(event.slot());
+    runGuarded(event.instance(), () -> gateway.onEndpoints(kind, entries, frame.clockNanos));
   }
 
   private interface EventStep {
     void run() throws IOException;
   }
 
-  /** A failure inside the decisions is declared for the instance, with its cause. */
+  /** Reports an exception in the policy to the simulator, with its cause, for the instance. */
   private void runGuarded(int instance, EventStep step) throws IOException {
     try {
       step.run();
@@ -95,12 +122,13 @@
     }
   }
 
-  private void defineList(EventFrame frame, ByteBuffer record) throws MalformedFrameException {
-    int slot = record.getInt(1);
+  private void defineList(EventFrame frame, EventRecord event) throws MalformedFrameException {
+    int slot = event.definedSlot();
     if (slot < 0 || slot >= LIST_SLOTS) {
-      throw new MalformedFrameException("no list has the number " + Integer.toUnsignedString(slot));
+      throw new MalformedFrameException(
+          "list number " + Integer.toUnsignedString(slot) + " is not below " + LIST_SLOTS);
     }
-    ByteBuffer entries = frame.tail(record, 5, LIST_ENTRY_BYTES);
+    ByteBuffer entries = event.definedEntries(frame);
     lists[slot] = new byte[entries.remaining()];
     entries.get(lists[slot]);
   }
--- a/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/SimulatorWireFormatTest.java
@@ -11,12 +11,12 @@
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
 
-/** The simulator's frames byte for byte. */
+/** The bytes of the simulator's frames. */
 class SimulatorWireFormatTest {
 
   private static final String PADDING = "00".repeat(40);
 
-  private final ActionWriter reply = new ActionWriter();
+  private final ActionWriter actions = new ActionWriter();
 
   /** A record written as its first bytes; the rest is zero. */
   private static String record(String start) {
@@ -26,26 +26,26 @@
 
   private String flushed() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    reply.flush(out);
+    actions.flush(out);
     return HexFormat.of().formatHex(out.toByteArray());
   }
 
   @Test
-  void actionsKeepTheirBytes() throws Exception {
+  void actionsKeepTheirFormat() throws Exception {
     Cache cache = new Cache(0x01020304L);
     Cache source = new Cache(0x0a0b0c0dL);
-    reply.send(7, -2, new Attempt(cache, cache, 0, null, true, false, null));
-    reply.send(
+    actions.send(7, -2, new Attempt(cache, cache, 0, null, true, false, null));
+    actions.send(
         7, 3, new Attempt(cache, source, 2, Duration.ofNanos(0x1122334455L), true, true, null));
-    reply.send(7, 3, new Attempt(cache, source, 0, Duration.ZERO, false, false, null));
-    reply.send(7, 3, new Attempt(cache, source, 0, null, false, true, null));
-    reply.cancel(7, 3, 200);
-    reply.reject(7, 3, Duration.ofMillis(500));
-    reply.reject(7, 3, null);
-    reply.fail(7, 3);
-    reply.setTimer(0x0107, 5_000_000_000L, 1L << 62);
-    reply.subscribeToList(7);
-    reply.reportFailure(7, "broken");
+    actions.send(7, 3, new Attempt(cache, source, 0, Duration.ZERO, false, false, null));
+    actions.send(7, 3, new Attempt(cache, source, 0, null, false, true, null));
+    actions.cancel(7, 3, 200);
+    actions.reject(7, 3, Duration.ofMillis(500));
+    actions.reject(7, 3, null);
+    actions.fail(7, 3);
+    actions.setTimer(0x0107, 5_000_000_000L, 1L << 62);
+    actions.subscribeToList(7);
+    actions.reportFailure(7, "broken");
     assertThat(flushed())
         .isEqualTo(
             "0b000000"
@@ -62,11 +62,11 @@
                 + record("5a 0700 01")
                 + record("59 0700 00000000 06000000")
                 + "62726f6b656e");
-    assertThat(flushed()).as("all begins anew").isEqualTo("0000000000000000");
+    assertThat(flushed()).as("the next frame is empty").isEqualTo("0000000000000000");
   }
 
   @Test
-  void eventFramesKeepTheirBytes() throws Exception {
+  void eventFramesKeepTheirFormat() throws Exception {
     String first = "11".repeat(11) + "02000000" + "03000000" + "22".repeat(37);
     String second = "33".repeat(56);
     byte[] bytes =
--- a/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
@@ -16,7 +16,7 @@
 import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.policy.RatioTestPolicy;
 
-/** The codec and the adapter, byte by byte, on one pipe. */
+/** The adapter on one pipe, with frames encoded and decoded by the test. */
 class WireHostTest {
 
   private static final String SETTINGS =
@@ -64,14 +64,14 @@
     count = 0;
   }
 
-  private void open(int instance, String env) {
-    byte[] text = env.getBytes(StandardCharsets.UTF_8);
+  private void open(int instance, String settings) {
+    byte[] text = settings.getBytes(StandardCharsets.UTF_8);
     add(record(16).putShort((short) instance).putLong(99).putInt(tail.size()).putInt(text.length));
     tail.writeBytes(text);
   }
 
   /** Each cache as {id, zone, state, kind}. */
-  private void list(int slot, int instance, int how, int[]... caches) {
+  private void list(int slot, int instance, int listKind, int[]... caches) {
     add(record(27).putInt(slot).putInt(tail.size()).putInt(caches.length));
     for (int[] cache : caches) {
       tail.writeBytes(
@@ -86,7 +86,7 @@
               .putFloat(4)
               .array());
     }
-    add(record(17).putShort((short) instance).putInt(slot).put((byte) how).putLong(1));
+    add(record(17).putShort((short) instance).putInt(slot).put((byte) listKind).putLong(1));
   }
 
   private void arrival(int instance, int request) {
@@ -123,7 +123,7 @@
     return ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
   }
 
-  /** The next reply's action records of 40 bytes; the tail is left out. */
+  /** The action records of the next reply, without its tail. */
   private static ByteBuffer[] reply(ByteBuffer out) {
     ByteBuffer[] actions = new ByteBuffer[out.getInt()];
     int length = out.getInt();
@@ -134,17 +134,17 @@
     return actions;
   }
 
-  /** Code, instance, request, source and cache. */
-  private static String shown(ByteBuffer trip) {
-    return trip.get(0)
+  /** Code, instance, request, source and cache of an action that sends an attempt. */
+  private static String describeSend(ByteBuffer action) {
+    return action.get(0)
         + " "
-        + trip.getShort(1)
+        + action.getShort(1)
         + " "
-        + trip.getInt(3)
+        + action.getInt(3)
         + " "
-        + trip.getInt(7)
+        + action.getInt(7)
         + " "
-        + trip.getInt(11);
+        + action.getInt(11);
   }
 
   @Test
@@ -163,11 +163,11 @@
     ByteBuffer out = serve(RatioTestPolicy::new);
     assertThat(reply(out)).isEmpty();
     assertThat(reply(out)).isEmpty();
-    ByteBuffer[] firstActions = reply(out);
-    assertThat(shown(firstActions[0])).isEqualTo("92 7 -2 11 11");
-    assertThat(firstActions[1].get(0)).isEqualTo((byte) 84);
+    ByteBuffer[] lookupActions = reply(out);
+    assertThat(describeSend(lookupActions[0])).isEqualTo("92 7 -2 11 11");
+    assertThat(lookupActions[1].get(0)).isEqualTo((byte) 84);
     ByteBuffer[] fillActions = reply(out);
-    assertThat(shown(fillActions[0])).isEqualTo("92 7 -2 12 11");
+    assertThat(describeSend(fillActions[0])).isEqualTo("92 7 -2 12 11");
     assertThat(fillActions[0].get(24)).isEqualTo((byte) 1);
     assertThat(reply(out)).isEmpty();
     assertThat(out.hasRemaining()).isFalse();
@@ -186,9 +186,9 @@
     arrival(7, 3);
     frame(START);
     ByteBuffer[] actions = reply(serve(RatioTestPolicy::new));
-    assertThat(shown(actions[0])).startsWith("81 7 1 ");
+    assertThat(describeSend(actions[0])).startsWith("81 7 1 ");
     assertThat(actions[1].getInt(11)).isEqualTo(21);
-    assertThat(shown(actions[actions.length - 1])).startsWith("81 7 3 ");
+    assertThat(describeSend(actions[actions.length - 1])).startsWith("81 7 3 ");
   }
 
   @Test
