--- a/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
+++ b/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
@@ -6,7 +6,6 @@
 import java.net.UnknownHostException;
 import java.time.Duration;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import tamarindroute.host.MonotonicClock;
 import tamarindroute.log.Log;
@@ -14,6 +13,7 @@
 import tamarindroute.members.wire.MemberMessageCodec;
 import tamarindroute.membership.Action;
 import tamarindroute.membership.Address;
+import tamarindroute.membership.LocalStatus;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 import tamarindroute.membership.Membership;
@@ -34,7 +34,7 @@
 
     default void onStateChanged(Member member, MemberState state) {}
 
-    default void onStatusChanged(Action.LocalStatus status) {}
+    default void onStatusChanged(LocalStatus status) {}
 
     /** What another shares; it is a member's, new and whole, and no more is known of it. */
     default void onFacts(Member from, byte[] bytes) {}
@@ -114,7 +114,7 @@
   }
 
   /** One's own condition at this very moment; asked before acting on what is held of others. */
-  public Action.LocalStatus localStatus() {
+  public LocalStatus localStatus() {
     return membership.localStatus(MonotonicClock.now());
   }
 
@@ -227,9 +227,7 @@
     if (action instanceof Action.Send sendAction) {
       send(sendAction.to(), MemberMessage.of(sendAction.message()));
     } else if (action instanceof Action.StateChanged stateChanged) {
-      Log.change(
-          "member",
-          stateChanged.member() + " " + stateChanged.state().name().toLowerCase(Locale.ROOT));
+      Log.change("member", stateChanged.member() + " " + describe(stateChanged.state()));
       listener.onStateChanged(stateChanged.member(), stateChanged.state());
     } else if (action instanceof Action.StatusChanged statusChanged) {
       Log.change("touch", describe(statusChanged.status()));
@@ -254,11 +252,24 @@
     }
   }
 
-  private static String describe(Action.LocalStatus state) {
-    String condition = state.connectivity().name().toLowerCase(Locale.ROOT).replace('_', ' ');
-    return state.connectivity() == Action.Connectivity.PAUSED
-        ? condition + " " + state.pausedFor().toMillis() + " ms"
-        : condition;
+  private static String describe(MemberState state) {
+    return switch (state) {
+      case JOINING -> "joining";
+      case ALIVE -> "alive";
+      case SUSPECT -> "suspect";
+      case FAULTY -> "away";
+      case LEFT -> "left";
+    };
+  }
+
+  private static String describe(LocalStatus status) {
+    return switch (status.connectivity()) {
+      case JOINING -> "joining";
+      case CONNECTED -> "in touch";
+      case PAUSED -> "paused " + status.pausedFor().toMillis() + " ms";
+      case ISOLATED -> "cut off";
+      case LEFT -> "left";
+    };
   }
 
   private void send(Address to, MemberMessage message) {
--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -106,7 +106,7 @@
         .forEach(member -> waits.put(member, QUIET_PERIOD));
     for (Member member : view.members()) {
       MemberState state = others.get(member);
-      if (state == MemberState.AWAY
+      if (state == MemberState.FAULTY
           || state == MemberState.LEFT
           || !latest.get(member.address()).equals(member)) {
         waits.put(member, QUIET_PERIOD);
--- a/members/src/main/java/tamarindroute/members/shares/QuotaGroup.java
+++ b/members/src/main/java/tamarindroute/members/shares/QuotaGroup.java
@@ -137,7 +137,7 @@
       told(
           from,
           switch (lease.kind()) {
-            case GIVE_BACK -> new LeaseMessage.Release(from, lease.requestNumber());
+            case RELEASE -> new LeaseMessage.Release(from, lease.requestNumber());
             case LEAVE -> new LeaseMessage.Leave(from, lease.requestNumber());
             default -> new LeaseMessage.Request(from, lease.requestNumber());
           });
@@ -173,10 +173,10 @@
         grant != null
             ? MemberMessage.LeaseKind.GRANT
             : message instanceof LeaseMessage.Release
-                ? MemberMessage.LeaseKind.GIVE_BACK
+                ? MemberMessage.LeaseKind.RELEASE
                 : message instanceof LeaseMessage.Leave
                     ? MemberMessage.LeaseKind.LEAVE
-                    : MemberMessage.LeaseKind.ASK;
+                    : MemberMessage.LeaseKind.REQUEST;
     return new MemberMessage.LeasePayload(
         quota.number(),
         kind,
--- a/members/src/main/java/tamarindroute/members/wire/MemberMessage.java
+++ b/members/src/main/java/tamarindroute/members/wire/MemberMessage.java
@@ -7,23 +7,33 @@
 import tamarindroute.membership.Message;
 
 /**
- * What one datagram says, read whole.
+ * Message between members; one fills a datagram.
  *
- * @param lowestVersion the lowest form level that its sender reads
- * @param highestVersion the highest
- * @param targetIncarnation the life it is meant for; 0 where the sender does not know it
+ * @param lowestVersion lowest schema version that the sender reads
+ * @param highestVersion highest schema version that the sender reads
+ * @param sender who sent it
+ * @param targetIncarnation incarnation of the receiver that it is meant for, 0 if unknown
+ * @param payload the contents
  */
 public record MemberMessage(
     int lowestVersion, int highestVersion, Member sender, long targetIncarnation, Payload payload) {
 
-  /** What it carries; one kind a letter. */
+  /** Contents of a message. */
   public sealed interface Payload
       permits MembershipPayload, FactsPayload, AgreementPayload, FeedEventsPayload, LeasePayload {}
 
-  /** Who is there; its sender and the life it is meant for are the letter's. */
+  /**
+   * Message of the membership protocol.
+   *
+   * @param message its sender and target incarnation are those of the member message
+   */
   public record MembershipPayload(Message message) implements Payload {}
 
-  /** What members share, in the form of whoever holds facts. */
+  /**
+   * Facts shared between members.
+   *
+   * @param bytes encoded by the package {@code facts}
+   */
   public record FactsPayload(byte[] bytes) implements Payload {
     @Override
     public boolean equals(Object other) {
@@ -36,7 +46,11 @@
     }
   }
 
-  /** A message of whoever keeps the agreed view. */
+  /**
+   * Fragment of a message of the agreement.
+   *
+   * @param bytes the fragment with its header
+   */
   public record AgreementPayload(byte[] bytes) implements Payload {
     @Override
     public boolean equals(Object other) {
@@ -50,36 +64,50 @@
   }
 
   /**
-   * What the control feed told.
+   * Events of the control feed.
    *
-   * @param lastNumber the number of the last event that the sender knows
-   * @param events in the order of their numbers; the receiver may lack them
+   * @param lastNumber number of the last event that the sender knows
+   * @param events events that the receiver may lack, with consecutive numbers
    */
   public record FeedEventsPayload(long lastNumber, List<FeedEvent> events) implements Payload {
+    /** Copies the events. */
     public FeedEventsPayload {
       events = List.copyOf(events);
     }
   }
 
-  /** One event of the feed, as its JSON; before is the CRC-32 of the one that came before it. */
+  /**
+   * One event of the control feed.
+   *
+   * @param number its number in the feed
+   * @param previousChecksum CRC-32 of the event before it
+   * @param json the event as compact JSON
+   */
   public record FeedEvent(long number, long previousChecksum, String json) {}
 
-  /** What a word about shares is. */
+  /** Kinds of lease messages. The schema has the same names with a prefix. */
   public enum LeaseKind {
-    ASK,
+    /** A holder asks for a lease. */
+    REQUEST,
+    /** The allocator grants a lease. */
     GRANT,
-    GIVE_BACK,
+    /** A holder uses nothing of what it requested any more. */
+    RELEASE,
+    /** A holder uses nothing any more and is about to end. */
     LEAVE,
+    /** Finds out whether anybody listens at an address. */
     PROBE
   }
 
   /**
-   * A word of a holder or a dealer of shares.
+   * Message between a holder of quota leases and their allocator.
    *
-   * @param quotaNumber which bound is shared
-   * @param holderIncarnation the holder's
-   * @param requestNumber of the holder's asking that it is about
-   * @param shareMillionths granted, in millionths, for so long
+   * @param quotaNumber number of the shared quota
+   * @param kind what it says
+   * @param holderIncarnation incarnation of the holder
+   * @param requestNumber number of the holder's request that it refers to
+   * @param shareMillionths the granted share, 0 except in a grant
+   * @param duration for how long it is granted, zero except in a grant
    */
   public record LeasePayload(
       int quotaNumber,
@@ -90,7 +118,7 @@
       Duration duration)
       implements Payload {}
 
-  /** Of this program's own form levels. */
+  /** A message with the schema versions of this program. */
   public static MemberMessage of(Member sender, long targetIncarnation, Payload payload) {
     return new MemberMessage(
         MemberMessageCodec.LOWEST_VERSION,
@@ -100,7 +128,7 @@
         payload);
   }
 
-  /** A message of the membership, which tells its sender itself. */
+  /** A message of the membership protocol. */
   public static MemberMessage of(Message message) {
     return of(message.from(), message.targetIncarnation(), new MembershipPayload(message));
   }
--- a/members/src/test/java/tamarindroute/members/MemberCluster.java
+++ b/members/src/test/java/tamarindroute/members/MemberCluster.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 import tamarindroute.host.EventLoop;
 import tamarindroute.members.agreed.AgreedViewService;
-import tamarindroute.membership.Action;
 import tamarindroute.membership.Address;
+import tamarindroute.membership.Connectivity;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 import tamarindroute.membership.MembershipSettings;
@@ -117,7 +117,7 @@
       return on(eventLoop, endpoint::self);
     }
 
-    Action.Connectivity connectivity() throws Exception {
+    Connectivity connectivity() throws Exception {
       return on(eventLoop, endpoint::localStatus).connectivity();
     }
 
@@ -250,7 +250,7 @@
           awaitTrue(() -> node.stateOf(other) == MemberState.ALIVE);
         }
       }
-      awaitTrue(() -> node.connectivity() == Action.Connectivity.IN_TOUCH);
+      awaitTrue(() -> node.connectivity() == Connectivity.CONNECTED);
     }
   }
 
--- a/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
@@ -92,7 +92,9 @@
         .anyMatch(fault -> fault.contains("hexadecimal"))
         .anyMatch(fault -> fault.contains("99999"))
         .anyMatch(fault -> fault.contains("a second way"))
-        .anyMatch(fault -> fault.contains("pause: a period"));
+        .anyMatch(
+            fault ->
+                fault.contains("tolerated pause PT0.1S is not allowed: at least a probe period"));
   }
 
   @Test
--- a/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
+++ b/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
@@ -29,7 +29,7 @@
       MemberCluster.Node killed = cluster.nodes.get(3);
       killed.kill();
       for (MemberCluster.Node node : cluster.nodes) {
-        MemberCluster.awaitTrue(() -> node.stateOf(killed) == MemberState.AWAY);
+        MemberCluster.awaitTrue(() -> node.stateOf(killed) == MemberState.FAULTY);
       }
       MemberCluster.Node restarted = cluster.start(3, 10, MemberCluster.KEY, Map.of());
       cluster.awaitAllConnected();
@@ -39,7 +39,7 @@
         for (MemberCluster.Node other : cluster.nodes) {
           if (node != other && other != restarted) {
             assertThat(node.reportedStates.get(other.self().address()))
-                .doesNotContain(MemberState.AWAY, MemberState.LEFT);
+                .doesNotContain(MemberState.FAULTY, MemberState.LEFT);
           }
         }
       }
@@ -59,7 +59,7 @@
         MemberCluster.awaitTrue(
             () -> node.reportedStates.get(leaving.self().address()).contains(MemberState.LEFT));
         assertThat(node.reportedStates.get(leaving.self().address()))
-            .doesNotContain(MemberState.AWAY, MemberState.SUSPECT);
+            .doesNotContain(MemberState.FAULTY, MemberState.SUSPECT);
       }
     }
   }
@@ -83,7 +83,7 @@
       TimeUnit.SECONDS.sleep(3);
       for (MemberCluster.Node node : cluster.nodes) {
         assertThat(node.reportedStates.values())
-            .allSatisfy(states -> assertThat(states).doesNotContain(MemberState.AWAY));
+            .allSatisfy(states -> assertThat(states).doesNotContain(MemberState.FAULTY));
       }
       proxy.blocked = false;
       cluster.awaitAllConnected();
--- a/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
@@ -58,7 +58,7 @@
     assertThat(view.members()).hasSize(51);
     // Found dead one after the other, a few each quarter of a second.
     for (int i = 1; i <= 30; i++) {
-      others.put(member(i, 1), i % 2 == 0 ? MemberState.AWAY : MemberState.LEFT);
+      others.put(member(i, 1), i % 2 == 0 ? MemberState.FAULTY : MemberState.LEFT);
       run(Duration.ofMillis(i % 5 == 0 ? 250 : 0));
     }
     run(Duration.ofSeconds(3));
@@ -122,7 +122,7 @@
         .isLessThanOrEqualTo(
             (int) (millis / ViewChangeBatcher.MIN_PROPOSAL_INTERVAL.toMillis()) + 1);
     others.replaceAll(
-        (one, state) -> one.incarnation() == 3 ? MemberState.ALIVE : MemberState.AWAY);
+        (one, state) -> one.incarnation() == 3 ? MemberState.ALIVE : MemberState.FAULTY);
     run(Duration.ofSeconds(70));
     List<Member> alive = new ArrayList<>(List.of(SELF));
     others.forEach(
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageCodecTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageCodecTest.java
@@ -23,7 +23,7 @@
 import tamarindroute.membership.Message;
 import tamarindroute.protocol.MalformedMessageException;
 
-/** Letters there and back, and what damage makes of them. */
+/** Round trips of member messages, and the decoding of damaged bytes. */
 class MemberMessageCodecTest {
 
   private static final Member SELF = new Member(new Address("127.0.0.1", 9001), 17);
@@ -40,7 +40,7 @@
     Arbitrary<MembershipUpdate> rumours =
         Combinators.combine(members, Arbitraries.of(MemberState.values()), numbers, addresses)
             .as(MembershipUpdate::new);
-    Arbitrary<MemberMessage> said =
+    Arbitrary<MemberMessage> membershipMessages =
         Combinators.combine(
                 Arbitraries.of(Message.Kind.values()),
                 members,
@@ -63,7 +63,7 @@
                     .map(ms -> Duration.ofMillis(ms)))
             .as(MemberMessage.LeasePayload::new);
     return Arbitraries.oneOf(
-        said,
+        membershipMessages,
         Combinators.combine(members, numbers, leases).as((m, n, l) -> MemberMessage.of(m, n, l)),
         Combinators.combine(members, numbers, bytes)
             .as((m, n, b) -> MemberMessage.of(m, n, new MemberMessage.FactsPayload(b))),
@@ -72,35 +72,32 @@
   }
 
   @Property(tries = 500, seed = "28")
-  void messagesSurviveARoundTrip(@ForAll("letters") MemberMessage message)
+  void messagesSurviveARoundTrip(@ForAll("messages") MemberMessage message)
       throws MalformedMessageException {
     assertThat(MemberMessageCodec.decode(MemberMessageCodec.encode(message))).isEqualTo(message);
   }
 
-  /**
-   * A damaged letter is refused, or is one within the same bounds, which can be written and read
-   * again.
-   */
+  /** What damaged bytes decode to, if anything, is within the same bounds. */
   @Property(tries = 2000, seed = "281")
   void damagedBytesAreRejectedOrDecodeWithinBounds(
-      @ForAll("letters") MemberMessage message,
-      @ForAll int place,
+      @ForAll("messages") MemberMessage message,
+      @ForAll int index,
       @ForAll byte flip,
       @ForAll boolean cut)
       throws MalformedMessageException {
     byte[] bytes = MemberMessageCodec.encode(message);
-    int at = Math.floorMod(place, bytes.length);
-    byte[] damaged = cut ? Arrays.copyOf(bytes, at) : bytes;
+    int damagedIndex = Math.floorMod(index, bytes.length);
+    byte[] damaged = cut ? Arrays.copyOf(bytes, damagedIndex) : bytes;
     if (!cut) {
-      damaged[at] ^= flip;
+      damaged[damagedIndex] ^= flip;
     }
     assertRejectedOrWithinBounds(damaged);
   }
 
   @Property(tries = 2000, seed = "282")
-  void randomBytesAreRejectedOrDecodeWithinBounds(@ForAll byte[] noise)
+  void randomBytesAreRejectedOrDecodeWithinBounds(@ForAll byte[] bytes)
       throws MalformedMessageException {
-    assertRejectedOrWithinBounds(noise);
+    assertRejectedOrWithinBounds(bytes);
   }
 
   private static void assertRejectedOrWithinBounds(byte[] bytes) throws MalformedMessageException {
@@ -116,22 +113,25 @@
 
   @Test
   void lastUpdatesAreLeftOutWhenTheMessageIsFull() throws MalformedMessageException {
-    Address far = new Address("fe80:1111:2222:3333:1234:5678:9abc:def0", 65_535);
-    List<MembershipUpdate> many =
+    Address longAddress = new Address("fe80:1111:2222:3333:1234:5678:9abc:def0", 65_535);
+    List<MembershipUpdate> longUpdates =
         Collections.nCopies(
             64,
             new MembershipUpdate(
-                new Member(far, Long.MAX_VALUE), MemberState.ALIVE, Long.MAX_VALUE, far));
+                new Member(longAddress, Long.MAX_VALUE),
+                MemberState.ALIVE,
+                Long.MAX_VALUE,
+                longAddress));
     byte[] bytes =
         MemberMessageCodec.encode(
-            MemberMessage.of(new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, many)));
+            MemberMessage.of(new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, longUpdates)));
     assertThat(bytes.length)
         .isBetween(
             MemberMessageCodec.MAX_MESSAGE_BYTES - 150, MemberMessageCodec.MAX_MESSAGE_BYTES);
     Message read =
         ((MemberMessage.MembershipPayload) MemberMessageCodec.decode(bytes).payload()).message();
-    assertThat(read.updates()).hasSizeBetween(30, 63).allMatch(many.get(0)::equals);
-    List<MembershipUpdate> near =
+    assertThat(read.updates()).hasSizeBetween(30, 63).allMatch(longUpdates.get(0)::equals);
+    List<MembershipUpdate> shortUpdates =
         Collections.nCopies(
             64,
             new MembershipUpdate(
@@ -139,15 +139,16 @@
                 MemberState.ALIVE,
                 1_000,
                 new Address("192.168.111.222", 65_535)));
-    Message all = new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, near);
+    Message allFit = new Message(Message.Kind.EXCHANGE, SELF, 0, 3, SELF, shortUpdates);
     assertThat(
-            MemberMessageCodec.decode(MemberMessageCodec.encode(MemberMessage.of(all))).payload())
-        .isEqualTo(new MemberMessage.MembershipPayload(all));
+            MemberMessageCodec.decode(MemberMessageCodec.encode(MemberMessage.of(allFit)))
+                .payload())
+        .isEqualTo(new MemberMessage.MembershipPayload(allFit));
   }
 
   @Test
   void everyBoundIsEnforced() throws Exception {
-    Envelope sound =
+    Envelope valid =
         Envelope.parseFrom(
             MemberMessageCodec.encode(
                 MemberMessage.of(
@@ -158,41 +159,41 @@
                         3,
                         SELF,
                         List.of(
-                            new MembershipUpdate(SELF, MemberState.AWAY, 1, SELF.address()))))));
-    MemberMessageCodec.decode(sound.toByteArray());
-    List<Envelope.Builder> wrong = new ArrayList<>();
-    wrong.add(sound.toBuilder().setLevel(2).setHighest(2));
-    wrong.add(sound.toBuilder().setLowest(2));
-    wrong.add(sound.toBuilder().setHighest(-1));
-    wrong.add(sound.toBuilder().clearSender());
-    wrong.add(sound.toBuilder().clearBody());
-    wrong.add(sound.toBuilder().setToBirth(-1));
+                            new MembershipUpdate(SELF, MemberState.FAULTY, 1, SELF.address()))))));
+    MemberMessageCodec.decode(valid.toByteArray());
+    List<Envelope.Builder> invalid = new ArrayList<>();
+    invalid.add(valid.toBuilder().setVersion(2).setHighestVersion(2));
+    invalid.add(valid.toBuilder().setLowestVersion(2));
+    invalid.add(valid.toBuilder().setHighestVersion(-1));
+    invalid.add(valid.toBuilder().clearSender());
+    invalid.add(valid.toBuilder().clearPayload());
+    invalid.add(valid.toBuilder().setTargetIncarnation(-1));
     for (String host : List.of("", "localhost", "bad", "127.0.0.1\n", "1".repeat(46) + ":")) {
-      wrong.add(changed(sound, envelope -> envelope.getSenderBuilder().setHost(host)));
+      invalid.add(changed(valid, envelope -> envelope.getSenderBuilder().setHost(host)));
     }
-    wrong.add(changed(sound, envelope -> envelope.getSenderBuilder().setPort(65_536)));
-    wrong.add(changed(sound, envelope -> envelope.getSenderBuilder().setBirth(-1)));
-    wrong.add(changed(sound, envelope -> envelope.getMembershipBuilder().setKindValue(99)));
-    wrong.add(changed(sound, envelope -> envelope.getMembershipBuilder().setKindValue(0)));
-    wrong.add(changed(sound, envelope -> envelope.getMembershipBuilder().setNumber(-1)));
-    wrong.add(
+    invalid.add(changed(valid, envelope -> envelope.getSenderBuilder().setPort(65_536)));
+    invalid.add(changed(valid, envelope -> envelope.getSenderBuilder().setIncarnation(-1)));
+    invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setKindValue(99)));
+    invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setKindValue(0)));
+    invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setRequestId(-1)));
+    invalid.add(
         changed(
-            sound,
-            envelope -> envelope.getMembershipBuilder().getRumoursBuilder(0).setStandingValue(6)));
-    wrong.add(
+            valid,
+            envelope -> envelope.getMembershipBuilder().getUpdatesBuilder(0).setStateValue(6)));
+    invalid.add(
         changed(
-            sound,
-            envelope -> envelope.getMembershipBuilder().getRumoursBuilder(0).setIncarnation(-1)));
-    wrong.add(
+            valid,
+            envelope -> envelope.getMembershipBuilder().getUpdatesBuilder(0).setRefutation(-1)));
+    invalid.add(
         changed(
-            sound,
-            envelope -> envelope.getMembershipBuilder().getRumoursBuilder(0).setObserverPort(0)));
-    wrong.add(
+            valid,
+            envelope -> envelope.getMembershipBuilder().getUpdatesBuilder(0).setObserverPort(0)));
+    invalid.add(
         changed(
-            sound, envelope -> envelope.getMembershipBuilder().getRumoursBuilder(0).clearAbout()));
-    for (Envelope.Builder one : wrong) {
-      assertThatThrownBy(() -> MemberMessageCodec.decode(one.build().toByteArray()))
-          .as(one.toString())
+            valid, envelope -> envelope.getMembershipBuilder().getUpdatesBuilder(0).clearMember()));
+    for (Envelope.Builder envelope : invalid) {
+      assertThatThrownBy(() -> MemberMessageCodec.decode(envelope.build().toByteArray()))
+          .as(envelope.toString())
           .isInstanceOf(MalformedMessageException.class);
     }
     assertThatThrownBy(
@@ -202,8 +203,8 @@
   }
 
   private static Envelope.Builder changed(
-      Envelope sound, java.util.function.Consumer<Envelope.Builder> change) {
-    Envelope.Builder changed = sound.toBuilder();
+      Envelope valid, java.util.function.Consumer<Envelope.Builder> change) {
+    Envelope.Builder changed = valid.toBuilder();
     change.accept(changed);
     return changed;
   }
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
@@ -36,13 +36,13 @@
         Map.ofEntries(
             Map.entry(Message.Kind.PROBE, "3205080110ac02"),
             Map.entry(Message.Kind.ACK, "3205080210ac02"),
-            Map.entry(Message.Kind.PROBE_FOR, "3205080310ac02"),
+            Map.entry(Message.Kind.INDIRECT_PROBE, "3205080310ac02"),
             Map.entry(Message.Kind.NACK, "3205080410ac02"),
             Map.entry(Message.Kind.JOIN, "3205080510ac02"),
             Map.entry(Message.Kind.WELCOME, "3205080610ac02"),
             Map.entry(Message.Kind.SUPERSEDED, "3205080710ac02"),
             Map.entry(Message.Kind.EXCHANGE, "3205080810ac02"),
-            Map.entry(Message.Kind.EXCHANGE_BACK, "3205080910ac02"),
+            Map.entry(Message.Kind.EXCHANGE_REPLY, "3205080910ac02"),
             Map.entry(Message.Kind.LEAVE, "3205080a10ac02"),
             Map.entry(Message.Kind.GOSSIP, "3205080b10ac02"));
     for (Message.Kind kind : Message.Kind.values()) {
--- a/membership/src/main/java/tamarindroute/membership/Action.java
+++ b/membership/src/main/java/tamarindroute/membership/Action.java
@@ -1,48 +1,35 @@
 package tamarindroute.membership;
 
-import java.time.Duration;
-
-/** What is to be done after a step, in the order told. */
+/** What the caller has to do after a step; the actions of a step are performed in their order. */
 public sealed interface Action {
 
-  /** Send this; may be lost. */
+  /**
+   * Send a message; it may be lost.
+   *
+   * @param to the receiver's address
+   * @param message what to send
+   */
   record Send(Address to, Message message) implements Action {}
 
-  /** Another member's standing is a new one here. */
+  /**
+   * The state of another member has changed in the local table.
+   *
+   * @param member the other member
+   * @param state its new state
+   */
   record StateChanged(Member member, MemberState state) implements Action {}
 
-  /** One's own condition is a new one. */
-  record StatusChanged(LocalStatus status) implements Action {}
-
   /**
-   * It took a greater birth, as a later life than its own was here before; what it said before
-   * counts no more.
+   * The own connectivity has changed.
+   *
+   * @param status the new one
    */
-  record IncarnationRaised(Member self) implements Action {}
-
-  /** How one stands to the others. */
-  enum Connectivity {
-    JOINING,
-    IN_TOUCH,
-    PAUSED,
-    CUT_OFF,
-    LEFT
-  }
+  record StatusChanged(LocalStatus status) implements Action {}
 
   /**
-   * One's own condition.
+   * The own incarnation was raised, because others remember a later one at this address.
    *
-   * @param pausedFor for PAUSED: how long it did not run; else zero
+   * @param self this member from now on
    */
-  record LocalStatus(Connectivity connectivity, Duration pausedFor) {
-
-    static LocalStatus of(Connectivity condition) {
-      return new LocalStatus(condition, Duration.ZERO);
-    }
-
-    /** Whether what is held of the others may be acted on. */
-    public boolean isConnected() {
-      return connectivity == Connectivity.IN_TOUCH;
-    }
-  }
+  record IncarnationRaised(Member self) implements Action {}
 }
--- a/membership/src/main/java/tamarindroute/membership/Address.java
+++ b/membership/src/main/java/tamarindroute/membership/Address.java
@@ -1,6 +1,12 @@
 package tamarindroute.membership;
 
-/** Where a member is told to be found; the same words at every member, whatever way leads there. */
+/**
+ * Network address under which a member is known. All members use the same spelling of the host,
+ * whatever route leads there.
+ *
+ * @param host numeric IPv4 or IPv6 address
+ * @param port UDP port
+ */
 public record Address(String host, int port) implements Comparable<Address> {
 
   @Override
--- a/membership/src/main/java/tamarindroute/membership/FailureDetector.java
+++ b/membership/src/main/java/tamarindroute/membership/FailureDetector.java
@@ -6,67 +6,18 @@
 import java.util.Map;
 
 /**
- * Owns questions that are open: one's own probes, and those put for others. It must never accuse
- * anybody while this one is not answered by others, nor for an answer that had no time to be read.
+ * Probes other members directly and indirectly and reports those that do not answer. Reports nobody
+ * while this member itself is not answered by others.
  */
 final class FailureDetector {
 
-  /** At once, others' included: a member of 5,000 looks at a few suspects a second. */
+  /** Bound on the open probes, those on behalf of others included. */
   private static final int MAX_OPEN_PROBES = 64;
 
-  private static final class Probe {
-    final Member target;
-    final long id;
-    final long sentNanos;
+  /** A probe on behalf of another is sent twice, and given up after this stage. */
+  private static final int LAST_STAGE_ON_BEHALF = 2;
 
-    /** As it was held when it was asked: what came later is not what was asked. */
-    final long refutation;
-
-    long nextStageNanos;
-    int stage;
-    boolean nackReceived;
-
-    /** For whom, and its number there; null for one's own. */
-    final Member requester;
-
-    final long requesterProbeId;
-
-    Probe(
-        Member target,
-        long id,
-        long sentNanos,
-        long refutation,
-        Member requester,
-        long requesterProbeId) {
-      this.target = target;
-      this.id = id;
-      this.sentNanos = sentNanos;
-      this.refutation = refutation;
-      this.requester = requester;
-      this.requesterProbeId = requesterProbeId;
-    }
-
-    Probe copy() {
-      Probe copy = new Probe(target, id, sentNanos, refutation, requester, requesterProbeId);
-      copy.nextStageNanos = nextStageNanos;
-      copy.stage = stage;
-      copy.nackReceived = nackReceived;
-      return copy;
-    }
-
-    List<Object> stateKey(long idAge, long nowNanos) {
-      return List.of(
-          target,
-          idAge,
-          nowNanos - sentNanos,
-          refutation,
-          nextStageNanos - nowNanos,
-          stage,
-          nackReceived,
-          requester == null ? "" : requester,
-          requesterProbeId);
-    }
-  }
+  private static final long UNKNOWN = -1;
 
   private final StepContext context;
   private final OutboundMessages outbound;
@@ -74,8 +25,8 @@
   private final SuspicionTracker suspicions;
   private final Map<Long, Probe> openProbes = new LinkedHashMap<>();
 
-  /** When the first of them is due; -1 where that is to be found out again. */
-  private long earliestDueNanos = -1;
+  /** Cached result of {@link #nextDueNanos()}, or {@link #UNKNOWN}. */
+  private long earliestDueNanos = UNKNOWN;
 
   FailureDetector(
       StepContext context,
@@ -89,38 +40,38 @@
   }
 
   FailureDetector copy(
-      StepContext other,
+      StepContext otherContext,
       OutboundMessages otherOutbound,
       LocalHealthMonitor otherLocalHealth,
       SuspicionTracker otherSuspicions) {
     FailureDetector copy =
-        new FailureDetector(other, otherOutbound, otherLocalHealth, otherSuspicions);
+        new FailureDetector(otherContext, otherOutbound, otherLocalHealth, otherSuspicions);
     openProbes.forEach((id, probe) -> copy.openProbes.put(id, probe.copy()));
     return copy;
   }
 
   List<Object> stateKey(long nowNanos) {
     List<Object> key = new ArrayList<>();
-    openProbes
-        .values()
-        .forEach(probe -> key.add(probe.stateKey(context.requestIdAge(probe.id), nowNanos)));
+    for (Probe probe : openProbes.values()) {
+      key.add(probe.stateKey(context.requestIdAge(probe.id), nowNanos));
+    }
     return key;
   }
 
   void clear() {
     openProbes.clear();
-    earliestDueNanos = -1;
+    earliestDueNanos = UNKNOWN;
   }
 
-  /** Time in which this one did not run is nobody's silence. */
+  /** Moves all deadlines by a time in which this process did not run. */
   void postpone(long delayNanos) {
     if (delayNanos > 0) {
       openProbes.values().forEach(probe -> probe.nextStageNanos += delayNanos);
-      earliestDueNanos = -1;
+      earliestDueNanos = UNKNOWN;
     }
   }
 
-  /** The first moment at which something is due; far away for none. */
+  /** When the first probe enters its next stage; {@link Long#MAX_VALUE} if none is open. */
   long nextDueNanos() {
     if (earliestDueNanos < 0) {
       earliestDueNanos = Long.MAX_VALUE;
@@ -131,59 +82,65 @@
     return earliestDueNanos;
   }
 
+  /** Starts a probe, unless an own one of the same member is open. */
   void probe(MemberEntry entry) {
     boolean alreadyProbing =
         openProbes.values().stream()
-            .anyMatch(probe -> probe.requester == null && probe.target.equals(entry.member));
+            .anyMatch(probe -> probe.isOwn() && probe.target.equals(entry.member));
     if (!alreadyProbing) {
-      startProbe(entry, null, 0);
+      start(entry, null, 0);
     }
   }
 
-  void probeOnBehalf(Member target, Member requester, long requesterProbeId) {
-    MemberEntry entry = context.memberTable.find(target);
+  /** Starts the probe that an {@link Message.Kind#INDIRECT_PROBE} asks for. */
+  void onIndirectProbe(Message message) {
+    MemberEntry entry = context.memberTable.find(message.subject());
     if (entry != null) {
-      startProbe(entry, requester, requesterProbeId);
+      start(entry, message.from(), message.requestId());
     }
   }
 
-  private void startProbe(MemberEntry target, Member requester, long requesterProbeId) {
+  private void start(MemberEntry target, Member requester, long requesterProbeId) {
     if (openProbes.size() >= MAX_OPEN_PROBES) {
       return;
     }
-    Probe probe =
-        new Probe(
-            target.member,
-            context.nextRequestId(),
-            context.nowNanos,
-            target.refutation,
-            requester,
-            requesterProbeId);
+    long id = context.nextRequestId();
+    Probe probe = new Probe(target, id, context.nowNanos, requester, requesterProbeId);
+    scheduleNextStage(probe);
+    openProbes.put(id, probe);
+    earliestDueNanos = UNKNOWN;
+    sendProbe(probe);
+  }
+
+  private void scheduleNextStage(Probe probe) {
     probe.nextStageNanos = context.nowNanos + context.healthScore.stageNanos();
-    openProbes.put(probe.id, probe);
-    earliestDueNanos = -1;
-    outbound.send(Message.Kind.PROBE, target.member, probe.id, context.self);
   }
 
+  private void sendProbe(Probe probe) {
+    outbound.send(Message.Kind.PROBE, probe.target, probe.id);
+  }
+
+  /** Takes all probes to their next stage for which it is time. */
   void advanceDueProbes() {
     if (context.nowNanos < nextDueNanos()) {
       return;
     }
-    earliestDueNanos = -1;
+    earliestDueNanos = UNKNOWN;
     for (Probe probe : List.copyOf(openProbes.values())) {
       if (probe.nextStageNanos <= context.nowNanos) {
         probe.stage++;
-        if (probe.requester == null) {
-          advance(probe);
+        if (probe.isOwn()) {
+          advanceOwn(probe);
         } else {
           advanceOnBehalf(probe);
         }
-        probe.nextStageNanos = context.nowNanos + context.healthScore.stageNanos();
+        scheduleNextStage(probe);
       }
     }
   }
 
-  private void advance(Probe probe) {
+  /** Probes again, directly and through others; in the last stage only waits. */
+  private void advanceOwn(Probe probe) {
     if (probe.stage >= HealthScore.PROBE_STAGES) {
       openProbes.remove(probe.id);
       onFailure(probe);
@@ -195,24 +152,20 @@
       return;
     }
     if (probe.stage < HealthScore.PROBE_STAGES - 1) {
-      outbound.send(Message.Kind.PROBE, probe.target, probe.id, context.self);
-      for (MemberEntry other :
-          context.memberTable.randomAlive(
-              context.settings.indirectProbes(), entry, context.random)) {
-        outbound.send(Message.Kind.PROBE_FOR, other.member, probe.id, probe.target);
+      sendProbe(probe);
+      int helpers = context.settings.indirectProbes();
+      for (MemberEntry helper : context.memberTable.randomAlive(helpers, entry, context.random)) {
+        outbound.send(Message.Kind.INDIRECT_PROBE, helper.member, probe.id, probe.target);
       }
     }
   }
 
-  /**
-   * Twice, then once more is listened; whoever asked hears after the first that this one at least
-   * is there.
-   */
+  /** Probes once more, and tells the requester that at least this member is alive. */
   private void advanceOnBehalf(Probe probe) {
     if (probe.stage == 1) {
-      outbound.send(Message.Kind.PROBE, probe.target, probe.id, context.self);
+      sendProbe(probe);
       outbound.send(Message.Kind.NACK, probe.requester, probe.requesterProbeId, probe.target);
-    } else if (probe.stage > 2) {
+    } else if (probe.stage > LAST_STAGE_ON_BEHALF) {
       openProbes.remove(probe.id);
     }
   }
@@ -222,27 +175,31 @@
       context.healthScore.degrade();
     }
     MemberEntry entry = context.memberTable.find(probe.target);
-    // Only who is itself answered may accuse: else it is more likely that it is cut off.
-    boolean mayAccuse =
-        !context.settings.guards().localHealth()
-            || localHealth.statusAt(context.nowNanos).isConnected()
-                && localHealth.answeredWithin(
-                    context.nowNanos - probe.sentNanos + context.periodNanos);
-    if (entry != null && entry.isLive() && entry.refutation == probe.refutation && mayAccuse) {
+    boolean unchanged = entry != null && entry.isLive() && entry.refutation == probe.refutation;
+    if (unchanged && mayReport(probe)) {
       suspicions.report(entry, context.self.address());
     }
   }
 
+  /** A member that was not answered by anybody meanwhile is more likely isolated itself. */
+  private boolean mayReport(Probe probe) {
+    if (!context.settings.guards().localHealth()) {
+      return true;
+    }
+    long probeAgeNanos = context.nowNanos - probe.sentNanos;
+    return localHealth.statusAt(context.nowNanos).isConnected()
+        && localHealth.answeredWithin(probeAgeNanos + context.periodNanos);
+  }
+
   void onAck(Message message) {
     Probe probe = openProbes.get(message.requestId());
     if (probe == null || !probe.target.equals(message.subject())) {
       return;
     }
     openProbes.remove(message.requestId());
-    earliestDueNanos = -1;
-    if (probe.requester != null) {
-      outbound.send(
-          Message.Kind.ACK, probe.requester, probe.requesterProbeId, probe.target, List.of(), true);
+    earliestDueNanos = UNKNOWN;
+    if (!probe.isOwn()) {
+      outbound.send(Message.Kind.ACK, probe.requester, probe.requesterProbeId, probe.target);
       return;
     }
     if (probe.stage == 0) {
@@ -254,7 +211,7 @@
 
   void onNack(Message message) {
     Probe probe = openProbes.get(message.requestId());
-    if (probe != null && probe.requester == null && probe.target.equals(message.subject())) {
+    if (probe != null && probe.isOwn() && probe.target.equals(message.subject())) {
       probe.nackReceived = true;
       localHealth.recordAnswer();
     }
--- a/membership/src/main/java/tamarindroute/membership/GossipQueue.java
+++ b/membership/src/main/java/tamarindroute/membership/GossipQueue.java
@@ -7,18 +7,15 @@
 import java.util.TreeSet;
 
 /**
- * Owns what is still to be passed on: the least often sent first, of these the newest. It must
- * never grow past its bound, nor pass on what a later word about the same member has overtaken.
+ * Queue of membership updates awaiting dissemination, ordered by how often each was sent, of these
+ * the newest first. Bounded; drops the update sent most often when full.
  */
 final class GossipQueue {
 
-  /**
-   * Each is sent so many times the logarithm of the members: what is missed then is left to
-   * exchanges.
-   */
+  /** Each update is sent this often times the logarithm of the number of members. */
   private static final int TRANSMISSION_FACTOR = 3;
 
-  /** So many at once: a third of 5,000 members dying at one moment, told by two each. */
+  /** Holds a third of 5,000 members failing at once, each reported by two observers. */
   private static final int MAX_QUEUED_UPDATES = 4_096;
 
   private record QueuedUpdate(MembershipUpdate update, int timesSent, long sequence)
@@ -29,6 +26,14 @@
           ? Integer.compare(timesSent, other.timesSent)
           : Long.compare(other.sequence, sequence);
     }
+
+    Address address() {
+      return update.member().address();
+    }
+
+    QueuedUpdate sentOnceMore() {
+      return new QueuedUpdate(update, timesSent + 1, sequence);
+    }
   }
 
   private final TreeSet<QueuedUpdate> queue = new TreeSet<>();
@@ -44,7 +49,7 @@
 
   List<Object> stateKey() {
     List<Object> key = new ArrayList<>();
-    queue.forEach(item -> key.add(List.of(item.update, item.timesSent)));
+    queue.forEach(queued -> key.add(List.of(queued.update, queued.timesSent)));
     return key;
   }
 
@@ -53,20 +58,14 @@
   }
 
   /**
-   * Passes this on; earlier words about the same member stay only where both count: several
-   * observers' reports.
+   * Adds an update in place of earlier ones about the same member. Reports of the same suspicion by
+   * different observers are kept beside each other, as their number counts.
    */
   void enqueue(MembershipUpdate update) {
-    for (QueuedUpdate item :
-        List.copyOf(byAddress.getOrDefault(update.member().address(), List.of()))) {
-      boolean complementary =
-          item.update.state() == MemberState.SUSPECT
-              && update.state() == MemberState.SUSPECT
-              && item.update.member().equals(update.member())
-              && item.update.refutation() == update.refutation()
-              && !item.update.observer().equals(update.observer());
-      if (!complementary) {
-        remove(item);
+    Address address = update.member().address();
+    for (QueuedUpdate queued : List.copyOf(byAddress.getOrDefault(address, List.of()))) {
+      if (!isReportOfSameSuspicion(queued.update, update)) {
+        remove(queued);
       }
     }
     lastSequence++;
@@ -76,54 +75,70 @@
     }
   }
 
+  private static boolean isReportOfSameSuspicion(MembershipUpdate first, MembershipUpdate second) {
+    return first.state() == MemberState.SUSPECT
+        && second.state() == MemberState.SUSPECT
+        && first.member().equals(second.member())
+        && first.refutation() == second.refutation()
+        && !first.observer().equals(second.observer());
+  }
+
   void clear() {
     queue.clear();
     byAddress.clear();
   }
 
-  /** Drops one's own accusations, as whoever made them did not run. */
+  /** Drops the suspicions reported by this observer. */
   void dropReports(Address observer) {
-    for (QueuedUpdate item : List.copyOf(queue)) {
-      if (item.update.state() == MemberState.SUSPECT && item.update.observer().equals(observer)) {
-        remove(item);
+    for (QueuedUpdate queued : List.copyOf(queue)) {
+      MembershipUpdate update = queued.update;
+      if (update.state() == MemberState.SUSPECT && update.observer().equals(observer)) {
+        remove(queued);
       }
     }
   }
 
-  /** Up to so many to go with one message to one of so many members. */
+  /**
+   * Takes the updates for one message and counts them as sent.
+   *
+   * @param limit how many at most
+   * @param memberCount number of live members, which decides how often an update is sent
+   */
   List<MembershipUpdate> takeForMessage(int limit, int memberCount) {
     int maxTransmissions = TRANSMISSION_FACTOR * (int) Math.ceil(Math.log(memberCount + 2));
+    List<MembershipUpdate> updates = new ArrayList<>(limit);
+    for (QueuedUpdate queued : first(limit)) {
+      updates.add(queued.update);
+      remove(queued);
+      if (queued.timesSent + 1 < maxTransmissions) {
+        add(queued.sentOnceMore());
+      }
+    }
+    return updates;
+  }
+
+  private List<QueuedUpdate> first(int limit) {
     List<QueuedUpdate> selected = new ArrayList<>(limit);
-    for (QueuedUpdate item : queue) {
+    for (QueuedUpdate queued : queue) {
       if (selected.size() >= limit) {
         break;
       }
-      selected.add(item);
-    }
-    List<MembershipUpdate> updates = new ArrayList<>(selected.size());
-    for (QueuedUpdate item : selected) {
-      remove(item);
-      updates.add(item.update);
-      if (item.timesSent + 1 < maxTransmissions) {
-        add(new QueuedUpdate(item.update, item.timesSent + 1, item.sequence));
-      }
+      selected.add(queued);
     }
-    return updates;
+    return selected;
   }
 
-  private void add(QueuedUpdate item) {
-    queue.add(item);
-    byAddress
-        .computeIfAbsent(item.update.member().address(), address -> new ArrayList<>(1))
-        .add(item);
+  private void add(QueuedUpdate queued) {
+    queue.add(queued);
+    byAddress.computeIfAbsent(queued.address(), address -> new ArrayList<>(1)).add(queued);
   }
 
-  private void remove(QueuedUpdate item) {
-    queue.remove(item);
-    List<QueuedUpdate> ofSameMember = byAddress.get(item.update.member().address());
-    ofSameMember.remove(item);
+  private void remove(QueuedUpdate queued) {
+    queue.remove(queued);
+    List<QueuedUpdate> ofSameMember = byAddress.get(queued.address());
+    ofSameMember.remove(queued);
     if (ofSameMember.isEmpty()) {
-      byAddress.remove(item.update.member().address());
+      byAddress.remove(queued.address());
     }
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/HealthScore.java
+++ b/membership/src/main/java/tamarindroute/membership/HealthScore.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Owns how well one's own word is to be trusted (Lifeguard's local health) and how long answers
- * take. It must never shorten a wait below what was told at the start.
+ * Lifeguard's local health multiplier and the round trip estimate of RFC 6298; together they give
+ * the length of a probe's stages. A member in poor health waits longer before it suspects others.
  */
 final class HealthScore {
 
-  /** Lifeguard's bound: a member at its worst waits nine times as long. */
+  /** Bound of Lifeguard's multiplier: at most nine times the usual wait. */
   private static final int MAX_SCORE = 8;
 
-  /** A probe's stages; the last ends within a period. */
+  /** Stages of a probe; all of them fit into a period. */
   static final int PROBE_STAGES = 6;
 
   private final MembershipSettings settings;
@@ -19,10 +19,10 @@
   private final long maxStageNanos;
   private int score;
 
-  /** Smoothed round trip and its spread, as RFC 6298 has them; 0 where nothing is known. */
+  /** Smoothed round trip time and its mean deviation; 0 before the first measurement. */
   private long smoothedRoundTripNanos;
 
-  private long roundTripVariationNanos;
+  private long roundTripDeviationNanos;
 
   HealthScore(MembershipSettings settings) {
     this.settings = settings;
@@ -34,11 +34,11 @@
     HealthScore copy = new HealthScore(settings);
     copy.score = score;
     copy.smoothedRoundTripNanos = smoothedRoundTripNanos;
-    copy.roundTripVariationNanos = roundTripVariationNanos;
+    copy.roundTripDeviationNanos = roundTripDeviationNanos;
     return copy;
   }
 
-  /** Round trips by the wait that they lead to: in a small world all are the same. */
+  /** The round trip estimate only counts by the stage length that it leads to. */
   List<Object> stateKey() {
     return List.of(score, stageNanos());
   }
@@ -51,26 +51,25 @@
     score = settings.guards().localHealth() ? Math.min(MAX_SCORE, score + 1) : 0;
   }
 
+  /** 0 is healthy; greater is worse. */
   int score() {
     return score;
   }
 
   void recordRoundTrip(long roundTripNanos) {
-    roundTripVariationNanos =
-        smoothedRoundTripNanos == 0
-            ? roundTripNanos / 2
-            : (3 * roundTripVariationNanos + Math.abs(smoothedRoundTripNanos - roundTripNanos)) / 4;
-    smoothedRoundTripNanos =
-        smoothedRoundTripNanos == 0
-            ? roundTripNanos
-            : (7 * smoothedRoundTripNanos + roundTripNanos) / 8;
+    if (smoothedRoundTripNanos == 0) {
+      roundTripDeviationNanos = roundTripNanos / 2;
+      smoothedRoundTripNanos = roundTripNanos;
+      return;
+    }
+    long deviation = Math.abs(smoothedRoundTripNanos - roundTripNanos);
+    roundTripDeviationNanos = (3 * roundTripDeviationNanos + deviation) / 4;
+    smoothedRoundTripNanos = (7 * smoothedRoundTripNanos + roundTripNanos) / 8;
   }
 
-  /** How long one stage of a probe lasts. */
+  /** Length of one stage of a probe, never below the configured probe timeout. */
   long stageNanos() {
-    return Math.min(
-            maxStageNanos,
-            Math.max(minStageNanos, smoothedRoundTripNanos + 4 * roundTripVariationNanos))
-        * (1 + score);
+    long estimate = smoothedRoundTripNanos + 4 * roundTripDeviationNanos;
+    return Math.min(maxStageNanos, Math.max(minStageNanos, estimate)) * (1 + score);
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/JoinProtocol.java
+++ b/membership/src/main/java/tamarindroute/membership/JoinProtocol.java
@@ -1,37 +1,32 @@
 package tamarindroute.membership;
 
 import java.util.List;
+import java.util.function.Predicate;
 
 /**
- * Owns the way in: seeds, back-off, jitter and a budget of tries. It must never ask faster than the
- * budget has it.
+ * Asks seeds for admission, with exponential backoff, jitter and a bounded number of attempts. Once
+ * admitted it still contacts seeds that are not in the table, so that groups which formed apart
+ * merge.
  */
 final class JoinProtocol {
 
-  /**
-   * The first try's wait, doubled with each: half a period, as a seed that is there answers within
-   * one.
-   */
+  /** The first backoff is this part of a period; it doubles with each attempt. */
   private static final int FIRST_BACKOFF_DIVISOR = 2;
 
-  /**
-   * The longest wait: thirty periods, so that a thousand that wait for a seed put 33 questions a
-   * period to it.
-   */
+  /** The longest backoff: a thousand members ask a seed 33 times a period at most. */
   private static final int MAX_BACKOFF_PERIODS = 30;
 
-  /**
-   * Tries that may be had at once; one comes back every longest wait, whatever back-off would
-   * allow.
-   */
+  /** Keeps the doubled backoff from overflowing; the longest backoff is reached before. */
+  private static final int MAX_DOUBLINGS = 10;
+
+  /** Attempts that may be made in a row; one is added in each longest backoff. */
   private static final int MAX_ATTEMPT_TOKENS = 12;
 
-  /**
-   * Once in, a seed that is not known is asked every so many periods: islands that began apart
-   * meet.
-   */
+  /** Interval at which a member contacts an unknown seed. */
   private static final int SEED_CONTACT_PERIODS = 10;
 
+  private static final int JITTER_STEPS = 1_000;
+
   private final StepContext context;
   private final OutboundMessages outbound;
   private final LocalHealthMonitor localHealth;
@@ -52,13 +47,15 @@
     this.localHealth = localHealth;
     this.seeds = List.copyOf(seeds);
     this.nextAttemptNanos = context.nowNanos;
-    this.nextRefillNanos = context.nowNanos + MAX_BACKOFF_PERIODS * context.periodNanos;
+    this.nextRefillNanos = context.nowNanos + maxBackoffNanos();
     this.seedIndex = context.random.nextInt(seeds.size());
   }
 
   JoinProtocol copy(
-      StepContext other, OutboundMessages otherOutbound, LocalHealthMonitor otherLocalHealth) {
-    JoinProtocol copy = new JoinProtocol(other, otherOutbound, otherLocalHealth, seeds);
+      StepContext otherContext,
+      OutboundMessages otherOutbound,
+      LocalHealthMonitor otherLocalHealth) {
+    JoinProtocol copy = new JoinProtocol(otherContext, otherOutbound, otherLocalHealth, seeds);
     copy.attempts = attempts;
     copy.attemptTokens = attemptTokens;
     copy.nextRefillNanos = nextRefillNanos;
@@ -80,65 +77,69 @@
     return seeds.isEmpty() ? Long.MAX_VALUE : nextAttemptNanos;
   }
 
-  /** The way in begins anew, within the same budget. */
+  /** Starts over with the shortest backoff, within the attempts that are left. */
   void restart() {
     attempts = 0;
     nextAttemptNanos = context.nowNanos;
   }
 
   void runIfDue() {
-    if (!localHealth.isJoined() && (seeds.isEmpty() || seeds.stream().allMatch(context::isSelf))) {
-      // Nobody to ask: it is the first.
-      localHealth.joined();
+    if (!localHealth.isJoined() && seeds.stream().allMatch(context::isSelf)) {
+      // There is nobody to ask, so this member founds the group.
+      localHealth.onJoined();
     }
     if (context.nowNanos < nextAttemptNanos || seeds.isEmpty()) {
       return;
     }
-    if (context.nowNanos >= nextRefillNanos) {
-      attemptTokens = Math.min(MAX_ATTEMPT_TOKENS, attemptTokens + 1);
-      nextRefillNanos = context.nowNanos + MAX_BACKOFF_PERIODS * context.periodNanos;
-    }
+    refillAttempts();
     if (localHealth.isJoined()) {
-      contactUnknownSeed();
+      contactNextSeed(this::isUnknown);
       nextAttemptNanos = context.nowNanos + withJitter(SEED_CONTACT_PERIODS * context.periodNanos);
     } else if (attemptTokens > 0) {
       attemptTokens--;
-      contactNextSeed();
-      nextAttemptNanos =
-          context.nowNanos
-              + withJitter(
-                  Math.min(
-                      MAX_BACKOFF_PERIODS * context.periodNanos,
-                      context.periodNanos / FIRST_BACKOFF_DIVISOR << Math.min(attempts, 10)));
+      contactNextSeed(seed -> true);
+      nextAttemptNanos = context.nowNanos + withJitter(backoffNanos());
       attempts++;
     } else {
       nextAttemptNanos = nextRefillNanos;
     }
   }
 
-  private void contactNextSeed() {
-    for (int i = 0; i < seeds.size(); i++) {
-      seedIndex = (seedIndex + 1) % seeds.size();
-      if (!context.isSelf(seeds.get(seedIndex))) {
-        outbound.sendJoin(seeds.get(seedIndex), context.nextRequestId());
-        return;
-      }
+  private void refillAttempts() {
+    if (context.nowNanos >= nextRefillNanos) {
+      attemptTokens = Math.min(MAX_ATTEMPT_TOKENS, attemptTokens + 1);
+      nextRefillNanos = context.nowNanos + maxBackoffNanos();
     }
   }
 
-  private void contactUnknownSeed() {
+  private long backoffNanos() {
+    long firstNanos = context.periodNanos / FIRST_BACKOFF_DIVISOR;
+    return Math.min(maxBackoffNanos(), firstNanos << Math.min(attempts, MAX_DOUBLINGS));
+  }
+
+  private long maxBackoffNanos() {
+    return MAX_BACKOFF_PERIODS * context.periodNanos;
+  }
+
+  /** Sends a request to the next seed, round robin, that satisfies the condition, if any. */
+  private void contactNextSeed(Predicate<Address> condition) {
     for (int i = 0; i < seeds.size(); i++) {
       seedIndex = (seedIndex + 1) % seeds.size();
-      MemberEntry entry = context.memberTable.find(seeds.get(seedIndex));
-      if (!context.isSelf(seeds.get(seedIndex)) && (entry == null || !entry.isLive())) {
-        outbound.sendJoin(seeds.get(seedIndex), context.nextRequestId());
+      Address seed = seeds.get(seedIndex);
+      if (!context.isSelf(seed) && condition.test(seed)) {
+        outbound.sendJoin(seed);
         return;
       }
     }
   }
 
-  /** From a half to the whole of it. */
+  private boolean isUnknown(Address seed) {
+    MemberEntry entry = context.memberTable.find(seed);
+    return entry == null || !entry.isLive();
+  }
+
+  /** A random duration between half of the given one and all of it. */
   private long withJitter(long spanNanos) {
-    return spanNanos / 2 + spanNanos / 2 * context.random.nextInt(1_000) / 1_000;
+    return spanNanos / 2 + spanNanos / 2 * context.random.nextInt(JITTER_STEPS) / JITTER_STEPS;
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
+++ b/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
@@ -2,106 +2,92 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 
 /**
- * Owns how one stands to the others: whether it ran when it should have, is answered, and is held
- * for alive. It must never take silence for news: whoever is not answered knows nothing of the
- * others.
+ * Judges the connectivity of this member: whether it ran when a step was due, is answered by
+ * others, and is regarded as alive by them. A member that is not answered knows nothing of the
+ * others and must not act on their silence.
  */
 final class LocalHealthMonitor {
 
-  /**
-   * A gap of a quarter of a period: longer than a collection of a small heap, shorter than a probe.
-   */
+  /** A step that is late by more than this part of a period counts as a pause. */
   private static final int PAUSE_THRESHOLD_DIVISOR = 4;
 
-  /**
-   * One that holds on to an old word may be at odds itself; two observers make a cut of the
-   * smallest memberships.
-   */
-  private static final int ISOLATION_ACCUSERS = 2;
-
-  private static final int MAX_ACCUSERS = 8;
+  /** One accuser may be wrong itself; in the smallest groups two observers declare a fault. */
+  private static final int ISOLATING_ACCUSERS = 2;
 
   /**
-   * Those on the far side of a cut ask each other every few periods; a teller counts for so many
-   * patiences.
+   * An accusation counts for this many silence timeouts: members on the far side of a partition ask
+   * each other only every few periods.
    */
   private static final int ACCUSATION_TIMEOUTS = 4;
 
-  /**
-   * A refutation gets around in little more than a period at 1,000 members; two, and it was not
-   * heard.
-   */
+  /** Periods after which a refutation should have reached everybody. */
   private static final int REFUTATION_PERIODS = 2;
 
+  private static final long NONE = -1;
+
   private final StepContext context;
+  private final Accusers accusers;
   private boolean joined;
   private boolean left;
 
-  /** How long it did not run, until a question put afterwards is answered; -1 for none. */
-  private long pausedForNanos = -1;
+  /** Length of the pause until something asked after it has been answered, or {@link #NONE}. */
+  private long pausedForNanos = NONE;
 
   private long lastAnswerNanos;
-  private long refutedNanos = -1;
-
-  /** Who still held an old accusation long after it was refuted, and when it was last heard. */
-  private final Map<Address, Long> accusers = new LinkedHashMap<>();
-
+  private long lastRefutedNanos = NONE;
   private long nextStepNanos;
-  private Action.LocalStatus lastReported = Action.LocalStatus.of(Action.Connectivity.JOINING);
+  private LocalStatus lastReported = LocalStatus.of(Connectivity.JOINING);
 
   LocalHealthMonitor(StepContext context) {
     this.context = context;
+    this.accusers = new Accusers();
     this.lastAnswerNanos = context.nowNanos;
   }
 
-  LocalHealthMonitor copy(StepContext other) {
-    LocalHealthMonitor copy = new LocalHealthMonitor(other);
-    copy.joined = joined;
-    copy.left = left;
-    copy.pausedForNanos = pausedForNanos;
-    copy.lastAnswerNanos = lastAnswerNanos;
-    copy.refutedNanos = refutedNanos;
-    copy.accusers.putAll(accusers);
-    copy.nextStepNanos = nextStepNanos;
-    copy.lastReported = lastReported;
-    return copy;
+  private LocalHealthMonitor(StepContext context, LocalHealthMonitor other) {
+    this.context = context;
+    accusers = other.accusers.copy();
+    joined = other.joined;
+    left = other.left;
+    pausedForNanos = other.pausedForNanos;
+    lastAnswerNanos = other.lastAnswerNanos;
+    lastRefutedNanos = other.lastRefutedNanos;
+    nextStepNanos = other.nextStepNanos;
+    lastReported = other.lastReported;
   }
 
-  /** Long past is long past. */
+  LocalHealthMonitor copy(StepContext otherContext) {
+    return new LocalHealthMonitor(otherContext, this);
+  }
+
+  /** Times are capped where more of them makes no difference, so that equal futures meet. */
   List<Object> stateKey(long nowNanos) {
-    long accusationTimeoutNanos = ACCUSATION_TIMEOUTS * silenceTimeoutNanos();
-    long pastNanos = silenceTimeoutNanos() + 1;
-    List<Object> key =
-        new ArrayList<>(
-            List.of(
-                joined,
-                left,
-                Math.min(pausedForNanos, accusationTimeoutNanos),
-                Math.min(pastNanos, nowNanos - lastAnswerNanos),
-                refutedNanos < 0 ? pastNanos : Math.min(pastNanos, nowNanos - refutedNanos),
-                lastReported.connectivity(),
-                nextStepNanos - nowNanos));
-    accusers.forEach(
-        (accuser, atNanos) -> {
-          if (nowNanos - atNanos <= accusationTimeoutNanos) {
-            key.add(List.of(accuser, nowNanos - atNanos));
-          }
-        });
+    long cappedNanos = silenceTimeoutNanos() + 1;
+    long refutedAgeNanos =
+        lastRefutedNanos == NONE ? cappedNanos : Math.min(cappedNanos, nowNanos - lastRefutedNanos);
+    List<Object> key = new ArrayList<>();
+    key.add(joined);
+    key.add(left);
+    key.add(Math.min(pausedForNanos, accusationTimeoutNanos()));
+    key.add(Math.min(cappedNanos, nowNanos - lastAnswerNanos));
+    key.add(refutedAgeNanos);
+    key.add(lastReported.connectivity());
+    key.add(nextStepNanos - nowNanos);
+    key.addAll(accusers.stateKey(accusationTimeoutNanos(), nowNanos));
     return key;
   }
 
-  /** How long it should have run by now and did not. */
+  /** How late the next step is by now. */
   long overdueNanos(long nowNanos) {
     return Math.max(0, nowNanos - nextStepNanos);
   }
 
-  void nextStepNanos(long atNanos) {
-    nextStepNanos = atNanos;
+  void setNextStepNanos(long dueNanos) {
+    nextStepNanos = dueNanos;
   }
 
   boolean isPaused(long nowNanos) {
@@ -110,21 +96,22 @@
   }
 
   /**
-   * Who is not in yet holds nothing that could be old: its stop must not keep others at the door,
-   * nor theirs it.
+   * Notes a pause. Before admission there is no state that could be outdated, and a paused seed
+   * would admit nobody, so that members which start together would keep each other out.
    */
-  void recordPause(long spanNanos) {
+  void recordPause(long lengthNanos) {
     if (joined) {
-      pausedForNanos = Math.max(pausedForNanos, spanNanos);
+      pausedForNanos = Math.max(pausedForNanos, lengthNanos);
     }
   }
 
+  /** Another member has answered a request of this one. */
   void recordAnswer() {
     lastAnswerNanos = context.nowNanos;
-    pausedForNanos = -1;
+    pausedForNanos = NONE;
   }
 
-  void joined() {
+  void onJoined() {
     joined = true;
     recordAnswer();
   }
@@ -133,7 +120,7 @@
     return joined;
   }
 
-  void left() {
+  void onLeft() {
     left = true;
   }
 
@@ -143,98 +130,93 @@
 
   void onNewIncarnation() {
     joined = false;
-    refutedNanos = -1;
+    lastRefutedNanos = NONE;
     accusers.clear();
   }
 
   void recordRefutation() {
-    refutedNanos = context.nowNanos;
+    lastRefutedNanos = context.nowNanos;
   }
 
-  /**
-   * Another still holds what was refuted; it counts once the refutation has had time to get around.
-   */
+  /** Another member still accuses this one of what it has refuted. */
   void recordAccusation(Address accuser) {
-    if (refutedNanos >= 0
-        && context.nowNanos - refutedNanos > REFUTATION_PERIODS * context.periodNanos) {
-      accusers.remove(accuser);
-      accusers.put(accuser, context.nowNanos);
-      if (accusers.size() > MAX_ACCUSERS) {
-        accusers.remove(accusers.keySet().iterator().next());
-      }
+    if (lastRefutedNanos != NONE
+        && context.nowNanos - lastRefutedNanos > REFUTATION_PERIODS * context.periodNanos) {
+      accusers.add(accuser, context.nowNanos);
     }
   }
 
-  /**
-   * Whoever holds one to be suspect or away says so with every message: this one no longer does.
-   */
+  /** A message of this member did not accuse this one; it would have if it still did. */
   void clearAccusation(Address sender) {
     accusers.remove(sender);
   }
 
-  /**
-   * One that held on to an old word, longest unheard: it is asked whether it still does. Null for
-   * none.
-   */
-  Address oldestAccuser() {
-    return accusers.isEmpty() ? null : accusers.keySet().iterator().next();
+  /** The accuser heard from least recently, to be asked again. */
+  Optional<Address> oldestAccuser() {
+    return accusers.oldest();
   }
 
-  /** While somebody holds an old word, one's own is said with every message. */
+  /** Whether somebody may still accuse this member, so that it has to repeat its refutation. */
   boolean isAccused(long nowNanos) {
-    return accusers.values().stream()
-            .anyMatch(atNanos -> nowNanos - atNanos <= ACCUSATION_TIMEOUTS * silenceTimeoutNanos())
-        || refutedNanos >= 0 && nowNanos - refutedNanos <= silenceTimeoutNanos();
+    boolean refutedLately =
+        lastRefutedNanos != NONE && nowNanos - lastRefutedNanos <= silenceTimeoutNanos();
+    return refutedLately || accusers.countWithin(accusationTimeoutNanos(), nowNanos) > 0;
   }
 
-  /** Whether something that was asked within so many periods has been answered. */
+  /** Whether another member has answered within this time. */
   boolean answeredWithin(long spanNanos) {
     return context.nowNanos - lastAnswerNanos <= spanNanos;
   }
 
-  /** Whether nobody is there to be asked: then silence says nothing. */
+  /** Whether there are no live members that could answer. */
   boolean isAlone() {
     return context.memberTable.liveEntries().isEmpty();
   }
 
-  Action.LocalStatus statusAt(long nowNanos) {
+  LocalStatus statusAt(long nowNanos) {
     if (left) {
-      return Action.LocalStatus.of(Action.Connectivity.LEFT);
+      return LocalStatus.of(Connectivity.LEFT);
+    }
+    if (isPaused(nowNanos)) {
+      return paused(overdueNanos(nowNanos));
     }
-    if (isPaused(nowNanos) || pausedForNanos >= 0) {
-      long spanNanos = isPaused(nowNanos) ? overdueNanos(nowNanos) : pausedForNanos;
-      return new Action.LocalStatus(Action.Connectivity.PAUSED, Duration.ofNanos(spanNanos));
+    if (pausedForNanos != NONE) {
+      return paused(pausedForNanos);
     }
     if (!joined) {
-      return Action.LocalStatus.of(Action.Connectivity.JOINING);
+      return LocalStatus.of(Connectivity.JOINING);
     }
-    return Action.LocalStatus.of(
-        isIsolated(nowNanos) ? Action.Connectivity.CUT_OFF : Action.Connectivity.IN_TOUCH);
+    return LocalStatus.of(isIsolated(nowNanos) ? Connectivity.ISOLATED : Connectivity.CONNECTED);
+  }
+
+  private static LocalStatus paused(long lengthNanos) {
+    return new LocalStatus(Connectivity.PAUSED, Duration.ofNanos(lengthNanos));
   }
 
   private boolean isIsolated(long nowNanos) {
     if (isAlone()) {
       return false;
     }
-    long currentAccusers =
-        accusers.values().stream()
-            .filter(atNanos -> nowNanos - atNanos <= ACCUSATION_TIMEOUTS * silenceTimeoutNanos())
-            .count();
     return nowNanos - lastAnswerNanos > silenceTimeoutNanos()
-        || currentAccusers >= ISOLATION_ACCUSERS;
+        || accusers.countWithin(accusationTimeoutNanos(), nowNanos) >= ISOLATING_ACCUSERS;
   }
 
-  /**
-   * The others wait so long at the least before they hold a silent one to be away: it knows before
-   * them.
-   */
+  /** No other member declares a silent one faulty sooner, so this member knows it before them. */
   private long silenceTimeoutNanos() {
     return context.settings.toleratedPause().toNanos() + context.periodNanos;
   }
 
-  /** Tells its condition where that is a new one; whether it has come back in touch. */
+  private long accusationTimeoutNanos() {
+    return ACCUSATION_TIMEOUTS * silenceTimeoutNanos();
+  }
+
+  /**
+   * Emits the connectivity if it has changed.
+   *
+   * @return whether it has just become {@link Connectivity#CONNECTED}
+   */
   boolean reportChange() {
-    Action.LocalStatus status = statusAt(context.nowNanos);
+    LocalStatus status = statusAt(context.nowNanos);
     if (status.connectivity() == lastReported.connectivity()) {
       return false;
     }
--- a/membership/src/main/java/tamarindroute/membership/Member.java
+++ b/membership/src/main/java/tamarindroute/membership/Member.java
@@ -1,8 +1,11 @@
 package tamarindroute.membership;
 
 /**
- * One life of a process at an address. A later life has a greater birth; it is proposed by whoever
- * starts and raised past any that others remember there, so that no clock has to be right.
+ * One incarnation of a process at an address.
+ *
+ * @param address where the process is reached
+ * @param incarnation greater for each restart at the address; a starting process proposes one and
+ *     raises it past any that others remember, so no clock has to be right
  */
 public record Member(Address address, long incarnation) {
 
--- a/membership/src/main/java/tamarindroute/membership/MemberEntry.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberEntry.java
@@ -3,28 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is held of one member; kept small, as there are thousands. */
+/** Mutable record of one member in the {@link MemberTable}; kept small, as there are thousands. */
 final class MemberEntry {
 
+  /** {@link #probeIndex} of an entry that is not live. */
+  static final int NOT_LIVE = -1;
+
   final Member member;
+
+  /** Position on the hash ring; the same at all members. */
   final int hash;
+
   MemberState state;
+
+  /** Greatest refutation number known of this incarnation. */
   long refutation;
 
-  /**
-   * When it came to this standing; put forward while this one itself did not run or was out of
-   * touch.
-   */
+  /** Start of the state; moved forward while this process itself was paused or isolated. */
   long stateSinceNanos;
 
-  /** Who told that it does not answer, in this incarnation; null but for a suspect. */
+  /** Observers that reported a suspect in this incarnation; null unless suspect. */
   List<Address> reporters;
 
-  /** Who told by its own word that it holds this suspect to be away already; null for none. */
+  /** Members that declared this suspect faulty at first hand; null if none did. */
   List<Address> faultyReporters;
 
-  /** Its place among those probed in turn; -1 where it is not. */
-  int probeIndex = -1;
+  /** Index in the table's list of live members. */
+  int probeIndex = NOT_LIVE;
 
   MemberEntry(Member member, MemberState state, long refutation, long stateSinceNanos) {
     this.member = member;
@@ -53,10 +58,19 @@
     return state == MemberState.ALIVE || state == MemberState.SUSPECT;
   }
 
-  /** What is said of it in an exchange and to itself; of a suspect with who told first. */
+  /** Whether this observer has reported the member as suspect. */
+  boolean isReportedBy(Address observer) {
+    return reporters != null && reporters.contains(observer);
+  }
+
+  /**
+   * The update that describes this entry.
+   *
+   * @param observer named as the source, except for a suspect, whose first reporter is named
+   */
   MembershipUpdate toUpdate(Address observer) {
-    return new MembershipUpdate(
-        member, state, refutation, state == MemberState.SUSPECT ? reporters.get(0) : observer);
+    Address source = state == MemberState.SUSPECT ? reporters.get(0) : observer;
+    return new MembershipUpdate(member, state, refutation, source);
   }
 
   List<Object> stateKey(long nowNanos) {
--- a/membership/src/main/java/tamarindroute/membership/MemberTable.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberTable.java
@@ -2,24 +2,37 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Owns who is remembered: one life an address, the latest. The live stand in a list that is walked
- * in turn and shuffled on the way. It must never hold more than the settings tell: the longest gone
- * are forgotten first.
+ * Table of the other members: the latest known incarnation for each address. Bounded; drops the
+ * member that has been gone longest when full.
+ *
+ * <p>Live members stand in a list that is probed round robin and shuffled while it is walked.
  */
 final class MemberTable {
 
+  /** Random picks give up after this many draws for each wanted member, plus a constant. */
+  private static final int DRAWS_PER_PICK = 4;
+
+  private static final int EXTRA_DRAWS = 8;
+
   private final int maxMembers;
   private final Map<Address, MemberEntry> entries = new LinkedHashMap<>();
   private final List<MemberEntry> liveEntries = new ArrayList<>();
   private final LinkedHashSet<Address> suspects = new LinkedHashSet<>();
+
+  /** Members that are faulty or have left, in the order in which they became so. */
   private final LinkedHashSet<Address> gone = new LinkedHashSet<>();
+
   private final LinkedHashSet<Address> joining = new LinkedHashSet<>();
+
+  /** Index in the live list of the member to be probed next. */
   private int probePosition;
 
   MemberTable(int maxMembers) {
@@ -40,16 +53,17 @@
   List<Object> stateKey(long nowNanos) {
     List<Object> key = new ArrayList<>(List.of(probePosition));
     entries.values().stream()
-        .sorted((a, b) -> a.member.address().compareTo(b.member.address()))
+        .sorted(Comparator.comparing(entry -> entry.member.address()))
         .forEach(entry -> key.add(entry.stateKey(nowNanos)));
     return key;
   }
 
+  /** The entry of whatever incarnation is remembered at this address, or null. */
   MemberEntry find(Address address) {
     return entries.get(address);
   }
 
-  /** The entry of this very life; null where it is unknown, or another life is remembered. */
+  /** The entry of exactly this incarnation, or null if it is unknown or another is remembered. */
   MemberEntry find(Member member) {
     MemberEntry entry = entries.get(member.address());
     return entry != null && entry.member.incarnation() == member.incarnation() ? entry : null;
@@ -59,7 +73,11 @@
     return entries.values();
   }
 
-  /** Takes up a life in place of any earlier one; null where there is no room. */
+  /**
+   * Adds a member in place of any earlier incarnation at its address.
+   *
+   * @return the new entry, or null if the table is full and nobody in it is gone
+   */
   MemberEntry admit(
       Member member,
       MemberState state,
@@ -68,16 +86,9 @@
       DeterministicRandom random) {
     MemberEntry previous = entries.get(member.address());
     if (previous != null) {
-      removeFromIndexes(previous);
-      removeFromProbeOrder(previous);
-      entries.remove(member.address());
-    } else if (entries.size() >= maxMembers) {
-      if (gone.isEmpty()) {
-        return null;
-      }
-      Address oldest = gone.iterator().next();
-      gone.remove(oldest);
-      entries.remove(oldest);
+      remove(previous);
+    } else if (entries.size() >= maxMembers && !removeLongestGone()) {
+      return null;
     }
     MemberEntry entry = new MemberEntry(member, state, refutation, nowNanos);
     entries.put(member.address(), entry);
@@ -85,6 +96,23 @@
     return entry;
   }
 
+  private void remove(MemberEntry entry) {
+    removeFromIndexes(entry);
+    removeFromLiveList(entry);
+    entries.remove(entry.member.address());
+  }
+
+  private boolean removeLongestGone() {
+    if (gone.isEmpty()) {
+      return false;
+    }
+    Address longestGone = gone.iterator().next();
+    gone.remove(longestGone);
+    entries.remove(longestGone);
+    return true;
+  }
+
+  /** Changes the state and forgets the reports of the previous one. */
   void setState(MemberEntry entry, MemberState state, long nowNanos, DeterministicRandom random) {
     removeFromIndexes(entry);
     entry.state = state;
@@ -98,19 +126,13 @@
     Address address = entry.member.address();
     switch (entry.state) {
       case JOINING -> joining.add(address);
-      case ALIVE, SUSPECT -> {
-        if (entry.probeIndex < 0) {
-          liveEntries.add(entry);
-          entry.probeIndex = liveEntries.size() - 1;
-          swap(
-              entry.probeIndex, probePosition + random.nextInt(liveEntries.size() - probePosition));
-        }
-        if (entry.state == MemberState.SUSPECT) {
-          suspects.add(address);
-        }
+      case ALIVE -> addToLiveList(entry, random);
+      case SUSPECT -> {
+        addToLiveList(entry, random);
+        suspects.add(address);
       }
-      case AWAY, LEFT -> {
-        removeFromProbeOrder(entry);
+      case FAULTY, LEFT -> {
+        removeFromLiveList(entry);
         gone.add(address);
       }
     }
@@ -123,8 +145,17 @@
     joining.remove(address);
   }
 
-  private void removeFromProbeOrder(MemberEntry entry) {
-    if (entry.probeIndex < 0) {
+  private void addToLiveList(MemberEntry entry, DeterministicRandom random) {
+    if (entry.probeIndex != MemberEntry.NOT_LIVE) {
+      return;
+    }
+    liveEntries.add(entry);
+    entry.probeIndex = liveEntries.size() - 1;
+    swap(entry.probeIndex, randomUnprobedIndex(random));
+  }
+
+  private void removeFromLiveList(MemberEntry entry) {
+    if (entry.probeIndex == MemberEntry.NOT_LIVE) {
       return;
     }
     if (entry.probeIndex < probePosition) {
@@ -133,7 +164,11 @@
     }
     swap(entry.probeIndex, liveEntries.size() - 1);
     liveEntries.remove(liveEntries.size() - 1);
-    entry.probeIndex = -1;
+    entry.probeIndex = MemberEntry.NOT_LIVE;
+  }
+
+  private int randomUnprobedIndex(DeterministicRandom random) {
+    return probePosition + random.nextInt(liveEntries.size() - probePosition);
   }
 
   private void swap(int firstIndex, int secondIndex) {
@@ -146,49 +181,52 @@
   }
 
   /**
-   * The next in turn: each is met once before any is met again, in an order drawn anew each time
-   * around.
+   * The next live member round robin. Each is returned once before any is returned again, in an
+   * order that is shuffled anew for each round.
    */
-  MemberEntry nextToProbe(DeterministicRandom random) {
+  Optional<MemberEntry> nextToProbe(DeterministicRandom random) {
     if (liveEntries.isEmpty()) {
-      return null;
+      return Optional.empty();
     }
-    probePosition = probePosition >= liveEntries.size() ? 0 : probePosition;
-    swap(probePosition, probePosition + random.nextInt(liveEntries.size() - probePosition));
-    return liveEntries.get(probePosition++);
+    if (probePosition >= liveEntries.size()) {
+      probePosition = 0;
+    }
+    swap(probePosition, randomUnprobedIndex(random));
+    MemberEntry next = liveEntries.get(probePosition);
+    probePosition++;
+    return Optional.of(next);
   }
 
-  /**
-   * The next one on the ring of all by hash, whom this one alone always probes; where it told
-   * already that one does not answer, the one behind. Null for none.
-   */
-  MemberEntry successor(int hash, Address self) {
+  /** The live member that follows a hash on the ring and is not reported by this observer yet. */
+  Optional<MemberEntry> successor(int hash, Address observer) {
     MemberEntry next = null;
     for (MemberEntry entry : liveEntries) {
-      boolean alreadyReported = entry.reporters != null && entry.reporters.contains(self);
-      if (!alreadyReported
-          && (next == null || Integer.compareUnsigned(entry.hash - hash, next.hash - hash) < 0)) {
+      if (entry.isReportedBy(observer)) {
+        continue;
+      }
+      if (next == null || Integer.compareUnsigned(entry.hash - hash, next.hash - hash) < 0) {
         next = entry;
       }
     }
-    return next;
+    return Optional.ofNullable(next);
   }
 
   /**
-   * Some that are held alive, at random, but this one; fewer where there are fewer or draws do not
-   * find them.
+   * Picks members that are alive and not suspect, at random.
+   *
+   * @param count how many at most; fewer are returned if there are fewer or draws miss them
+   * @param excluded never picked; null for none
    */
   List<MemberEntry> randomAlive(int count, MemberEntry excluded, DeterministicRandom random) {
     List<MemberEntry> chosen = new ArrayList<>(count);
-    int start = random.nextInt(liveEntries.size());
-    int maxDraws = Math.min(liveEntries.size(), 4 * count + 8);
+    int size = liveEntries.size();
+    int start = random.nextInt(size);
+    int maxDraws = Math.min(size, DRAWS_PER_PICK * count + EXTRA_DRAWS);
+    // Random draws would miss some of a short list, so that one is walked instead.
+    boolean walk = size <= maxDraws;
     for (int i = 0; i < maxDraws && chosen.size() < count; i++) {
-      // Few are walked in order, as draws would miss some; of many each is drawn.
-      MemberEntry entry =
-          liveEntries.get(
-              liveEntries.size() <= maxDraws
-                  ? (start + i) % liveEntries.size()
-                  : random.nextInt(liveEntries.size()));
+      int index = walk ? (start + i) % size : random.nextInt(size);
+      MemberEntry entry = liveEntries.get(index);
       if (entry != excluded && entry.state == MemberState.ALIVE && !chosen.contains(entry)) {
         chosen.add(entry);
       }
@@ -196,37 +234,40 @@
     return chosen;
   }
 
-  /**
-   * One that is away, each in its turn; null for none. Those that left in order are not looked for.
-   */
-  MemberEntry randomFaulty(DeterministicRandom random) {
+  /** Picks a faulty member at random; members that left in order are not picked. */
+  Optional<MemberEntry> randomFaulty(DeterministicRandom random) {
     int skip = random.nextInt(gone.size());
     MemberEntry found = null;
     for (Address address : gone) {
       MemberEntry entry = entries.get(address);
-      found = entry.state == MemberState.AWAY && (found == null || skip >= 0) ? entry : found;
+      if (entry.state == MemberState.FAULTY && (found == null || skip >= 0)) {
+        found = entry;
+      }
       skip--;
     }
-    return found;
+    return Optional.ofNullable(found);
   }
 
   List<MemberEntry> suspects() {
-    List<MemberEntry> result = new ArrayList<>(suspects.size());
-    suspects.forEach(address -> result.add(entries.get(address)));
-    return result;
+    return entriesOf(suspects);
   }
 
   List<MemberEntry> joining() {
-    List<MemberEntry> result = new ArrayList<>(joining.size());
-    joining.forEach(address -> result.add(entries.get(address)));
+    return entriesOf(joining);
+  }
+
+  private List<MemberEntry> entriesOf(Collection<Address> addresses) {
+    List<MemberEntry> result = new ArrayList<>(addresses.size());
+    addresses.forEach(address -> result.add(entries.get(address)));
     return result;
   }
 
+  /** Members that are alive or suspect; a view, not a copy. */
   List<MemberEntry> liveEntries() {
     return liveEntries;
   }
 
-  /** How many others are held alive and under no suspicion. */
+  /** How many other members are alive and not suspect. */
   int unsuspectedCount() {
     return liveEntries.size() - suspects.size();
   }
--- a/membership/src/main/java/tamarindroute/membership/Membership.java
+++ b/membership/src/main/java/tamarindroute/membership/Membership.java
@@ -7,26 +7,30 @@
 import java.util.Map;
 
 /**
- * Owns one member's whole state and the order of a step: first whether it ran when it should have,
- * then the event, then what is due, then its own condition. It must never read a clock; equal
- * events at equal times give equal actions.
+ * One member's state machine. Each step checks first whether this process ran when it should have,
+ * then handles the event, then what is due, then reports the own connectivity.
  *
- * <p>Not for several threads. Whoever acts on what is held here asks touch first, at the moment of
- * acting: a process that was stopped knows so by it before any timer has run.
+ * <p>Reads no clock: equal events at equal times give equal actions. Not thread-safe. Before acting
+ * on the states of others, ask {@link #localStatus}: it tells of a pause before any timer has run.
  */
 public final class Membership {
 
-  /**
-   * Rumours go out so many times a period, to so many others. Five were too few: one of 100,000
-   * missed a refutation.
-   */
+  /** Queued updates are sent this often a period, to {@link #GOSSIP_FANOUT} others. */
   private static final int GOSSIP_ROUNDS_PER_PERIOD = 8;
 
   private static final int GOSSIP_FANOUT = 3;
 
-  /** Whoever goes says so to so many; they pass it on. */
+  /** How many others a leaving member notifies; they pass it on. */
   private static final int LEAVE_FANOUT = 8;
 
+  /** The first period starts at a random one of this many offsets. */
+  private static final int PERIOD_OFFSETS = 1_000;
+
+  /** Stands for never; leaves room for adding to it. */
+  private static final long NEVER_NANOS = Long.MAX_VALUE / 2;
+
+  private static final long UNLIMITED_REQUEST_IDS = Long.MAX_VALUE / 2;
+
   private final StepContext context;
   private final OutboundMessages outbound;
   private final LocalHealthMonitor localHealth;
@@ -35,12 +39,18 @@
   private final StateExchange stateExchange;
   private final JoinProtocol joinProtocol;
   private final UpdatePrecedence updatePrecedence;
+  private final MessageHandler messageHandler;
   private long nextGossipNanos;
   private long nextPeriodNanos;
 
   /**
-   * Begins at this moment of the monotonic clock; the birth is only a proposal
-   * (docs/membership-design.md).
+   * Starts a member.
+   *
+   * @param settings the same at all members
+   * @param self this member; its incarnation is only a proposal and may be raised
+   * @param seeds whom to ask for admission; may be empty, and may contain this member
+   * @param now the monotonic time
+   * @throws IllegalArgumentException if the incarnation is out of its bounds
    */
   public Membership(MembershipSettings settings, Member self, List<Address> seeds, Duration now) {
     this(
@@ -49,7 +59,7 @@
         seeds,
         now,
         new DeterministicRandom(DeterministicRandom.seedFor(self)),
-        Long.MAX_VALUE / 2);
+        UNLIMITED_REQUEST_IDS);
   }
 
   Membership(
@@ -59,8 +69,9 @@
       Duration now,
       DeterministicRandom random,
       long requestIdLimit) {
-    if (self.incarnation() <= 0 || self.incarnation() > UpdatePrecedence.MAX_COUNTER) {
-      throw new IllegalArgumentException("birth out of bounds: " + self);
+    if (!MessageValidator.isValidIncarnation(self.incarnation())) {
+      throw new IllegalArgumentException(
+          "incarnation of " + self + " is out of bounds: 1 to " + MessageValidator.MAX_COUNTER);
     }
     context = new StepContext(settings, self, random, requestIdLimit, now.toNanos());
     outbound = new OutboundMessages(context);
@@ -70,9 +81,11 @@
     stateExchange = new StateExchange(context, outbound);
     joinProtocol = new JoinProtocol(context, outbound, localHealth, seeds);
     updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
+    messageHandler = newMessageHandler();
     nextGossipNanos = context.nowNanos;
-    nextPeriodNanos = context.nowNanos + random.nextInt(1_000) * context.periodNanos / 1_000;
-    localHealth.nextStepNanos(context.nowNanos);
+    long offset = random.nextInt(PERIOD_OFFSETS);
+    nextPeriodNanos = context.nowNanos + offset * context.periodNanos / PERIOD_OFFSETS;
+    localHealth.setNextStepNanos(context.nowNanos);
   }
 
   private Membership(Membership other) {
@@ -84,34 +97,47 @@
     stateExchange = other.stateExchange.copy(context, outbound);
     joinProtocol = other.joinProtocol.copy(context, outbound, localHealth);
     updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
+    messageHandler = newMessageHandler();
     nextGossipNanos = other.nextGossipNanos;
     nextPeriodNanos = other.nextPeriodNanos;
   }
 
-  /** The same state, on its own from here on. */
+  private MessageHandler newMessageHandler() {
+    return new MessageHandler(
+        context,
+        outbound,
+        localHealth,
+        failureDetector,
+        stateExchange,
+        joinProtocol,
+        updatePrecedence);
+  }
+
+  /** Independent copy of the state, for a model checker. */
   Membership copy() {
     return new Membership(this);
   }
 
-  /**
-   * Nothing is left to be passed on or asked for; simulations begin so, as if all had been said
-   * long ago.
-   */
+  /** Drops queued updates and requests, so that a simulation starts with nothing under way. */
   void clearPending() {
     context.gossipQueue.clear();
     stateExchange.requestNothing();
   }
 
+  /** How many request ids were given out since this one. */
   long requestIdAge(long requestId) {
     return context.requestIdAge(requestId);
   }
 
-  /** All that decides what it will do, its times relative to now: equal keys have equal futures. */
+  /**
+   * The state that decides the future, with times relative to now. Members with equal keys behave
+   * alike from then on.
+   */
   Object stateKey(Duration now) {
     long nowNanos = now.toNanos();
     return List.of(
         context.stateKey(nowNanos),
-        outbound.attachSelfUpdate,
+        outbound.attachesSelfUpdate(),
         localHealth.stateKey(nowNanos),
         failureDetector.stateKey(nowNanos),
         stateExchange.stateKey(),
@@ -120,81 +146,102 @@
         nextPeriodNanos - nowNanos);
   }
 
-  /** A message that was read whole and proven to be a peer's. */
+  /**
+   * Handles a message.
+   *
+   * @param message decoded completely and authenticated as a member's
+   * @param now the monotonic time
+   * @return what to do, in this order
+   */
   public List<Action> onMessage(Message message, Duration now) {
     beginStep(now);
-    // What is meant for another life of this address is not heard by this one.
-    boolean addressedToSelf =
-        message.targetIncarnation() == context.self.incarnation()
-            || message.targetIncarnation() == 0 && message.kind() == Message.Kind.JOIN;
-    if (!localHealth.isLeft() && addressedToSelf && updatePrecedence.isValid(message)) {
-      accept(message);
+    if (!localHealth.isLeft()) {
+      messageHandler.onMessage(message);
     }
     return endStep();
   }
 
-  /** Time has passed: at the latest when wake told. */
+  /**
+   * Handles the passage of time; due after {@link #untilNextTick} at the latest.
+   *
+   * @return what to do, in this order
+   */
   public List<Action> tick(Duration now) {
     beginStep(now);
     return endStep();
   }
 
-  /** It goes in order; nothing it is told counts any more. */
+  /**
+   * Leaves in order. Messages are ignored from then on.
+   *
+   * @return what to do, in this order
+   */
   public List<Action> leave(Duration now) {
     beginStep(now);
     if (!localHealth.isLeft()) {
-      MembershipUpdate selfUpdate =
-          new MembershipUpdate(
-              context.self, MemberState.LEFT, context.refutation, context.self.address());
-      for (MemberEntry entry :
-          context.memberTable.randomAlive(LEAVE_FANOUT, null, context.random)) {
-        outbound.send(Message.Kind.LEAVE, entry.member, 0, context.self, List.of(selfUpdate), true);
-      }
+      sendLeave();
       failureDetector.clear();
-      localHealth.left();
+      localHealth.onLeft();
     }
     return endStep();
   }
 
-  /** The span until the next tick is due; zero where it is overdue. */
+  private void sendLeave() {
+    MembershipUpdate left =
+        new MembershipUpdate(
+            context.self, MemberState.LEFT, context.refutation, context.self.address());
+    for (MemberEntry entry : context.memberTable.randomAlive(LEAVE_FANOUT, null, context.random)) {
+      outbound.sendFilledUp(Message.Kind.LEAVE, entry.member, 0, context.self, List.of(left));
+    }
+  }
+
+  /** Time until the next {@link #tick} is due; zero if it is overdue. */
   public Duration untilNextTick(Duration now) {
     return Duration.ofNanos(Math.max(0, nextDueNanos() - now.toNanos()));
   }
 
   private long nextDueNanos() {
     if (localHealth.isLeft()) {
-      return Long.MAX_VALUE / 2;
+      return NEVER_NANOS;
     }
+    long ownDueNanos = Math.min(nextGossipNanos, nextPeriodNanos);
     return Math.min(
-        Math.min(nextGossipNanos, nextPeriodNanos),
-        Math.min(failureDetector.nextDueNanos(), joinProtocol.nextDueNanos()));
+        ownDueNanos, Math.min(failureDetector.nextDueNanos(), joinProtocol.nextDueNanos()));
   }
 
   private void beginStep(Duration now) {
     context.nowNanos = Math.max(context.nowNanos, now.toNanos());
     long overdueNanos = localHealth.overdueNanos(context.nowNanos);
     if (localHealth.isPaused(context.nowNanos)) {
-      localHealth.recordPause(overdueNanos);
-      failureDetector.clear();
-      context.gossipQueue.dropReports(context.self.address());
-      localHealth.reportChange();
-      suspicions.restartTimeouts();
-      context
-          .memberTable
-          .randomAlive(GOSSIP_FANOUT, null, context.random)
-          .forEach(failureDetector::probe);
-      nextPeriodNanos = context.nowNanos + context.periodNanos;
+      resumeAfterPause(overdueNanos);
     } else {
       failureDetector.postpone(overdueNanos);
     }
-    outbound.attachSelfUpdate = localHealth.isAccused(context.nowNanos);
+    outbound.setAttachSelfUpdate(localHealth.isAccused(context.nowNanos));
+  }
+
+  /** Voids what the pause has made doubtful, and probes others to hear of the present. */
+  private void resumeAfterPause(long pauseNanos) {
+    localHealth.recordPause(pauseNanos);
+    failureDetector.clear();
+    context.gossipQueue.dropReports(context.self.address());
+    localHealth.reportChange();
+    suspicions.restartTimeouts();
+    for (MemberEntry entry : randomGossipTargets()) {
+      failureDetector.probe(entry);
+    }
+    nextPeriodNanos = context.nowNanos + context.periodNanos;
+  }
+
+  private List<MemberEntry> randomGossipTargets() {
+    return context.memberTable.randomAlive(GOSSIP_FANOUT, null, context.random);
   }
 
   private List<Action> endStep() {
     if (!localHealth.isLeft()) {
       runDueTasks();
     }
-    localHealth.nextStepNanos(nextDueNanos());
+    localHealth.setNextStepNanos(nextDueNanos());
     if (localHealth.reportChange()) {
       suspicions.restartTimeouts();
     }
@@ -215,142 +262,72 @@
   }
 
   private void runPeriod() {
-    probeIfLive(context.memberTable.nextToProbe(context.random));
-    probeIfLive(
-        context.memberTable.successor(
-            (int) DeterministicRandom.memberHash(context.self), context.self.address()));
-    probeIfLive(
-        localHealth.oldestAccuser() == null
-            ? null
-            : context.memberTable.find(localHealth.oldestAccuser()));
-    MemberEntry faulty = context.memberTable.randomFaulty(context.random);
-    if (faulty != null) {
-      // It may be there again, or may hear this one and not be heard: then it learns so by this.
-      outbound.send(Message.Kind.PROBE, faulty.member, 0, context.self);
-    }
+    probeRegularTargets();
+    probeFaultyMember();
     suspicions.selectedForProbing().forEach(failureDetector::probe);
     stateExchange.exchangeRandomPart();
     updatePrecedence.expireJoining();
     if (localHealth.isAlone() && localHealth.isJoined()) {
-      // Nobody to ask whether this one is in touch.
+      // There is nobody whose answers could be missing.
       localHealth.recordAnswer();
     }
   }
 
-  private void probeIfLive(MemberEntry entry) {
-    if (entry != null && entry.isLive()) {
-      failureDetector.probe(entry);
-    }
+  /** Probes the next member round robin, the successor on the hash ring, and an accuser. */
+  private void probeRegularTargets() {
+    context.memberTable.nextToProbe(context.random).ifPresent(failureDetector::probe);
+    int ownHash = (int) DeterministicRandom.memberHash(context.self);
+    context
+        .memberTable
+        .successor(ownHash, context.self.address())
+        .ifPresent(failureDetector::probe);
+    localHealth
+        .oldestAccuser()
+        .map(context.memberTable::find)
+        .filter(MemberEntry::isLive)
+        .ifPresent(failureDetector::probe);
+  }
+
+  /** A faulty member may be back, or not know that it is regarded as faulty. */
+  private void probeFaultyMember() {
+    context
+        .memberTable
+        .randomFaulty(context.random)
+        .ifPresent(entry -> outbound.send(Message.Kind.PROBE, entry.member, 0));
   }
 
   private void runGossipRound() {
     suspicions.evaluate();
     stateExchange.requestMissing();
-    if (!context.gossipQueue.isEmpty()) {
-      for (MemberEntry entry :
-          context.memberTable.randomAlive(GOSSIP_FANOUT, null, context.random)) {
-        outbound.send(Message.Kind.GOSSIP, entry.member, 0, context.self);
-      }
-    }
-  }
-
-  private void accept(Message message) {
-    if (message.kind() == Message.Kind.SUPERSEDED) {
-      onSuperseded(message.subject());
-      return;
-    }
-    MemberEntry senderEntry = updatePrecedence.resolveSender(message);
-    if (senderEntry == null) {
-      return;
-    }
-    List<MembershipUpdate> selfUpdates =
-        updatePrecedence.applyAll(message) ? List.of(context.selfUpdate()) : List.of();
-    if (updatePrecedence.laterIncarnation() != null) {
-      onSuperseded(updatePrecedence.laterIncarnation());
+    if (context.gossipQueue.isEmpty()) {
       return;
     }
-    dispatch(message, senderEntry, selfUpdates);
-  }
-
-  private void dispatch(
-      Message message, MemberEntry senderEntry, List<MembershipUpdate> selfUpdate) {
-    Member sender = message.from();
-    switch (message.kind()) {
-      case PROBE ->
-          outbound.send(
-              Message.Kind.ACK, sender, message.requestId(), context.self, selfUpdate, true);
-      case ACK -> failureDetector.onAck(message);
-      case PROBE_FOR ->
-          failureDetector.probeOnBehalf(message.subject(), sender, message.requestId());
-      case NACK -> failureDetector.onNack(message);
-      case JOIN -> onJoin(message);
-      case WELCOME -> onWelcome(message);
-      case EXCHANGE -> stateExchange.onRequest(message);
-      case EXCHANGE_BACK -> stateExchange.onReply(message);
-      case LEAVE -> {
-        if (senderEntry.state != MemberState.LEFT) {
-          updatePrecedence.markLeft(senderEntry, senderEntry.refutation);
-        }
-      }
-      case GOSSIP, SUPERSEDED -> {}
-    }
-  }
-
-  private void onJoin(Message message) {
-    if (localHealth.statusAt(context.nowNanos).connectivity() != Action.Connectivity.PAUSED) {
-      outbound.send(
-          Message.Kind.WELCOME,
-          message.from(),
-          stateExchange.partCount(),
-          context.self,
-          updatePrecedence.welcomeUpdates(),
-          false);
-    }
-  }
-
-  private void onWelcome(Message message) {
-    if (!localHealth.isJoined()) {
-      localHealth.joined();
-      stateExchange.requestAll(message.requestId());
-      context.gossipQueue.enqueue(context.selfUpdate());
+    for (MemberEntry entry : randomGossipTargets()) {
+      outbound.send(Message.Kind.GOSSIP, entry.member, 0);
     }
   }
 
-  /** A later life than this one was here, as a clock was set back: past it, and in anew. */
-  private void onSuperseded(Member laterMember) {
-    if (!context.isSelf(laterMember.address())
-        || laterMember.incarnation() < context.self.incarnation()
-        || laterMember.incarnation() >= UpdatePrecedence.MAX_COUNTER) {
-      return;
-    }
-    context.self = new Member(context.self.address(), laterMember.incarnation() + 1);
-    context.refutation = 0;
-    failureDetector.clear();
-    localHealth.onNewIncarnation();
-    joinProtocol.restart();
-    context.emit(new Action.IncarnationRaised(context.self));
-  }
-
-  /** All others that are remembered, with their standing. */
+  /** All other members in the table with their states. */
   public Map<Member, MemberState> members() {
     Map<Member, MemberState> members = new LinkedHashMap<>();
     context.memberTable.entries().forEach(entry -> members.put(entry.member, entry.state));
     return members;
   }
 
-  /** Those held alive or suspect, and oneself. */
+  /** The members that are alive or suspect, this one included. */
   public List<Member> liveMembers() {
     List<Member> live = new ArrayList<>(List.of(context.self));
     context.memberTable.liveEntries().forEach(entry -> live.add(entry.member));
     return live;
   }
 
+  /** This member with its current incarnation. */
   public Member self() {
     return context.self;
   }
 
-  /** One's own condition at this very moment, whatever timers ran: asked before acting. */
-  public Action.LocalStatus localStatus(Duration now) {
+  /** The own status at this moment, whatever timers have run; to be asked before acting. */
+  public LocalStatus localStatus(Duration now) {
     return localHealth.statusAt(Math.max(context.nowNanos, now.toNanos()));
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
+++ b/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
@@ -3,20 +3,22 @@
 import java.time.Duration;
 
 /**
- * What a membership is told; all members of one have the same.
+ * Settings of a membership; they have to be the same at all members.
  *
- * @param probePeriod in which each member probes one other
- * @param probeTimeout after which a probe is repeated, until round trips are known
- * @param toleratedPause how long a member may be stopped and still not be said to be away
- * @param indirectProbes how many others are asked to probe in one's place, each time
- * @param suspectProbers how many are drawn to look at a suspect, at the least
- * @param lowWatermark so many reports make the others' cut wait for this suspect's
- * @param highWatermark so many observers' reports make a cut; fewer where fewer are there, two at
- *     the least
- * @param maxUpdatesPerMessage most in one message
- * @param maxBytesPerSecond most that are sent a second
- * @param maxMembers most that are remembered, gone ones included
- * @param guards all on, but in measurements
+ * @param probePeriod interval in which each member probes one other; at least 10 ms
+ * @param probeTimeout time after which a probe is repeated until round trips are known; 1 ms to a
+ *     sixth of the period
+ * @param toleratedPause how long a member may stand still without being declared faulty; at least a
+ *     period
+ * @param indirectProbes how many others are asked for an indirect probe, 1 to 16
+ * @param suspectProbers how many members probe a suspect out of turn, highWatermark to 64
+ * @param lowWatermark number of reports from which on other suspects wait for this one
+ * @param highWatermark number of reports that declare a member faulty; fewer, but at least two, in
+ *     small groups
+ * @param maxUpdatesPerMessage 4 to 64
+ * @param maxBytesPerSecond bound on what is sent, at least 4,096
+ * @param maxMembers bound on the table, members that are gone included; at least 2
+ * @param guards all on, except in measurements
  */
 public record MembershipSettings(
     Duration probePeriod,
@@ -31,16 +33,29 @@
     int maxMembers,
     Guards guards) {
 
-  /** What can be left out, to see what it is good for. */
+  /**
+   * Parts of the protocol that can be switched off to measure their effect.
+   *
+   * @param localHealth waits longer while this member is in poor health
+   * @param confirmation needs several observers to declare a member faulty
+   * @param pauseDetection detects pauses of this process and tolerates those of others
+   */
   public record Guards(boolean localHealth, boolean confirmation, boolean pauseDetection) {
     public static final Guards ALL = new Guards(true, true, true);
     public static final Guards NONE = new Guards(false, false, false);
   }
 
-  /**
-   * A second's probes; pauses of three are borne, and the dead known to all within ten periods
-   * (design note).
-   */
+  private static final Duration MIN_PERIOD = Duration.ofMillis(10);
+  private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
+  private static final int MAX_INDIRECT_PROBES = 16;
+  private static final int MAX_SUSPECT_PROBERS = 64;
+  private static final int MIN_HIGH_WATERMARK = 2;
+  private static final int MIN_UPDATES_PER_MESSAGE = 4;
+  private static final int MAX_UPDATES_PER_MESSAGE = 64;
+  private static final int MIN_BYTES_PER_SECOND = 4_096;
+  private static final int MIN_MEMBERS = 2;
+
+  /** Tolerates pauses of 3 s; a failure is known to all within ten periods. */
   public static final MembershipSettings DEFAULTS =
       new MembershipSettings(
           Duration.ofSeconds(1),
@@ -55,28 +70,42 @@
           8_192,
           Guards.ALL);
 
-  /** A cluster in need of more than this would not fit the bounds on one datagram's length. */
-  private static final int MAX_UPDATES_PER_MESSAGE = 64;
-
+  /**
+   * Checks the bounds.
+   *
+   * @throws IllegalArgumentException if a setting is out of its bounds
+   */
   public MembershipSettings {
-    require(probePeriod.compareTo(Duration.ofMillis(10)) >= 0, "period: 10 ms at the least");
+    require(probePeriod.compareTo(MIN_PERIOD) >= 0, "probe period", probePeriod, "at least 10 ms");
     require(
-        probeTimeout.compareTo(Duration.ofMillis(1)) >= 0
-            && probeTimeout.multipliedBy(6).compareTo(probePeriod) <= 0,
-        "timeout: 1 ms to a sixth of the period");
-    require(toleratedPause.compareTo(probePeriod) >= 0, "pause: a period at the least");
-    require(indirectProbes >= 1 && indirectProbes <= 16, "indirect: 1 to 16");
-    require(suspectProbers >= highWatermark && suspectProbers <= 64, "observers: high to 64");
+        probeTimeout.compareTo(MIN_TIMEOUT) >= 0
+            && probeTimeout.multipliedBy(HealthScore.PROBE_STAGES).compareTo(probePeriod) <= 0,
+        "probe timeout",
+        probeTimeout,
+        "1 ms to a sixth of the probe period");
     require(
-        lowWatermark >= 1 && lowWatermark <= highWatermark && highWatermark >= 2,
-        "low and high: 1 <= low <= high, high 2 at the least");
+        toleratedPause.compareTo(probePeriod) >= 0,
+        "tolerated pause",
+        toleratedPause,
+        "at least a probe period");
+    requireRange("indirect probes", indirectProbes, 1, MAX_INDIRECT_PROBES);
+    require(highWatermark >= MIN_HIGH_WATERMARK, "high watermark", highWatermark, "at least 2");
+    requireRange("low watermark", lowWatermark, 1, highWatermark);
+    requireRange("suspect probers", suspectProbers, highWatermark, MAX_SUSPECT_PROBERS);
+    requireRange(
+        "updates per message",
+        maxUpdatesPerMessage,
+        MIN_UPDATES_PER_MESSAGE,
+        MAX_UPDATES_PER_MESSAGE);
     require(
-        maxUpdatesPerMessage >= 4 && maxUpdatesPerMessage <= MAX_UPDATES_PER_MESSAGE,
-        "rumours: 4 to 64");
-    require(maxBytesPerSecond >= 4_096, "bytes: 4096 at the least");
-    require(maxMembers >= 2, "members: 2 at the least");
+        maxBytesPerSecond >= MIN_BYTES_PER_SECOND,
+        "bytes per second",
+        maxBytesPerSecond,
+        "at least " + MIN_BYTES_PER_SECOND);
+    require(maxMembers >= MIN_MEMBERS, "members", maxMembers, "at least " + MIN_MEMBERS);
   }
 
+  /** These settings with other guards. */
   public MembershipSettings withGuards(Guards replacement) {
     return new MembershipSettings(
         probePeriod,
@@ -92,9 +121,13 @@
         replacement);
   }
 
-  private static void require(boolean holds, String requirement) {
+  private static void requireRange(String setting, int value, int min, int max) {
+    require(value >= min && value <= max, setting, value, min + " to " + max);
+  }
+
+  private static void require(boolean holds, String setting, Object value, String allowed) {
     if (!holds) {
-      throw new IllegalArgumentException(requirement);
+      throw new IllegalArgumentException(setting + " " + value + " is not allowed: " + allowed);
     }
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/Message.java
+++ b/membership/src/main/java/tamarindroute/membership/Message.java
@@ -3,14 +3,18 @@
 import java.util.List;
 
 /**
- * What members say to each other of who is there; bounded by what carries it and read whole before
- * it counts.
+ * Message between members. The carrier bounds and decodes it before it is handed over.
  *
- * @param targetIncarnation the life it is meant for; 0 where the sender does not know it. Another
- *     life must not take it
- * @param requestId of the probe, of the part of an exchange
- * @param subject whom it is about: the target of an indirect probe, the remembered life in
- *     SUPERSEDED; else the sender
+ * @param kind what is asked or answered
+ * @param from the sender
+ * @param targetIncarnation incarnation of the receiver that the message is meant for, 0 if the
+ *     sender does not know it; other incarnations ignore it
+ * @param requestId matches an answer to its request; for {@link Kind#EXCHANGE} and {@link
+ *     Kind#EXCHANGE_REPLY} an encoded {@link ExchangePart}, for {@link Kind#WELCOME} the number of
+ *     parts of the sender's table
+ * @param subject the target of an indirect probe, the remembered incarnation in {@link
+ *     Kind#SUPERSEDED}, otherwise the sender
+ * @param updates states of members, piggybacked on every kind
  */
 public record Message(
     Kind kind,
@@ -20,30 +24,33 @@
     Member subject,
     List<MembershipUpdate> updates) {
 
+  /** Kinds of messages. The constants have the names of those in {@code members.proto}. */
   public enum Kind {
-    /** Are you there? */
+    /** Direct probe. */
     PROBE,
-    /** I am; also passed on for a third member's probe, then about that one. */
+    /** Answer to a probe; also relayed for an indirect probe, then about its target. */
     ACK,
-    /** Probe this one for me. */
-    PROBE_FOR,
-    /** I was asked to probe it and have not heard from it in time: I at least am there. */
+    /** Asks the receiver to probe the subject on behalf of the sender. */
+    INDIRECT_PROBE,
+    /** The receiver of an indirect probe has had no answer in time, but is alive itself. */
     NACK,
-    /** Let me in. */
+    /** Asks a seed for admission. */
     JOIN,
-    /** You are in; rumours tell who is there. */
+    /** Answer to {@link #JOIN}; carries some of the members. */
     WELCOME,
-    /** A later life than yours was here: take a greater birth. */
+    /** A later incarnation of the receiver is known: it has to take a greater one. */
     SUPERSEDED,
-    /** All I hold, in parts; the other side answers with what it holds otherwise. */
+    /** The sender's states of one part of the table; the receiver answers with the differences. */
     EXCHANGE,
-    EXCHANGE_BACK,
-    /** I go. */
+    /** States of that part that differ from those in the request. */
+    EXCHANGE_REPLY,
+    /** The sender leaves in order. */
     LEAVE,
-    /** What I heard lately; wants no answer. */
+    /** Carries updates only; not answered. */
     GOSSIP
   }
 
+  /** Copies the updates. */
   public Message {
     updates = List.copyOf(updates);
   }
--- a/membership/src/main/java/tamarindroute/membership/StateExchange.java
+++ b/membership/src/main/java/tamarindroute/membership/StateExchange.java
@@ -7,140 +7,138 @@
 import java.util.Map;
 
 /**
- * Owns the exchange of all that is held, part by part, which heals what rumours missed. It must
- * never put more into one message than the settings tell, nor ask for more parts than there can be.
+ * Anti-entropy: exchanges the member table part by part, which repairs what gossip missed and fills
+ * the table of a new member.
  */
 final class StateExchange {
 
-  /** Parts are drawn by hash: with so much room to spare few hold more than a message does. */
+  /** Parts are selected by hash; with this headroom few exceed a message. */
   private static final double PART_HEADROOM = 1.5;
 
-  /** More parts than members that fit. */
-  private static final int MAX_PARTS = 4_096;
-
-  /**
-   * A newcomer asks for so many parts a round; 5,000 members then take it a quarter of a minute.
-   */
+  /** A new member requests this many parts in each gossip round. */
   private static final int PARTS_PER_ROUND = 4;
 
+  /** Updates of a message kept free for the receiver's own state and the sender's. */
+  private static final int RESERVED_UPDATES = 2;
+
   private final StepContext context;
   private final OutboundMessages outbound;
 
-  /** What a newcomer has not been told yet. */
-  private BitSet missingParts = new BitSet();
+  /** Parts that a new member has not received yet. */
+  private final BitSet missingParts = new BitSet();
 
-  private int partCount;
+  /** How many parts {@link #missingParts} refers to. */
+  private int requestedPartCount;
 
   StateExchange(StepContext context, OutboundMessages outbound) {
     this.context = context;
     this.outbound = outbound;
   }
 
-  StateExchange copy(StepContext other, OutboundMessages otherOutbound) {
-    StateExchange copy = new StateExchange(other, otherOutbound);
-    copy.missingParts = (BitSet) missingParts.clone();
-    copy.partCount = partCount;
+  StateExchange copy(StepContext otherContext, OutboundMessages otherOutbound) {
+    StateExchange copy = new StateExchange(otherContext, otherOutbound);
+    copy.missingParts.or(missingParts);
+    copy.requestedPartCount = requestedPartCount;
     return copy;
   }
 
   List<Object> stateKey() {
-    return List.of(missingParts.toString(), partCount);
+    return List.of(missingParts.toString(), requestedPartCount);
   }
 
-  /** How many parts all that is held is told in. */
+  /** Number of parts that the own table is divided into. */
   int partCount() {
-    return Math.min(
-        MAX_PARTS,
-        1
-            + (int)
-                (context.memberTable.size()
-                    * PART_HEADROOM
-                    / context.settings.maxUpdatesPerMessage()));
+    double messages =
+        context.memberTable.size() * PART_HEADROOM / context.settings.maxUpdatesPerMessage();
+    return Math.min(ExchangePart.MAX_COUNT, 1 + (int) messages);
   }
 
-  /** Everything is wanted, in so many parts. */
-  void requestAll(long announcedCount) {
-    partCount = (int) Math.max(1, Math.min(MAX_PARTS, announcedCount));
+  /** Starts to request the whole table of others, in the announced number of parts. */
+  void requestAll(long announcedPartCount) {
+    long bounded = Math.min(ExchangePart.MAX_COUNT, announcedPartCount);
+    requestedPartCount = (int) Math.max(1, bounded);
     missingParts.clear();
-    missingParts.set(0, partCount);
+    missingParts.set(0, requestedPartCount);
   }
 
   void requestNothing() {
     missingParts.clear();
   }
 
-  /** Asks for what is wanted, the next parts each round. */
+  /** Requests the next missing parts, starting at a random one. */
   void requestMissing() {
-    int part = missingParts.isEmpty() ? -1 : context.random.nextInt(partCount);
-    for (int i = 0; i < PARTS_PER_ROUND && part >= 0; i++) {
-      part =
-          missingParts.nextSetBit(part) >= 0
-              ? missingParts.nextSetBit(part)
-              : missingParts.nextSetBit(0);
-      request(part, partCount);
-      part = (part + 1) % partCount;
+    if (missingParts.isEmpty()) {
+      return;
+    }
+    int index = context.random.nextInt(requestedPartCount);
+    for (int i = 0; i < PARTS_PER_ROUND; i++) {
+      index = nextMissingFrom(index);
+      request(new ExchangePart(index, requestedPartCount));
+      index = (index + 1) % requestedPartCount;
     }
   }
 
-  /** One part at random with one at random. */
+  private int nextMissingFrom(int index) {
+    int next = missingParts.nextSetBit(index);
+    return next >= 0 ? next : missingParts.nextSetBit(0);
+  }
+
+  /** Exchanges a random part with a random member. */
   void exchangeRandomPart() {
-    int totalParts = partCount();
-    request(context.random.nextInt(totalParts), totalParts);
+    int count = partCount();
+    request(new ExchangePart(context.random.nextInt(count), count));
   }
 
-  private void request(int part, int totalParts) {
+  private void request(ExchangePart part) {
     for (MemberEntry other : context.memberTable.randomAlive(1, null, context.random)) {
-      outbound.send(
-          Message.Kind.EXCHANGE,
-          other.member,
-          (long) part << 32 | totalParts,
-          context.self,
-          updatesOfPart(part, totalParts, Map.of()),
-          false);
+      outbound.sendOnly(
+          Message.Kind.EXCHANGE, other.member, part.toRequestId(), differencesOf(part, Map.of()));
     }
   }
 
-  /** Answers with what is held otherwise in this part. */
+  /** Answers with the states of the requested part that differ from those of the sender. */
   void onRequest(Message message) {
-    int part = (int) (message.requestId() >>> 32);
-    int totalParts = (int) message.requestId();
-    if (totalParts < 1 || totalParts > MAX_PARTS || part < 0 || part >= totalParts) {
+    ExchangePart part = ExchangePart.fromRequestId(message.requestId());
+    if (!part.isValid()) {
       return;
     }
     Map<Address, MembershipUpdate> theirs = new HashMap<>();
     message.updates().forEach(update -> theirs.put(update.member().address(), update));
-    outbound.send(
-        Message.Kind.EXCHANGE_BACK,
+    outbound.sendOnly(
+        Message.Kind.EXCHANGE_REPLY,
         message.from(),
         message.requestId(),
-        context.self,
-        updatesOfPart(part, totalParts, theirs),
-        false);
+        differencesOf(part, theirs));
   }
 
+  /** Marks the part as received; its updates have been applied already. */
   void onReply(Message message) {
-    // A full answer may have left some out: asked again, it tells what is still held otherwise.
-    if ((int) message.requestId() == partCount
-        && message.updates().size() < context.settings.maxUpdatesPerMessage() - 2) {
-      missingParts.clear((int) Math.max(0, Math.min(MAX_PARTS, message.requestId() >>> 32)));
+    ExchangePart part = ExchangePart.fromRequestId(message.requestId());
+    // A full reply may have left some states out, so that part is requested again.
+    boolean complete = message.updates().size() < maxUpdates();
+    if (complete && part.isValid() && part.count() == requestedPartCount) {
+      missingParts.clear(part.index());
     }
   }
 
-  private List<MembershipUpdate> updatesOfPart(
-      int part, int totalParts, Map<Address, MembershipUpdate> theirs) {
+  private List<MembershipUpdate> differencesOf(
+      ExchangePart part, Map<Address, MembershipUpdate> theirs) {
     List<MembershipUpdate> updates = new ArrayList<>();
-    int skip = context.random.nextInt(2);
+    boolean keepEnd = context.random.nextInt(2) == 1;
     for (MemberEntry entry : context.memberTable.entries()) {
       if (entry.state != MemberState.JOINING
-          && Integer.remainderUnsigned(entry.hash, totalParts) == part
+          && part.contains(entry)
           && !isSame(entry, theirs.get(entry.member.address()))) {
         updates.add(entry.toUpdate(context.self.address()));
       }
     }
-    int maxUpdates = context.settings.maxUpdatesPerMessage() - 2;
-    // Of a part that is too long now its beginning goes, now its end.
-    int start = skip * Math.max(0, updates.size() - maxUpdates);
-    return updates.subList(start, Math.min(updates.size(), start + maxUpdates));
+    // Of a part that is too long either its beginning or its end is sent.
+    int start = keepEnd ? Math.max(0, updates.size() - maxUpdates()) : 0;
+    return updates.subList(start, Math.min(updates.size(), start + maxUpdates()));
+  }
+
+  private int maxUpdates() {
+    return context.settings.maxUpdatesPerMessage() - RESERVED_UPDATES;
   }
 
   private static boolean isSame(MemberEntry entry, MembershipUpdate theirs) {
--- a/membership/src/main/java/tamarindroute/membership/StepContext.java
+++ b/membership/src/main/java/tamarindroute/membership/StepContext.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Owns who this one is, the moment of the step, and the step's actions; what all the parts of the
- * machine share.
+ * State shared by all parts of one {@link Membership}: its identity, the time of the current step,
+ * the member table and the actions collected so far.
  */
 final class StepContext {
 
@@ -14,20 +14,22 @@
   final MemberTable memberTable;
   final GossipQueue gossipQueue;
   final HealthScore healthScore;
+  final SendRateLimiter sendRateLimiter;
   final long periodNanos;
-  Member self;
-  long refutation;
-  long nowNanos;
-  long lastRequestId;
 
-  /** Sending that is left, in bytes times nanoseconds a second; may not fall below zero. */
-  private double room;
+  /** Request ids start again after this; small in a model checker, to bound its states. */
+  private final long requestIdLimit;
+
+  /** This member; its incarnation may be raised. */
+  Member self;
 
-  private long allowanceUpdatedNanos;
+  /** Counter that this member raises to refute a suspicion of itself. */
+  long refutation;
 
-  /** Numbers start again after this; small where every way is explored. */
-  final long requestIdLimit;
+  /** Time of the current step. */
+  long nowNanos;
 
+  private long lastRequestId;
   private List<Action> pendingActions = new ArrayList<>();
 
   StepContext(
@@ -36,58 +38,41 @@
       DeterministicRandom random,
       long requestIdLimit,
       long nowNanos) {
-    this(
-        settings,
-        self,
-        random,
-        new MemberTable(settings.maxMembers()),
-        new GossipQueue(),
-        new HealthScore(settings),
-        requestIdLimit);
-    this.nowNanos = nowNanos;
-    this.room = settings.maxBytesPerSecond();
-    this.allowanceUpdatedNanos = nowNanos;
-  }
-
-  private StepContext(
-      MembershipSettings settings,
-      Member self,
-      DeterministicRandom random,
-      MemberTable memberTable,
-      GossipQueue gossipQueue,
-      HealthScore healthScore,
-      long requestIdLimit) {
     this.settings = settings;
     this.self = self;
     this.random = random;
-    this.memberTable = memberTable;
-    this.gossipQueue = gossipQueue;
-    this.healthScore = healthScore;
+    this.memberTable = new MemberTable(settings.maxMembers());
+    this.gossipQueue = new GossipQueue();
+    this.healthScore = new HealthScore(settings);
+    this.sendRateLimiter = new SendRateLimiter(settings.maxBytesPerSecond(), nowNanos);
     this.requestIdLimit = requestIdLimit;
     this.periodNanos = settings.probePeriod().toNanos();
+    this.nowNanos = nowNanos;
   }
 
+  private StepContext(StepContext other) {
+    settings = other.settings;
+    self = other.self;
+    random = other.random.copy();
+    memberTable = other.memberTable.copy();
+    gossipQueue = other.gossipQueue.copy();
+    healthScore = other.healthScore.copy();
+    sendRateLimiter = other.sendRateLimiter.copy();
+    requestIdLimit = other.requestIdLimit;
+    periodNanos = other.periodNanos;
+    refutation = other.refutation;
+    nowNanos = other.nowNanos;
+    lastRequestId = other.lastRequestId;
+  }
+
+  /** Independent copy without the collected actions. */
   StepContext copy() {
-    StepContext copy =
-        new StepContext(
-            settings,
-            self,
-            random.copy(),
-            memberTable.copy(),
-            gossipQueue.copy(),
-            healthScore.copy(),
-            requestIdLimit);
-    copy.refutation = refutation;
-    copy.nowNanos = nowNanos;
-    copy.lastRequestId = lastRequestId;
-    copy.room = room;
-    copy.allowanceUpdatedNanos = allowanceUpdatedNanos;
-    return copy;
+    return new StepContext(this);
   }
 
   /**
-   * Room to send is left out: it is refilled long before a small world needs it; numbers count from
-   * the last one.
+   * State that decides the future, for a model checker. Leaves out the rate limiter, which is never
+   * exhausted there, and the last request id, which keys compare others to.
    */
   List<Object> stateKey(long atNanos) {
     return List.of(
@@ -98,7 +83,7 @@
         healthScore.stateKey());
   }
 
-  /** A number told from the last one that was given out. */
+  /** How many request ids were given out since this one. */
   long requestIdAge(long requestId) {
     return Math.floorMod(lastRequestId - requestId, requestIdLimit);
   }
@@ -108,6 +93,7 @@
     return lastRequestId;
   }
 
+  /** Adds an action to the result of the current step. */
   void emit(Action action) {
     pendingActions.add(action);
   }
@@ -116,12 +102,14 @@
     emit(new Action.StateChanged(entry.member, entry.state));
   }
 
+  /** Returns the collected actions and starts a new list. */
   List<Action> drainActions() {
     List<Action> drained = List.copyOf(pendingActions);
     pendingActions = new ArrayList<>();
     return drained;
   }
 
+  /** This member's statement that it is alive. */
   MembershipUpdate selfUpdate() {
     return new MembershipUpdate(self, MemberState.ALIVE, refutation, self.address());
   }
@@ -129,18 +117,4 @@
   boolean isSelf(Address address) {
     return address.equals(self.address());
   }
-
-  /** How many bytes are left of the second's; a part is kept for probes and answers. */
-  boolean room(int bytes, boolean essential) {
-    room =
-        Math.min(
-            settings.maxBytesPerSecond(),
-            room + (nowNanos - allowanceUpdatedNanos) * 1e-9 * settings.maxBytesPerSecond());
-    allowanceUpdatedNanos = nowNanos;
-    if (room < bytes + (essential ? 0 : settings.maxBytesPerSecond() / 2)) {
-      return false;
-    }
-    room -= bytes;
-    return true;
-  }
 }
--- a/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
+++ b/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
@@ -4,71 +4,84 @@
 import java.util.List;
 
 /**
- * Owns accusations: who reports whom, how long that may be refuted, and the cut. It must never hold
- * a member to be away on one observer's word, nor while this one itself is not in touch.
+ * Collects reports of suspects and declares them faulty once enough observers agree and the time to
+ * refute is over. Suspects that fail together are declared together. No member is declared faulty
+ * on one observer's report, nor while this member itself is not connected.
  */
 final class SuspicionTracker {
 
-  /** A suspicion without the guard for pauses waits so many periods, as SWIM's example has it. */
+  /** Time to refute in periods if pauses are not tolerated, as in SWIM's example. */
   private static final int UNGUARDED_TIMEOUT_PERIODS = 3;
 
-  /**
-   * The least for a refutation to be there after the pause that is borne: a period, eight rounds of
-   * gossip.
-   */
+  /** Time in periods for a refutation to arrive after the longest tolerated pause. */
   private static final int REFUTATION_MARGIN_PERIODS = 1;
 
-  /** A cut waits no longer than so many periods for others that are about to be one with it. */
+  /** How long suspects that are due wait for others that soon will be. */
   private static final int BATCH_WAIT_PERIODS = 1;
 
-  /** No more observers than this are kept for one suspect, whatever is told. */
+  /** The smallest quorum: of two members neither can tell a failure of the other from its own. */
+  private static final int MIN_REPORTS = 2;
+
+  /** Bound on the reporters stored for one suspect. */
   private static final int MAX_REPORTERS = 16;
 
+  /** Missing reports lengthen the timeout by half a period each, up to this many. */
+  private static final int MAX_MISSING_REPORTS = 2;
+
+  /** The share of members that probe a suspect doubles with each period, up to this many times. */
+  private static final int MAX_SHARE_DOUBLINGS = 8;
+
+  /** Samples that decide on the share are drawn from 0 up to this. */
+  private static final int SAMPLE_RANGE = 0x10000;
+
   private final StepContext context;
   private final LocalHealthMonitor localHealth;
 
-  SuspicionTracker(StepContext ownReport, LocalHealthMonitor localHealth) {
-    this.context = ownReport;
+  SuspicionTracker(StepContext context, LocalHealthMonitor localHealth) {
+    this.context = context;
     this.localHealth = localHealth;
   }
 
-  /** One more observer tells that this one does not answer; whether this was news. */
-  boolean report(MemberEntry entry, Address observer) {
+  /** Adds an observer's report that a member does not answer. */
+  void report(MemberEntry entry, Address observer) {
     if (entry.state == MemberState.ALIVE) {
-      context.memberTable.setState(entry, MemberState.SUSPECT, context.nowNanos, context.random);
+      setState(entry, MemberState.SUSPECT);
       entry.reporters.add(observer);
       context.emitStateChange(entry);
-    } else if (entry.state != MemberState.SUSPECT
-        || entry.reporters.contains(observer)
-        || entry.reporters.size() >= MAX_REPORTERS) {
-      return false;
-    } else {
+    } else if (mayAddReport(entry, observer)) {
       entry.reporters.add(observer);
+    } else {
+      return;
     }
     if (entry.reporters.size() <= requiredReports() || context.isSelf(observer)) {
       context.gossipQueue.enqueue(
           new MembershipUpdate(entry.member, MemberState.SUSPECT, entry.refutation, observer));
     }
-    return true;
+  }
+
+  private static boolean mayAddReport(MemberEntry entry, Address observer) {
+    return entry.state == MemberState.SUSPECT
+        && !entry.reporters.contains(observer)
+        && entry.reporters.size() < MAX_REPORTERS;
   }
 
   /**
-   * So many observers make a cut: most of those held alive and under no suspicion, this one among
-   * them, up to the high mark. Two at the least, so that of two none can ever cut off the other:
-   * they can't tell a dead one from a cut way.
+   * How many observers have to agree: a majority of the unsuspected members including this one, up
+   * to the high watermark.
    */
   int requiredReports() {
     if (!context.settings.guards().confirmation()) {
       return 1;
     }
     int eligible = context.memberTable.unsuspectedCount() + 1;
-    return Math.min(context.settings.highWatermark(), Math.max(2, eligible / 2 + 1));
+    int majority = eligible / 2 + 1;
+    return Math.min(context.settings.highWatermark(), Math.max(MIN_REPORTS, majority));
   }
 
   /**
-   * Another holds this suspect to be away already. As many of these as make a cut are one: each has
-   * waited, and whoever was stopped or comes late need not wait again. One's own report counts with
-   * them.
+   * Notes that another member has declared this suspect faulty at first hand. As many of these as a
+   * quorum make this member declare it as well: each has waited, so a member that was paused or is
+   * late need not wait again.
    */
   void addFaultyReport(MemberEntry entry, Address reporter) {
     if (entry.state != MemberState.SUSPECT) {
@@ -83,92 +96,93 @@
   }
 
   private boolean isDeclaredFaultyByOthers(MemberEntry entry, int required) {
-    int ownReport = entry.reporters.contains(this.context.self.address()) ? 1 : 0;
-    return entry.faultyReporters != null && entry.faultyReporters.size() + ownReport >= required;
+    if (entry.faultyReporters == null) {
+      return false;
+    }
+    int ownReports = entry.reporters.contains(context.self.address()) ? 1 : 0;
+    return entry.faultyReporters.size() + ownReports >= required;
   }
 
-  /** Cuts all that are ripe at once, if none is about to be. */
+  /** Declares all suspects faulty that are due, unless others are about to become due. */
   void evaluate() {
     if (!localHealth.statusAt(context.nowNanos).isConnected()) {
       return;
     }
     int required = requiredReports();
-    List<MemberEntry> ripe = new ArrayList<>();
+    long batchWaitNanos = BATCH_WAIT_PERIODS * context.periodNanos;
+    List<MemberEntry> due = new ArrayList<>();
     boolean anotherPending = false;
     boolean overdue = false;
     for (MemberEntry entry : context.memberTable.suspects()) {
-      int count = countValidReports(entry);
+      int reports = countValidReports(entry);
       long sinceTimeoutNanos =
-          context.nowNanos - entry.stateSinceNanos - timeoutNanos(count, required);
+          context.nowNanos - entry.stateSinceNanos - timeoutNanos(reports, required);
       boolean declaredElsewhere = isDeclaredFaultyByOthers(entry, required);
-      if (count >= required && sinceTimeoutNanos >= 0 || declaredElsewhere) {
-        ripe.add(entry);
-        overdue |=
-            declaredElsewhere || sinceTimeoutNanos >= BATCH_WAIT_PERIODS * context.periodNanos;
+      if (declaredElsewhere || reports >= required && sinceTimeoutNanos >= 0) {
+        due.add(entry);
+        overdue |= declaredElsewhere || sinceTimeoutNanos >= batchWaitNanos;
       } else {
-        anotherPending |=
-            count >= context.settings.lowWatermark()
-                && count < required
-                && sinceTimeoutNanos < BATCH_WAIT_PERIODS * context.periodNanos;
+        boolean hasSomeReports = reports >= context.settings.lowWatermark() && reports < required;
+        anotherPending |= hasSomeReports && sinceTimeoutNanos < batchWaitNanos;
       }
     }
-    if (anotherPending && !overdue) {
-      return;
+    if (overdue || !anotherPending) {
+      due.forEach(this::declareFaulty);
     }
-    ripe.forEach(this::declareFaulty);
   }
 
   void declareFaulty(MemberEntry entry) {
-    context.memberTable.setState(entry, MemberState.AWAY, context.nowNanos, context.random);
+    setState(entry, MemberState.FAULTY);
     context.emitStateChange(entry);
     context.gossipQueue.enqueue(entry.toUpdate(context.self.address()));
   }
 
-  /** Those whose reports count: held alive here, and under no suspicion themselves. */
+  private void setState(MemberEntry entry, MemberState state) {
+    context.memberTable.setState(entry, state, context.nowNanos, context.random);
+  }
+
+  /** Reports count if their observer is alive here and not suspect itself. */
   private int countValidReports(MemberEntry entry) {
+    if (!context.settings.guards().confirmation()) {
+      return entry.reporters.size();
+    }
     int count = 0;
     for (Address observer : entry.reporters) {
       MemberEntry reporter = context.memberTable.find(observer);
-      if (context.isSelf(observer)
-          || reporter != null && reporter.state == MemberState.ALIVE
-          || !context.settings.guards().confirmation()) {
+      boolean reporterAlive = reporter != null && reporter.state == MemberState.ALIVE;
+      if (reporterAlive || context.isSelf(observer)) {
         count++;
       }
     }
     return count;
   }
 
-  /**
-   * Few observers and a poor health of one's own make it longer (Lifeguard); the stated pause is in
-   * it.
-   */
+  /** Time to refute; longer with few reports and in poor local health (Lifeguard). */
   private long timeoutNanos(int reports, int required) {
+    MembershipSettings settings = context.settings;
+    long periodNanos = context.periodNanos;
     long minimumNanos =
-        context.settings.guards().pauseDetection()
-            ? context.settings.toleratedPause().toNanos()
-                + REFUTATION_MARGIN_PERIODS * context.periodNanos
-            : UNGUARDED_TIMEOUT_PERIODS * context.periodNanos;
-    if (!context.settings.guards().confirmation()) {
+        settings.guards().pauseDetection()
+            ? settings.toleratedPause().toNanos() + REFUTATION_MARGIN_PERIODS * periodNanos
+            : UNGUARDED_TIMEOUT_PERIODS * periodNanos;
+    if (!settings.guards().confirmation()) {
       return minimumNanos;
     }
-    int missing =
-        Math.max(0, Math.min(context.settings.highWatermark() - Math.max(reports, required), 2));
+    int missing = settings.highWatermark() - Math.max(reports, required);
+    int countedMissing = Math.max(0, Math.min(missing, MAX_MISSING_REPORTS));
     return minimumNanos
-        + missing * context.periodNanos / 2
-        + context.healthScore.score() * context.periodNanos / 2;
+        + countedMissing * periodNanos / 2
+        + context.healthScore.score() * periodNanos / 2;
   }
 
-  /** Whoever did not hear the others for a while gives everybody the whole time again. */
+  /** Gives all suspects their whole time again, after this member missed messages for a while. */
   void restartTimeouts() {
     for (MemberEntry entry : context.memberTable.suspects()) {
       entry.stateSinceNanos = context.nowNanos;
     }
   }
 
-  /**
-   * Those suspects that this one is to look at: drawn by hash, more with each period, so that some
-   * always do.
-   */
+  /** The suspects that this member is to probe out of turn and has not reported itself. */
   List<MemberEntry> selectedForProbing() {
     List<MemberEntry> selected = new ArrayList<>();
     for (MemberEntry entry : context.memberTable.suspects()) {
@@ -179,13 +193,17 @@
     return selected;
   }
 
-  boolean isSelected(MemberEntry entry) {
-    long periods = Math.min(8, (context.nowNanos - entry.stateSinceNanos) / context.periodNanos);
-    double share =
-        (double) (context.settings.suspectProbers() << periods)
-            / (context.memberTable.unsuspectedCount() + 1);
-    long sample =
-        DeterministicRandom.mix(entry.hash, DeterministicRandom.memberHash(context.self)) & 0xFFFF;
-    return sample < share * 0x10000;
+  /**
+   * Whether this member belongs to the observers of a suspect, which are selected by hash. Their
+   * share grows with time, so that some are left whatever has failed.
+   */
+  private boolean isSelected(MemberEntry entry) {
+    long suspectPeriods = (context.nowNanos - entry.stateSinceNanos) / context.periodNanos;
+    long doublings = Math.min(MAX_SHARE_DOUBLINGS, suspectPeriods);
+    int observers = context.settings.suspectProbers() << doublings;
+    double share = (double) observers / (context.memberTable.unsuspectedCount() + 1);
+    long selfHash = DeterministicRandom.memberHash(context.self);
+    long sample = DeterministicRandom.mix(entry.hash, selfHash) & (SAMPLE_RANGE - 1);
+    return sample < share * SAMPLE_RANGE;
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
+++ b/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
@@ -1,30 +1,29 @@
 package tamarindroute.membership;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
- * Owns what counts of others' words: which life a word is about and which of two is the later. It
- * must never let a former life's word change anything, nor a word outside its bounds.
+ * Applies received updates to the member table: decides which incarnation an update is about and
+ * which of two statements takes precedence. Updates about former incarnations change nothing.
  */
 final class UpdatePrecedence {
 
-  /** Far from where counting on would turn negative. */
-  static final long MAX_COUNTER = Long.MAX_VALUE / 4;
-
-  private static final int MAX_HOST_LENGTH = 255;
-
-  /** At once; who is refused backs off and asks again. */
+  /** Bound on the members being admitted at once; a refused one backs off and asks again. */
   private static final int MAX_JOINING = 64;
 
-  /** One that asked and never said a word as a member is gone after so many periods. */
+  /** A joining member that sends nothing as a member is forgotten after this many periods. */
   private static final int JOINING_TIMEOUT_PERIODS = 30;
 
+  /** Part of a welcome message that is filled with members. */
+  private static final int WELCOME_DIVISOR = 2;
+
   private final StepContext context;
   private final OutboundMessages outbound;
   private final LocalHealthMonitor localHealth;
   private final SuspicionTracker suspicions;
 
-  /** A later life at this one's address that somebody told of in this step; null for none. */
+  /** Later incarnation at this member's address found in the current message, or null. */
   private Member laterIncarnation;
 
   UpdatePrecedence(
@@ -38,40 +37,24 @@
     this.suspicions = suspicions;
   }
 
-  boolean isValid(Message message) {
-    return isValid(message.from())
-        && isValid(message.subject())
-        && !context.isSelf(message.from().address())
-        && message.updates().size() <= 2 * context.settings.maxUpdatesPerMessage();
-  }
-
-  private static boolean isValid(Member member) {
-    return member.incarnation() > 0
-        && member.incarnation() <= MAX_COUNTER
-        && member.address().host().length() <= MAX_HOST_LENGTH;
-  }
-
   /**
-   * The sender as it stands here now; null where it is a former life, or left: then nothing it says
-   * counts.
+   * Finds the sender of a message in the table, or admits it.
+   *
+   * @return the sender's entry, or null if the message must be ignored: the sender is a former
+   *     incarnation or has left, or there is no room for it
    */
   MemberEntry resolveSender(Message message) {
     Member sender = message.from();
     MemberEntry entry = context.memberTable.find(sender.address());
     if (entry != null && isSuperseded(entry, sender)) {
-      boolean expectsReply =
-          message.kind() == Message.Kind.JOIN
-              || message.kind() == Message.Kind.PROBE
-              || message.kind() == Message.Kind.EXCHANGE;
-      if (expectsReply) {
+      if (expectsReply(message.kind())) {
         outbound.send(Message.Kind.SUPERSEDED, sender, message.requestId(), entry.member);
       }
       return null;
     }
     if (message.kind() == Message.Kind.JOIN) {
-      return entry != null && entry.member.incarnation() == sender.incarnation()
-          ? entry
-          : admitJoining(sender);
+      boolean known = entry != null && entry.member.incarnation() == sender.incarnation();
+      return known ? entry : admitJoining(sender);
     }
     if (entry == null || entry.member.incarnation() < sender.incarnation()) {
       return admit(sender, MemberState.ALIVE, 0);
@@ -82,7 +65,11 @@
     return entry;
   }
 
-  /** Whether a later life than this is known there, or this one has gone for good. */
+  private static boolean expectsReply(Message.Kind kind) {
+    return kind == Message.Kind.JOIN || kind == Message.Kind.PROBE || kind == Message.Kind.EXCHANGE;
+  }
+
+  /** Whether a later incarnation than the sender is known, or the sender has left for good. */
   private static boolean isSuperseded(MemberEntry entry, Member sender) {
     return entry.member.incarnation() > sender.incarnation()
         || entry.member.incarnation() == sender.incarnation() && entry.state == MemberState.LEFT;
@@ -94,41 +81,43 @@
         : admit(sender, MemberState.JOINING, 0);
   }
 
-  /** A life that was not known: any earlier one at its address is over. */
+  /** Adds an unknown incarnation, which ends any earlier one; null if there is no room. */
   private MemberEntry admit(Member member, MemberState state, long refutation) {
     MemberEntry previous = context.memberTable.find(member.address());
     if (previous != null && previous.isLive()) {
-      context.emit(new Action.StateChanged(previous.member, MemberState.AWAY));
+      context.emit(new Action.StateChanged(previous.member, MemberState.FAULTY));
     }
     MemberEntry entry =
         context.memberTable.admit(member, state, refutation, context.nowNanos, context.random);
     if (entry != null) {
       context.emitStateChange(entry);
       if (state != MemberState.JOINING) {
-        context.gossipQueue.enqueue(entry.toUpdate(context.self.address()));
+        enqueue(entry);
       }
     }
     return entry;
   }
 
-  /** Those that never came in are remembered for their birth alone. */
+  /** Gives up joining members that never became active; their incarnations stay known. */
   void expireJoining() {
+    long timeoutNanos = JOINING_TIMEOUT_PERIODS * context.periodNanos;
     for (MemberEntry entry : context.memberTable.joining()) {
-      if (context.nowNanos - entry.stateSinceNanos
-          > JOINING_TIMEOUT_PERIODS * context.periodNanos) {
-        context.memberTable.setState(entry, MemberState.AWAY, context.nowNanos, context.random);
+      if (context.nowNanos - entry.stateSinceNanos > timeoutNanos) {
+        setState(entry, MemberState.FAULTY);
       }
     }
   }
 
-  /** Takes all rumours of a message; whether one of them has to be answered with one's own word. */
+  /**
+   * Applies all updates of a message.
+   *
+   * @return whether one of them accuses this member, so that the answer has to refute it
+   */
   boolean applyAll(Message message) {
     boolean accused = false;
     laterIncarnation = null;
     for (MembershipUpdate update : message.updates()) {
-      if (!isValid(update.member())
-          || update.refutation() < 0
-          || update.refutation() > MAX_COUNTER) {
+      if (!MessageValidator.isValid(update)) {
         continue;
       }
       if (context.isSelf(update.member().address())) {
@@ -143,16 +132,18 @@
     return accused;
   }
 
-  Member laterIncarnation() {
-    return laterIncarnation;
+  /** A later incarnation of this member that the last message told of. */
+  Optional<Member> laterIncarnation() {
+    return Optional.ofNullable(laterIncarnation);
   }
 
-  /** What others say of this one; whether it is to be refuted to whoever said so. */
+  /** Applies an update about this member; returns whether it is an accusation. */
   private boolean applyAboutSelf(MembershipUpdate update, Member sender) {
-    if (update.member().incarnation() > context.self.incarnation()) {
+    long incarnation = update.member().incarnation();
+    if (incarnation > context.self.incarnation()) {
       laterIncarnation = update.member();
     }
-    if (update.member().incarnation() != context.self.incarnation()
+    if (incarnation != context.self.incarnation()
         || update.state().compareTo(MemberState.SUSPECT) < 0) {
       return false;
     }
@@ -184,7 +175,7 @@
           markAlive(entry, update.refutation());
         }
       }
-      case SUSPECT, AWAY -> applyAccusation(entry, update, sender);
+      case SUSPECT, FAULTY -> applyAccusation(entry, update, sender);
       case LEFT -> markLeft(entry, update.refutation());
     }
   }
@@ -192,7 +183,7 @@
   private void applyAboutUnknown(MembershipUpdate update) {
     switch (update.state()) {
       case JOINING -> {}
-      case ALIVE, AWAY, LEFT -> admit(update.member(), update.state(), update.refutation());
+      case ALIVE, FAULTY, LEFT -> admit(update.member(), update.state(), update.refutation());
       case SUSPECT -> {
         MemberEntry entry = admit(update.member(), MemberState.ALIVE, update.refutation());
         if (entry != null) {
@@ -202,16 +193,6 @@
     }
   }
 
-  private void markAlive(MemberEntry entry, long refutation) {
-    boolean changed = entry.state != MemberState.ALIVE;
-    entry.refutation = refutation;
-    if (changed) {
-      context.memberTable.setState(entry, MemberState.ALIVE, context.nowNanos, context.random);
-      context.emitStateChange(entry);
-    }
-    context.gossipQueue.enqueue(entry.toUpdate(entry.member.address()));
-  }
-
   private void applyAccusation(MemberEntry entry, MembershipUpdate update, Member sender) {
     if (update.refutation() < entry.refutation) {
       return;
@@ -219,42 +200,55 @@
     if (entry.state == MemberState.JOINING || update.refutation() > entry.refutation) {
       markAlive(entry, update.refutation());
     }
-    if (entry.state == MemberState.AWAY) {
-      // Whoever suspects by itself what is long away here has missed it: it hears so, and hears
-      // from others too.
-      if (update.state() == MemberState.SUSPECT && update.observer().equals(sender.address())) {
-        outbound.send(
-            Message.Kind.GOSSIP,
-            sender,
-            0,
-            context.self,
-            List.of(entry.toUpdate(context.self.address())),
-            false);
+    boolean firstHand = update.observer().equals(sender.address());
+    if (entry.state == MemberState.FAULTY) {
+      if (update.state() == MemberState.SUSPECT && firstHand) {
+        // The sender has missed that the member was declared faulty.
+        List<MembershipUpdate> correction = List.of(entry.toUpdate(context.self.address()));
+        outbound.sendOnly(Message.Kind.GOSSIP, sender, 0, correction);
       }
-    } else if (update.state() == MemberState.AWAY && !context.settings.guards().confirmation()) {
+    } else if (update.state() == MemberState.FAULTY && !context.settings.guards().confirmation()) {
       suspicions.declareFaulty(entry);
     } else if (!context.isSelf(update.observer())) {
       suspicions.report(entry, update.observer());
-      if (update.state() == MemberState.AWAY && update.observer().equals(sender.address())) {
+      if (update.state() == MemberState.FAULTY && firstHand) {
         suspicions.addFaultyReport(entry, sender.address());
       }
     }
   }
 
+  private void markAlive(MemberEntry entry, long refutation) {
+    entry.refutation = refutation;
+    if (entry.state != MemberState.ALIVE) {
+      setState(entry, MemberState.ALIVE);
+      context.emitStateChange(entry);
+    }
+    // A member itself is the source of being alive, whoever passes it on.
+    context.gossipQueue.enqueue(entry.toUpdate(entry.member.address()));
+  }
+
+  /** Marks a member as having left in order. */
   void markLeft(MemberEntry entry, long refutation) {
     entry.refutation = Math.max(entry.refutation, refutation);
-    context.memberTable.setState(entry, MemberState.LEFT, context.nowNanos, context.random);
+    setState(entry, MemberState.LEFT);
     context.emitStateChange(entry);
+    enqueue(entry);
+  }
+
+  private void setState(MemberEntry entry, MemberState state) {
+    context.memberTable.setState(entry, state, context.nowNanos, context.random);
+  }
+
+  private void enqueue(MemberEntry entry) {
     context.gossipQueue.enqueue(entry.toUpdate(context.self.address()));
   }
 
-  /** What a newcomer is told at once: some of those that are there. */
+  /** Some live members, for the first message to a new one. */
   List<MembershipUpdate> welcomeUpdates() {
-    return context
-        .memberTable
-        .randomAlive(context.settings.maxUpdatesPerMessage() / 2, null, context.random)
-        .stream()
-        .map(entry -> entry.toUpdate(context.self.address()))
+    int count = context.settings.maxUpdatesPerMessage() / WELCOME_DIVISOR;
+    Address self = context.self.address();
+    return context.memberTable.randomAlive(count, null, context.random).stream()
+        .map(entry -> entry.toUpdate(self))
         .toList();
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
+++ b/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
@@ -1,176 +1,225 @@
 package tamarindroute.membership;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
+import java.util.function.IntFunction;
 import java.util.function.UnaryOperator;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
 
 /**
- * A schedule as a text file: who, what, when; what is then to hold. The same file runs a sound
- * machine and defects.
+ * Plays a schedule from a text file: which faults happen when, and what is expected at which time.
+ * The same file is played with the system under test and with seeded defects.
+ *
+ * <p>The first line is {@code members COUNT [joining]}. Each further line is {@code SECONDS COMMAND
+ * ARGUMENTS}, with members as {@code 3}, {@code 0-7} or {@code *}:
+ *
+ * <ul>
+ *   <li>{@code loss PROBABILITY}, {@code duplicate PROBABILITY}, {@code delay MILLISECONDS}: of all
+ *       messages from then on
+ *   <li>{@code kill MEMBERS}, {@code leave MEMBERS}, {@code start MEMBERS INCARNATION}, {@code
+ *       pause MEMBERS SECONDS}
+ *   <li>{@code cut MEMBERS MEMBERS}: from the first to the second; {@code suppress MEMBER MEMBER}:
+ *       the first never receives that the second is alive; {@code heal} ends all of these
+ *   <li>{@code may-fail MEMBERS}: may be declared faulty from now on; {@code unaware MEMBERS}: may
+ *       regard themselves as connected nevertheless
+ *   <li>{@code record KIND MEMBER INCARNATION to INCARNATION MEMBER INCARNATION}: a message with
+ *       its sender, target incarnation and subject; {@code replay MEMBER MEMBER} sends it
+ *   <li>{@code status MEMBERS CONNECTIVITY}, {@code state MEMBERS MEMBERS STATE}: expected of the
+ *       first members
+ *   <li>{@code end}: only lets time pass
+ * </ul>
  */
 final class FaultSchedule {
 
+  private static final Path FOLDER = Path.of("membership/src/test/resources/schedules");
+  private static final String EXTENSION = ".txt";
+  private static final int MAX_UNMET = 20;
+  private static final int MILLIS_PER_SECOND = 1_000;
+
   private record Link(int from, int to) {}
 
+  /**
+   * Result of a run.
+   *
+   * @param checker the invariants' violations
+   * @param unmet lines whose expectation did not hold
+   */
+  record Outcome(InvariantChecker checker, List<String> unmet) {}
+
   private final List<String[]> lines = new ArrayList<>();
   private final Set<Link> cutLinks = new HashSet<>();
+  private final List<String> unmet = new ArrayList<>();
   private MembershipSimulator simulator;
   private InvariantChecker checker;
-  private final List<String> unmet = new ArrayList<>();
-  private Message storedMessage;
+  private Message recordedMessage;
 
-  /** What each is told; all the same but for a seeded defect. */
-  java.util.function.IntFunction<MembershipSettings> settingsOf =
-      place -> MembershipSettings.DEFAULTS;
+  /** Settings of each member; they are the same for all unless a defect is seeded. */
+  IntFunction<MembershipSettings> settingsOf = index -> MembershipSettings.DEFAULTS;
 
   FaultSchedule(String name) {
     try {
-      for (String line :
-          Files.readAllLines(Path.of("membership/src/test/resources/schedules", name + ".txt"))) {
+      for (String line : Files.readAllLines(FOLDER.resolve(name + EXTENSION))) {
         if (!line.isBlank() && !line.startsWith("#")) {
           lines.add(line.strip().split("\\s+"));
         }
       }
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     }
   }
 
-  record Outcome(InvariantChecker checker, List<String> unmet) {}
+  /** Names of all schedules. */
+  static List<String> names() throws IOException {
+    try (Stream<Path> files = Files.list(FOLDER)) {
+      return files
+          .map(file -> file.getFileName().toString().replace(EXTENSION, ""))
+          .sorted()
+          .toList();
+    }
+  }
 
   Outcome play(long seed, UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
     for (String[] line : lines) {
       if (line[0].equals("members")) {
-        simulator = new MembershipSimulator(MembershipSettings.DEFAULTS, parseInt(line[1]), seed);
-        simulator.defect = defect;
-        simulator.settingsOf = settingsOf;
-        checker = new InvariantChecker(simulator, MembershipSettings.DEFAULTS.toleratedPause());
-        simulator.linkFilter = (from, recipient) -> cutLinks.contains(new Link(from, recipient));
-        if (line.length > 2) {
-          simulator.startJoining(Duration.ofSeconds(1));
-        } else {
-          simulator.startJoined();
-        }
+        start(Integer.parseInt(line[1]), line.length > 2, seed, defect);
       } else {
-        simulator.run(
-            Duration.ofMillis((long) (1_000 * Double.parseDouble(line[0]))).minus(simulator.now()));
+        simulator.run(parseSeconds(line[0]).minus(simulator.now()));
         execute(line);
       }
     }
     return new Outcome(checker, unmet);
   }
 
+  private void start(
+      int count,
+      boolean joining,
+      long seed,
+      UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
+    simulator = new MembershipSimulator(MembershipSettings.DEFAULTS, count, seed);
+    simulator.defect = defect;
+    simulator.settingsOf = settingsOf;
+    checker = new InvariantChecker(simulator, MembershipSettings.DEFAULTS.toleratedPause());
+    simulator.linkFilter = (from, to) -> cutLinks.contains(new Link(from, to));
+    if (joining) {
+      simulator.startJoining(Duration.ofSeconds(1));
+    } else {
+      simulator.startJoined();
+    }
+  }
+
   private void execute(String[] line) {
-    List<Integer> members = line.length > 2 ? parseRange(line[2]) : List.of();
+    List<Integer> members = line.length > 2 ? parseMembers(line[2]) : List.of();
     switch (line[1]) {
       case "loss" -> simulator.loss = Double.parseDouble(line[2]);
-      case "doubled" -> simulator.duplication = Double.parseDouble(line[2]);
-      case "delay" -> simulator.maxDelayNanos = Duration.ofMillis(parseInt(line[2])).toNanos();
+      case "duplicate" -> simulator.duplication = Double.parseDouble(line[2]);
+      case "delay" -> simulator.maxDelayNanos = Duration.ofMillis(parse(line[2])).toNanos();
       case "kill" -> members.forEach(simulator::kill);
       case "leave" -> members.forEach(simulator::leave);
       case "start" -> members.forEach(member -> simulator.start(member, Long.parseLong(line[3])));
-      case "stop" ->
-          members.forEach(
-              member -> {
-                Duration duration = Duration.ofMillis((long) (1_000 * Double.parseDouble(line[3])));
-                checker.onPause(member, duration);
-                simulator.pause(member, duration);
-              });
-      case "cut" -> {
-        checker.beginPhase();
-        members.forEach(
-            from ->
-                parseRange(line[3]).forEach(recipient -> cutLinks.add(new Link(from, recipient))));
-      }
-      case "unlucky" -> {
-        Address subject = simulator.nodes.get(parseInt(line[3])).address;
-        simulator.isDropped =
-            (recipient, message) ->
-                recipient == parseInt(line[2])
-                    && (message.subject().address().equals(subject)
-                        || message.updates().stream()
-                            .anyMatch(
-                                update ->
-                                    update.member().address().equals(subject)
-                                        && update.state() == MemberState.ALIVE));
-      }
-      case "healed" -> {
-        checker.beginPhase();
-        cutLinks.clear();
-        simulator.isDropped = (recipient, message) -> false;
-      }
-      case "maygo" -> members.forEach(checker::excuse);
-      case "blind" -> members.forEach(checker::excuseFromKnowing);
-      case "keep" ->
-          storedMessage =
-              new Message(
-                  Message.Kind.valueOf(line[2]),
-                  new Member(
-                      simulator.nodes.get(parseInt(line[3])).address, Long.parseLong(line[4])),
-                  Long.parseLong(line[6]),
-                  1,
-                  new Member(
-                      simulator.nodes.get(parseInt(line[7])).address, Long.parseLong(line[8])),
-                  List.of());
-      case "late" -> simulator.transmit(parseInt(line[2]), parseInt(line[3]), storedMessage);
-      case "touch" ->
-          members.forEach(
-              member ->
-                  expect(
-                      line,
-                      simulator
-                          .nodes
-                          .get(member)
-                          .membership
-                          .localStatus(simulator.localTime(simulator.nodes.get(member)))
-                          .connectivity()
-                          .toString()
-                          .equals(line[3])));
-      case "holds" ->
-          members.forEach(
-              observer ->
-                  parseRange(line[3])
-                      .forEach(
-                          subject ->
-                              expect(
-                                  line,
-                                  observer.equals(subject)
-                                      || simulator.nodes.get(observer).killed
-                                      || line[4].equals(
-                                          String.valueOf(simulator.stateOf(observer, subject))))));
+      case "pause" -> members.forEach(member -> pause(member, parseSeconds(line[3])));
+      case "cut" -> cut(members, parseMembers(line[3]));
+      case "suppress" -> suppress(parse(line[2]), parse(line[3]));
+      case "heal" -> heal();
+      case "may-fail" -> members.forEach(checker::excuse);
+      case "unaware" -> members.forEach(checker::excuseFromKnowing);
+      case "record" -> recordedMessage = parseMessage(line);
+      case "replay" -> simulator.transmit(parse(line[2]), parse(line[3]), recordedMessage);
+      case "status" -> members.forEach(member -> expectStatus(line, member));
+      case "state" -> members.forEach(member -> expectStates(line, member));
       case "end" -> {}
-      default -> throw new IllegalArgumentException(String.join(" ", line));
+      default -> throw new IllegalArgumentException("unknown command: " + String.join(" ", line));
+    }
+  }
+
+  private void pause(int member, Duration duration) {
+    checker.onPause(member, duration);
+    simulator.pause(member, duration);
+  }
+
+  private void cut(List<Integer> senders, List<Integer> receivers) {
+    checker.beginPhase();
+    for (int from : senders) {
+      receivers.forEach(to -> cutLinks.add(new Link(from, to)));
+    }
+  }
+
+  private void suppress(int receiver, int subject) {
+    Address address = simulator.nodes.get(subject).address;
+    simulator.isDropped = (to, message) -> to == receiver && showsAlive(message, address);
+  }
+
+  private static boolean showsAlive(Message message, Address subject) {
+    return message.subject().address().equals(subject)
+        || message.updates().stream()
+            .anyMatch(
+                update ->
+                    update.member().address().equals(subject)
+                        && update.state() == MemberState.ALIVE);
+  }
+
+  private void heal() {
+    checker.beginPhase();
+    cutLinks.clear();
+    simulator.isDropped = (to, message) -> false;
+  }
+
+  private Message parseMessage(String[] line) {
+    Member from = parseMember(line[3], line[4]);
+    Member subject = parseMember(line[7], line[8]);
+    Message.Kind kind = Message.Kind.valueOf(line[2]);
+    return new Message(kind, from, Long.parseLong(line[6]), 1, subject, List.of());
+  }
+
+  private Member parseMember(String index, String incarnation) {
+    return new Member(simulator.nodes.get(parse(index)).address, Long.parseLong(incarnation));
+  }
+
+  private void expectStatus(String[] line, int member) {
+    Connectivity connectivity = simulator.localStatus(member).connectivity();
+    expect(line, connectivity == Connectivity.valueOf(line[3]));
+  }
+
+  private void expectStates(String[] line, int observer) {
+    for (int subject : parseMembers(line[3])) {
+      boolean judged = observer != subject && !simulator.nodes.get(observer).killed;
+      MemberState expected = MemberState.valueOf(line[4]);
+      expect(line, !judged || simulator.stateOf(observer, subject).equals(Optional.of(expected)));
     }
   }
 
   private void expect(String[] line, boolean holds) {
-    if (!holds && unmet.size() < 20) {
+    if (!holds && unmet.size() < MAX_UNMET) {
       unmet.add(String.join(" ", line));
     }
   }
 
-  private List<Integer> parseRange(String range) {
-    if (!range.matches("\\*|\\d+(-\\d+)?")) {
+  private List<Integer> parseMembers(String range) {
+    if (range.equals("*")) {
+      return IntStream.range(0, simulator.nodes.size()).boxed().toList();
+    }
+    if (!range.matches("\\d+(-\\d+)?")) {
       return List.of();
     }
     int dash = range.indexOf('-');
-    int from = range.equals("*") ? 0 : parseInt(dash < 0 ? range : range.substring(0, dash));
-    int recipient =
-        range.equals("*") ? simulator.nodes.size() - 1 : parseInt(range.substring(dash + 1));
-    List<Integer> all = new ArrayList<>();
-    for (int member = from; member <= recipient; member++) {
-      all.add(member);
-    }
-    return all;
+    int first = parse(dash < 0 ? range : range.substring(0, dash));
+    int last = parse(range.substring(dash + 1));
+    return IntStream.rangeClosed(first, last).boxed().toList();
+  }
+
+  private static Duration parseSeconds(String seconds) {
+    return Duration.ofMillis((long) (MILLIS_PER_SECOND * Double.parseDouble(seconds)));
   }
 
-  private static int parseInt(String range) {
-    return Integer.parseInt(range);
+  private static int parse(String number) {
+    return Integer.parseInt(number);
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
@@ -9,33 +9,65 @@
 import java.util.Set;
 
 /**
- * Judges a play by what nodes are told and what they do, beside the truth of what was done to them;
- * it reads no machine's state but touch, as whoever acts reads it.
+ * Checks the invariants of a simulation by what is delivered to nodes and by their actions,
+ * compared to the faults injected. Reads no state of a member but its local status.
  */
 final class InvariantChecker implements MembershipSimulator.SimulationObserver {
 
+  /** What has to hold in every simulation. */
+  enum Invariant {
+    /** A paused process notices its pause before anything else. */
+    PAUSE_IS_NOTICED,
+    /** No member is declared faulty that runs and can be reached. */
+    NO_FALSE_FAULT,
+    /** A member that others declare faulty does not regard itself as connected. */
+    ISOLATION_IS_NOTICED,
+    /** Messages of and for former incarnations have no effect. */
+    FORMER_INCARNATIONS_ARE_IGNORED,
+    /** No member is declared faulty on the report of a single observer. */
+    SEVERAL_OBSERVERS_AGREE,
+    /** No member declares the same incarnation faulty twice in one phase. */
+    NO_FLAPPING
+  }
+
   /**
-   * Beyond it a stopped process has to find out; the machine's own bound is a quarter of a period.
+   * One violation.
+   *
+   * @param invariant what was violated
+   * @param at virtual time
+   * @param description by whom and how
    */
-  private static final long NOTICE_AFTER_NANOS = Duration.ofMillis(300).toNanos();
+  record Violation(Invariant invariant, Duration at, String description) {}
+
+  /** Longer pauses have to be noticed; the detection's own bound is a quarter of a period. */
+  private static final Duration NOTICEABLE_PAUSE = Duration.ofMillis(300);
 
-  private record ObserverAndSubject(int at, Member of) {}
+  private static final int MAX_VIOLATIONS = 50;
+  private static final int MIN_OBSERVERS = 2;
+
+  private record ObserverAndSubject(int observer, Member subject) {}
 
   private final MembershipSimulator simulator;
   private final Duration toleratedPause;
   private final Map<Address, Integer> indexByAddress = new HashMap<>();
-  private final Map<ObserverAndSubject, Set<Address>> observers = new HashMap<>();
+  private final Map<ObserverAndSubject, Set<Address>> reporters = new HashMap<>();
   private final Map<ObserverAndSubject, Integer> faultyDeclarations = new HashMap<>();
   private final Map<Integer, Map<Address, Long>> knownIncarnations = new HashMap<>();
   private final Set<Integer> excused = new HashSet<>();
   private final Set<Integer> excusedFromKnowing = new HashSet<>();
-  private final Map<Integer, Long> pausedAtNanos = new HashMap<>();
-  private final Set<Integer> mustPause = new HashSet<>();
-  private final Map<Integer, Message> told = new HashMap<>();
-  final List<String> violations = new ArrayList<>();
+  private final Set<Integer> mustNoticePause = new HashSet<>();
+
+  /** Message of the current delivery by node if it must have no effect there. */
+  private final Map<Integer, Message> staleMessages = new HashMap<>();
+
+  final List<Violation> violations = new ArrayList<>();
   int faultyCount;
 
-  /** Stated is the pause that has to be borne, whatever the machines were told. */
+  /**
+   * Starts to observe a simulation.
+   *
+   * @param toleratedPause the longest pause without consequences, whatever the members' settings
+   */
   InvariantChecker(MembershipSimulator simulator, Duration toleratedPause) {
     this.simulator = simulator;
     this.toleratedPause = toleratedPause;
@@ -45,86 +77,95 @@
     simulator.observers.add(this);
   }
 
-  /**
-   * It can't be reached by most: it may be held away, once it knows itself that it is not in touch.
-   */
+  /** Most members can't reach this one; it may be declared faulty once it knows its isolation. */
   void excuse(int index) {
     excused.add(index);
   }
 
-  /** It can't know: neither it nor anybody on its side hears those that hold it to be away. */
+  /** This member can't know its isolation: nothing of those that declare it faulty reaches it. */
   void excuseFromKnowing(int index) {
     excusedFromKnowing.add(index);
   }
 
-  /** The world is another from here on: what was cut may be cut again. */
+  /** The network changes: a member declared faulty before may be so again. */
   void beginPhase() {
     faultyDeclarations.clear();
   }
 
-  void onPause(int index, Duration span) {
-    pausedAtNanos.put(index, simulator.now().toNanos());
-    if (span.toNanos() > NOTICE_AFTER_NANOS) {
-      mustPause.add(index);
+  void onPause(int index, Duration duration) {
+    if (duration.compareTo(NOTICEABLE_PAUSE) > 0) {
+      mustNoticePause.add(index);
     }
-    if (span.compareTo(toleratedPause) > 0) {
+    if (duration.compareTo(toleratedPause) > 0) {
       excuse(index);
     }
   }
 
   @Override
   public void onDelivery(int node, Message message) {
-    told.put(node, message);
-    Map<Address, Long> known = knownIncarnations.computeIfAbsent(node, n -> new HashMap<>());
     for (MembershipUpdate update : message.updates()) {
-      if (update.state() == MemberState.SUSPECT || update.state() == MemberState.AWAY) {
-        observers
-            .computeIfAbsent(new ObserverAndSubject(node, update.member()), p -> new HashSet<>())
-            .add(update.observer());
+      if (update.state() == MemberState.SUSPECT || update.state() == MemberState.FAULTY) {
+        addReporter(node, update);
       }
     }
-    boolean fromFormerIncarnation =
-        message.from().incarnation() < known.getOrDefault(message.from().address(), 0L);
+    Member sender = message.from();
+    Map<Address, Long> known = knownIncarnations(node);
+    boolean fromFormerIncarnation = sender.incarnation() < known.getOrDefault(sender.address(), 0L);
     boolean forOtherIncarnation =
         message.targetIncarnation() != 0
             && message.targetIncarnation()
                 != simulator.nodes.get(node).membership.self().incarnation();
-    if (!fromFormerIncarnation && !forOtherIncarnation) {
-      told.remove(node);
-      known.merge(message.from().address(), message.from().incarnation(), Math::max);
+    if (fromFormerIncarnation || forOtherIncarnation) {
+      staleMessages.put(node, message);
+    } else {
+      staleMessages.remove(node);
+      known.merge(sender.address(), sender.incarnation(), Math::max);
     }
   }
 
+  private void addReporter(int node, MembershipUpdate update) {
+    reporters
+        .computeIfAbsent(new ObserverAndSubject(node, update.member()), key -> new HashSet<>())
+        .add(update.observer());
+  }
+
+  private Map<Address, Long> knownIncarnations(int node) {
+    return knownIncarnations.computeIfAbsent(node, key -> new HashMap<>());
+  }
+
   @Override
   public void onActions(int node, List<Action> actions) {
-    Message staleMessage = told.remove(node);
-    if (mustPause.contains(node) && !simulator.nodes.get(node).paused) {
-      mustPause.remove(node);
-      boolean first =
-          actions.get(0) instanceof Action.StatusChanged touch
-              && touch.status().connectivity() == Action.Connectivity.PAUSED;
-      reportIf(!first, "PAUSE " + node + " went on without finding out that it had been stopped");
+    Message staleMessage = staleMessages.remove(node);
+    if (!simulator.nodes.get(node).paused && mustNoticePause.remove(node)) {
+      reportIf(
+          !isPauseReport(actions.get(0)),
+          Invariant.PAUSE_IS_NOTICED,
+          node + " went on without noticing its pause");
     }
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         onSend(node, send, staleMessage);
-      } else if (action instanceof Action.StateChanged became) {
-        onStateChanged(node, became);
+      } else if (action instanceof Action.StateChanged change) {
+        onStateChanged(node, change);
       } else if (action instanceof Action.IncarnationRaised) {
         reportIf(
             staleMessage != null,
-            "FORMER " + node + " took a birth on a word meant for a former self");
+            Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
+            node + " raised its incarnation because of a message for a former one");
       }
     }
   }
 
+  private static boolean isPauseReport(Action action) {
+    return action instanceof Action.StatusChanged change
+        && change.status().connectivity() == Connectivity.PAUSED;
+  }
+
   private void onSend(int node, Action.Send send, Message staleMessage) {
     Message message = send.message();
     for (MembershipUpdate update : message.updates()) {
       if (update.observer().equals(simulator.nodes.get(node).address)) {
-        observers
-            .computeIfAbsent(new ObserverAndSubject(node, update.member()), p -> new HashSet<>())
-            .add(update.observer());
+        addReporter(node, update);
       }
     }
     reportIf(
@@ -133,54 +174,60 @@
             && message.kind() != Message.Kind.GOSSIP
             && send.to().equals(staleMessage.from().address())
             && message.requestId() == staleMessage.requestId(),
-        "FORMER " + node + " answered " + staleMessage);
+        Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
+        node + " answered " + staleMessage);
   }
 
-  private void onStateChanged(int node, Action.StateChanged became) {
-    Member about = became.member();
-    long known =
-        knownIncarnations
-            .computeIfAbsent(node, n -> new HashMap<>())
-            .merge(about.address(), about.incarnation(), Math::max);
+  private void onStateChanged(int node, Action.StateChanged change) {
+    Member member = change.member();
+    long known = knownIncarnations(node).merge(member.address(), member.incarnation(), Math::max);
     reportIf(
-        known > about.incarnation() && became.state().compareTo(MemberState.AWAY) < 0,
-        "FORMER " + node + " holds a former self of " + about + " to be " + became.state());
-    if (became.state() != MemberState.AWAY) {
-      return;
+        known > member.incarnation() && change.state().compareTo(MemberState.FAULTY) < 0,
+        Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
+        node + " regards the former incarnation " + member + " as " + change.state());
+    if (change.state() == MemberState.FAULTY) {
+      faultyCount++;
+      onDeclaredFaulty(node, member);
     }
-    faultyCount++;
-    int subjectIndex = indexByAddress.get(about.address());
+  }
+
+  private void onDeclaredFaulty(int node, Member member) {
+    int subjectIndex = indexByAddress.get(member.address());
     MembershipSimulator.Node subject = simulator.nodes.get(subjectIndex);
-    boolean ended =
-        subject.killed || subject.membership.self().incarnation() != about.incarnation();
+    long subjectIncarnation = subject.membership.self().incarnation();
+    boolean ended = subject.killed || subjectIncarnation != member.incarnation();
     reportIf(
         !ended && !excused.contains(subjectIndex),
-        "FALSE " + node + " holds " + about + " to be away");
-    boolean inTouch =
-        !ended
-            && !subject.paused
-            && subject.membership.localStatus(simulator.localTime(subject)).isConnected();
+        Invariant.NO_FALSE_FAULT,
+        node + " declared " + member + " faulty");
+    boolean regardsItselfAsConnected =
+        !ended && !subject.paused && simulator.localStatus(subjectIndex).isConnected();
     reportIf(
-        inTouch && excused.contains(subjectIndex) && !excusedFromKnowing.contains(subjectIndex),
-        "UNKNOWING " + subjectIndex + " holds itself in touch while " + node + " holds it away");
-    boolean later =
-        simulator.nodes.get(subjectIndex).membership.self().incarnation() > about.incarnation();
-    int count = observers.getOrDefault(new ObserverAndSubject(node, about), Set.of()).size();
+        regardsItselfAsConnected
+            && excused.contains(subjectIndex)
+            && !excusedFromKnowing.contains(subjectIndex),
+        Invariant.ISOLATION_IS_NOTICED,
+        subjectIndex + " regards itself as connected while " + node + " declares it faulty");
+    ObserverAndSubject key = new ObserverAndSubject(node, member);
+    int observers = reporters.getOrDefault(key, Set.of()).size();
+    boolean replaced = subjectIncarnation > member.incarnation();
     reportIf(
-        count < 2 && !later,
-        "ALONE " + node + " cut " + about + " on " + count + " observers' word");
+        observers < MIN_OBSERVERS && !replaced,
+        Invariant.SEVERAL_OBSERVERS_AGREE,
+        node + " declared " + member + " faulty on " + observers + " observers' reports");
     reportIf(
-        faultyDeclarations.merge(new ObserverAndSubject(node, about), 1, Integer::sum) > 1,
-        "FLAP " + node + " cut " + about + " again");
+        faultyDeclarations.merge(key, 1, Integer::sum) > 1,
+        Invariant.NO_FLAPPING,
+        node + " declared " + member + " faulty again");
   }
 
-  private void reportIf(boolean violated, String description) {
-    if (violated && violations.size() < 50) {
-      violations.add(simulator.now().toMillis() + " ms " + description);
+  private void reportIf(boolean violated, Invariant invariant, String description) {
+    if (violated && violations.size() < MAX_VIOLATIONS) {
+      violations.add(new Violation(invariant, simulator.now(), description));
     }
   }
 
-  boolean hasViolation(String kind) {
-    return violations.stream().anyMatch(b -> b.contains(" ms " + kind));
+  boolean hasViolation(Invariant invariant) {
+    return violations.stream().anyMatch(violation -> violation.invariant() == invariant);
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
@@ -5,24 +5,28 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiFunction;
 import java.util.function.IntFunction;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
 /**
- * Each of the checker's rules catches a machine that breaks it; ScheduleTest shows that the sound
- * one breaks none.
+ * Each invariant is violated by a seeded defect; {@link FaultScheduleTest} shows that the correct
+ * implementation violates none.
  */
 class InvariantCheckerTest {
 
+  /** Raised with each return made up for a faulty member. */
+  private final AtomicLong lastRefutation = new AtomicLong(100);
+
   @Test
   void memberThatIgnoresItsOwnPauseIsCaught() {
-    MembershipSettings.Guards noPauses = new MembershipSettings.Guards(true, true, false);
+    MembershipSettings.Guards noPauseDetection = new MembershipSettings.Guards(true, true, false);
     assertCaught(
-        "pause",
-        "PAUSE",
-        index -> MembershipSettings.DEFAULTS.withGuards(noPauses),
+        "tolerated-pause",
+        InvariantChecker.Invariant.PAUSE_IS_NOTICED,
+        index -> MembershipSettings.DEFAULTS.withGuards(noPauseDetection),
         system -> system);
   }
 
@@ -42,34 +46,38 @@
             settings.maxBytesPerSecond(),
             settings.maxMembers(),
             settings.guards());
-    assertCaught("pause", "FALSE", index -> impatient, system -> system);
+    assertCaught(
+        "tolerated-pause",
+        InvariantChecker.Invariant.NO_FALSE_FAULT,
+        index -> impatient,
+        system -> system);
   }
 
   @Test
   void memberThatNoticesItsIsolationTooLateIsCaught() {
     assertCaught(
-        "hears-none",
-        "UNKNOWING",
+        "all-inbound-cut",
+        InvariantChecker.Invariant.ISOLATION_IS_NOTICED,
         index -> index == 7 ? toleratingPause(Duration.ofSeconds(30)) : MembershipSettings.DEFAULTS,
         system -> system);
   }
 
   @Test
   void memberThatTrustsASingleObserverIsCaught() {
-    MembershipSettings.Guards noConfirm = new MembershipSettings.Guards(true, false, true);
+    MembershipSettings.Guards noConfirmation = new MembershipSettings.Guards(true, false, true);
     assertCaught(
-        "unlucky",
-        "ALONE",
-        index -> MembershipSettings.DEFAULTS.withGuards(noConfirm),
+        "one-observer-misled",
+        InvariantChecker.Invariant.SEVERAL_OBSERVERS_AGREE,
+        index -> MembershipSettings.DEFAULTS.withGuards(noConfirmation),
         system -> system);
   }
 
-  /** Takes each message as if it were meant for it, and its sender as the life it remembers. */
+  /** Accepts messages for any incarnation, and ignores that it was superseded. */
   @Test
   void memberThatIgnoresIncarnationsIsCaught() {
     assertCaught(
-        "restart-clock-back",
-        "FORMER",
+        "restart-with-earlier-incarnation",
+        InvariantChecker.Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
         index -> MembershipSettings.DEFAULTS,
         system ->
             withChangedMessages(
@@ -90,24 +98,24 @@
                         message.updates())));
   }
 
-  /** Takes whatever is heard from one that is away as its return. */
+  /** Regards every message of a faulty member as its return. */
   @Test
   void memberThatFlapsIsCaught() {
     assertCaught(
-        "hears-none",
-        "FLAP",
+        "all-inbound-cut",
+        InvariantChecker.Invariant.NO_FLAPPING,
         index -> MembershipSettings.DEFAULTS,
         system ->
             withChangedMessages(
                 system,
                 (membership, message) -> {
-                  List<MembershipUpdate> rumours = new ArrayList<>(message.updates());
-                  if (membership.members().get(message.from()) == MemberState.AWAY) {
-                    rumours.add(
+                  List<MembershipUpdate> updates = new ArrayList<>(message.updates());
+                  if (membership.members().get(message.from()) == MemberState.FAULTY) {
+                    updates.add(
                         new MembershipUpdate(
                             message.from(),
                             MemberState.ALIVE,
-                            ++lastRefutation[0],
+                            lastRefutation.incrementAndGet(),
                             message.from().address()));
                   }
                   return new Message(
@@ -116,22 +124,20 @@
                       message.targetIncarnation(),
                       message.requestId(),
                       message.subject(),
-                      rumours);
+                      updates);
                 }));
   }
 
-  private final long[] lastRefutation = {100};
-
   private static void assertCaught(
       String schedule,
-      String kind,
+      InvariantChecker.Invariant invariant,
       IntFunction<MembershipSettings> settings,
       UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
     FaultSchedule played = new FaultSchedule(schedule);
     played.settingsOf = settings;
     InvariantChecker checker = played.play(1, defect).checker();
-    assertThat(checker.hasViolation(kind))
-        .as("%s in %s: %s", kind, schedule, checker.violations)
+    assertThat(checker.hasViolation(invariant))
+        .as("%s in %s: %s", invariant, schedule, checker.violations)
         .isTrue();
   }
 
--- a/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
@@ -6,10 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * Hashes and draws that members have to compute alike, pinned: they decide who belongs to which
- * part of an exchange.
- */
+/** Hashes that all members have to compute alike, as they select the parts of an exchange. */
 class MemberHashFixtureTest {
 
   private static final Member ONE = new Member(new Address("127.0.0.1", 9001), 17);
@@ -25,12 +22,12 @@
   }
 
   @Test
-  void drawsFromTheSeedOfAMember() {
+  void randomNumbersFromTheSeedOfAMember() {
     DeterministicRandom random = new DeterministicRandom(DeterministicRandom.seedFor(ONE));
-    List<Integer> drawn = new ArrayList<>();
+    List<Integer> numbers = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      drawn.add(random.nextInt(1_000));
+      numbers.add(random.nextInt(1_000));
     }
-    assertThat(drawn).containsExactly(790, 977, 468, 812, 345);
+    assertThat(numbers).containsExactly(790, 977, 468, 812, 345);
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
@@ -11,16 +11,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Measures in virtual time: how long until the dead are known to all, false words per member and
- * hour, bytes a second, state a member; of the machine, of probes without its guards, and of
- * heartbeats from all to all.
+ * Compares three protocols in virtual time: this membership, the same without its guards, and
+ * heartbeats from all to all. Prints how long it takes until a failure is known to all, false
+ * declarations per member and hour, bytes a second and the size of the state.
  *
- * <p>Arguments: seeds, members; then, for fewer, the ways by commas, and a part of the cases'
- * names.
+ * <p>Arguments: number of seeds, number of members; optionally the protocols, separated by commas,
+ * and a part of the workloads' names.
  */
 final class MembershipBenchmark {
 
-  /** One case: so many lost, all of a tenth stopped for so long, or one whose sending is cut. */
+  /**
+   * A workload.
+   *
+   * @param loss probability that a message is lost
+   * @param pauseSeconds length of one pause of a tenth of the members; 0 for none
+   * @param oneWayCut whether everything from one member is lost
+   */
   private record Workload(String name, double loss, double pauseSeconds, boolean oneWayCut) {}
 
   private record Result(
@@ -74,22 +80,22 @@
     }
   }
 
-  /** What one member keeps of so many others, none of its objects shared. */
+  /** Heap bytes of one member that knows this many, sharing no objects with others. */
   private static long stateBytes(int count) {
     List<Membership> retained = new ArrayList<>();
     int copies = Math.max(1, 20_000 / count);
     long before = usedHeapBytes();
     for (int copy = 0; copy < copies; copy++) {
       Member self = new Member(new Address("10.1.0.0", 7_000), 1);
-      Membership workload =
+      Membership membership =
           new Membership(MembershipSettings.DEFAULTS, self, List.of(), Duration.ZERO);
       for (int i = 0; i < count - 1; i++) {
         Member other = new Member(new Address("10.0." + i / 250 + "." + i % 250, 7_000), 1);
-        workload.onMessage(
+        membership.onMessage(
             new Message(Message.Kind.WELCOME, other, 1, 1, other, List.of()), Duration.ZERO);
       }
-      workload.clearPending();
-      retained.add(workload);
+      membership.clearPending();
+      retained.add(membership);
     }
     return (usedHeapBytes() - before) / retained.size();
   }
@@ -140,11 +146,11 @@
         (node, actions) ->
             actions.forEach(
                 action -> {
-                  if (action instanceof Action.StateChanged became
-                      && became.state() == MemberState.AWAY) {
-                    int subject = indexByAddress.get(became.member().address());
+                  if (action instanceof Action.StateChanged change
+                      && change.state() == MemberState.FAULTY) {
+                    int subject = indexByAddress.get(change.member().address());
                     if (simulator.nodes.get(subject).killed) {
-                      known.computeIfAbsent(subject, k -> new HashSet<>()).add(node);
+                      known.computeIfAbsent(subject, subjectKey -> new HashSet<>()).add(node);
                       last[0] = simulator.now().toNanos() / 1e9 - SETTLE_SECONDS;
                     } else if (!workload.oneWayCut || subject != 0) {
                       falseFaulty[0]++;
@@ -165,10 +171,14 @@
     int cutOne = workload.oneWayCut ? 1 : 0;
     double missed = 0;
     for (int i = 1; i <= dead; i++) {
-      Set<Integer> who = known.getOrDefault(i, Set.of());
+      Set<Integer> observers = known.getOrDefault(i, Set.of());
       missed +=
           Math.max(
-              0, count - dead - cutOne - who.stream().filter(n -> cutOne == 0 || n != 0).count());
+              0,
+              count
+                  - dead
+                  - cutOne
+                  - observers.stream().filter(n -> cutOne == 0 || n != 0).count());
     }
     int span = SETTLE_SECONDS + OBSERVE_SECONDS;
     return new Result(
@@ -178,25 +188,24 @@
         simulator.bytes / (double) span / count);
   }
 
-  /** A tenth of all, each once, spread over the whole time. */
+  /** Pauses a tenth of the members once each, spread over the whole time. */
   private static void schedulePauses(MembershipSimulator simulator, Workload workload, int dead) {
     int count = simulator.nodes.size();
     for (int i = 0; i < count / 10 && workload.pauseSeconds > 0; i++) {
-      int place = dead + 1 + i;
+      int index = dead + 1 + i;
       simulator.schedule(
           Duration.ofMillis(
               (long) (1_000.0 * (SETTLE_SECONDS + OBSERVE_SECONDS) * i / (count / 10))),
-          () -> simulator.pause(place, Duration.ofMillis((long) (workload.pauseSeconds * 1_000))));
+          () -> simulator.pause(index, Duration.ofMillis((long) (workload.pauseSeconds * 1_000))));
     }
   }
 
   /**
-   * Each tells all others that it lives every period; unheard for five, as long as probes take, one
-   * is away. Each pair by itself, so that a drawn share of the pairs stands for all where there are
-   * many.
+   * Heartbeats every period from each member to all others; a member is declared faulty after five
+   * missing ones. Each pair is simulated by itself.
    */
   private static Result runHeartbeats(int count, Workload workload, int seed) {
-    int missing = 5;
+    int missingHeartbeats = 5;
     int span = SETTLE_SECONDS + OBSERVE_SECONDS;
     SplittableRandom random = new SplittableRandom(seed);
     int dead = Math.max(1, count / 100);
@@ -219,10 +228,10 @@
               !(dies && time >= SETTLE_SECONDS)
                   && !(stop >= 0 && time >= stop && time < stop + workload.pauseSeconds);
           boolean arrived = sent && random.nextDouble() >= workload.loss;
-          if (time - lastHeard >= missing && !faulty) {
+          if (time - lastHeard >= missingHeartbeats && !faulty) {
             faulty = true;
             if (dies && time >= SETTLE_SECONDS) {
-              last = Math.max(last, lastHeard + missing - SETTLE_SECONDS);
+              last = Math.max(last, lastHeard + missingHeartbeats - SETTLE_SECONDS);
             } else {
               falseFaulty++;
             }
