--- a/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
@@ -9,14 +9,16 @@
 import java.util.function.BiFunction;
 
 /**
- * Explores all that can happen to three members within budgets, from one event to the next: each
- * message may come, be lost, or come again late; at each timer one may be stopped, killed and begun
- * anew with an earlier birth, or ways cut for a while. Times are kept relative to now, so that
- * equal futures are explored once. Draws are left out: with three, all others are asked anyhow.
+ * Explores all behaviours of three members within a budget of faults, from event to event. Each
+ * message may arrive, be lost, or arrive a second time later; at each timer a member may be paused
+ * or killed and restarted with an earlier incarnation, or links may be cut for a while.
+ *
+ * <p>States are compared by keys with times relative to now, so that equal futures are explored
+ * once. Random choices are left out: with three members all others are asked anyway.
  */
 final class MembershipModelChecker {
 
-  /** What may go wrong: messages lost, doubled late, and one each of these, at any moment. */
+  /** How many faults of each kind may still be injected. */
   record FaultBudget(int losses, int duplicates, int pauses, int kills, int partitions) {
     FaultBudget minus(int loss, int duplicate, int pause, int kill, int partition) {
       return new FaultBudget(
@@ -28,12 +30,16 @@
     }
   }
 
-  /** Which directed ways are cut, as bits of from * 3 + to; who may be held away by it. */
+  /**
+   * Directed links that are cut together, as bits {@code from * 3 + to}, and the member that may be
+   * declared faulty because of it, or {@link #NOBODY}.
+   */
   enum Partition {
-    ONE_PAIR(0b000_000_010, -1),
+    ONE_LINK(0b000_000_010, Partition.NOBODY),
     INTO_ONE(0b000_100_100, 2),
     OUT_OF_ONE(0b011_000_000, 2);
 
+    private static final int NOBODY = -1;
     private final int links;
     private final int excused;
 
@@ -47,13 +53,26 @@
     }
   }
 
+  /**
+   * Result of an exploration.
+   *
+   * @param states number of distinct states
+   * @param violations descriptions of violated invariants
+   * @param faultyCount how often a member was declared faulty
+   */
   record Exploration(int states, List<String> violations, int faultyCount) {}
 
+  /**
+   * A message under way, or received by a paused process and not read yet.
+   *
+   * @param queuedAtPaused whether it was received while the process was paused
+   */
   private record MessageInFlight(
       int from, int to, long arrivesNanos, Message message, boolean queuedAtPaused) {}
 
+  /** State of the members, the network and the faults; members may be shared between states. */
   private static final class State {
-    final Membership[] members = new Membership[3];
+    final Membership[] members = new Membership[MEMBERS];
     final long[] pausedUntilNanos = {-1, -1, -1};
     final long[] restartNanos = {-1, -1, -1};
     List<MessageInFlight> inFlight = new ArrayList<>();
@@ -62,12 +81,13 @@
     FaultBudget budget;
     long nowNanos;
 
-    /** Who may be held away from some moment on, as bits. */
+    /** Members that may be declared faulty from now on, as bits. */
     int excused;
 
+    /** Copies the state; of the members only the one about to change, by index or -1. */
     State copy(int changed) {
       State copy = new State();
-      for (int i = 0; i < 3; i++) {
+      for (int i = 0; i < MEMBERS; i++) {
         copy.members[i] = i == changed && members[i] != null ? members[i].copy() : members[i];
         copy.pausedUntilNanos[i] = pausedUntilNanos[i];
         copy.restartNanos[i] = restartNanos[i];
@@ -81,12 +101,12 @@
       return copy;
     }
 
-    /** A message with its number told from the last that whoever asked gave out. */
+    /** The message with its request id relative to the last one of the requester. */
     private List<Object> messageKey(MessageInFlight flight) {
       Message message = flight.message;
       int requester =
           switch (message.kind()) {
-            case PROBE, PROBE_FOR -> flight.from;
+            case PROBE, INDIRECT_PROBE -> flight.from;
             case ACK, NACK -> flight.to;
             default -> -1;
           };
@@ -106,7 +126,7 @@
 
     Object stateKey() {
       List<Object> key = new ArrayList<>();
-      for (int i = 0; i < 3; i++) {
+      for (int i = 0; i < MEMBERS; i++) {
         key.add(members[i] == null ? "" : members[i].stateKey(Duration.ofNanos(nowNanos)));
         key.add(pausedUntilNanos[i] < 0 ? -1 : pausedUntilNanos[i] - nowNanos);
         key.add(restartNanos[i] < 0 ? -1 : restartNanos[i] - nowNanos);
@@ -130,6 +150,20 @@
     }
   }
 
+  private static final int MEMBERS = 3;
+
+  /** Argument of {@link State#copy} if no member is about to change. */
+  private static final int UNCHANGED = -1;
+
+  private static final long FIRST_INCARNATION = 1_000;
+  private static final long EARLIER_INCARNATION = 500;
+  private static final FaultBudget NO_FAULTS = new FaultBudget(0, 0, 0, 0, 0);
+
+  /** Of this many states one is checked for healing, which takes long. */
+  private static final int HEALING_CHECK_INTERVAL = 256;
+
+  private static final int HEALING_PERIODS = 60;
+  private static final int SETTLING_PERIODS = 10;
   private static final long NANOS_PER_MILLI = 1_000_000;
   static final MembershipSettings SMALL =
       new MembershipSettings(
@@ -152,34 +186,34 @@
   private static final long DUPLICATE_DELAY_NANOS = 3 * PERIOD_NANOS;
   private static final int REQUEST_ID_LIMIT = 6;
 
-  private final MembershipSettings told;
+  private final MembershipSettings settings;
   private final List<Partition> partitions;
   private final long pauseNanos;
 
-  /** What a seeded defect makes of a message before its machine is told. */
+  /** Changes messages before they are handled, to seed a defect. */
   private final BiFunction<Membership, Message, Message> defect;
 
   private final List<String> violations = new ArrayList<>();
   private int faultyCount;
 
-  MembershipModelChecker(MembershipSettings told, List<Partition> partitions) {
-    this(told, partitions, PAUSE_NANOS, (machine, message) -> message);
+  MembershipModelChecker(MembershipSettings settings, List<Partition> partitions) {
+    this(settings, partitions, PAUSE_NANOS, (member, message) -> message);
   }
 
   MembershipModelChecker(
-      MembershipSettings told,
+      MembershipSettings settings,
       List<Partition> partitions,
       long pauseNanos,
       BiFunction<Membership, Message, Message> defect) {
-    this.told = told;
+    this.settings = settings;
     this.partitions = partitions;
     this.pauseNanos = pauseNanos;
     this.defect = defect;
   }
 
-  /** Until no new state is left, more are found than told, or a rule is broken. */
+  /** Explores until all states are visited, there are too many, or an invariant is violated. */
   Exploration explore(FaultBudget budget, int maxStates) {
-    State initial = first(budget);
+    State initial = initialState(budget);
     Set<Object> visited = new HashSet<>(Set.of(initial.stateKey()));
     ArrayDeque<State> open = new ArrayDeque<>(List.of(initial));
     while (!open.isEmpty() && violations.isEmpty()) {
@@ -187,7 +221,7 @@
       for (State successor : successors(state)) {
         if (visited.add(successor.stateKey())) {
           open.add(successor);
-          if (visited.size() % 256 == 0 && !heals(successor)) {
+          if (visited.size() % HEALING_CHECK_INTERVAL == 0 && !heals(successor)) {
             violations.add("does not heal");
           }
         }
@@ -199,24 +233,24 @@
     return new Exploration(visited.size(), violations, faultyCount);
   }
 
-  /** All joined, with nothing to tell; then a while, for the way in to be behind them. */
-  private State first(FaultBudget budget) {
+  /** All members joined, with nothing queued, some periods after that. */
+  private State initialState(FaultBudget budget) {
     State state = new State();
-    state.budget = new FaultBudget(0, 0, 0, 0, 0);
-    for (int i = 0; i < 3; i++) {
+    state.budget = NO_FAULTS;
+    for (int i = 0; i < MEMBERS; i++) {
       state.nowNanos = (1 + 37L * i) * NANOS_PER_MILLI;
-      state.members[i] = newMember(i, 1_000, state.nowNanos);
-      for (int other = 0; other < 3; other++) {
+      state.members[i] = newMember(i, FIRST_INCARNATION, state.nowNanos);
+      for (int other = 0; other < MEMBERS; other++) {
         if (other != i) {
-          Member start = new Member(address(other), 1_000);
+          Member from = new Member(address(other), FIRST_INCARNATION);
           state.members[i].onMessage(
-              new Message(Message.Kind.WELCOME, start, 1_000, 1, start, List.of()),
+              new Message(Message.Kind.WELCOME, from, FIRST_INCARNATION, 1, from, List.of()),
               Duration.ofNanos(state.nowNanos));
         }
       }
       state.members[i].clearPending();
     }
-    long until = state.nowNanos + 10 * PERIOD_NANOS;
+    long until = state.nowNanos + SETTLING_PERIODS * PERIOD_NANOS;
     while (state.nowNanos < until) {
       state = successors(state).get(0);
     }
@@ -226,15 +260,15 @@
 
   private Membership newMember(int index, long incarnation, long now) {
     List<Address> seeds =
-        incarnation == 1_000
+        incarnation == FIRST_INCARNATION
             ? List.of()
             : List.of(address((index + 1) % 3), address((index + 2) % 3));
     return new Membership(
-        told,
+        settings,
         new Member(address(index), incarnation),
         seeds,
         Duration.ofNanos(now),
-        new DeterministicRandom(0),
+        new DeterministicRandom(DeterministicRandom.ZERO_SEED),
         REQUEST_ID_LIMIT);
   }
 
@@ -242,35 +276,39 @@
     return new Address("m" + index, 7_000);
   }
 
-  /** The first thing that happens next, in every way in which it may. */
+  private static int indexOf(Address address) {
+    return address.host().charAt(1) - '0';
+  }
+
+  /** All states after the next event. */
   private List<State> successors(State state) {
     long atNanos = Long.MAX_VALUE;
     int timerIndex = -1;
-    for (int i = 0; i < 3; i++) {
+    for (int i = 0; i < MEMBERS; i++) {
       long due = nextDueNanos(state, i);
       if (due < atNanos) {
         atNanos = due;
         timerIndex = i;
       }
     }
-    MessageInFlight initial = null;
+    MessageInFlight next = null;
     for (MessageInFlight flight : state.inFlight) {
       if (!flight.queuedAtPaused
           && flight.arrivesNanos <= atNanos
-          && (initial == null || flight.arrivesNanos < initial.arrivesNanos)) {
-        initial = flight;
+          && (next == null || flight.arrivesNanos < next.arrivesNanos)) {
+        next = flight;
       }
     }
     if (state.partitionUntilNanos >= 0
-        && state.partitionUntilNanos <= (initial == null ? atNanos : initial.arrivesNanos)) {
-      State healed = state.copy(-1);
+        && state.partitionUntilNanos <= (next == null ? atNanos : next.arrivesNanos)) {
+      State healed = state.copy(UNCHANGED);
       healed.nowNanos = Math.max(state.nowNanos, state.partitionUntilNanos);
       healed.partition = null;
       healed.partitionUntilNanos = -1;
       return List.of(healed);
     }
-    return initial != null
-        ? arrivalSuccessors(state, initial)
+    return next != null
+        ? arrivalSuccessors(state, next)
         : timerSuccessors(state, timerIndex, atNanos);
   }
 
@@ -287,7 +325,7 @@
 
   private List<State> arrivalSuccessors(State state, MessageInFlight flight) {
     List<State> successors = new ArrayList<>();
-    State delivered = state.copy(-1);
+    State delivered = state.copy(UNCHANGED);
     delivered.nowNanos = Math.max(state.nowNanos, flight.arrivesNanos);
     delivered.inFlight.remove(flight);
     if (state.members[flight.to] == null
@@ -298,14 +336,14 @@
       delivered.inFlight.add(new MessageInFlight(flight.from, flight.to, 0, flight.message, true));
       return List.of(delivered);
     }
-    successors.add(told(delivered, flight));
+    successors.add(deliver(delivered, flight));
     if (state.budget.losses > 0) {
-      State lost = delivered.copy(-1);
+      State lost = delivered.copy(UNCHANGED);
       lost.budget = lost.budget.minus(1, 0, 0, 0, 0);
       successors.add(lost);
     }
     if (state.budget.duplicates > 0) {
-      State duplicated = told(delivered, flight);
+      State duplicated = deliver(delivered, flight);
       duplicated.budget = duplicated.budget.minus(0, 1, 0, 0, 0);
       duplicated.inFlight.add(
           new MessageInFlight(
@@ -319,16 +357,16 @@
     return successors;
   }
 
-  private State told(State state, MessageInFlight flight) {
+  private State deliver(State state, MessageInFlight flight) {
     State successor = state.copy(flight.to);
     long incarnation = knownIncarnation(successor, flight.to, flight.message.from().address());
-    Membership machine = successor.members[flight.to];
+    Membership member = successor.members[flight.to];
     boolean forOtherIncarnation =
         flight.message.targetIncarnation() != 0
-            && flight.message.targetIncarnation() != machine.self().incarnation();
+            && flight.message.targetIncarnation() != member.self().incarnation();
     List<Action> actions =
-        machine.onMessage(
-            defect.apply(machine, flight.message), Duration.ofNanos(successor.nowNanos));
+        member.onMessage(
+            defect.apply(member, flight.message), Duration.ofNanos(successor.nowNanos));
     if (forOtherIncarnation
         && actions.stream()
             .anyMatch(
@@ -337,18 +375,18 @@
                         || action instanceof Action.Send send
                             && send.message().kind() == Message.Kind.ACK)) {
       violations.add(
-          "what was meant for a former self of " + flight.to + " was taken: " + flight.message);
+          "message for a former incarnation of " + flight.to + " was accepted: " + flight.message);
     }
     apply(successor, flight.to, actions);
     if (knownIncarnation(successor, flight.to, flight.message.from().address()) < incarnation) {
-      violations.add("a former self of " + flight.message.from() + " counts at " + flight.to);
+      violations.add(flight.to + " accepts the former incarnation " + flight.message.from());
     }
     return successor;
   }
 
-  private static long knownIncarnation(State state, int atNanos, Address subjectIndex) {
-    return state.members[atNanos].members().keySet().stream()
-        .filter(member -> member.address().equals(subjectIndex))
+  private static long knownIncarnation(State state, int observer, Address subject) {
+    return state.members[observer].members().keySet().stream()
+        .filter(member -> member.address().equals(subject))
         .mapToLong(Member::incarnation)
         .findFirst()
         .orElse(0);
@@ -356,33 +394,33 @@
 
   private List<State> timerSuccessors(State state, int index, long atNanos) {
     List<State> successors = new ArrayList<>();
-    State now = state.copy(-1);
-    now.nowNanos = Math.max(state.nowNanos, atNanos);
-    if (now.restartNanos[index] >= 0) {
-      now.restartNanos[index] = -1;
-      now.members[index] = newMember(index, 500, now.nowNanos);
-      return List.of(now);
+    State due = state.copy(UNCHANGED);
+    due.nowNanos = Math.max(state.nowNanos, atNanos);
+    if (due.restartNanos[index] >= 0) {
+      due.restartNanos[index] = -1;
+      due.members[index] = newMember(index, EARLIER_INCARNATION, due.nowNanos);
+      return List.of(due);
     }
-    if (now.pausedUntilNanos[index] >= 0) {
-      return List.of(resume(now, index));
+    if (due.pausedUntilNanos[index] >= 0) {
+      return List.of(resume(due, index));
     }
-    State ticked = now.copy(index);
+    State ticked = due.copy(index);
     apply(ticked, index, ticked.members[index].tick(Duration.ofNanos(ticked.nowNanos)));
     successors.add(ticked);
-    successors.addAll(faultSuccessors(now, index));
+    successors.addAll(faultSuccessors(due, index));
     return successors;
   }
 
   private List<State> faultSuccessors(State state, int index) {
     List<State> faults = new ArrayList<>();
     if (state.budget.pauses > 0) {
-      State stopped = state.copy(-1);
-      stopped.budget = state.budget.minus(0, 0, 1, 0, 0);
-      stopped.pausedUntilNanos[index] = state.nowNanos + pauseNanos;
-      faults.add(stopped);
+      State paused = state.copy(UNCHANGED);
+      paused.budget = state.budget.minus(0, 0, 1, 0, 0);
+      paused.pausedUntilNanos[index] = state.nowNanos + pauseNanos;
+      faults.add(paused);
     }
     if (state.budget.kills > 0) {
-      State killed = state.copy(-1);
+      State killed = state.copy(UNCHANGED);
       killed.budget = state.budget.minus(0, 0, 0, 1, 0);
       killed.members[index] = null;
       killed.restartNanos[index] = state.nowNanos + DOWNTIME_NANOS;
@@ -392,7 +430,7 @@
         state.budget.partitions > 0 && state.partition == null
             ? partitions
             : List.<Partition>of()) {
-      State partitioned = state.copy(-1);
+      State partitioned = state.copy(UNCHANGED);
       partitioned.budget = state.budget.minus(0, 0, 0, 0, 1);
       partitioned.partition = partition;
       partitioned.partitionUntilNanos = state.nowNanos + PARTITION_NANOS;
@@ -402,21 +440,23 @@
     return faults;
   }
 
-  /** What waited is read first, as a socket's is; the first word has to be that it was stopped. */
+  /** Delivers what has queued up; the first action has to be the report of the pause. */
   private State resume(State state, int index) {
     State successor = state.copy(index);
     successor.pausedUntilNanos[index] = -1;
     List<MessageInFlight> queued =
-        successor.inFlight.stream().filter(f -> f.queuedAtPaused && f.to == index).toList();
+        successor.inFlight.stream()
+            .filter(flight -> flight.queuedAtPaused && flight.to == index)
+            .toList();
     successor.inFlight.removeAll(queued);
     Duration now = Duration.ofNanos(successor.nowNanos);
     List<Action> actions = new ArrayList<>();
     queued.forEach(
         flight -> actions.addAll(successor.members[index].onMessage(flight.message, now)));
     actions.addAll(successor.members[index].tick(now));
-    if (!(actions.get(0) instanceof Action.StatusChanged touch)
-        || touch.status().connectivity() != Action.Connectivity.PAUSED) {
-      violations.add(index + " did not find out that it was stopped");
+    if (!(actions.get(0) instanceof Action.StatusChanged change)
+        || change.status().connectivity() != Connectivity.PAUSED) {
+      violations.add(index + " did not notice its pause");
     }
     apply(successor, index, actions);
     return successor;
@@ -425,52 +465,51 @@
   private void apply(State state, int index, List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
-        int to = send.to().host().charAt(1) - '0';
+        int to = indexOf(send.to());
         state.inFlight.add(
             new MessageInFlight(index, to, state.nowNanos + DELAY_NANOS, send.message(), false));
-      } else if (action instanceof Action.StateChanged became
-          && became.state() == MemberState.AWAY) {
-        onFaulty(state, index, became.member());
+      } else if (action instanceof Action.StateChanged change
+          && change.state() == MemberState.FAULTY) {
+        onFaulty(state, index, change.member());
       }
     }
   }
 
-  private void onFaulty(State state, int observer, Member about) {
+  private void onFaulty(State state, int observer, Member declared) {
     faultyCount++;
-    int subjectIndex = about.address().host().charAt(1) - '0';
+    int subjectIndex = indexOf(declared.address());
     Membership subject = state.members[subjectIndex];
-    if (subject == null || !subject.self().equals(about)) {
+    if (subject == null || !subject.self().equals(declared)) {
       return;
     }
     if ((state.excused & 1 << subjectIndex) == 0) {
-      violations.add(observer + " holds " + subjectIndex + " away, which lives and can be reached");
+      violations.add(
+          observer + " declared " + subjectIndex + " faulty, which is alive and reachable");
     } else if (state.partition != null
         && state.pausedUntilNanos[subjectIndex] < 0
         && subject.localStatus(Duration.ofNanos(state.nowNanos)).isConnected()) {
-      violations.add(subjectIndex + " holds itself in touch while " + observer + " holds it away");
+      violations.add(
+          subjectIndex + " regards itself as connected while " + observer + " declares it faulty");
     }
   }
 
-  /**
-   * Whether, with nothing more going wrong, all hold all to be alive in the end, and themselves in
-   * touch.
-   */
+  /** Whether without further faults all members end up alive to each other and connected. */
   private boolean heals(State start) {
-    State state = start.copy(-1);
-    for (int i = 0; i < 3; i++) {
+    State state = start.copy(UNCHANGED);
+    for (int i = 0; i < MEMBERS; i++) {
       state.members[i] = state.members[i] == null ? null : state.members[i].copy();
     }
-    state.budget = new FaultBudget(0, 0, 0, 0, 0);
+    state.budget = NO_FAULTS;
     state.partition = null;
     state.partitionUntilNanos = -1;
-    long until = state.nowNanos + 60 * PERIOD_NANOS;
+    long until = state.nowNanos + HEALING_PERIODS * PERIOD_NANOS;
     while (state.nowNanos < until) {
       state = successors(state).get(0);
     }
-    for (Membership machine : state.members) {
-      if (!machine.localStatus(Duration.ofNanos(state.nowNanos)).isConnected()
-          || machine.members().size() != 2
-          || !Set.of(MemberState.ALIVE).containsAll(machine.members().values())) {
+    for (Membership member : state.members) {
+      if (!member.localStatus(Duration.ofNanos(state.nowNanos)).isConnected()
+          || member.members().size() != 2
+          || !Set.of(MemberState.ALIVE).containsAll(member.members().values())) {
         return false;
       }
     }
--- a/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
@@ -8,17 +8,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Three members, all that can happen within budgets; and that the exploration finds what is seeded.
+ * All behaviours of three members within budgets of faults; and that seeded defects are
+ * exploration.
  */
 class MembershipModelCheckerTest {
 
   private static final List<MembershipModelChecker.Partition> ALL_PARTITIONS =
       List.of(MembershipModelChecker.Partition.values());
 
-  /**
-   * Losses, doubled, stops, kills with a restart, cuts; and how few states would be a world not
-   * explored.
-   */
+  /** Each row has the budget of faults and the least number of states to be expected. */
   @ParameterizedTest
   @CsvSource({
     "2, 0, 0, 0, 0, 1000",
@@ -29,17 +27,16 @@
   })
   void noInvariantIsViolatedAndEveryStateHeals(
       int losses, int duplicates, int pauses, int kills, int partitions, int minStates) {
-    MembershipModelChecker.Exploration found =
+    MembershipModelChecker.Exploration exploration =
         new MembershipModelChecker(MembershipModelChecker.SMALL, ALL_PARTITIONS)
             .explore(
                 new MembershipModelChecker.FaultBudget(
                     losses, duplicates, pauses, kills, partitions),
                 150_000);
-    assertThat(found.violations()).isEmpty();
-    assertThat(found.states()).isGreaterThan(minStates);
-    // Whoever was killed, or cut off whole, is indeed held away by then: the rules had something to
-    // judge.
-    assertThat(found.faultyCount() > 0).isEqualTo(kills + partitions > 0);
+    assertThat(exploration.violations()).isEmpty();
+    assertThat(exploration.states()).isGreaterThan(minStates);
+    // Shows that the invariants had something to judge.
+    assertThat(exploration.faultyCount() > 0).isEqualTo(kills + partitions > 0);
   }
 
   @Test
@@ -49,18 +46,19 @@
     assertViolated(
         new MembershipModelChecker(unguarded, ALL_PARTITIONS),
         new MembershipModelChecker.FaultBudget(0, 0, 1, 0, 0),
-        "did not find out");
+        "did not notice its pause");
   }
 
   @Test
   void findsAMemberDeclaredFaultyThoughAlive() {
-    MembershipModelChecker longer =
+    MembershipModelChecker longerPauses =
         new MembershipModelChecker(
             MembershipModelChecker.SMALL,
             ALL_PARTITIONS,
             4 * MembershipModelChecker.PAUSE_NANOS,
             (member, message) -> message);
-    assertViolated(longer, new MembershipModelChecker.FaultBudget(0, 0, 1, 0, 0), "which lives");
+    assertViolated(
+        longerPauses, new MembershipModelChecker.FaultBudget(0, 0, 1, 0, 0), "which is alive");
   }
 
   @Test
@@ -78,7 +76,8 @@
                     message.requestId(),
                     message.subject(),
                     message.updates()));
-    assertViolated(careless, new MembershipModelChecker.FaultBudget(0, 0, 0, 1, 0), "former self");
+    assertViolated(
+        careless, new MembershipModelChecker.FaultBudget(0, 0, 0, 1, 0), "former incarnation of");
   }
 
   private static void assertViolated(
--- a/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
@@ -11,13 +11,12 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** What holds under any faults within bounds, and for any words at all. */
+/** Properties that hold under any faults within bounds, and for arbitrary messages. */
 class MembershipPropertyTest {
 
   /**
-   * Loss to a fifth, doubling, delays that reorder, stops up to the stated pause, one directed pair
-   * cut, kills, and restarts with a clock set back: no rule is broken, and once nothing more goes
-   * wrong all hold the same.
+   * Faults are loss up to a fifth, duplication, reordering, a tolerated pause, a cut link, and a
+   * kill and restart with an earlier incarnation.
    */
   @Property(tries = 12, seed = "28")
   void noInvariantIsViolatedAndAllAgreeInTheEnd(
@@ -62,21 +61,11 @@
       assertThat(simulator.nodes.get(observer).membership.members().values())
           .as("at %d", observer)
           .containsOnly(MemberState.ALIVE);
-      assertThat(
-              simulator
-                  .nodes
-                  .get(observer)
-                  .membership
-                  .localStatus(simulator.localTime(simulator.nodes.get(observer)))
-                  .isConnected())
-          .isTrue();
+      assertThat(simulator.localStatus(observer).isConnected()).isTrue();
     }
   }
 
-  /**
-   * Whatever it is told: nothing is thrown, what it keeps stays within bounds, and so does what it
-   * sends.
-   */
+  /** No message causes an exception, and both the table and the bytes sent stay bounded. */
   @Property(tries = 20, seed = "29")
   void arbitraryMessagesAreToleratedWithinBounds(@ForAll @IntRange(max = 1_000_000) int seed) {
     Random random = new Random(seed);
@@ -111,7 +100,7 @@
         }
       }
       assertThat(membership.members().size()).isLessThanOrEqualTo(smallSettings.maxMembers());
-      assertThat(membership.self().incarnation()).isBetween(5L, UpdatePrecedence.MAX_COUNTER);
+      assertThat(membership.self().incarnation()).isBetween(5L, MessageValidator.MAX_COUNTER);
     }
     assertThat(bytes)
         .isLessThanOrEqualTo(
--- a/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
@@ -6,16 +6,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import java.util.function.BiPredicate;
+import java.util.function.IntFunction;
+import java.util.function.UnaryOperator;
 
 /**
- * Members in virtual time: ways that lose, delay, double, reorder and are cut; processes stopped,
- * killed, begun anew.
+ * Simulates members in virtual time, over links that lose, delay, duplicate and reorder messages or
+ * are cut. Processes can be paused, killed and restarted.
  */
 final class MembershipSimulator {
 
-  /** What runs at a node; a seeded defect stands before the machine and changes what it is told. */
+  /** What runs at a node; a seeded defect wraps a membership and changes its input. */
   interface SystemUnderTest {
     List<Action> onMessage(Message message, Duration now);
 
@@ -43,18 +47,19 @@
     }
   }
 
-  /** Sees what nodes are told and what they do, and nothing of their state. */
+  /** Observes the messages delivered to nodes and the actions of nodes, but not their state. */
   interface SimulationObserver {
     default void onDelivery(int node, Message message) {}
 
     void onActions(int node, List<Action> actions);
   }
 
-  /** One directed way is cut. */
+  /** Decides which directed links are cut. */
   interface LinkFilter {
     boolean isCut(int from, int to);
   }
 
+  /** A simulated process. */
   static final class Node {
     final Address address;
     Membership membership;
@@ -70,6 +75,7 @@
     }
   }
 
+  /** A delivery if it has a message, a task if it has one, otherwise a tick of the node. */
   private record Event(long atNanos, long sequence, int node, Message message, Runnable task)
       implements Comparable<Event> {
     @Override
@@ -80,7 +86,14 @@
     }
   }
 
+  /** Node of an event that is a task. */
+  private static final int NO_NODE = -1;
+
+  /** Bound on the messages that a paused process finds afterwards, as of a socket's buffer. */
   private static final int MAX_PENDING_MESSAGES = 1_000;
+
+  private static final int SEEDS = 3;
+  private static final long FIRST_INCARNATION = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   final List<Node> nodes = new ArrayList<>();
@@ -89,19 +102,19 @@
   private final Map<Address, Integer> indexByAddress = new HashMap<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final SplittableRandom random;
-  private long now;
+  private long nowNanos;
   private long lastSequence;
   double loss;
   double duplication;
   long minDelayNanos = NANOS_PER_MILLI / 2;
   long maxDelayNanos = 5 * NANOS_PER_MILLI;
   LinkFilter linkFilter = (from, to) -> false;
-  java.util.function.IntFunction<MembershipSettings> settingsOf;
+  IntFunction<MembershipSettings> settingsOf;
 
-  /** What does not come through to one, beside cuts and loss. */
-  java.util.function.BiPredicate<Integer, Message> isDropped = (to, message) -> false;
+  /** Drops messages to a node, in addition to cut links and loss. */
+  BiPredicate<Integer, Message> isDropped = (to, message) -> false;
 
-  java.util.function.UnaryOperator<SystemUnderTest> defect = machine -> machine;
+  UnaryOperator<SystemUnderTest> defect = system -> system;
   long messages;
   long bytes;
 
@@ -116,70 +129,67 @@
     }
   }
 
-  /** All begin; each knows the first few as seeds. */
+  /** Starts all members within the given time; the first few are the seeds of all. */
   MembershipSimulator startJoining(Duration within) {
     for (int i = 0; i < nodes.size(); i++) {
       int index = i;
       schedule(
           Duration.ofNanos((long) (random.nextDouble() * within.toNanos())),
-          () -> start(index, 1_000 + index));
+          () -> start(index, FIRST_INCARNATION + index));
     }
     return this;
   }
 
-  /**
-   * All begin with everybody known: what a long joined membership is, without the time that joining
-   * takes.
-   */
+  /** Starts all members as if they had joined long ago: each knows all others. */
   MembershipSimulator startJoined() {
     List<MembershipUpdate> all = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
-      Member member = new Member(nodes.get(i).address, 1_000 + i);
+      Member member = new Member(nodes.get(i).address, FIRST_INCARNATION + i);
       all.add(new MembershipUpdate(member, MemberState.ALIVE, 0, member.address()));
     }
     for (int i = 0; i < nodes.size(); i++) {
-      start(i, 1_000 + i);
-      Node node = nodes.get(i);
-      Duration at = localTime(node);
-      Member self = node.membership.self();
-      for (int from = 0; from < all.size(); from += settings.maxUpdatesPerMessage()) {
-        Member other = all.get(i == 0 ? 1 : 0).member();
-        node.membership.onMessage(
-            new Message(
-                Message.Kind.WELCOME,
-                other,
-                self.incarnation(),
-                1,
-                other,
-                all.subList(from, Math.min(all.size(), from + settings.maxUpdatesPerMessage()))),
-            at);
-      }
-      node.membership.clearPending();
-      schedule(i);
+      start(i, FIRST_INCARNATION + i);
+      Member welcoming = all.get(i == 0 ? 1 : 0).member();
+      welcome(nodes.get(i), welcoming, all);
+      scheduleTick(i);
     }
     return this;
   }
 
+  private void welcome(Node node, Member from, List<MembershipUpdate> all) {
+    long incarnation = node.membership.self().incarnation();
+    int limit = settings.maxUpdatesPerMessage();
+    for (int start = 0; start < all.size(); start += limit) {
+      List<MembershipUpdate> updates = all.subList(start, Math.min(all.size(), start + limit));
+      node.membership.onMessage(
+          new Message(Message.Kind.WELCOME, from, incarnation, 1, from, updates), localTime(node));
+    }
+    node.membership.clearPending();
+  }
+
+  /** Starts a process, or restarts it. */
   void start(int index, long incarnation) {
     Node node = nodes.get(index);
     node.killed = false;
     node.paused = false;
     node.pendingMessages.clear();
-    node.startedNanos = now - random.nextInt(1_000_000);
-    List<Address> seeds = nodes.stream().limit(3).map(other -> other.address).toList();
+    node.startedNanos = nowNanos - random.nextInt(1_000_000);
+    List<Address> seeds = nodes.stream().limit(SEEDS).map(other -> other.address).toList();
     node.membership =
         new Membership(
             settingsOf.apply(index), new Member(node.address, incarnation), seeds, localTime(node));
     node.system = defect.apply(SystemUnderTest.of(node.membership));
     node.nextTickNanos = Long.MAX_VALUE;
-    schedule(index);
+    scheduleTick(index);
   }
 
+  /** Ends a process without a word. */
   void kill(int index) {
     nodes.get(index).killed = true;
     nodes.get(index).pendingMessages.clear();
   }
 
+  /** Stops a process for a while; messages to it wait. */
   void pause(int index, Duration duration) {
     nodes.get(index).paused = true;
     schedule(duration, () -> resume(index));
@@ -192,57 +202,60 @@
     }
     node.paused = false;
     while (!node.pendingMessages.isEmpty()) {
-      tell(index, node.pendingMessages.poll());
+      deliver(index, node.pendingMessages.poll());
     }
     node.nextTickNanos = Long.MAX_VALUE;
-    schedule(index);
+    scheduleTick(index);
   }
 
+  /** Makes a member leave in order and ends its process. */
   void leave(int index) {
     Node node = nodes.get(index);
-    did(index, node.membership.leave(localTime(node)));
+    perform(index, node.membership.leave(localTime(node)));
     kill(index);
   }
 
-  void schedule(Duration duration, Runnable run) {
-    events.add(new Event(now + duration.toNanos(), lastSequence++, -1, null, run));
+  /** Runs a task after the given time. */
+  void schedule(Duration delay, Runnable task) {
+    events.add(new Event(nowNanos + delay.toNanos(), lastSequence++, NO_NODE, null, task));
   }
 
   Duration now() {
-    return Duration.ofNanos(now);
+    return Duration.ofNanos(nowNanos);
   }
 
-  /** A node's own monotonic time; no two begin at the same. */
+  /** A node's own monotonic time; nodes start at different ones. */
   Duration localTime(Node node) {
-    return Duration.ofNanos(now - node.startedNanos);
+    return Duration.ofNanos(nowNanos - node.startedNanos);
   }
 
+  /** Runs all events of the given time. */
   void run(Duration duration) {
-    long until = now + duration.toNanos();
+    long until = nowNanos + duration.toNanos();
     while (!events.isEmpty() && events.peek().atNanos <= until) {
       Event event = events.poll();
-      now = event.atNanos;
+      nowNanos = event.atNanos;
       if (event.task != null) {
         event.task.run();
       } else if (event.message != null) {
         arrive(event.node, event.message);
       } else {
-        ticked(event);
+        tick(event);
       }
     }
-    now = until;
+    nowNanos = until;
   }
 
-  private void ticked(Event event) {
+  private void tick(Event event) {
     Node node = nodes.get(event.node);
     if (node.nextTickNanos != event.atNanos || node.killed || node.paused) {
       return;
     }
     node.nextTickNanos = Long.MAX_VALUE;
     if (node.membership.untilNextTick(localTime(node)).isZero()) {
-      did(event.node, node.system.tick(localTime(node)));
+      perform(event.node, node.system.tick(localTime(node)));
     }
-    schedule(event.node);
+    scheduleTick(event.node);
   }
 
   private void arrive(int index, Message message) {
@@ -256,30 +269,30 @@
       }
       return;
     }
-    tell(index, message);
-    schedule(index);
+    deliver(index, message);
+    scheduleTick(index);
   }
 
-  private void tell(int index, Message message) {
+  private void deliver(int index, Message message) {
     Node node = nodes.get(index);
-    observers.forEach(o -> o.onDelivery(index, message));
-    did(index, node.system.onMessage(message, localTime(node)));
+    observers.forEach(observer -> observer.onDelivery(index, message));
+    perform(index, node.system.onMessage(message, localTime(node)));
   }
 
-  private void schedule(int index) {
+  private void scheduleTick(int index) {
     Node node = nodes.get(index);
-    long at = now + node.membership.untilNextTick(localTime(node)).toNanos();
+    long at = nowNanos + node.membership.untilNextTick(localTime(node)).toNanos();
     if (at < node.nextTickNanos) {
       node.nextTickNanos = at;
       events.add(new Event(at, lastSequence++, index, null, null));
     }
   }
 
-  private void did(int index, List<Action> actions) {
+  private void perform(int index, List<Action> actions) {
     if (actions.isEmpty()) {
       return;
     }
-    observers.forEach(o -> o.onActions(index, actions));
+    observers.forEach(observer -> observer.onActions(index, actions));
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
         messages++;
@@ -289,7 +302,7 @@
     }
   }
 
-  /** Puts a message on its way; also one that a former life sent long ago. */
+  /** Puts a message on its link; it need not be one that the sender has just sent. */
   void transmit(int from, int to, Message message) {
     if (linkFilter.isCut(from, to) || isDropped.test(to, message)) {
       return;
@@ -298,19 +311,26 @@
     for (int i = 0; i < times; i++) {
       if (random.nextDouble() >= loss) {
         long at =
-            now + minDelayNanos + (long) (random.nextDouble() * (maxDelayNanos - minDelayNanos));
+            nowNanos
+                + minDelayNanos
+                + (long) (random.nextDouble() * (maxDelayNanos - minDelayNanos));
         events.add(new Event(at, lastSequence++, to, message, null));
       }
     }
   }
 
-  /** What a node that runs holds of another; null for nothing. */
-  MemberState stateOf(int at, int of) {
-    Address address = nodes.get(of).address;
-    return nodes.get(at).membership.members().entrySet().stream()
+  /** A node's judgement of itself. */
+  LocalStatus localStatus(int index) {
+    Node node = nodes.get(index);
+    return node.membership.localStatus(localTime(node));
+  }
+
+  /** State of a node in the table of another; empty if unknown there. */
+  Optional<MemberState> stateOf(int observer, int subject) {
+    Address address = nodes.get(subject).address;
+    return nodes.get(observer).membership.members().entrySet().stream()
         .filter(entry -> entry.getKey().address().equals(address))
         .map(Map.Entry::getValue)
-        .findFirst()
-        .orElse(null);
+        .findFirst();
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/MembershipTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipTest.java
@@ -7,13 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One machine by itself: what it says at a moment, and its bounds. */
+/** A single member: its local status, and the bounds on what it sends and stores. */
 class MembershipTest {
 
   private static final Address SELF_ADDRESS = new Address("10.0.0.1", 7_000);
   private static final Member PEER = new Member(new Address("10.0.0.2", 7_000), 900);
 
-  /** A process that was stopped and asks before any timer of its has run. */
   @Test
   void statusReportsAPauseBeforeAnyEventIsHandled() {
     Membership membership =
@@ -21,9 +20,9 @@
             MembershipSettings.DEFAULTS, new Member(SELF_ADDRESS, 7), List.of(), Duration.ZERO);
     membership.tick(Duration.ZERO);
     assertThat(membership.localStatus(Duration.ofMillis(200)).connectivity())
-        .isEqualTo(Action.Connectivity.IN_TOUCH);
-    Action.LocalStatus status = membership.localStatus(Duration.ofSeconds(4));
-    assertThat(status.connectivity()).isEqualTo(Action.Connectivity.PAUSED);
+        .isEqualTo(Connectivity.CONNECTED);
+    LocalStatus status = membership.localStatus(Duration.ofSeconds(4));
+    assertThat(status.connectivity()).isEqualTo(Connectivity.PAUSED);
     assertThat(status.pausedFor()).isGreaterThan(Duration.ofSeconds(3));
     assertThat(membership.tick(Duration.ofSeconds(4)).get(0))
         .isInstanceOf(Action.StatusChanged.class);
@@ -46,10 +45,7 @@
     assertThat(membership.self().incarnation()).isEqualTo(51);
   }
 
-  /**
-   * A seed that never answers: the tries of the first ten minutes are counted, and no two come
-   * close together.
-   */
+  /** With a seed that never answers, over ten minutes. */
   @Test
   void joinAttemptsStayWithinTheirBudget() {
     Membership membership =
@@ -72,10 +68,9 @@
       assertThat(attempts.get(i).minus(attempts.get(i - 1)))
           .isGreaterThanOrEqualTo(Duration.ofMillis(250));
     }
-    assertThat(membership.localStatus(now).connectivity()).isEqualTo(Action.Connectivity.JOINING);
+    assertThat(membership.localStatus(now).connectivity()).isEqualTo(Connectivity.JOINING);
   }
 
-  /** One more than fit: it is not taken up and not answered; the longest gone give way. */
   @Test
   void fullTableAdmitsNobodyUntilAMemberHasLeft() {
     MembershipSettings defaults = MembershipSettings.DEFAULTS;
@@ -115,29 +110,26 @@
     assertThat(membership.members()).hasSize(2).containsKey(joining).doesNotContainKey(departed);
   }
 
-  /**
-   * A newcomer among 2,000 takes over all of them by exchanges, in bounded parts, a fifth of which
-   * are lost.
-   */
+  /** Of 2,000 members, at 20% loss. */
   @Test
   void newMemberLearnsOfAllOthersByStateExchange() {
     MembershipSimulator simulator =
         new MembershipSimulator(MembershipSettings.DEFAULTS, 12, 3).startJoined();
-    List<Member> many = new ArrayList<>();
+    List<Member> others = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
-      many.add(new Member(new Address("10.9." + i / 250 + "." + i % 250, 7_000), 1));
+      others.add(new Member(new Address("10.9." + i / 250 + "." + i % 250, 7_000), 1));
     }
-    Membership newcomer = simulator.nodes.get(11).membership;
+    Membership newMember = simulator.nodes.get(11).membership;
     for (int node = 0; node < 11; node++) {
-      for (Member member : many) {
+      for (Member member : others) {
         Membership membership = simulator.nodes.get(node).membership;
         membership.onMessage(
             new Message(
                 Message.Kind.GOSSIP,
-                newcomer.self(),
+                newMember.self(),
                 membership.self().incarnation(),
                 0,
-                newcomer.self(),
+                newMember.self(),
                 List.of(new MembershipUpdate(member, MemberState.LEFT, 0, member.address()))),
             simulator.localTime(simulator.nodes.get(node)));
       }
@@ -147,7 +139,7 @@
     simulator.loss = 0.2;
     simulator.start(11, 5_000);
     simulator.run(Duration.ofSeconds(20));
-    many.removeAll(simulator.nodes.get(11).membership.members().keySet());
-    assertThat(many).isEmpty();
+    others.removeAll(simulator.nodes.get(11).membership.members().keySet());
+    assertThat(others).isEmpty();
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
+++ b/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
@@ -7,10 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * The first members' way in, when each was stopped for a while before it was in, as starts on a
- * busy machine are.
- */
+/** Members that all start together on a busy machine, each delayed before its first step. */
 class SimultaneousJoinTest {
 
   @Test
@@ -22,7 +19,7 @@
             members.add(
                 new Membership(
                     MembershipSettings.DEFAULTS, new Member(address, 1), seeds, Duration.ZERO)));
-    // Their first step comes late, as far as a period goes: all hold themselves for stopped.
+    // The first step is so late that each member regards itself as paused.
     for (int millis = 400; millis < 5_000; millis += 20) {
       Duration now = Duration.ofMillis(millis);
       List<Action> actions = new ArrayList<>();
--- a/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
+++ b/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
@@ -9,10 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * A thousand members, a fifth of all messages lost each way, ten killed, twenty stopped for up to
- * what is stated.
- */
+/** A thousand members at 20% loss; ten are killed, twenty paused for up to the tolerated time. */
 class ThousandMembersTest {
 
   @Test
@@ -30,10 +27,10 @@
         (node, actions) ->
             actions.forEach(
                 action -> {
-                  if (action instanceof Action.StateChanged became
-                      && became.state() == MemberState.AWAY) {
+                  if (action instanceof Action.StateChanged change
+                      && change.state() == MemberState.FAULTY) {
                     observersByAddress
-                        .computeIfAbsent(became.member().address(), a -> new HashSet<>())
+                        .computeIfAbsent(change.member().address(), address -> new HashSet<>())
                         .add(node);
                   }
                 }));
@@ -43,12 +40,12 @@
     }
     for (int i = 20; i < 40; i++) {
       int index = i;
-      Duration span = Duration.ofMillis(150L * (i - 19));
+      Duration duration = Duration.ofMillis(150L * (i - 19));
       simulator.schedule(
           Duration.ofMillis(100L * (i - 20)),
           () -> {
-            checker.onPause(index, span);
-            simulator.pause(index, span);
+            checker.onPause(index, duration);
+            simulator.pause(index, duration);
           });
     }
     simulator.run(MembershipSettings.DEFAULTS.probePeriod().multipliedBy(10));
