--- a/membership/src/main/java/tamarindroute/membership/Membership.java
+++ b/membership/src/main/java/tamarindroute/membership/Membership.java
@@ -15,17 +15,9 @@
  */
 public final class Membership {
 
-  /** Queued updates are sent this often a period, to {@link #GOSSIP_FANOUT} others. */
-  private static final int GOSSIP_ROUNDS_PER_PERIOD = 8;
-
-  private static final int GOSSIP_FANOUT = 3;
-
   /** How many others a leaving member notifies; they pass it on. */
   private static final int LEAVE_FANOUT = 8;
 
-  /** The first period starts at a random one of this many offsets. */
-  private static final int PERIOD_OFFSETS = 1_000;
-
   /** Stands for never; leaves room for adding to it. */
   private static final long NEVER_NANOS = Long.MAX_VALUE / 2;
 
@@ -40,8 +32,7 @@
   private final JoinProtocol joinProtocol;
   private final UpdatePrecedence updatePrecedence;
   private final MessageHandler messageHandler;
-  private long nextGossipNanos;
-  private long nextPeriodNanos;
+  private final PeriodicTasks periodicTasks;
 
   /**
    * Starts a member.
@@ -82,9 +73,8 @@
     joinProtocol = new JoinProtocol(context, outbound, localHealth, seeds);
     updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
     messageHandler = newMessageHandler();
-    nextGossipNanos = context.nowNanos;
-    long offset = random.nextInt(PERIOD_OFFSETS);
-    nextPeriodNanos = context.nowNanos + offset * context.periodNanos / PERIOD_OFFSETS;
+    periodicTasks = newPeriodicTasks();
+    periodicTasks.start();
     localHealth.setNextStepNanos(context.nowNanos);
   }
 
@@ -98,8 +88,8 @@
     joinProtocol = other.joinProtocol.copy(context, outbound, localHealth);
     updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
     messageHandler = newMessageHandler();
-    nextGossipNanos = other.nextGossipNanos;
-    nextPeriodNanos = other.nextPeriodNanos;
+    periodicTasks = newPeriodicTasks();
+    periodicTasks.startLike(other.periodicTasks);
   }
 
   private MessageHandler newMessageHandler() {
@@ -113,6 +103,17 @@
         updatePrecedence);
   }
 
+  private PeriodicTasks newPeriodicTasks() {
+    return new PeriodicTasks(
+        context,
+        outbound,
+        localHealth,
+        suspicions,
+        failureDetector,
+        stateExchange,
+        updatePrecedence);
+  }
+
   /** Independent copy of the state, for a model checker. */
   Membership copy() {
     return new Membership(this);
@@ -142,8 +143,7 @@
         failureDetector.stateKey(nowNanos),
         stateExchange.stateKey(),
         joinProtocol.stateKey(nowNanos),
-        nextGossipNanos - nowNanos,
-        nextPeriodNanos - nowNanos);
+        periodicTasks.stateKey(nowNanos));
   }
 
   /**
@@ -204,9 +204,8 @@
     if (localHealth.isLeft()) {
       return NEVER_NANOS;
     }
-    long ownDueNanos = Math.min(nextGossipNanos, nextPeriodNanos);
-    return Math.min(
-        ownDueNanos, Math.min(failureDetector.nextDueNanos(), joinProtocol.nextDueNanos()));
+    long tasksDueNanos = Math.min(periodicTasks.nextDueNanos(), joinProtocol.nextDueNanos());
+    return Math.min(tasksDueNanos, failureDetector.nextDueNanos());
   }
 
   private void beginStep(Duration now) {
@@ -227,14 +226,7 @@
     context.gossipQueue.dropReports(context.self.address());
     localHealth.reportChange();
     suspicions.restartTimeouts();
-    for (MemberEntry entry : randomGossipTargets()) {
-      failureDetector.probe(entry);
-    }
-    nextPeriodNanos = context.nowNanos + context.periodNanos;
-  }
-
-  private List<MemberEntry> randomGossipTargets() {
-    return context.memberTable.randomAlive(GOSSIP_FANOUT, null, context.random);
+    periodicTasks.probeAfterPause();
   }
 
   private List<Action> endStep() {
@@ -251,60 +243,7 @@
   private void runDueTasks() {
     joinProtocol.runIfDue();
     failureDetector.advanceDueProbes();
-    if (context.nowNanos >= nextPeriodNanos) {
-      nextPeriodNanos = context.nowNanos + context.periodNanos;
-      runPeriod();
-    }
-    if (context.nowNanos >= nextGossipNanos) {
-      nextGossipNanos = context.nowNanos + context.periodNanos / GOSSIP_ROUNDS_PER_PERIOD;
-      runGossipRound();
-    }
-  }
-
-  private void runPeriod() {
-    probeRegularTargets();
-    probeFaultyMember();
-    suspicions.selectedForProbing().forEach(failureDetector::probe);
-    stateExchange.exchangeRandomPart();
-    updatePrecedence.expireJoining();
-    if (localHealth.isAlone() && localHealth.isJoined()) {
-      // There is nobody whose answers could be missing.
-      localHealth.recordAnswer();
-    }
-  }
-
-  /** Probes the next member round robin, the successor on the hash ring, and an accuser. */
-  private void probeRegularTargets() {
-    context.memberTable.nextToProbe(context.random).ifPresent(failureDetector::probe);
-    int ownHash = (int) DeterministicRandom.memberHash(context.self);
-    context
-        .memberTable
-        .successor(ownHash, context.self.address())
-        .ifPresent(failureDetector::probe);
-    localHealth
-        .oldestAccuser()
-        .map(context.memberTable::find)
-        .filter(MemberEntry::isLive)
-        .ifPresent(failureDetector::probe);
-  }
-
-  /** A faulty member may be back, or not know that it is regarded as faulty. */
-  private void probeFaultyMember() {
-    context
-        .memberTable
-        .randomFaulty(context.random)
-        .ifPresent(entry -> outbound.send(Message.Kind.PROBE, entry.member, 0));
-  }
-
-  private void runGossipRound() {
-    suspicions.evaluate();
-    stateExchange.requestMissing();
-    if (context.gossipQueue.isEmpty()) {
-      return;
-    }
-    for (MemberEntry entry : randomGossipTargets()) {
-      outbound.send(Message.Kind.GOSSIP, entry.member, 0);
-    }
+    periodicTasks.runIfDue();
   }
 
   /** All other members in the table with their states. */
--- a/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
+++ b/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
@@ -87,7 +87,7 @@
     }
   }
 
-  Outcome play(long seed, UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
+  Outcome play(long seed, UnaryOperator<SystemUnderTest> defect) {
     for (String[] line : lines) {
       if (line[0].equals("members")) {
         start(Integer.parseInt(line[1]), line.length > 2, seed, defect);
@@ -99,11 +99,7 @@
     return new Outcome(checker, unmet);
   }
 
-  private void start(
-      int count,
-      boolean joining,
-      long seed,
-      UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
+  private void start(int count, boolean joining, long seed, UnaryOperator<SystemUnderTest> defect) {
     simulator = new MembershipSimulator(MembershipSettings.DEFAULTS, count, seed);
     simulator.defect = defect;
     simulator.settingsOf = settingsOf;
--- a/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
@@ -12,7 +12,7 @@
  * Checks the invariants of a simulation by what is delivered to nodes and by their actions,
  * compared to the faults injected. Reads no state of a member but its local status.
  */
-final class InvariantChecker implements MembershipSimulator.SimulationObserver {
+final class InvariantChecker implements SimulationObserver {
 
   /** What has to hold in every simulation. */
   enum Invariant {
--- a/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
@@ -132,7 +132,7 @@
       String schedule,
       InvariantChecker.Invariant invariant,
       IntFunction<MembershipSettings> settings,
-      UnaryOperator<MembershipSimulator.SystemUnderTest> defect) {
+      UnaryOperator<SystemUnderTest> defect) {
     FaultSchedule played = new FaultSchedule(schedule);
     played.settingsOf = settings;
     InvariantChecker checker = played.play(1, defect).checker();
@@ -157,9 +157,9 @@
         settings.guards());
   }
 
-  private static MembershipSimulator.SystemUnderTest withChangedMessages(
-      MembershipSimulator.SystemUnderTest system, BiFunction<Membership, Message, Message> change) {
-    return new MembershipSimulator.SystemUnderTest() {
+  private static SystemUnderTest withChangedMessages(
+      SystemUnderTest system, BiFunction<Membership, Message, Message> change) {
+    return new SystemUnderTest() {
       @Override
       public List<Action> onMessage(Message message, Duration now) {
         return system.onMessage(change.apply(system.membership(), message), now);
--- a/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
@@ -13,8 +13,7 @@
  */
 class MembershipModelCheckerTest {
 
-  private static final List<MembershipModelChecker.Partition> ALL_PARTITIONS =
-      List.of(MembershipModelChecker.Partition.values());
+  private static final List<Partition> ALL_PARTITIONS = List.of(Partition.values());
 
   /** Each row has the budget of faults and the least number of states to be expected. */
   @ParameterizedTest
@@ -29,10 +28,7 @@
       int losses, int duplicates, int pauses, int kills, int partitions, int minStates) {
     MembershipModelChecker.Exploration exploration =
         new MembershipModelChecker(MembershipModelChecker.SMALL, ALL_PARTITIONS)
-            .explore(
-                new MembershipModelChecker.FaultBudget(
-                    losses, duplicates, pauses, kills, partitions),
-                150_000);
+            .explore(new FaultBudget(losses, duplicates, pauses, kills, partitions), 150_000);
     assertThat(exploration.violations()).isEmpty();
     assertThat(exploration.states()).isGreaterThan(minStates);
     // Shows that the invariants had something to judge.
@@ -45,7 +41,7 @@
         MembershipModelChecker.SMALL.withGuards(new MembershipSettings.Guards(true, true, false));
     assertViolated(
         new MembershipModelChecker(unguarded, ALL_PARTITIONS),
-        new MembershipModelChecker.FaultBudget(0, 0, 1, 0, 0),
+        new FaultBudget(0, 0, 1, 0, 0),
         "did not notice its pause");
   }
 
@@ -57,8 +53,7 @@
             ALL_PARTITIONS,
             4 * MembershipModelChecker.PAUSE_NANOS,
             (member, message) -> message);
-    assertViolated(
-        longerPauses, new MembershipModelChecker.FaultBudget(0, 0, 1, 0, 0), "which is alive");
+    assertViolated(longerPauses, new FaultBudget(0, 0, 1, 0, 0), "which is alive");
   }
 
   @Test
@@ -76,12 +71,11 @@
                     message.requestId(),
                     message.subject(),
                     message.updates()));
-    assertViolated(
-        careless, new MembershipModelChecker.FaultBudget(0, 0, 0, 1, 0), "former incarnation of");
+    assertViolated(careless, new FaultBudget(0, 0, 0, 1, 0), "former incarnation of");
   }
 
   private static void assertViolated(
-      MembershipModelChecker check, MembershipModelChecker.FaultBudget budget, String description) {
+      MembershipModelChecker check, FaultBudget budget, String description) {
     assertThat(check.explore(budget, 150_000).violations())
         .anyMatch(violation -> violation.contains(description));
   }
--- a/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
@@ -19,46 +19,6 @@
  */
 final class MembershipSimulator {
 
-  /** What runs at a node; a seeded defect wraps a membership and changes its input. */
-  interface SystemUnderTest {
-    List<Action> onMessage(Message message, Duration now);
-
-    List<Action> tick(Duration now);
-
-    Membership membership();
-
-    static SystemUnderTest of(Membership membership) {
-      return new SystemUnderTest() {
-        @Override
-        public List<Action> onMessage(Message message, Duration now) {
-          return membership.onMessage(message, now);
-        }
-
-        @Override
-        public List<Action> tick(Duration now) {
-          return membership.tick(now);
-        }
-
-        @Override
-        public Membership membership() {
-          return membership;
-        }
-      };
-    }
-  }
-
-  /** Observes the messages delivered to nodes and the actions of nodes, but not their state. */
-  interface SimulationObserver {
-    default void onDelivery(int node, Message message) {}
-
-    void onActions(int node, List<Action> actions);
-  }
-
-  /** Decides which directed links are cut. */
-  interface LinkFilter {
-    boolean isCut(int from, int to);
-  }
-
   /** A simulated process. */
   static final class Node {
     final Address address;
