--- a/cli/src/test/java/tamarindroute/cli/AgreedIT.java
+++ b/cli/src/test/java/tamarindroute/cli/AgreedIT.java
@@ -70,9 +70,12 @@
       processes.member(i, i + ".log");
     }
     String leader =
-        processes.logged("0.log", 0, "agreed: view \\d+, 5 members, led by (\\S+)#\\d+").group(1);
+        processes
+            .logged("0.log", 0, "agreed-view: view \\d+, 5 members, leader (\\S+)#\\d+")
+            .group(1);
     for (int i = 1; i < ALL; i++) {
-      processes.logged(i + ".log", 0, "agreed: view \\d+, 5 members, led by " + leader + "#\\d+");
+      processes.logged(
+          i + ".log", 0, "agreed-view: view \\d+, 5 members, leader " + leader + "#\\d+");
     }
     assertThat(processes.names.indexOf(leader)).isBetween(0, VOTERS - 1);
     return processes.names.indexOf(leader);
@@ -83,8 +86,11 @@
     int dead = startAll();
     int other = (dead + 1) % VOTERS;
     String led =
-        "agreed: view (\\d+), %d members, led by (?!" + processes.names.get(dead) + ")\\S+";
-    String life = processes.logged(dead + ".log", 0, "agreed: votes as (\\S+), anew").group(1);
+        "agreed-view: view (\\d+), %d members, leader (?!" + processes.names.get(dead) + ")\\S+";
+    String life =
+        processes
+            .logged(dead + ".log", 0, "agreed-view: voting as (\\S+), with an empty store")
+            .group(1);
     processes.started.get(dead).destroyForcibly().waitFor();
     int before = processes.length("4.log");
     long killed = System.nanoTime();
@@ -97,13 +103,13 @@
             + next.group());
     before = processes.length("4.log");
     processes.member(dead, "again.log");
-    assertThat(processes.logged("again.log", 0, "agreed: votes as (\\S+)").group(1))
+    assertThat(processes.logged("again.log", 0, "agreed-view: voting as (\\S+)").group(1))
         .isEqualTo(life);
     processes.logged("4.log", before, led.formatted(5));
     processes.logged("again.log", 0, led.formatted(5));
     assertThat(processes.read("4.log"))
         .as("the change of a leader goes unnoticed")
-        .doesNotContain("out of touch");
+        .doesNotContain("no valid view");
   }
 
   @Test
@@ -113,25 +119,27 @@
     int at = processes.length(log);
     signal(stopped, "STOP");
     String led =
-        "agreed: view \\d+, 4 members, led by (?!" + processes.names.get(stopped) + ")(\\S+)#\\d+";
+        "agreed-view: view \\d+, 4 members, leader (?!"
+            + processes.names.get(stopped)
+            + ")(\\S+)#\\d+";
     String next = processes.logged("3.log", 0, led).group(1);
     processes.logged("4.log", 0, led);
     // Past the longest lease.
     TimeUnit.SECONDS.sleep(4);
     int others = processes.length("3.log");
     signal(stopped, "CONT");
-    processes.logged(log, at, "touch: paused \\d{4,} ms");
-    processes.logged(log, at, "agreed: out of touch since \\d+ ms");
-    processes.logged(log, at, "agreed: leads no more");
-    processes.logged(log, at, "agreed: view \\d+, 5 members, led by " + next);
-    processes.logged("3.log", others, "agreed: view \\d+, 5 members, led by " + next);
+    processes.logged(log, at, "connectivity: paused \\d{4,} ms");
+    processes.logged(log, at, "agreed-view: no valid view for \\d+ ms");
+    processes.logged(log, at, "agreed-view: not leader any more");
+    processes.logged(log, at, "agreed-view: view \\d+, 5 members, leader " + next);
+    processes.logged("3.log", others, "agreed-view: view \\d+, 5 members, leader " + next);
     String since = processes.read(log).substring(at);
-    assertThat(since).doesNotContain("led by " + processes.names.get(stopped));
-    assertThat(since.indexOf("out of touch"))
+    assertThat(since).doesNotContain("leader " + processes.names.get(stopped));
+    assertThat(since.indexOf("no valid view"))
         .as("it knows before it holds a view again")
-        .isLessThan(since.indexOf("agreed: view"));
+        .isLessThan(since.indexOf("agreed-view: view"));
     assertThat(processes.read("3.log").substring(others))
-        .doesNotContain("led by " + processes.names.get(stopped));
+        .doesNotContain("leader " + processes.names.get(stopped));
   }
 
   @Test
@@ -140,7 +148,9 @@
       processes.member(i, i + ".log");
     }
     String leader =
-        processes.logged("3.log", 0, "agreed: view \\d+, 4 members, led by (\\S+)#\\d+").group(1);
+        processes
+            .logged("3.log", 0, "agreed-view: view \\d+, 4 members, leader (\\S+)#\\d+")
+            .group(1);
     int left = processes.names.indexOf(leader);
     for (int i = 0; i < VOTERS; i++) {
       if (i != left) {
@@ -148,16 +158,16 @@
       }
     }
     for (String log : List.of("3.log", left + ".log")) {
-      processes.logged(log, 0, "agreed: out of touch since \\d+ ms");
+      processes.logged(log, 0, "agreed-view: no valid view for \\d+ ms");
     }
-    processes.logged(left + ".log", 0, "agreed: no majority since \\d+ ms");
+    processes.logged(left + ".log", 0, "agreed-view: no quorum for \\d+ ms");
     assertThat(processes.started.get(3).isAlive() && processes.started.get(left).isAlive())
         .isTrue();
     int back = (left + 1) % VOTERS;
     int at = processes.length("3.log");
     processes.member(back, "back.log");
-    processes.logged(left + ".log", 0, "agreed: a majority again");
-    processes.logged("3.log", at, "agreed: view \\d+, 3 members, led by ");
+    processes.logged(left + ".log", 0, "agreed-view: quorum restored");
+    processes.logged("3.log", at, "agreed-view: view \\d+, 3 members, leader ");
   }
 
   private void signal(int place, String name) throws Exception {
@@ -176,12 +186,12 @@
       settings(i, 0);
       processes.member(i, i + ".log", "-Xlog:class+load:file=" + folder.resolve("classes" + i));
     }
-    processes.logged("0.log", 0, "touch: in touch");
+    processes.logged("0.log", 0, "connectivity: connected");
     assertThat(processes.read("classes0"))
         .contains("tamarindroute.membership.Membership")
         .doesNotContain("io.microraft")
         .doesNotContain("tamarindroute.agreement")
         .doesNotContain("tamarindroute.members.agreed.VoterMessageTransport");
-    assertThat(processes.read("0.log")).doesNotContain("agreed:");
+    assertThat(processes.read("0.log")).doesNotContain("agreed-view:");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/MembersIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembersIT.java
@@ -58,14 +58,14 @@
           processes.logged(i + ".log", "member: " + name + "#\\d+ alive");
         }
       }
-      processes.logged(i + ".log", "touch: in touch");
+      processes.logged(i + ".log", "connectivity: connected");
     }
     long birth =
         Long.parseLong(
             processes.logged("2.log", "self " + processes.names.get(2) + "#(\\d+)").group(1));
     processes.started.get(2).destroyForcibly().waitFor();
-    processes.logged("0.log", "member: " + processes.names.get(2) + "#" + birth + " away");
-    processes.logged("1.log", "member: " + processes.names.get(2) + "#" + birth + " away");
+    processes.logged("0.log", "member: " + processes.names.get(2) + "#" + birth + " faulty");
+    processes.logged("1.log", "member: " + processes.names.get(2) + "#" + birth + " faulty");
     Process again = processes.member(2, "again.log");
     for (String log : List.of("0.log", "1.log")) {
       long later =
@@ -76,11 +76,11 @@
                   .group(1));
       assertThat(later).isGreaterThan(birth);
     }
-    processes.logged("again.log", "touch: in touch");
+    processes.logged("again.log", "connectivity: connected");
     again.destroy();
     processes.logged("0.log", "member: " + processes.names.get(2) + "#\\d+ left");
     String first = processes.read("0.log");
-    assertThat(Pattern.compile(processes.names.get(1) + "#\\d+ away").matcher(first).find())
+    assertThat(Pattern.compile(processes.names.get(1) + "#\\d+ faulty").matcher(first).find())
         .as("a false word")
         .isFalse();
   }
@@ -98,7 +98,7 @@
       processes.member(i, i + ".log");
     }
     for (int i = 0; i < 3; i++) {
-      processes.logged(i + ".log", "touch: in touch");
+      processes.logged(i + ".log", "connectivity: connected");
     }
     processes.feed.tell(
         "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"s-0000000a\","
@@ -106,12 +106,15 @@
     long told = System.currentTimeMillis();
     for (String log : List.of("1.log", "2.log")) {
       long known =
-          Long.parseLong(processes.logged(log, "(?m)^(\\d+) news: event 2 by 127.0.0.1:").group(1));
+          Long.parseLong(
+              processes
+                  .logged(log, "(?m)^(\\d+) feed-event: event 2 received from 127.0.0.1:")
+                  .group(1));
       // 500 ms is what the rig asks of a quiet machine; here other tests run beside.
       assertThat(known - told).isLessThan(3_000);
       System.out.println("a drain was known after " + (known - told) + " ms");
     }
-    assertThat(processes.read("0.log")).doesNotContain("news: event");
+    assertThat(processes.read("0.log")).doesNotContain("feed-event: event");
   }
 
   /** The gateway alone has no room for any of it. */
--- a/members/src/main/java/tamarindroute/members/EndpointTransport.java
+++ b/members/src/main/java/tamarindroute/members/EndpointTransport.java
@@ -9,14 +9,15 @@
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 
-/** An endpoint as the agreed view and the shares see it. */
+/**
+ * Adapts the endpoint to what the agreed view and the shared quotas need of it.
+ *
+ * @param endpoint the adapted endpoint
+ */
 record EndpointTransport(MembershipEndpoint endpoint)
     implements AgreedViewService.LocalMembership, QuotaLeases.PeerTransport {
 
-  /**
-   * No birth is below 1: this one stands for whatever life is there, the agreement's messages name
-   * theirs.
-   */
+  /** Sends to whatever incarnation is there; the agreement's messages name theirs themselves. */
   private static final long ANY_INCARNATION = 0;
 
   @Override
--- a/members/src/main/java/tamarindroute/members/FeedEventReplicator.java
+++ b/members/src/main/java/tamarindroute/members/FeedEventReplicator.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.TreeMap;
+import java.util.OptionalLong;
 import java.util.zip.CRC32;
 import tamarindroute.log.Log;
 import tamarindroute.members.wire.MemberMessage;
@@ -20,129 +20,118 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * Owns what the control feed told lately and passes it on by its numbers, so that a member whose
- * feed is down keeps drains and purges that another was told. A new event goes to some at once, who
- * pass it on; and each asks one other, again and again, whether it knows more. It must never take
- * an event out of order, nor one whose history is another than its own: each names the event before
- * it.
+ * Replicates the latest events of the control feed between members, so that a gateway whose own
+ * feed is down receives drains and purges. New events are pushed to some members, which push them
+ * on; besides, each member polls a random one regularly.
+ *
+ * <p>Events are applied in the order of their numbers, and only if the event before has the same
+ * checksum here: events of different feeds are never mixed.
  */
 final class FeedEventReplicator {
 
-  /**
-   * So many are told at once: with each passing it on as well, thousands know after four or five
-   * steps.
-   */
-  private static final int PUSH_FANOUT = 8;
-
-  /**
-   * Who was missed by all learns it from one it asks; five tries within the 500 ms that a drain may
-   * take.
-   */
-  static final Duration POLL_PERIOD = Duration.ofMillis(100);
-
-  /** Some hours of ordinary drains and purges; who lacks more waits for its feed. */
-  private static final int MAX_STORED_EVENTS = 256;
-
-  /** An event that has room in a datagram with its head; only its mark is kept of longer ones. */
-  static final int MAX_EVENT_BYTES = 3_400;
-
-  /** Events in one datagram together. */
-  private static final int MAX_EVENTS_BYTES = 3_600;
-
-  /** What one event takes besides its text. */
-  private static final int EVENT_OVERHEAD_BYTES = 24;
-
-  /**
-   * A longer text is a whole list, of which nothing could be passed on; it is not taken apart for
-   * its mark.
-   */
-  private static final int MAX_FEED_TEXT_LENGTH = 1 << 20;
-
-  /** Who follows the feed. */
+  /** Follows the control feed. */
   interface FeedFollower {
 
+    /** Number of the last event applied. */
     long lastNumber();
 
-    /** Takes the event if it is the next one. */
+    /**
+     * Applies an event if it is the next one.
+     *
+     * @return whether it was
+     */
     boolean apply(long number, String event) throws MalformedMessageException;
   }
 
-  /** The others, and the way to them. */
+  /** Sends to other members. */
   interface Peers {
 
+    /** The live members without this one; may be modified by the caller. */
     List<Member> liveOthers();
 
+    /** Sends to exactly this incarnation; the message may be lost. */
     void send(Member to, MemberMessage.Payload payload);
   }
 
-  /** One event; the text null where it is too long to be passed on. */
-  private record StoredEvent(String json, long checksum) {}
+  private static final String TOPIC = "feed-event";
+  private static final String HISTORY_TOPIC = "feed-history-differs";
+  private static final String INVALID_TOPIC = "feed-event-invalid";
+
+  /** With each receiver pushing on as well, thousands are reached in four or five steps. */
+  private static final int PUSH_FANOUT = 8;
+
+  /** Five polls fit into the 500 ms that a drain may take to reach all. */
+  static final Duration POLL_PERIOD = Duration.ofMillis(100);
+
+  /** A longer text is a list of all endpoints, which does not fit into a message anyway. */
+  private static final int MAX_FEED_TEXT_LENGTH = 1 << 20;
+
+  private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
   private final FeedFollower follower;
   private final Scheduler scheduler;
   private final Peers peers;
-  private final TreeMap<Long, StoredEvent> storedEvents = new TreeMap<>();
+  private final FeedEventStore store = new FeedEventStore();
   private final byte[] seed;
   private int drawCount;
 
-  /** The name makes its draws others than its fellows', who would all ask the same few else. */
-  FeedEventReplicator(Address name, FeedFollower follower, Scheduler scheduler, Peers peers) {
-    this.seed = name.toString().getBytes(StandardCharsets.US_ASCII);
+  /**
+   * Creates a replicator; {@link #poll} starts it.
+   *
+   * @param self seeds the random choice of peers, which has to differ between members
+   */
+  FeedEventReplicator(Address self, FeedFollower follower, Scheduler scheduler, Peers peers) {
+    this.seed = self.toString().getBytes(StandardCharsets.US_ASCII);
     this.follower = follower;
     this.scheduler = scheduler;
     this.peers = peers;
   }
 
-  /** Asks one other from now on, and again after each period. */
+  /** Asks a random member for newer events, and does so again after each period. */
   void poll() {
-    randomPeers(1)
-        .forEach(
-            peer ->
-                peers.send(
-                    peer, new MemberMessage.FeedEventsPayload(follower.lastNumber(), List.of())));
+    randomPeers(1).forEach(this::requestEvents);
     scheduler.schedule(POLL_PERIOD, this::poll);
   }
 
-  /** The feed told this, and it was taken. */
+  private void requestEvents(Member peer) {
+    peers.send(peer, new MemberMessage.FeedEventsPayload(follower.lastNumber(), List.of()));
+  }
+
+  /** Stores the events of a text of the own feed, which were applied already, and pushes them. */
   void onFeedText(String text) {
-    long previousLast = storedEvents.isEmpty() ? 0 : storedEvents.lastKey();
-    // Where the feed counts anew, what was kept of the old numbers must not be passed on.
-    storedEvents.tailMap(follower.lastNumber(), false).clear();
+    long previousLast = store.lastNumber();
+    // After a restart of the feed's numbers, events of the old numbers must not be passed on.
+    store.removeAfter(follower.lastNumber());
     if (text.length() > MAX_FEED_TEXT_LENGTH) {
       return;
     }
     try {
       JsonArray events = JsonParser.parseString(text).getAsJsonObject().getAsJsonArray("events");
-      for (JsonElement event : events) {
-        JsonObject peer = event.getAsJsonObject();
-        store(peer.get("n").getAsLong(), peer.toString());
+      for (JsonElement element : events) {
+        JsonObject event = element.getAsJsonObject();
+        store(event.get("n").getAsLong(), event.toString());
       }
     } catch (JsonParseException
         | IllegalStateException
         | NumberFormatException
         | ClassCastException e) {
-      Log.info("news", "not passed on: " + e.getMessage());
+      Log.info(TOPIC, "the feed's text can't be passed on: " + e.getMessage());
     }
-    if (!storedEvents.isEmpty() && storedEvents.lastKey() > previousLast && previousLast > 0) {
-      pushSince(previousLast);
+    if (previousLast > 0 && store.lastNumber() > previousLast) {
+      pushAfter(previousLast);
     }
   }
 
-  private void store(long number, String text) {
-    if (number > follower.lastNumber()) {
-      return;
-    }
-    CRC32 crc = new CRC32();
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    crc.update(bytes);
-    storedEvents.put(
-        number, new StoredEvent(bytes.length > MAX_EVENT_BYTES ? null : text, crc.getValue()));
-    while (storedEvents.size() > MAX_STORED_EVENTS) {
-      storedEvents.pollFirstEntry();
+  private void store(long number, String event) {
+    if (number <= follower.lastNumber()) {
+      store.put(number, event);
     }
   }
 
-  /** Another's word: takes what comes next, gives what it lacks, asks for what is lacking here. */
+  /**
+   * Handles a poll or events of another member: applies what comes next, sends what the other
+   * lacks, and requests what is lacking here.
+   */
   void onFeedEvents(Member from, MemberMessage.FeedEventsPayload message) {
     long previousLast = follower.lastNumber();
     for (MemberMessage.FeedEvent event : message.events()) {
@@ -150,25 +139,26 @@
         break;
       }
     }
-    boolean advanced = follower.lastNumber() > previousLast;
+    long last = follower.lastNumber();
+    boolean advanced = last > previousLast;
     if (advanced) {
-      pushSince(previousLast);
+      pushAfter(previousLast);
     }
-    if (message.lastNumber() < follower.lastNumber()) {
-      sendSince(from, message.lastNumber());
-    } else if (message.lastNumber() > follower.lastNumber()
-        && (advanced || message.events().isEmpty())) {
-      // Not where nothing of its answer could be taken: the two would ask each other without end.
-      peers.send(from, new MemberMessage.FeedEventsPayload(follower.lastNumber(), List.of()));
+    if (message.lastNumber() < last) {
+      sendAfter(from, message.lastNumber());
+    } else if (message.lastNumber() > last && (advanced || message.events().isEmpty())) {
+      // Not if none of its events could be applied: the two would ask each other without end.
+      requestEvents(from);
     }
   }
 
+  /** Applies the next event; returns whether it was applied. */
   private boolean apply(Member from, MemberMessage.FeedEvent event) {
-    StoredEvent previous = storedEvents.get(follower.lastNumber());
-    if (previous == null || previous.checksum != event.previousChecksum()) {
+    OptionalLong previousChecksum = store.checksum(follower.lastNumber());
+    if (previousChecksum.isEmpty() || previousChecksum.getAsLong() != event.previousChecksum()) {
       Log.infoWithFields(
-          "news-differs",
-          "what came before event " + event.number() + " is not the same here",
+          HISTORY_TOPIC,
+          "the event before event " + event.number() + " is not the same here",
           "from",
           from);
       return false;
@@ -177,57 +167,43 @@
       boolean applied = follower.apply(event.number(), event.json());
       if (applied) {
         store(event.number(), event.json());
-        Log.change("news", "event " + event.number() + " by " + from);
+        Log.change(TOPIC, "event " + event.number() + " received from " + from);
       }
       return applied;
     } catch (MalformedMessageException e) {
-      Log.infoWithFields("news-unreadable", e.getMessage(), "from", from);
+      Log.infoWithFields(INVALID_TOPIC, e.getMessage(), "from", from);
       return false;
     }
   }
 
-  /** What came after this number goes to some. */
-  private void pushSince(long after) {
-    randomPeers(PUSH_FANOUT).forEach(peer -> sendSince(peer, after));
+  private void pushAfter(long number) {
+    randomPeers(PUSH_FANOUT).forEach(peer -> sendAfter(peer, number));
   }
 
-  /**
-   * The events after this number, as many as have room; none where the next one is not known here.
-   */
-  private void sendSince(Member to, long after) {
-    List<MemberMessage.FeedEvent> events = new ArrayList<>();
-    int bytes = 0;
-    for (long number = after + 1;
-        storedEvents.containsKey(number) && storedEvents.containsKey(number - 1);
-        number++) {
-      String text = storedEvents.get(number).json;
-      bytes +=
-          text == null ? 0 : EVENT_OVERHEAD_BYTES + text.getBytes(StandardCharsets.UTF_8).length;
-      if (text == null || bytes > MAX_EVENTS_BYTES) {
-        break;
-      }
-      events.add(new MemberMessage.FeedEvent(number, storedEvents.get(number - 1).checksum, text));
-    }
+  private void sendAfter(Member to, long number) {
+    List<MemberMessage.FeedEvent> events = store.eventsAfter(number);
     if (!events.isEmpty()) {
       peers.send(to, new MemberMessage.FeedEventsPayload(follower.lastNumber(), events));
     }
   }
 
-  /** So many of the others, drawn by the name and a counter. */
   private List<Member> randomPeers(int count) {
     List<Member> candidates = peers.liveOthers();
     List<Member> chosen = new ArrayList<>();
     for (int i = 0; i < count && !candidates.isEmpty(); i++) {
-      CRC32 crc = new CRC32();
-      crc.update(seed);
-      crc.update(ByteBuffer.allocate(Integer.BYTES).putInt(drawCount++).flip());
-      // CRC-32 is linear, so that neighbours' draws would go in step: its value is spread before it
-      // is used.
-      long mixed = (crc.getValue() + 1) * 0x9E3779B97F4A7C15L;
-      chosen.add(
-          candidates.remove(
-              (int) ((mixed ^ mixed >>> 32) >>> 16 & Integer.MAX_VALUE) % candidates.size()));
+      chosen.add(candidates.remove(nextRandom(candidates.size())));
     }
     return chosen;
   }
+
+  private int nextRandom(int bound) {
+    CRC32 crc = new CRC32();
+    crc.update(seed);
+    crc.update(ByteBuffer.allocate(Integer.BYTES).putInt(drawCount).flip());
+    drawCount++;
+    // CRC-32 is linear; without mixing the choices of neighbours would be correlated.
+    long mixed = (crc.getValue() + 1) * GOLDEN_GAMMA;
+    long positive = (mixed ^ mixed >>> 32) >>> 16 & Integer.MAX_VALUE;
+    return (int) positive % bound;
+  }
 }
--- a/members/src/main/java/tamarindroute/members/IncarnationFile.java
+++ b/members/src/main/java/tamarindroute/members/IncarnationFile.java
@@ -7,23 +7,28 @@
 import tamarindroute.log.Log;
 
 /**
- * Owns the birth that a start proposes, and the file that remembers the last. The wall clock only
- * makes a good first guess: whoever remembers a later life here says so, and a greater birth is
- * taken then.
+ * File that remembers this member's last incarnation, as one decimal number. The clock only gives a
+ * good first proposal: members that remember a later incarnation say so, and it is raised then.
  */
 final class IncarnationFile {
 
-  /** A number and its line's end. */
+  /** A number and a line end. */
   private static final int MAX_FILE_BYTES = 32;
 
+  private static final String NUMBER_PATTERN = "\\d{1,18}";
+
   private final Path file;
 
-  /** Without a file, null, nothing is remembered over a start. */
+  /**
+   * Uses the given file.
+   *
+   * @param file null to remember nothing over a restart
+   */
   IncarnationFile(Path file) {
     this.file = file;
   }
 
-  /** Past the last one that the file tells, whatever the clock says. */
+  /** Proposes an incarnation after the remembered one and not before the wall clock's time. */
   long propose(long wallMillis) {
     long proposal = Math.max(1, wallMillis);
     if (file == null || !Files.exists(file)) {
@@ -31,17 +36,17 @@
     }
     try {
       String text = Files.size(file) > MAX_FILE_BYTES ? "" : Files.readString(file).strip();
-      if (text.matches("\\d{1,18}")) {
+      if (text.matches(NUMBER_PATTERN)) {
         return Math.max(proposal, Long.parseLong(text) + 1);
       }
-      Log.info("members", file + " tells no birth: the clock's is proposed");
+      Log.info("members", file + " does not hold an incarnation, the clock's time is proposed");
     } catch (IOException e) {
-      Log.info("members", file + " can't be read, the clock's birth is proposed: " + e);
+      Log.info("members", file + " can't be read, the clock's time is proposed: " + e);
     }
     return proposal;
   }
 
-  /** Whole or not at all; a start without it is one without the file. */
+  /** Replaces the file atomically. A failure is only logged. */
   void store(long incarnation) {
     if (file == null) {
       return;
@@ -52,7 +57,7 @@
       Files.move(
           temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
-      Log.info("members", "the birth can't be kept in " + file + ": " + e);
+      Log.info("members", "the incarnation can't be stored in " + file + ": " + e);
     }
   }
 }
--- a/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
+++ b/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import tamarindroute.host.MonotonicClock;
-import tamarindroute.log.Log;
 import tamarindroute.members.wire.MemberMessage;
 import tamarindroute.members.wire.MemberMessageCodec;
 import tamarindroute.membership.Action;
@@ -23,200 +23,229 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * One member's socket and its membership: tells it what came and when time has passed, and does
- * what it answers. All of it on the owner's thread. Who a datagram is from is told by its sealed
- * inside alone, and answers go to that name.
+ * A member's UDP socket and the membership behind it: passes received messages and the time to the
+ * membership and performs its actions. Confined to the event loop.
+ *
+ * <p>The sender of a datagram is known by its sealed contents only, and answers go to the address
+ * named there.
  */
 public final class MembershipEndpoint {
 
-  /** Who lives on the membership; on the owner's thread. */
+  /** Receives changes of the membership and payloads of other protocols, on the event loop. */
   public interface Listener {
 
+    /** The state of another member has changed. */
     default void onStateChanged(Member member, MemberState state) {}
 
+    /** The own connectivity has changed. */
     default void onStatusChanged(LocalStatus status) {}
 
-    /** What another shares; it is a member's, new and whole, and no more is known of it. */
+    /** Another member shares facts; authentic, but not decoded yet. */
     default void onFacts(Member from, byte[] bytes) {}
 
-    /** What the feed told another; the same holds. */
+    /** Another member passes on events of the control feed. */
     default void onFeedEvents(Member from, MemberMessage.FeedEventsPayload events) {}
 
-    /** A word about shares; the same holds. */
+    /** A message about quota leases. */
     default void onLease(Member from, MemberMessage.LeasePayload lease) {}
 
-    /** A message of the agreement; the same holds. */
+    /** A fragment of a message of the agreement; authentic, but not decoded yet. */
     default void onAgreementMessage(Member from, byte[] bytes) {}
   }
 
-  /**
-   * Steps come no closer than this, whatever is overdue: the owner's thread is the gateway's too.
-   */
+  /** Leaves time for the gateway's other work on the event loop, whatever is overdue. */
   private static final Duration MIN_STEP_INTERVAL = Duration.ofMillis(1);
 
   private final Scheduler scheduler;
   private final DatagramTransport datagrams;
-  private final MemberConfiguration settings;
+  private final MemberConfiguration configuration;
   private final IncarnationFile incarnationFile;
   private final long proposedIncarnation;
   private final SealedChannel channel;
   private final Listener listener;
   private Membership membership;
-  private Runnable timer = () -> {};
+  private Runnable cancelStep = () -> {};
+
+  /** When the next step is scheduled; null if none is. */
   private Duration nextStepAt;
+
   private boolean left;
 
-  /** The birth proposed is past the one that the state file tells, near the wall clock's. */
+  /**
+   * Prepares an endpoint; {@link #start} opens its socket.
+   *
+   * @param wallMillis the wall clock's time, for the proposed incarnation
+   */
   public MembershipEndpoint(
       Scheduler scheduler,
       DatagramTransport datagrams,
-      MemberConfiguration settings,
+      MemberConfiguration configuration,
       long wallMillis,
       Listener listener) {
     this.scheduler = scheduler;
     this.datagrams = datagrams;
-    this.settings = settings;
-    this.incarnationFile = new IncarnationFile(settings.incarnationFile());
+    this.configuration = configuration;
+    this.incarnationFile = new IncarnationFile(configuration.incarnationFile());
     this.proposedIncarnation = incarnationFile.propose(wallMillis);
-    this.channel = new SealedChannel(settings.seal(), settings.membershipSettings().maxMembers());
+    this.channel =
+        new SealedChannel(
+            configuration.authenticator(), configuration.membershipSettings().maxMembers());
     this.listener = listener;
   }
 
-  /** Listens and takes the first steps; the membership begins once it can be heard, not before. */
+  /**
+   * Listens, and then starts the membership.
+   *
+   * @throws IOException if the address can't be listened on
+   */
   public void start() throws IOException {
+    InetSocketAddress listenAddress = configuration.listenAddress();
     try {
-      datagrams.listen(
-          settings.listenAddress(), (bytes, from, at, answer) -> onDatagram(bytes, from));
+      datagrams.listen(listenAddress, (bytes, from, at, answer) -> onDatagram(bytes, from));
     } catch (IOException e) {
       throw new IOException(
-          "members: cannot listen on " + settings.listenAddress() + ": " + e.getMessage(), e);
+          "members: cannot listen on " + listenAddress + ": " + e.getMessage(), e);
     }
-    Member self = new Member(settings.advertisedAddress(), proposedIncarnation);
+    Member self = new Member(configuration.advertisedAddress(), proposedIncarnation);
     incarnationFile.store(proposedIncarnation);
-    Log.change(
-        "members",
-        "listening on "
-            + MemberConfiguration.toAddress(settings.listenAddress())
-            + ", self "
-            + self);
+    MembershipLog.listening(MemberConfiguration.toAddress(listenAddress), self);
     membership =
-        new Membership(settings.membershipSettings(), self, settings.seeds(), MonotonicClock.now());
+        new Membership(
+            configuration.membershipSettings(), self, configuration.seeds(), MonotonicClock.now());
     tick();
   }
 
-  /** Goes in order: the others hear of it and need not find out. */
+  /** Leaves the group in order; nothing is received or sent from then on. */
   public void leave() {
     if (!left && membership != null) {
       left = true;
-      timer.run();
-      performAll(membership.leave(MonotonicClock.now()));
+      cancelStep.run();
+      perform(membership.leave(MonotonicClock.now()));
     }
   }
 
-  /** One's own condition at this very moment; asked before acting on what is held of others. */
+  /** The own status at this moment; to be asked before acting on the states of others. */
   public LocalStatus localStatus() {
     return membership.localStatus(MonotonicClock.now());
   }
 
-  /** Those held alive or suspect, and oneself. */
+  /** The members that are alive or suspect, this one included. */
   public List<Member> liveMembers() {
     return membership.liveMembers();
   }
 
+  /** All other known members with their states. */
   public Map<Member, MemberState> members() {
     return membership.members();
   }
 
+  /** This member with its current incarnation. */
   public Member self() {
     return membership.self();
   }
 
   /**
-   * Sends another kind of letter to a life; it may be lost. It is shorter than Envelopes.LARGEST by
-   * 150 bytes.
+   * Sends a payload; it may be lost.
+   *
+   * @param to the receiver; other incarnations at its address ignore the message
+   * @param payload at least 150 bytes shorter than {@link MemberMessageCodec#MAX_MESSAGE_BYTES}
    */
   public void send(Member to, MemberMessage.Payload payload) {
-    if (left) {
-      return;
+    if (!left) {
+      send(to.address(), MemberMessage.of(membership.self(), to.incarnation(), payload));
     }
-    send(to.address(), MemberMessage.of(membership.self(), to.incarnation(), payload));
   }
 
   /**
-   * Asks a machine, from a fresh port, whether anybody listens there; told only if it refuses.
-   * Where a proxy stands between nothing is asked: its refusal would prove nothing.
+   * Finds out whether a machine refuses datagrams to an address, because nobody listens there.
+   * Silence says nothing. Does nothing for an address with an override: a refusal of the proxy
+   * there would prove nothing.
+   *
+   * @param to the address in question
+   * @param payload sent from a fresh port
+   * @param timeout how long to wait for the refusal
+   * @param onRefused called if it is refused
    */
   public void probeForRefusal(
       Address to, MemberMessage.Payload payload, Duration timeout, Runnable onRefused) {
-    InetSocketAddress destination =
-        settings.addressOverrides().containsKey(to) ? null : resolve(to);
-    if (left || destination == null) {
+    if (left || configuration.addressOverride(to).isPresent()) {
+      return;
+    }
+    Optional<InetSocketAddress> destination = resolve(to);
+    if (destination.isEmpty()) {
       return;
     }
-    Runnable cancel =
-        datagrams.query(
-            destination,
-            channel.seal(MemberMessage.of(membership.self(), 0, payload)),
-            new DatagramTransport.ReplyHandler() {
-              @Override
-              public void onReply(byte[] bytes) {}
-
-              @Override
-              public void onClosed(CloseReason closeReason) {
-                if (closeReason == CloseReason.REFUSED) {
-                  onRefused.run();
-                }
-              }
-            });
+    byte[] datagram = channel.seal(MemberMessage.of(membership.self(), 0, payload));
+    Runnable cancel = datagrams.query(destination.get(), datagram, refusalHandler(onRefused));
     scheduler.schedule(timeout, cancel);
   }
 
+  private static DatagramTransport.ReplyHandler refusalHandler(Runnable onRefused) {
+    return new DatagramTransport.ReplyHandler() {
+      @Override
+      public void onReply(byte[] bytes) {}
+
+      @Override
+      public void onClosed(CloseReason closeReason) {
+        if (closeReason == CloseReason.REFUSED) {
+          onRefused.run();
+        }
+      }
+    };
+  }
+
   private void onDatagram(byte[] bytes, InetSocketAddress from) {
     if (left) {
       return;
     }
     try {
-      SealedChannel.Opened opened = channel.open(bytes, membership.self());
-      dispatch(opened.message(), opened.fromFormerIncarnation());
+      dispatch(channel.open(bytes, membership.self()));
     } catch (MalformedMessageException e) {
-      Log.infoWithFields("member-unreadable", e.getMessage(), "from", from);
+      MembershipLog.protocolError(e, from);
     }
   }
 
-  private void dispatch(MemberMessage message, boolean fromFormerIncarnation) {
-    if (message.payload() instanceof MemberMessage.MembershipPayload membershipPayload) {
-      performAll(membership.onMessage(membershipPayload.message(), MonotonicClock.now()));
-    } else if (!fromFormerIncarnation
-        && (message.targetIncarnation() == 0
-            || message.targetIncarnation() == membership.self().incarnation())) {
-      if (message.payload() instanceof MemberMessage.FactsPayload facts) {
-        listener.onFacts(message.sender(), facts.bytes());
-      } else if (message.payload() instanceof MemberMessage.FeedEventsPayload events) {
-        listener.onFeedEvents(message.sender(), events);
-      } else if (message.payload() instanceof MemberMessage.AgreementPayload agreement) {
-        listener.onAgreementMessage(message.sender(), agreement.bytes());
-      } else if (message.payload() instanceof MemberMessage.LeasePayload lease) {
-        listener.onLease(message.sender(), lease);
-      }
+  private void dispatch(SealedChannel.Opened opened) {
+    MemberMessage message = opened.message();
+    MemberMessage.Payload payload = message.payload();
+    if (payload instanceof MemberMessage.MembershipPayload membershipPayload) {
+      perform(membership.onMessage(membershipPayload.message(), MonotonicClock.now()));
+      return;
+    }
+    if (opened.fromFormerIncarnation() || !isForSelf(message)) {
+      return;
+    }
+    Member sender = message.sender();
+    if (payload instanceof MemberMessage.FactsPayload facts) {
+      listener.onFacts(sender, facts.bytes());
+    } else if (payload instanceof MemberMessage.FeedEventsPayload events) {
+      listener.onFeedEvents(sender, events);
+    } else if (payload instanceof MemberMessage.AgreementPayload agreement) {
+      listener.onAgreementMessage(sender, agreement.bytes());
+    } else if (payload instanceof MemberMessage.LeasePayload lease) {
+      listener.onLease(sender, lease);
     }
   }
 
+  private boolean isForSelf(MemberMessage message) {
+    return message.targetIncarnation() == 0
+        || message.targetIncarnation() == membership.self().incarnation();
+  }
+
   private void tick() {
     if (left) {
       return;
     }
     nextStepAt = null;
     try {
-      performAll(membership.tick(MonotonicClock.now()));
+      perform(membership.tick(MonotonicClock.now()));
     } finally {
-      // Also after a defect: a member that never took a step again would look alive to operators
-      // alone.
+      // Without a next step a member would look alive to operators only.
       scheduleNextStep();
     }
   }
 
-  /** Does what the membership wants done. */
-  private void performAll(List<Action> actions) {
+  private void perform(List<Action> actions) {
     actions.forEach(this::perform);
     if (!left) {
       scheduleNextStep();
@@ -224,73 +253,52 @@
   }
 
   private void perform(Action action) {
-    if (action instanceof Action.Send sendAction) {
-      send(sendAction.to(), MemberMessage.of(sendAction.message()));
-    } else if (action instanceof Action.StateChanged stateChanged) {
-      Log.change("member", stateChanged.member() + " " + describe(stateChanged.state()));
-      listener.onStateChanged(stateChanged.member(), stateChanged.state());
-    } else if (action instanceof Action.StatusChanged statusChanged) {
-      Log.change("touch", describe(statusChanged.status()));
-      listener.onStatusChanged(statusChanged.status());
+    if (action instanceof Action.Send send) {
+      send(send.to(), MemberMessage.of(send.message()));
+    } else if (action instanceof Action.StateChanged change) {
+      MembershipLog.stateChanged(change);
+      listener.onStateChanged(change.member(), change.state());
+    } else if (action instanceof Action.StatusChanged change) {
+      MembershipLog.statusChanged(change);
+      listener.onStatusChanged(change.status());
     } else if (action instanceof Action.IncarnationRaised raised) {
       incarnationFile.store(raised.self().incarnation());
-      Log.change(
-          "members", "self " + raised.self() + ", as a later life than ours was here before");
+      MembershipLog.incarnationRaised(raised);
     }
   }
 
-  /** Waits for the next step, unless an earlier one is waited for. */
+  /** Schedules the membership's next step, unless an earlier one is scheduled. */
   private void scheduleNextStep() {
     Duration now = MonotonicClock.now();
     Duration delay = membership.untilNextTick(now);
-    Duration nextStep =
-        now.plus(delay.compareTo(MIN_STEP_INTERVAL) < 0 ? MIN_STEP_INTERVAL : delay);
-    if (nextStepAt == null || nextStep.compareTo(nextStepAt) < 0) {
-      timer.run();
-      nextStepAt = nextStep;
-      timer = scheduler.schedule(nextStep.minus(now), this::tick);
+    Duration bounded = delay.compareTo(MIN_STEP_INTERVAL) < 0 ? MIN_STEP_INTERVAL : delay;
+    Duration wanted = now.plus(bounded);
+    if (nextStepAt == null || wanted.compareTo(nextStepAt) < 0) {
+      cancelStep.run();
+      nextStepAt = wanted;
+      cancelStep = scheduler.schedule(bounded, this::tick);
     }
   }
 
-  private static String describe(MemberState state) {
-    return switch (state) {
-      case JOINING -> "joining";
-      case ALIVE -> "alive";
-      case SUSPECT -> "suspect";
-      case FAULTY -> "away";
-      case LEFT -> "left";
-    };
-  }
-
-  private static String describe(LocalStatus status) {
-    return switch (status.connectivity()) {
-      case JOINING -> "joining";
-      case CONNECTED -> "in touch";
-      case PAUSED -> "paused " + status.pausedFor().toMillis() + " ms";
-      case ISOLATED -> "cut off";
-      case LEFT -> "left";
-    };
-  }
-
   private void send(Address to, MemberMessage message) {
-    InetSocketAddress destination =
-        settings.addressOverrides().containsKey(to)
-            ? settings.addressOverrides().get(to)
-            : resolve(to);
-    if (destination != null) {
-      datagrams.send(settings.listenAddress(), destination, channel.seal(message));
-    }
+    configuration
+        .addressOverride(to)
+        .or(() -> resolve(to))
+        .ifPresent(
+            destination ->
+                datagrams.send(configuration.listenAddress(), destination, channel.seal(message)));
   }
 
-  /** Asks no name server: only numeric hosts pass the settings and the reading of letters. */
-  private static InetSocketAddress resolve(Address to) {
+  /** Uses no name server: only numeric hosts are resolved. */
+  private static Optional<InetSocketAddress> resolve(Address to) {
+    if (!MemberMessageCodec.isNumericHost(to.host())) {
+      return Optional.empty();
+    }
     try {
-      return MemberMessageCodec.isNumericHost(to.host())
-          ? new InetSocketAddress(InetAddress.getByName(to.host()), to.port())
-          : null;
+      return Optional.of(new InetSocketAddress(InetAddress.getByName(to.host()), to.port()));
     } catch (UnknownHostException e) {
-      Log.infoWithFields("member-unreachable", e.getMessage(), "to", to);
-      return null;
+      MembershipLog.unreachable(e, to);
+      return Optional.empty();
     }
   }
 }
--- a/members/src/main/java/tamarindroute/members/MembershipService.java
+++ b/members/src/main/java/tamarindroute/members/MembershipService.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tamarindroute.host.EndpointRegistry;
+import tamarindroute.host.EventLoop;
 import tamarindroute.host.LifecycleComponent;
 import tamarindroute.host.RouterInstance;
 import tamarindroute.members.agreed.AgreedViewService;
@@ -14,73 +15,88 @@
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.protocol.MalformedMessageException;
 
-/** A gateway's membership, as lives beside it on its owner's thread. */
+/**
+ * Runs the membership of a gateway, its agreed view and its shared quotas beside the gateway, on
+ * its event loop.
+ */
 public final class MembershipService
     implements LifecycleComponent, MembershipEndpoint.Listener, FeedEventReplicator.Peers {
 
-  private final MemberConfiguration settings;
+  private final MemberConfiguration configuration;
   private final List<QuotaDefinition> quotas;
   private MembershipEndpoint endpoint;
   private FeedEventReplicator feedReplicator;
+
+  /** Null without voters. */
   private AgreedViewService agreedViews;
+
+  /** Null without voters or shared quotas. */
   private QuotaService quotaService;
 
-  public MembershipService(MemberConfiguration settings) {
-    this(settings, List.of());
+  /** A membership without shared quotas. */
+  public MembershipService(MemberConfiguration configuration) {
+    this(configuration, List.of());
   }
 
   /**
-   * With bounds that are shared under the agreed view; all are told them alike, and the decisions
-   * as many gateways.
+   * A membership with shared quotas.
+   *
+   * @param quotas the same at all members; used only if there are voters
    */
-  public MembershipService(MemberConfiguration settings, List<QuotaDefinition> quotas) {
-    this.settings = settings;
+  public MembershipService(MemberConfiguration configuration, List<QuotaDefinition> quotas) {
+    this.configuration = configuration;
     this.quotas = List.copyOf(quotas);
   }
 
   @Override
   public void onStarted(RouterInstance instance) throws IOException {
+    EventLoop eventLoop = instance.eventLoop();
     EndpointRegistry endpoints = instance.endpoints();
     feedReplicator =
         new FeedEventReplicator(
-            settings.advertisedAddress(),
-            new FeedEventReplicator.FeedFollower() {
-              @Override
-              public long lastNumber() {
-                return endpoints.lastEventNumber();
-              }
-
-              @Override
-              public boolean apply(long number, String event) throws MalformedMessageException {
-                return endpoints.applyReplicatedEvent(number, event);
-              }
-            },
-            instance.eventLoop(),
-            this);
+            configuration.advertisedAddress(), followerOf(endpoints), eventLoop, this);
     endpoint =
         new MembershipEndpoint(
-            instance.eventLoop(),
-            new DatagramTransport(instance.eventLoop()),
-            settings,
+            eventLoop,
+            new DatagramTransport(eventLoop),
+            configuration,
             System.currentTimeMillis(),
             this);
     endpoint.start();
     endpoints.onFeedRead(feedReplicator::onFeedText);
     feedReplicator.poll();
-    if (!settings.voters().isEmpty()) {
-      agreedViews =
-          new AgreedViewService(
-              instance.eventLoop(),
-              settings.advertisedAddress(),
-              settings.voters(),
-              settings.voterStore(),
-              new EndpointTransport(endpoint));
-      agreedViews.tick();
-      if (!quotas.isEmpty()) {
-        quotaService =
-            new QuotaService(
-                instance.eventLoop(), endpoint, agreedViews, instance::applyQuotaGrant, quotas);
+    if (!configuration.voters().isEmpty()) {
+      startAgreedViews(instance);
+    }
+  }
+
+  private static FeedEventReplicator.FeedFollower followerOf(EndpointRegistry endpoints) {
+    return new FeedEventReplicator.FeedFollower() {
+      @Override
+      public long lastNumber() {
+        return endpoints.lastEventNumber();
+      }
+
+      @Override
+      public boolean apply(long number, String event) throws MalformedMessageException {
+        return endpoints.applyReplicatedEvent(number, event);
       }
+    };
+  }
+
+  private void startAgreedViews(RouterInstance instance) throws IOException {
+    EventLoop eventLoop = instance.eventLoop();
+    agreedViews =
+        new AgreedViewService(
+            eventLoop,
+            configuration.advertisedAddress(),
+            configuration.voters(),
+            configuration.voterStore(),
+            new EndpointTransport(endpoint));
+    agreedViews.tick();
+    if (!quotas.isEmpty()) {
+      quotaService =
+          new QuotaService(eventLoop, endpoint, agreedViews, instance::applyQuotaGrant, quotas);
     }
   }
 
@@ -92,9 +108,9 @@
   }
 
   @Override
-  public void onStateChanged(Member about, MemberState state) {
+  public void onStateChanged(Member member, MemberState state) {
     if (quotaService != null) {
-      quotaService.onStateChanged(about, state);
+      quotaService.onStateChanged(member, state);
     }
   }
 
--- a/members/src/main/java/tamarindroute/members/QuotaService.java
+++ b/members/src/main/java/tamarindroute/members/QuotaService.java
@@ -14,13 +14,13 @@
 import tamarindroute.net.Scheduler;
 
 /**
- * The shares beside the agreed view: who leads it deals, and is asked for parts. On the owner's
- * thread.
+ * Shares quotas under the agreed view: the leader of the view allocates them and the others ask it
+ * for leases. Confined to the event loop.
  */
 final class QuotaService {
 
-  /** A twelfth of the time that a lead lasts. */
-  private static final Duration TICK = Duration.ofMillis(250);
+  /** A twelfth of the duration of a leader lease. */
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
   private final Scheduler scheduler;
   private final MembershipEndpoint endpoint;
@@ -29,7 +29,11 @@
   private final LeaderLease leaderLease;
   private boolean stopped;
 
-  /** The endpoint listens already: a refusal must prove that no life that uses shares is there. */
+  /**
+   * Starts to share quotas.
+   *
+   * @param endpoint listens already: a refused probe has to prove that no process there uses quotas
+   */
   QuotaService(
       Scheduler scheduler,
       MembershipEndpoint endpoint,
@@ -48,16 +52,13 @@
 
   private void tick() {
     if (!stopped) {
-      scheduler.schedule(TICK, this::tick);
+      scheduler.schedule(TICK_INTERVAL, this::tick);
       leaderLease.tick(agreedViews.agreement());
-      quotaLeases.onLeaderKnown(agreedViews.leader().flatMap(this::findLive).orElse(null));
+      quotaLeases.onLeaderKnown(agreedViews.leader().flatMap(this::findLive));
     }
   }
 
-  /**
-   * A voter is known by the life that its store began with; the one that is there now is
-   * membership's to tell.
-   */
+  /** The live member at an address; a voter's own incarnation is that of its store's start. */
   private Optional<Member> findLive(Address address) {
     return endpoint.liveMembers().stream()
         .filter(member -> member.address().equals(address))
@@ -74,7 +75,7 @@
     quotaLeases.onLease(from, lease);
   }
 
-  /** Ahead of the endpoint's leaving. */
+  /** Stops using quotas; to be called before the endpoint leaves. */
   void stop() {
     stopped = true;
     quotaLeases.stop();
--- a/members/src/main/java/tamarindroute/members/SealedChannel.java
+++ b/members/src/main/java/tamarindroute/members/SealedChannel.java
@@ -10,25 +10,36 @@
 import tamarindroute.protocol.MessageAuthenticator;
 
 /**
- * Seals what a member sends and opens what comes: each letter is a member's, of the life that
- * sealed it, and new. The seal's run is the sender's birth, so that a new life starts its numbers
- * anew.
+ * Authenticates messages between members. A sealed datagram proves that a member with the key sent
+ * it in the incarnation it names, and that it was not received before.
  */
 final class SealedChannel {
 
-  /** A letter that is proven; former where a later life of its sender was heard before. */
+  /**
+   * An authentic message.
+   *
+   * @param message the decoded message
+   * @param fromFormerIncarnation whether a later incarnation of its sender was heard before
+   */
   record Opened(MemberMessage message, boolean fromFormerIncarnation) {}
 
-  private final MessageAuthenticator seal;
-  private final Map<Address, MessageAuthenticator.ReplayWindow> lastHeard;
+  private static final int INITIAL_CAPACITY = 16;
+  private static final float LOAD_FACTOR = 0.75f;
+
+  private final MessageAuthenticator authenticator;
+  private final Map<Address, MessageAuthenticator.ReplayWindow> replayWindows;
   private long currentIncarnation;
-  private long nextNumber;
+  private long nextSequenceNumber;
 
-  /** Remembers what was heard of so many senders, those heard latest. */
-  SealedChannel(MessageAuthenticator seal, int maxSenders) {
-    this.seal = seal;
-    this.lastHeard =
-        new LinkedHashMap<>(16, 0.75f, true) {
+  /**
+   * Creates a channel.
+   *
+   * @param maxSenders how many senders are protected against replay: those heard from latest
+   */
+  SealedChannel(MessageAuthenticator authenticator, int maxSenders) {
+    this.authenticator = authenticator;
+    this.replayWindows =
+        new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
           private static final long serialVersionUID = 1L;
 
           @Override
@@ -39,38 +50,46 @@
         };
   }
 
+  /** Encodes and seals a message. Each incarnation of the sender starts its numbers anew. */
   byte[] seal(MemberMessage message) {
-    if (message.sender().incarnation() != currentIncarnation) {
-      currentIncarnation = message.sender().incarnation();
-      nextNumber = 0;
+    long incarnation = message.sender().incarnation();
+    if (incarnation != currentIncarnation) {
+      currentIncarnation = incarnation;
+      nextSequenceNumber = 0;
     }
-    return seal.seal(MemberMessageCodec.encode(message), currentIncarnation, nextNumber++);
+    byte[] encoded = MemberMessageCodec.encode(message);
+    return authenticator.seal(encoded, incarnation, nextSequenceNumber++);
   }
 
   /**
-   * Opens a letter. One of a former life is handed on as such: whoever was born with a clock set
-   * back is told so by an answer, and whoever plays old datagrams again gets no more than that.
+   * Opens and decodes a datagram. A message of a former incarnation is returned with a mark: a
+   * process that started with an earlier clock has to be told, and a replay achieves no more.
+   *
+   * @param self this member, whose address must not be the sender's
+   * @throws MalformedMessageException if the datagram is not authentic, received before, or can't
+   *     be decoded
    */
   Opened open(byte[] bytes, Member self) throws MalformedMessageException {
     MessageAuthenticator.OpenedMessage opened =
-        seal.open(bytes, MessageAuthenticator.ReplayWindow.EMPTY);
+        authenticator.open(bytes, MessageAuthenticator.ReplayWindow.EMPTY);
     MemberMessage message = MemberMessageCodec.decode(opened.message());
     Member sender = message.sender();
     if (opened.window().incarnation() != sender.incarnation()) {
-      throw new MalformedMessageException("sealed in another life than it tells");
+      throw new MalformedMessageException(
+          "message of " + sender + " is sealed as incarnation " + opened.window().incarnation());
     }
     if (sender.address().equals(self.address())) {
-      throw new MalformedMessageException("from one of our own name, " + sender);
+      throw new MalformedMessageException("sender " + sender + " has the address of this member");
     }
     MessageAuthenticator.ReplayWindow previous =
-        lastHeard.getOrDefault(sender.address(), MessageAuthenticator.ReplayWindow.EMPTY);
+        replayWindows.getOrDefault(sender.address(), MessageAuthenticator.ReplayWindow.EMPTY);
     if (sender.incarnation() < previous.incarnation()) {
       return new Opened(message, true);
     }
-    lastHeard.put(
-        sender.address(),
+    MessageAuthenticator.ReplayWindow next =
         MessageAuthenticator.accept(
-            previous, sender.incarnation(), opened.window().highestSequenceNumber()));
+            previous, sender.incarnation(), opened.window().highestSequenceNumber());
+    replayWindows.put(sender.address(), next);
     return new Opened(message, false);
   }
 }
--- a/members/src/main/java/tamarindroute/members/agreed/AgreedViewService.java
+++ b/members/src/main/java/tamarindroute/members/agreed/AgreedViewService.java
@@ -12,49 +12,56 @@
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.agreement.wire.DecodedMessage;
 import tamarindroute.host.MonotonicClock;
-import tamarindroute.log.Log;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 import tamarindroute.net.Scheduler;
 
-/** The agreed view at one member, with a vote or without; all of it on the owner's thread. */
+/**
+ * The agreed view at one member, whether it votes or not. Confined to the event loop.
+ *
+ * <p>Every member keeps a lease on the view; a member that is configured as a voter also takes part
+ * in the agreement.
+ */
 public final class AgreedViewService {
 
-  /** The others as membership holds them, and the way to them. */
+  /** The membership of this process as the agreement sees it. */
   public interface LocalMembership {
 
+    /** This member with its current incarnation. */
     Member self();
 
+    /** All other known members with their states. */
     Map<Member, MemberState> members();
 
-    /** Whether this one runs, hears and is heard, at this very moment. */
+    /** Whether the states may be acted on at this moment. */
     boolean isConnected();
 
-    /** Sends a letter's bytes to whatever life is there. */
+    /** Sends a fragment to whatever incarnation is at an address; it may be lost. */
     void send(Address to, byte[] bytes);
   }
 
-  /**
-   * A quarter of the shortest time that anything here waits; what is due sooner is waited for
-   * elsewhere.
-   */
-  private static final Duration TICK = Duration.ofMillis(250);
+  /** A quarter of the shortest time that is waited for here. */
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
   private final Scheduler scheduler;
   private final LocalMembership localMembership;
   private final VoterMessageTransport transport;
   private final LeaseKeeper leaseKeeper;
   private final ProposalForwarder proposals;
-  private final Optional<Voter> voting;
+
+  /** Null if this member is not a configured voter. */
+  private final Voter voter;
+
   private boolean closed;
 
   /**
-   * Opens the store, where this one votes.
+   * Creates the service; {@link #tick} starts it.
    *
-   * @param self what this one is known by
-   * @param voters as told alike to all members
-   * @param store a voter's file
+   * @param self this member's address
+   * @param voters the configured voters, the same at all members
+   * @param store file of a voter's replicated state; not used by other members
+   * @throws IOException if this member votes and the store can't be opened
    */
   public AgreedViewService(
       Scheduler scheduler,
@@ -70,21 +77,22 @@
     this.leaseKeeper =
         new LeaseKeeper(localMembership.self(), voters, transport, MonotonicClock.now());
     this.proposals = new ProposalForwarder(localMembership.self(), voters, transport);
-    this.voting =
-        voters.contains(self)
-            ? Optional.of(new Voter(scheduler, voters, store, transport))
-            : Optional.empty();
+    this.voter = voters.contains(self) ? new Voter(scheduler, voters, store, transport) : null;
   }
 
-  /** Takes the first steps, and more from then on. */
+  /**
+   * Does what is due, and schedules the next tick.
+   *
+   * @throws IOException if a voter's store can't be used; the service goes on without a vote
+   */
   public void tick() throws IOException {
     if (closed) {
       return;
     }
-    scheduler.schedule(TICK, this::tickOrLog);
+    scheduler.schedule(TICK_INTERVAL, this::tickOrLog);
     transport.expirePartialMessages();
-    if (voting.isPresent()) {
-      voting.get().tick(localMembership, MonotonicClock.now());
+    if (voter != null) {
+      voter.tick(localMembership, MonotonicClock.now());
     }
     leaseKeeper.tick(MonotonicClock.now());
     proposals.expire(MonotonicClock.now());
@@ -94,11 +102,11 @@
     try {
       tick();
     } catch (IOException e) {
-      Log.change("agreed", "can't vote: " + e.getMessage());
+      AgreedViewLog.votingFailed(e);
     }
   }
 
-  /** A letter of another member. */
+  /** Handles a fragment from another member. */
   public void onPayload(Member from, byte[] bytes) {
     if (!closed) {
       transport.onFragment(from, bytes);
@@ -110,37 +118,30 @@
       return;
     }
     DecodedMessage decoded = DecodedMessage.decode(message).orElse(null);
-    if (decoded instanceof DecodedMessage.ViewReply
-        || decoded instanceof DecodedMessage.ProposalReply) {
+    if (decoded instanceof DecodedMessage.ViewReply reply) {
       if (leaseKeeper.isVoter(from)) {
-        onReply(decoded);
+        leaseKeeper.onResponse(reply.response(), MonotonicClock.now());
       }
-    } else {
-      voting.ifPresent(one -> one.onMessage(from, message));
-    }
-  }
-
-  private void onReply(DecodedMessage decoded) {
-    if (decoded instanceof DecodedMessage.ViewReply reply) {
-      leaseKeeper.onResponse(reply.response(), MonotonicClock.now());
     } else if (decoded instanceof DecodedMessage.ProposalReply reply) {
-      proposals.onResult(reply.proposalNumber(), reply.result());
+      if (leaseKeeper.isVoter(from)) {
+        proposals.onResult(reply.proposalNumber(), reply.result());
+      }
+    } else if (voter != null) {
+      voter.onMessage(from, message);
     }
   }
 
   /**
-   * Proposes at whoever leads; calls back once, on the owner's thread. Where the leader has just
-   * died the outcome is unknown after some seconds: what the view has by then tells, or it is
-   * proposed again, which changes nothing twice.
+   * Proposes a command to the leader. If the leader fails meanwhile, the result is unknown after
+   * some seconds: the view shows what became of it, and proposing it again changes nothing twice.
+   *
+   * @param onResult called once, on the event loop
    */
   public void propose(Command command, Consumer<Agreement.ProposalResult> onResult) {
     proposals.propose(command, leader(), onResult, MonotonicClock.now());
   }
 
-  /**
-   * Where the leader was last; it may lead no more. A voter knows sooner than whoever only asks; it
-   * may lead itself.
-   */
+  /** The address of the leader as last heard; it may be this member's, and out of date. */
   public Optional<Address> leader() {
     Optional<Agreement> localAgreement = agreement();
     return localAgreement.isPresent()
@@ -148,28 +149,27 @@
         : leaseKeeper.leader();
   }
 
-  /**
-   * What is agreed and may be acted on at this moment; empty: out of touch. Asked again ahead of
-   * each act.
-   */
+  /** The view that may be acted on at this moment, if any; to be asked before each act. */
   public Optional<MembershipView> validView() {
     return leaseKeeper.validView(MonotonicClock.now());
   }
 
-  /** The agreement itself, where this one votes and its store is open. */
+  /** The agreement, if this member votes and its store is open. */
   public Optional<Agreement> agreement() {
-    return voting.flatMap(Voter::agreement);
+    return voter == null ? Optional.empty() : voter.agreement();
   }
 
+  /** Ends the service; a voter's store is kept. */
   public void close() {
     closed = true;
     transport.close();
+    if (voter == null) {
+      return;
+    }
     try {
-      if (voting.isPresent()) {
-        voting.get().close();
-      }
+      voter.close();
     } catch (IOException e) {
-      Log.info("agreed", "the store can't be closed: " + e.getMessage());
+      AgreedViewLog.closeFailed(e);
     }
   }
 }
--- a/members/src/main/java/tamarindroute/members/agreed/FragmentSendQueue.java
+++ b/members/src/main/java/tamarindroute/members/agreed/FragmentSendQueue.java
@@ -7,42 +7,52 @@
 import tamarindroute.membership.Address;
 
 /**
- * Owns the messages that are being sent, a few pieces at a time so that a receiver's buffer holds
- * them. Each goes three times in all: no piece is asked for again, and at a fifth of loss one in
- * 125 is lost three times. (Sent once, elections took minutes at that loss.) Messages have their
- * turns, a piece each. Where there is no room a message of one piece goes only once, and a longer
- * one is lost, as on a network; whoever waits for it asks again.
+ * Queue of messages that are being sent as fragments, a few at a time so that a receiver's socket
+ * buffer holds them. The messages take turns, a fragment each.
+ *
+ * <p>Each fragment is sent {@link #TRANSMISSIONS} times, as lost ones are not requested again. If
+ * the queue is full, a message of one fragment is sent once and a longer one is dropped.
  */
 final class FragmentSendQueue {
 
   static final int TRANSMISSIONS = 3;
 
-  /**
-   * At a time: 64 KiB, less than half of the smallest receive buffer that systems give by
-   * themselves.
-   */
+  /** 64 KiB at a time, less than half of the smallest default receive buffer. */
   static final int BATCH_SIZE = 16;
 
-  /**
-   * The leader has long messages to six voters and to some members that are new; short ones stay
-   * for 10 ms.
-   */
   static final int MAX_QUEUED_MESSAGES = 256;
-
   static final int MAX_QUEUED_BYTES = 2 * AgreementMessageCodec.MAX_MESSAGE_BYTES;
 
+  /**
+   * A fragment to be sent.
+   *
+   * @param recipient where to
+   * @param bytes the fragment with its header
+   */
   record Fragment(Address recipient, byte[] bytes) {}
 
   private static final class QueuedMessage {
     final Address recipient;
     final byte[] message;
     final long number;
-    int nextIndex;
+    final int fragmentCount;
+    int sentCount;
 
     QueuedMessage(Address recipient, byte[] message, long number) {
       this.recipient = recipient;
       this.message = message;
       this.number = number;
+      this.fragmentCount = MessageFragmenter.fragmentCount(message);
+    }
+
+    Fragment nextFragment() {
+      int index = sentCount % fragmentCount;
+      sentCount++;
+      return new Fragment(recipient, MessageFragmenter.fragment(message, number, index));
+    }
+
+    boolean isDone() {
+      return sentCount >= TRANSMISSIONS * fragmentCount;
     }
   }
 
@@ -51,15 +61,18 @@
   private long lastNumber;
 
   /**
-   * Takes a message in. What comes back is to be sent at once: short ones do not wait for others.
+   * Adds a message; ignores one that is empty or too long.
+   *
+   * @return fragments to be sent at once, so that short messages do not wait for others
    */
   List<Fragment> enqueue(Address recipient, byte[] message) {
     if (message.length == 0 || message.length > AgreementMessageCodec.MAX_MESSAGE_BYTES) {
       return List.of();
     }
-    QueuedMessage queued = new QueuedMessage(recipient, message, ++lastNumber);
+    lastNumber++;
+    QueuedMessage queued = new QueuedMessage(recipient, message, lastNumber);
     List<Fragment> immediate =
-        MessageFragmenter.fragmentCount(message) == 1 ? List.of(nextFragment(queued)) : List.of();
+        queued.fragmentCount == 1 ? List.of(queued.nextFragment()) : List.of();
     if (queue.size() < MAX_QUEUED_MESSAGES && queuedBytes + message.length <= MAX_QUEUED_BYTES) {
       queuedBytes += message.length;
       queue.add(queued);
@@ -67,25 +80,16 @@
     return immediate;
   }
 
-  private static Fragment nextFragment(QueuedMessage queued) {
-    return new Fragment(
-        queued.recipient,
-        MessageFragmenter.fragment(
-            queued.message,
-            queued.number,
-            queued.nextIndex++ % MessageFragmenter.fragmentCount(queued.message)));
-  }
-
-  /** The next few pieces. */
+  /** Takes the next fragments to be sent. */
   List<Fragment> nextBatch() {
     List<Fragment> batch = new ArrayList<>();
     while (batch.size() < BATCH_SIZE && !queue.isEmpty()) {
       QueuedMessage queued = queue.poll();
-      batch.add(nextFragment(queued));
-      if (queued.nextIndex < TRANSMISSIONS * MessageFragmenter.fragmentCount(queued.message)) {
-        queue.add(queued);
-      } else {
+      batch.add(queued.nextFragment());
+      if (queued.isDone()) {
         queuedBytes -= queued.message.length;
+      } else {
+        queue.add(queued);
       }
     }
     return batch;
--- a/members/src/main/java/tamarindroute/members/agreed/LeaseKeeper.java
+++ b/members/src/main/java/tamarindroute/members/agreed/LeaseKeeper.java
@@ -8,30 +8,26 @@
 import tamarindroute.agreement.ViewResponse;
 import tamarindroute.agreement.raft.VoterTransport;
 import tamarindroute.agreement.wire.AgreementMessageCodec;
-import tamarindroute.log.Log;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/**
- * Holds the view under its lease, asks the voters for it in time, and tells operators what is held
- * and what not.
- */
+/** Keeps the lease under which this member may act on the agreed view, by asking the voters. */
 final class LeaseKeeper {
 
-  /** As voters grant it; how often they are asked follows from it. */
+  /** Duration of the leases that voters grant. */
   static final Duration LEASE_DURATION = Duration.ofSeconds(10);
 
-  /**
-   * At the start a first answer takes a founding of the group and an asking; after that operators
-   * are told.
-   */
-  private static final Duration FIRST_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
+  /** The first view is expected within this; its absence is logged after it. */
+  private static final Duration FIRST_VIEW_TIMEOUT = Duration.ofSeconds(10);
 
   private final List<Address> voters;
   private final VoterTransport transport;
   private final Duration startedAt;
   private ViewLease lease;
-  private Optional<Member> leader = Optional.empty();
+
+  /** The leader named by the last answer of a leader; null before. */
+  private Member leader;
+
   private String lastLogged = "";
   private boolean expiryLogged;
 
@@ -42,11 +38,12 @@
     this.lease = ViewLease.initial(self);
   }
 
-  /** What may be acted on at this moment; empty: out of touch. */
+  /** The view that may be acted on at this moment, if any. */
   Optional<MembershipView> validView(Duration now) {
     return lease.validView(now);
   }
 
+  /** Asks a voter for the view if it is time to. */
   void tick(Duration now) {
     logChanges(now);
     if (lease.isRequestDue(now, LEASE_DURATION)) {
@@ -56,7 +53,7 @@
     }
   }
 
-  /** Whether one is a voter, as told or as agreed: those alone are believed. */
+  /** Whether an address is a configured or an agreed voter's; answers of others are ignored. */
   boolean isVoter(Address address) {
     return voters.contains(address)
         || lease.view().stream()
@@ -64,16 +61,15 @@
             .anyMatch(voter -> voter.address().equals(address));
   }
 
-  /** Who led when it was last heard. */
+  /** The leader's address as last heard. */
   Optional<Address> leader() {
-    return leader.map(Member::address);
+    return Optional.ofNullable(leader).map(Member::address);
   }
 
-  /** A voter's answer. */
   void onResponse(ViewResponse response, Duration now) {
     lease = lease.onResponse(response);
     if (response.fromLeader()) {
-      leader = response.leader();
+      leader = response.leader().orElse(null);
     }
     logChanges(now);
   }
@@ -81,30 +77,28 @@
   private void logChanges(Duration now) {
     Optional<MembershipView> view = validView(now);
     if (view.isPresent()) {
-      expiryLogged = false;
-      String summary =
-          "view "
-              + view.get().number()
-              + ", "
-              + view.get().members().size()
-              + " members, led by "
-              + leader.map(Member::toString).orElse("nobody");
-      if (!summary.equals(lastLogged)) {
-        lastLogged = summary;
-        Log.change("agreed", summary);
-      }
-      return;
+      logView(view.get());
+    } else {
+      logExpiry(now);
     }
+  }
+
+  private void logView(MembershipView view) {
+    expiryLogged = false;
+    String summary = AgreedViewLog.summary(view, Optional.ofNullable(leader));
+    if (!summary.equals(lastLogged)) {
+      lastLogged = summary;
+      AgreedViewLog.viewChanged(summary);
+    }
+  }
+
+  private void logExpiry(Duration now) {
     boolean hadView = lease.view().isPresent();
-    Duration since = hadView ? lease.expiresAt() : startedAt.plus(FIRST_RESPONSE_TIMEOUT);
-    if (!expiryLogged && now.compareTo(since) >= 0) {
+    Duration deadline = hadView ? lease.expiresAt() : startedAt.plus(FIRST_VIEW_TIMEOUT);
+    if (!expiryLogged && now.compareTo(deadline) >= 0) {
       expiryLogged = true;
       lastLogged = "";
-      Log.change(
-          "agreed",
-          "out of touch since "
-              + now.minus(hadView ? since : startedAt).toMillis()
-              + " ms: what was agreed before is not acted on");
+      AgreedViewLog.noValidView(now.minus(hadView ? deadline : startedAt));
     }
   }
 }
--- a/members/src/main/java/tamarindroute/members/agreed/ProposalForwarder.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ProposalForwarder.java
@@ -17,72 +17,83 @@
 import tamarindroute.membership.Member;
 
 /**
- * Takes this member's proposals to whoever leads, with a vote of its own or without. Sent on to
- * another it goes on by itself, for nothing has changed then; whatever else it hears, or nothing in
- * time, it says once to who proposed.
+ * Sends this member's proposals to the leader, whether this member votes or not. A proposal that
+ * reached a voter which does not lead is sent on, as nothing has changed by it; every other result,
+ * and a timeout, is reported once.
  */
 final class ProposalForwarder {
 
-  /** Under way at once: a voter bears four times as many of all together. */
+  /** A voter accepts four times as many of all members together. */
   static final int MAX_IN_FLIGHT = 64;
 
-  /** A voter waits as long itself, and the way there and back. */
+  /** The time that a voter waits for the result, and the way there and back. */
   static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(12);
 
-  /** Each voter once, and the new leader that they tell. */
+  /** Each voter once, and the new leader that it names. */
   private static final int MAX_ATTEMPTS = 8;
 
+  /** Greater than the number of proposals of an incarnation. */
+  private static final long NUMBERS_PER_INCARNATION = 1_000_003L;
+
   private record PendingProposal(
-      Command command, Consumer<ProposalResult> onResult, int attempts, Duration deadline) {}
+      Command command, Consumer<ProposalResult> onResult, int attempts, Duration deadline) {
+
+    PendingProposal nextAttempt() {
+      return new PendingProposal(command, onResult, attempts + 1, deadline);
+    }
+  }
 
   private final List<Address> voters;
   private final VoterTransport transport;
   private final Map<Long, PendingProposal> inFlight = new LinkedHashMap<>();
 
-  /** Numbered from the birth on: an answer to a former life's proposal must not count. */
+  /** Starts with the incarnation, so that answers to a former one's proposals do not match. */
   private long lastNumber;
 
   ProposalForwarder(Member self, List<Address> voters, VoterTransport transport) {
     this.voters = List.copyOf(voters);
     this.transport = transport;
-    this.lastNumber = self.incarnation() * 1_000_003L;
+    this.lastNumber = self.incarnation() * NUMBERS_PER_INCARNATION;
   }
 
+  /**
+   * Sends a proposal.
+   *
+   * @param leader where to; the first voter if unknown
+   * @param onResult called once
+   */
   void propose(
-      Command command, Optional<Address> leader, Consumer<ProposalResult> outcome, Duration now) {
+      Command command, Optional<Address> leader, Consumer<ProposalResult> onResult, Duration now) {
     if (inFlight.size() >= MAX_IN_FLIGHT) {
-      outcome.accept(
-          new ProposalResult(ProposalStatus.BUSY, 0, "too many at once", Optional.empty()));
+      onResult.accept(failure(ProposalStatus.BUSY, "too many proposals in flight"));
       return;
     }
-    send(new PendingProposal(command, outcome, 0, now.plus(RESPONSE_TIMEOUT)), leader);
+    send(new PendingProposal(command, onResult, 0, now.plus(RESPONSE_TIMEOUT)), leader);
   }
 
   private void send(PendingProposal proposal, Optional<Address> leader) {
-    inFlight.put(++lastNumber, proposal);
-    Address to = leader.orElse(voters.get(proposal.attempts % voters.size()));
-    transport.send(to, AgreementMessageCodec.encodeProposal(lastNumber, proposal.command));
+    lastNumber++;
+    inFlight.put(lastNumber, proposal);
+    Address recipient = leader.orElse(voters.get(proposal.attempts % voters.size()));
+    transport.send(recipient, AgreementMessageCodec.encodeProposal(lastNumber, proposal.command));
   }
 
-  void onResult(long to, ProposalResult outcome) {
-    PendingProposal proposal = inFlight.remove(to);
+  void onResult(long number, ProposalResult result) {
+    PendingProposal proposal = inFlight.remove(number);
     if (proposal == null) {
       return;
     }
-    if (outcome.status() == ProposalStatus.NOT_LEADER && proposal.attempts + 1 < MAX_ATTEMPTS) {
-      send(
-          new PendingProposal(
-              proposal.command, proposal.onResult, proposal.attempts + 1, proposal.deadline),
-          outcome.leader().map(Member::address));
+    if (result.status() == ProposalStatus.NOT_LEADER && proposal.attempts + 1 < MAX_ATTEMPTS) {
+      send(proposal.nextAttempt(), result.leader().map(Member::address));
     } else {
-      proposal.onResult.accept(outcome);
+      proposal.onResult.accept(result);
     }
   }
 
-  /** Gives up those that have heard nothing. */
+  /** Gives up proposals without an answer in time; their results are unknown. */
   void expire(Duration now) {
-    Iterator<PendingProposal> iterator = inFlight.values().iterator();
     List<PendingProposal> expired = new ArrayList<>();
+    Iterator<PendingProposal> iterator = inFlight.values().iterator();
     while (iterator.hasNext()) {
       PendingProposal proposal = iterator.next();
       if (now.compareTo(proposal.deadline) >= 0) {
@@ -90,9 +101,12 @@
         expired.add(proposal);
       }
     }
-    expired.forEach(
-        proposal ->
-            proposal.onResult.accept(
-                new ProposalResult(ProposalStatus.UNKNOWN, 0, "no answer", Optional.empty())));
+    for (PendingProposal proposal : expired) {
+      proposal.onResult.accept(failure(ProposalStatus.UNKNOWN, "no answer in time"));
+    }
+  }
+
+  private static ProposalResult failure(ProposalStatus status, String reason) {
+    return new ProposalResult(status, 0, reason, Optional.empty());
   }
 }
--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -15,100 +15,97 @@
 import tamarindroute.membership.MemberState;
 
 /**
- * Owns when what the leader's membership holds goes into the view. A change waits until it has
- * stood for a moment, and as long as others are on the way, so that many go as one cut; what comes
- * and goes in the meantime never gets in. Each cut names the view it was derived from and is agreed
- * on that one alone. Immutable; begun anew whenever its holder did not lead or was out of touch.
+ * Decides when the leader proposes that members are added to the view or removed from it. A change
+ * waits until it was wanted for a while, and longer while others are about to be, so that many go
+ * together; a member that flaps changes nothing. Each proposal is based on one view and valid for
+ * that view only.
  *
- * @param wantedSince who is to go in or out, and since when without a break
- * @param lastProposedAt when the last cut was proposed
+ * <p>Immutable; has to start anew after its member did not lead or was not connected.
+ *
+ * @param wantedSince members to be added or removed, and since when without interruption
+ * @param lastProposedAt when changes were last proposed
  */
 record ViewChangeBatcher(Map<Member, Duration> wantedSince, Duration lastProposedAt) {
 
-  /**
-   * A change is a stable one already; a group that died together is found dead within about a
-   * probe's period.
-   */
+  /** How long a change has to be wanted. */
   static final Duration QUIET_PERIOD = Duration.ofSeconds(1);
 
-  /** Others that change all the time hold up nobody for longer. */
+  /** How long a change waits for others at most. */
   static final Duration MAX_WAIT = Duration.ofSeconds(5);
 
-  /**
-   * Each cut is a write to most voters' disks; what was proposed and not heard of is proposed again
-   * after it.
-   */
+  /** Each proposal is written to most voters' disks; an unanswered one is repeated after this. */
   static final Duration MIN_PROPOSAL_INTERVAL = Duration.ofSeconds(2);
 
-  /**
-   * Of whom membership knows nothing it died before this leader came, or is not heard of yet: some
-   * exchanges.
-   */
+  /** A member of the view that the membership does not know is removed after this. */
   static final Duration UNKNOWN_MEMBER_TIMEOUT = Duration.ofSeconds(30);
 
+  private static final Comparator<Member> MEMBER_ORDER =
+      Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
+
+  /**
+   * Result of a step.
+   *
+   * @param next the state for the next step
+   * @param change what is to be proposed now, if anything
+   */
   record Step(ViewChangeBatcher next, Optional<Command.MembershipChange> change) {}
 
   ViewChangeBatcher {
     wantedSince = Map.copyOf(wantedSince);
   }
 
+  /** Nothing is wanted, and a proposal may be made at once. */
   static ViewChangeBatcher initial(Duration now) {
     return new ViewChangeBatcher(Map.of(), now.minus(MIN_PROPOSAL_INTERVAL));
   }
 
-  /** What membership holds at this moment, beside the view. */
+  /**
+   * Compares the view to the membership.
+   *
+   * @param view the agreed view
+   * @param self this member, which is alive
+   * @param others the states of all others
+   */
   Step step(MembershipView view, Member self, Map<Member, MemberState> others, Duration now) {
-    Map<Member, Duration> waits = requiredWaits(view, self, others);
+    Map<Member, Duration> requiredWaits = requiredWaits(view, self, others);
     Map<Member, Duration> since = new HashMap<>();
-    waits.keySet().forEach(member -> since.put(member, wantedSince.getOrDefault(member, now)));
-    List<Member> ripe = new ArrayList<>();
+    for (Member member : requiredWaits.keySet()) {
+      since.put(member, wantedSince.getOrDefault(member, now));
+    }
+    List<Member> due = new ArrayList<>();
     boolean anotherPending = false;
     boolean overdue = false;
-    for (Map.Entry<Member, Duration> member : waits.entrySet()) {
-      Duration waited = now.minus(since.get(member.getKey()));
-      if (waited.compareTo(member.getValue()) >= 0) {
-        ripe.add(member.getKey());
+    for (Map.Entry<Member, Duration> required : requiredWaits.entrySet()) {
+      Duration waited = now.minus(since.get(required.getKey()));
+      if (waited.compareTo(required.getValue()) >= 0) {
+        due.add(required.getKey());
         overdue |= waited.compareTo(MAX_WAIT) >= 0;
       } else {
-        anotherPending |= member.getValue().equals(QUIET_PERIOD);
+        anotherPending |= required.getValue().equals(QUIET_PERIOD);
       }
     }
-    boolean propose =
-        !ripe.isEmpty()
-            && (overdue || !anotherPending)
-            && now.minus(lastProposedAt).compareTo(MIN_PROPOSAL_INTERVAL) >= 0;
-    return propose
-        ? new Step(new ViewChangeBatcher(since, now), Optional.of(toMembershipChange(view, ripe)))
-        : new Step(new ViewChangeBatcher(since, lastProposedAt), Optional.empty());
+    boolean intervalOver = now.minus(lastProposedAt).compareTo(MIN_PROPOSAL_INTERVAL) >= 0;
+    if (due.isEmpty() || anotherPending && !overdue || !intervalOver) {
+      return new Step(new ViewChangeBatcher(since, lastProposedAt), Optional.empty());
+    }
+    return new Step(new ViewChangeBatcher(since, now), Optional.of(toMembershipChange(view, due)));
   }
 
-  /** Who is wanted in or out, and how long that has to stand. */
+  /** Members to be added or removed, and how long each change has to be wanted. */
   private static Map<Member, Duration> requiredWaits(
       MembershipView view, Member self, Map<Member, MemberState> others) {
-    Map<Address, Member> latest = new HashMap<>();
-    view.members().forEach(member -> latest.put(member.address(), member));
-    List<Member> alive = new ArrayList<>(List.of(self));
-    others.forEach(
-        (member, state) -> {
-          if (state == MemberState.ALIVE) {
-            alive.add(member);
-          }
-        });
-    alive.forEach(
-        member ->
-            latest.merge(
-                member.address(),
-                member,
-                (first, second) -> first.incarnation() >= second.incarnation() ? first : second));
+    List<Member> alive = aliveMembers(self, others);
+    Map<Address, Member> latest = latestIncarnations(view.members(), alive);
     Map<Member, Duration> waits = new HashMap<>();
-    alive.stream()
-        .filter(member -> latest.get(member.address()).equals(member) && !view.contains(member))
-        .forEach(member -> waits.put(member, QUIET_PERIOD));
+    for (Member member : alive) {
+      if (latest.get(member.address()).equals(member) && !view.contains(member)) {
+        waits.put(member, QUIET_PERIOD);
+      }
+    }
     for (Member member : view.members()) {
       MemberState state = others.get(member);
-      if (state == MemberState.FAULTY
-          || state == MemberState.LEFT
-          || !latest.get(member.address()).equals(member)) {
+      boolean gone = state == MemberState.FAULTY || state == MemberState.LEFT;
+      if (gone || !latest.get(member.address()).equals(member)) {
         waits.put(member, QUIET_PERIOD);
       } else if (state == null && !member.equals(self)) {
         waits.put(member, UNKNOWN_MEMBER_TIMEOUT);
@@ -117,19 +114,41 @@
     return waits;
   }
 
+  private static List<Member> aliveMembers(Member self, Map<Member, MemberState> others) {
+    List<Member> alive = new ArrayList<>();
+    alive.add(self);
+    others.forEach(
+        (member, state) -> {
+          if (state == MemberState.ALIVE) {
+            alive.add(member);
+          }
+        });
+    return alive;
+  }
+
+  private static Map<Address, Member> latestIncarnations(
+      List<Member> viewMembers, List<Member> alive) {
+    Map<Address, Member> latest = new HashMap<>();
+    viewMembers.forEach(member -> latest.put(member.address(), member));
+    for (Member member : alive) {
+      latest.merge(
+          member.address(),
+          member,
+          (first, second) -> first.incarnation() >= second.incarnation() ? first : second);
+    }
+    return latest;
+  }
+
   private static Command.MembershipChange toMembershipChange(
-      MembershipView view, List<Member> ripe) {
-    Comparator<Member> order =
-        Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
-    List<Member> removed = ripe.stream().filter(view::contains).sorted(order).toList();
+      MembershipView view, List<Member> due) {
+    List<Member> removed = due.stream().filter(view::contains).sorted(MEMBER_ORDER).toList();
     int freeSlots = ViewTransitions.MAX_MEMBERS - view.members().size() + removed.size();
-    return new Command.MembershipChange(
-        view.number(),
-        removed,
-        ripe.stream()
+    List<Member> added =
+        due.stream()
             .filter(member -> !view.contains(member))
-            .sorted(order)
+            .sorted(MEMBER_ORDER)
             .limit(freeSlots)
-            .toList());
+            .toList();
+    return new Command.MembershipChange(view.number(), removed, added);
   }
 }
--- a/members/src/main/java/tamarindroute/members/agreed/Voter.java
+++ b/members/src/main/java/tamarindroute/members/agreed/Voter.java
@@ -7,24 +7,26 @@
 import java.util.List;
 import java.util.Optional;
 import tamarindroute.agreement.Agreement;
+import tamarindroute.agreement.Command;
 import tamarindroute.agreement.raft.EventLoop;
 import tamarindroute.agreement.raft.RaftVoter;
 import tamarindroute.agreement.raft.VoterTransport;
 import tamarindroute.agreement.store.FileStorageMedium;
 import tamarindroute.host.MonotonicClock;
-import tamarindroute.log.Log;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.net.Scheduler;
 
 /**
- * A voter's part: its store, its side of the agreement, and as leader the proposals of what its
- * membership holds. A voter whose store is empty waits until others have let it in: they know if
- * its clock was set back, and an old birth must never be taken again.
+ * This member's vote: opens its store, takes part in the agreement and, while it leads, proposes
+ * the changes that its membership shows.
+ *
+ * <p>A voter with an empty store waits until the membership is connected: the other members know
+ * whether its incarnation has to be raised, and an incarnation must never vote twice.
  */
 final class Voter {
 
-  /** The change of a leader takes up to five seconds and is told by who leads next. */
+  /** A change of the leader takes up to five seconds and is not worth a line of its own. */
   private static final Duration QUORUM_LOSS_LOG_DELAY = Duration.ofSeconds(6);
 
   private final Scheduler scheduler;
@@ -32,13 +34,21 @@
   private final VoterTransport transport;
   private final FileStorageMedium store;
   private final boolean startedEmpty;
-  private Optional<RaftVoter> raftVoter = Optional.empty();
+
+  /** Null until the store is opened. */
+  private RaftVoter raftVoter;
+
   private ViewChangeBatcher batcher = ViewChangeBatcher.initial(MonotonicClock.now());
   private boolean failed;
   private boolean wasLeader;
   private boolean quorumLossLogged;
   private List<Member> loggedVoters = List.of();
 
+  /**
+   * Creates a voter; it is opened by {@link #tick}.
+   *
+   * @throws IOException if the store's file can't be opened or is in use
+   */
   Voter(Scheduler scheduler, List<Address> configuredVoters, Path file, VoterTransport transport)
       throws IOException {
     this.scheduler = scheduler;
@@ -48,102 +58,111 @@
     this.store = new FileStorageMedium(file);
   }
 
+  /**
+   * Opens the store if it is time to, logs changes and proposes them as the leader.
+   *
+   * @throws IOException if the store is damaged; the voter is not opened again
+   */
   void tick(AgreedViewService.LocalMembership localMembership, Duration now) throws IOException {
     if (failed) {
       return;
     }
     boolean connected = localMembership.isConnected();
-    if (raftVoter.isEmpty() && (!startedEmpty || connected)) {
+    if (raftVoter == null && (!startedEmpty || connected)) {
       open(localMembership.self());
     }
-    if (raftVoter.isEmpty()) {
+    if (raftVoter == null) {
       return;
     }
-    Agreement agreement = raftVoter.get();
-    Agreement.GroupStatus status = agreement.status();
+    Agreement.GroupStatus status = raftVoter.status();
     logChanges(status, now);
-    if (!connected || !status.isLeader() || status.noQuorumSince().isPresent()) {
+    if (connected && status.isLeader() && status.noQuorumSince().isEmpty()) {
+      proposeChanges(localMembership, now);
+    } else {
       batcher = ViewChangeBatcher.initial(now);
-      return;
     }
-    ViewChangeBatcher.Step step =
-        batcher.step(agreement.localView(), localMembership.self(), localMembership.members(), now);
-    batcher = step.next();
-    step.change()
-        .ifPresent(
-            change ->
-                agreement.propose(
-                    change,
-                    result -> {
-                      if (result.status() == Agreement.ProposalStatus.REJECTED) {
-                        Log.change(
-                            "agreed",
-                            "cut of "
-                                + change.removed().size()
-                                + " out and "
-                                + change.added().size()
-                                + " in refused: "
-                                + result.reason());
-                      }
-                    }));
   }
 
   private void open(Member self) throws IOException {
+    // Set while opening, so that a store that can't be opened is not tried again.
     failed = true;
-    RaftVoter opened =
+    raftVoter =
         RaftVoter.open(
             new VoterEventLoop(), transport, store, self, configuredVoters, status -> {});
     failed = false;
-    raftVoter = Optional.of(opened);
-    Log.change("agreed", "votes as " + opened.self() + (startedEmpty ? ", anew" : ""));
+    AgreedViewLog.votingStarted(raftVoter.self(), startedEmpty);
+  }
+
+  private void proposeChanges(AgreedViewService.LocalMembership localMembership, Duration now) {
+    ViewChangeBatcher.Step step =
+        batcher.step(raftVoter.localView(), localMembership.self(), localMembership.members(), now);
+    batcher = step.next();
+    step.change().ifPresent(this::propose);
+  }
+
+  private void propose(Command.MembershipChange change) {
+    raftVoter.propose(
+        change,
+        result -> {
+          if (result.status() == Agreement.ProposalStatus.REJECTED) {
+            AgreedViewLog.changeRejected(change, result.reason());
+          }
+        });
   }
 
   private void logChanges(Agreement.GroupStatus status, Duration now) {
-    Optional<String> failure = raftVoter.flatMap(RaftVoter::failure);
+    Optional<String> failure = raftVoter.failure();
     if (failure.isPresent()) {
       failed = true;
-      Log.change("agreed", "votes no more: " + failure.get());
+      AgreedViewLog.votingStopped(failure.get());
       return;
     }
     if (status.isLeader() != wasLeader) {
       wasLeader = status.isLeader();
-      Log.change("agreed", wasLeader ? "leads" : "leads no more");
+      AgreedViewLog.leadershipChanged(wasLeader);
     }
     if (!status.voters().equals(loggedVoters)) {
       loggedVoters = status.voters();
-      Log.change("agreed", "voters " + loggedVoters);
+      AgreedViewLog.votersChanged(loggedVoters);
+    }
+    logQuorum(status.noQuorumSince(), now);
+  }
+
+  private void logQuorum(Optional<Duration> noQuorumSince, Duration now) {
+    if (noQuorumSince.isEmpty()) {
+      if (quorumLossLogged) {
+        quorumLossLogged = false;
+        AgreedViewLog.quorumRestored();
+      }
+      return;
     }
-    Optional<Duration> since = status.noQuorumSince();
-    if (since.isPresent()
-        && !quorumLossLogged
-        && now.minus(since.get()).compareTo(QUORUM_LOSS_LOG_DELAY) >= 0) {
+    Duration lostFor = now.minus(noQuorumSince.get());
+    if (!quorumLossLogged && lostFor.compareTo(QUORUM_LOSS_LOG_DELAY) >= 0) {
       quorumLossLogged = true;
-      Log.change(
-          "agreed",
-          "no majority since " + now.minus(since.get()).toMillis() + " ms: nothing agreed moves");
-    } else if (since.isEmpty() && quorumLossLogged) {
-      quorumLossLogged = false;
-      Log.change("agreed", "a majority again");
+      AgreedViewLog.quorumLost(lostFor);
     }
   }
 
   void onMessage(Address from, byte[] message) {
-    raftVoter.ifPresent(raftVoter -> raftVoter.onMessage(from, message));
+    if (raftVoter != null) {
+      raftVoter.onMessage(from, message);
+    }
   }
 
+  /** The agreement, once the store is open. */
   Optional<Agreement> agreement() {
-    return raftVoter.map(raftVoter -> raftVoter);
+    return Optional.ofNullable(raftVoter);
   }
 
   void close() throws IOException {
-    if (raftVoter.isPresent()) {
-      raftVoter.get().close();
+    if (raftVoter != null) {
+      raftVoter.close();
     } else {
       store.close();
     }
   }
 
-  /** The owner's thread and the monotonic clock. */
+  /** Runs the agreement's tasks on the scheduler, by the monotonic clock. */
   private final class VoterEventLoop implements EventLoop {
     @Override
     public void execute(Runnable task) {
--- a/members/src/main/java/tamarindroute/members/agreed/VoterMessageTransport.java
+++ b/members/src/main/java/tamarindroute/members/agreed/VoterMessageTransport.java
@@ -1,6 +1,7 @@
 package tamarindroute.members.agreed;
 
 import java.time.Duration;
+import java.util.List;
 import java.util.function.BiConsumer;
 import tamarindroute.agreement.raft.VoterTransport;
 import tamarindroute.host.MonotonicClock;
@@ -9,41 +10,38 @@
 import tamarindroute.net.Scheduler;
 
 /**
- * Takes messages of the agreement to others in letters, and puts together what comes; to oneself
- * goes by no socket.
+ * Carries messages of the agreement between members, in fragments. Messages to this member itself
+ * use no socket.
  */
 final class VoterMessageTransport implements VoterTransport {
 
-  /**
-   * Between two handfuls of pieces: 12 MB a second, which a receiver that serves views beside
-   * takes.
-   */
+  /** With the batch size about 12 MB a second, which a busy receiver can read. */
   private static final Duration BATCH_INTERVAL = Duration.ofMillis(5);
 
   private final Scheduler scheduler;
   private final Address self;
-  private final BiConsumer<Address, byte[]> sendPayload;
-  private final BiConsumer<Address, byte[]> onMessage;
+  private final BiConsumer<Address, byte[]> fragmentSender;
+  private final BiConsumer<Address, byte[]> messageHandler;
   private final FragmentSendQueue sendQueue = new FragmentSendQueue();
-  private final MessageFragmenter fragmenter = new MessageFragmenter();
+  private final FragmentReassembler reassembler = new FragmentReassembler();
   private boolean sending;
   private boolean closed;
 
   /**
-   * Carries for one.
+   * Creates a transport.
    *
-   * @param sendPayload sends one letter's bytes
-   * @param onMessage takes a message that has come
+   * @param fragmentSender sends one fragment to an address
+   * @param messageHandler receives complete messages with their sender's address
    */
   VoterMessageTransport(
       Scheduler scheduler,
       Address self,
-      BiConsumer<Address, byte[]> sendPayload,
-      BiConsumer<Address, byte[]> onMessage) {
+      BiConsumer<Address, byte[]> fragmentSender,
+      BiConsumer<Address, byte[]> messageHandler) {
     this.scheduler = scheduler;
     this.self = self;
-    this.sendPayload = sendPayload;
-    this.onMessage = onMessage;
+    this.fragmentSender = fragmentSender;
+    this.messageHandler = messageHandler;
   }
 
   @Override
@@ -52,12 +50,10 @@
       return;
     }
     if (recipient.equals(self)) {
-      scheduler.execute(() -> onMessage.accept(self, message));
+      scheduler.execute(() -> messageHandler.accept(self, message));
       return;
     }
-    sendQueue
-        .enqueue(recipient, message)
-        .forEach(fragment -> sendPayload.accept(fragment.recipient(), fragment.bytes()));
+    sendAll(sendQueue.enqueue(recipient, message));
     if (!sending && !sendQueue.isEmpty()) {
       sending = true;
       sendNextBatch();
@@ -68,21 +64,25 @@
     sending = !closed && !sendQueue.isEmpty();
     if (sending) {
       scheduler.schedule(BATCH_INTERVAL, this::sendNextBatch);
-      sendQueue
-          .nextBatch()
-          .forEach(fragment -> sendPayload.accept(fragment.recipient(), fragment.bytes()));
+      sendAll(sendQueue.nextBatch());
+    }
+  }
+
+  private void sendAll(List<FragmentSendQueue.Fragment> fragments) {
+    for (FragmentSendQueue.Fragment fragment : fragments) {
+      fragmentSender.accept(fragment.recipient(), fragment.bytes());
     }
   }
 
   void onFragment(Member from, byte[] fragment) {
-    fragmenter
+    reassembler
         .onFragment(from, fragment, MonotonicClock.now())
-        .ifPresent(message -> onMessage.accept(from.address(), message));
+        .ifPresent(message -> messageHandler.accept(from.address(), message));
   }
 
-  /** Lets go of pieces whose others never came. */
+  /** Drops incomplete messages that are too old. */
   void expirePartialMessages() {
-    fragmenter.expire(MonotonicClock.now());
+    reassembler.expire(MonotonicClock.now());
   }
 
   void close() {
--- a/members/src/main/java/tamarindroute/members/shares/LeaderStatus.java
+++ b/members/src/main/java/tamarindroute/members/shares/LeaderStatus.java
@@ -1,38 +1,44 @@
 package tamarindroute.members.shares;
 
 import java.time.Duration;
+import java.util.Optional;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
 /**
- * What the dealing must be told by whoever knows who leads and who lives. All of it on the owner's
- * thread.
+ * Receives what is known of leadership and of the other members. Called on the event loop.
+ *
+ * <p>The caller of {@link #onLeadership} is responsible for there being one leader at a time.
  */
 public interface LeaderStatus {
 
   /**
-   * This one leads until then, by Steady. Whoever tells it must be sure that nobody else is told so
-   * before that; told again in time it goes on, else it begins anew with a wait.
+   * This member leads. A renewal before the end continues the term, otherwise it starts with a
+   * waiting time.
    *
-   * @param term of the lead; another at each change
+   * @param term number of the term; another after each change of the leader
+   * @param until end by the monotonic clock; nobody else leads before it
    */
   void onLeadership(long term, Duration until);
 
-  /** This one leads no more, from now on. */
+  /** This member does not lead any more. */
   void onLeadershipLost();
 
   /**
-   * Whom to ask for a part, itself perhaps; null where nobody is known to lead. A wrong word costs
-   * time, never the bound.
+   * Tells whom to ask for leases; it may be this member. A wrong leader costs time, but the quota
+   * is kept.
+   *
+   * @param leader empty if none is known
    */
-  void onLeaderKnown(Member member);
+  void onLeaderKnown(Optional<Member> leader);
 
-  /**
-   * A sign of life, of whatever kind: a later birth at an address proves that the former life is
-   * over.
-   */
+  /** A member is alive; a later incarnation proves that the former ones at its address ended. */
   void onMemberSeen(Member member);
 
-  /** By agreed word of an operator nothing runs there, nor will until the word is taken back. */
+  /**
+   * An operator confirmed that nothing runs at an address, or took that back.
+   *
+   * @param confirmed false to take it back
+   */
   void onDecommissioned(Address address, boolean confirmed);
 }
--- a/members/src/main/java/tamarindroute/members/shares/QuotaDefinition.java
+++ b/members/src/main/java/tamarindroute/members/shares/QuotaDefinition.java
@@ -6,15 +6,17 @@
 import tamarindroute.shares.SharedQuota;
 
 /**
- * One bound and those who share it, told alike to all members: the edges of a location, or the
- * parents.
+ * A shared quota and the gateways that share it; has to be the same at all members.
  *
- * @param number by which members name it to each other
- * @param quota its gateways are as many as the decisions of each are told
+ * @param number identifies the quota in messages
+ * @param tier the caches that the quota limits the use of
+ * @param quota its number of gateways is that which the routing policies are configured with
+ * @param gateways the addresses of those that share it
  */
 public record QuotaDefinition(
     int number, Cache.Tier tier, SharedQuota quota, Set<Address> gateways) {
 
+  /** Copies the gateways. */
   public QuotaDefinition {
     gateways = Set.copyOf(gateways);
   }
--- a/members/src/main/java/tamarindroute/members/shares/QuotaGroup.java
+++ b/members/src/main/java/tamarindroute/members/shares/QuotaGroup.java
@@ -5,222 +5,136 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import tamarindroute.host.MonotonicClock;
 import tamarindroute.members.wire.MemberMessage;
+import tamarindroute.members.wire.MemberMessage.LeaseKind;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.net.Scheduler;
-import tamarindroute.shares.LeaseHolder;
 import tamarindroute.shares.LeaseMessage;
 import tamarindroute.shares.QuotaAllocator;
-import tamarindroute.shares.SharedQuota;
 
-/** One bound at one member: what this one holds of it, and what it has dealt of it. */
+/** One shared quota at one member: the holder's side and, while it leads, the allocator's. */
 final class QuotaGroup {
 
-  /**
-   * Sockets that ask at once are bounded; asked each quarter of a length, so many a tick are about
-   * a hundred a second.
-   */
+  /** Bounds the sockets that are open for probes at a time. */
   private static final int MAX_PROBES_PER_TICK = 32;
 
-  /** Longer than any time that a quiet or leased share is told for; each is ended by a timer. */
-  private static final Duration UNTIL_REPLACED = Duration.ofDays(36_500);
+  /** A silent gateway is probed this often in the duration of a lease. */
+  private static final int PROBES_PER_LEASE = 4;
 
-  private final QuotaDefinition quota;
-  private final Scheduler scheduler;
+  private final QuotaDefinition definition;
   private final QuotaLeases.PeerTransport peers;
-  private final QuotaLeases.QuotaGrantListener listener;
+  private final LeasePayloadConverter converter;
+  private final QuotaUsage usage;
   private final List<Address> gateways;
-  private final Map<Address, Duration> lastHeard = new HashMap<>();
+
+  /** When a gateway was last heard from or probed. */
+  private final Map<Address, Duration> lastContact = new HashMap<>();
+
   private QuotaAllocator allocator;
-  private LeaseHolder leaseHolder;
-  private Member requestedFrom;
-  private LeaseHolder.UsableShare told;
-  private Runnable expiryTimer = () -> {};
   private int nextGateway;
   private boolean stopped;
 
   QuotaGroup(
-      QuotaDefinition quota,
+      QuotaDefinition definition,
       Scheduler scheduler,
       QuotaLeases.PeerTransport peers,
       QuotaLeases.QuotaGrantListener listener) {
-    this.quota = quota;
-    this.scheduler = scheduler;
+    this.definition = definition;
     this.peers = peers;
-    this.listener = listener;
-    this.gateways = new ArrayList<>(quota.gateways());
-    this.allocator = QuotaAllocator.initial(quota.quota(), quota.gateways());
-  }
-
-  /**
-   * Also for a life that found out that a later one than itself was here: it is quiet as any new
-   * one is.
-   */
-  private void ensureLeaseHolder(Member self, Duration now) {
-    if (quota.gateways().contains(self.address())
-        && (leaseHolder == null || !leaseHolder.self().equals(self))) {
-      leaseHolder = LeaseHolder.startedAt(self, quota.quota(), now);
-      requestedFrom = null;
-    }
+    this.converter = new LeasePayloadConverter(definition.number());
+    this.usage = new QuotaUsage(definition, scheduler, listener);
+    this.gateways = new ArrayList<>(definition.gateways());
+    this.allocator = QuotaAllocator.initial(definition.quota(), definition.gateways());
   }
 
-  void tick(Member leader) {
+  void tick(Optional<Member> leader) {
     Duration now = MonotonicClock.now();
-    ensureLeaseHolder(peers.self(), now);
-    if (leaseHolder != null && leader != null && now.compareTo(leaseHolder.nextRequestAt()) >= 0) {
-      LeaseHolder.Step step = leaseHolder.request(now);
-      leaseHolder = step.holder();
-      requestedFrom = leader;
-      deliver(leader, step.message());
-    }
+    usage.ensureHolder(peers.self(), now);
+    leader.ifPresent(
+        member -> usage.requestIfDue(member, now).ifPresent(request -> deliver(member, request)));
     if (now.compareTo(allocator.leadsUntil()) < 0) {
       probeSilentGateways(now);
     }
-    applyShare();
+    usage.applyShare();
   }
 
   /**
-   * Those that said nothing of late are asked for by turns, of their machines; silence is no
-   * answer.
+   * Asks the machines of gateways that were silent lately whether anybody listens there, round
+   * robin. No answer proves nothing.
    */
   private void probeSilentGateways(Duration now) {
-    Duration probeInterval = quota.quota().leaseDuration().dividedBy(4);
-    for (int i = 0, probeCount = 0; i < gateways.size() && probeCount < MAX_PROBES_PER_TICK; i++) {
-      Address address = gateways.get(nextGateway++ % gateways.size());
-      if (address.equals(peers.self().address())
-          || now.compareTo(lastHeard.getOrDefault(address, Duration.ZERO).plus(probeInterval))
-              < 0) {
-        continue;
+    Duration interval = definition.quota().leaseDuration().dividedBy(PROBES_PER_LEASE);
+    int probes = 0;
+    for (int i = 0; i < gateways.size() && probes < MAX_PROBES_PER_TICK; i++) {
+      Address address = gateways.get(nextGateway % gateways.size());
+      nextGateway++;
+      if (isSilent(address, interval, now)) {
+        probes++;
+        probe(address, interval, now);
       }
-      probeCount++;
-      lastHeard.put(address, now);
-      peers.probe(
-          address,
-          new MemberMessage.LeasePayload(
-              quota.number(), MemberMessage.LeaseKind.PROBE, 0, 0, 0, Duration.ZERO),
-          probeInterval,
-          () -> allocator = allocator.onConnectionRefused(address, now));
     }
   }
 
+  private boolean isSilent(Address address, Duration interval, Duration now) {
+    Duration silentFrom = lastContact.getOrDefault(address, Duration.ZERO).plus(interval);
+    return !address.equals(peers.self().address()) && now.compareTo(silentFrom) >= 0;
+  }
+
+  private void probe(Address address, Duration timeout, Duration now) {
+    lastContact.put(address, now);
+    peers.probe(
+        address,
+        converter.probe(),
+        timeout,
+        () -> allocator = allocator.onConnectionRefused(address, now));
+  }
+
   private void deliver(Member recipient, LeaseMessage message) {
     if (recipient.equals(peers.self())) {
-      told(recipient, message);
+      allocate(recipient, message);
     } else {
-      peers.send(recipient, toPayload(message));
+      peers.send(recipient, converter.toPayload(message));
     }
   }
 
+  /** Handles a message of another member. */
   void onLease(Member from, MemberMessage.LeasePayload lease) {
     if (stopped) {
       return;
     }
-    Duration now = MonotonicClock.now();
-    if (lease.kind() == MemberMessage.LeaseKind.GRANT) {
-      // Only of the one that was asked last: no other deals, whatever it says.
-      if (leaseHolder != null
-          && from.equals(requestedFrom)
-          && lease.holderIncarnation() == leaseHolder.self().incarnation()) {
-        onGrant(
-            new LeaseMessage.Grant(
-                leaseHolder.self(),
-                lease.requestNumber(),
-                lease.shareMillionths(),
-                lease.duration()));
-      }
-    } else if (lease.kind() == MemberMessage.LeaseKind.PROBE
-        || lease.holderIncarnation() != from.incarnation()) {
-      allocator = allocator.onMemberSeen(from, now);
+    if (lease.kind() == LeaseKind.GRANT) {
+      usage.onGrant(from, lease);
+    } else if (lease.kind() == LeaseKind.PROBE || lease.holderIncarnation() != from.incarnation()) {
+      onMemberSeen(from);
     } else {
-      told(
-          from,
-          switch (lease.kind()) {
-            case RELEASE -> new LeaseMessage.Release(from, lease.requestNumber());
-            case LEAVE -> new LeaseMessage.Leave(from, lease.requestNumber());
-            default -> new LeaseMessage.Request(from, lease.requestNumber());
-          });
+      allocate(from, LeasePayloadConverter.fromHolder(from, lease));
     }
   }
 
-  private void told(Member from, LeaseMessage message) {
+  /** Handles a holder's message on the allocator's side and delivers the grant, if any. */
+  private void allocate(Member holder, LeaseMessage message) {
     Duration now = MonotonicClock.now();
-    if (quota.gateways().contains(from.address())) {
-      lastHeard.put(from.address(), now);
+    if (definition.gateways().contains(holder.address())) {
+      lastContact.put(holder.address(), now);
     }
     QuotaAllocator.Step step = allocator.onMessage(message, now);
     allocator = step.allocator();
-    if (step.grant() == null) {
+    LeaseMessage.Grant grant = step.grant();
+    if (grant == null) {
       return;
     }
-    if (from.equals(peers.self())) {
-      onGrant(step.grant());
+    if (holder.equals(peers.self())) {
+      usage.onGrant(grant);
     } else {
-      peers.send(from, toPayload(step.grant()));
-    }
-  }
-
-  private void onGrant(LeaseMessage.Grant grant) {
-    leaseHolder = leaseHolder.onGrant(grant);
-    applyShare();
-  }
-
-  private MemberMessage.LeasePayload toPayload(LeaseMessage message) {
-    LeaseMessage.Grant grant =
-        message instanceof LeaseMessage.Grant grantMessage ? grantMessage : null;
-    MemberMessage.LeaseKind kind =
-        grant != null
-            ? MemberMessage.LeaseKind.GRANT
-            : message instanceof LeaseMessage.Release
-                ? MemberMessage.LeaseKind.RELEASE
-                : message instanceof LeaseMessage.Leave
-                    ? MemberMessage.LeaseKind.LEAVE
-                    : MemberMessage.LeaseKind.REQUEST;
-    return new MemberMessage.LeasePayload(
-        quota.number(),
-        kind,
-        message.holder().incarnation(),
-        message.requestNumber(),
-        grant == null ? 0 : grant.share(),
-        grant == null ? Duration.ZERO : grant.leaseDuration());
-  }
-
-  /**
-   * Tells the decisions what is held from now on. Their clock is the system's and may be set: a
-   * part over the even share ends there at its time and here by a timer, one under it by the timer
-   * alone, so that a clock that jumps never gives more.
-   */
-  private void applyShare() {
-    if (leaseHolder == null || stopped) {
-      return;
-    }
-    Duration now = MonotonicClock.now();
-    LeaseHolder.UsableShare share = leaseHolder.usableShare(now);
-    if (share.equals(told)) {
-      return;
+      peers.send(holder, converter.toPayload(grant));
     }
-    told = share;
-    expiryTimer.run();
-    expiryTimer = () -> {};
-    if (share.validUntil().equals(LeaseHolder.FOREVER)) {
-      listener.onQuotaGrant(quota.tier(), toFraction(share.share()), Duration.ZERO);
-      return;
-    }
-    boolean belowFixedShare = share.share() < quota.quota().fixedShare();
-    listener.onQuotaGrant(
-        quota.tier(),
-        toFraction(share.share()),
-        belowFixedShare ? UNTIL_REPLACED : share.validUntil().minus(now));
-    expiryTimer = scheduler.schedule(share.validUntil().minus(now), this::applyShare);
   }
 
-  private static double toFraction(long millionths) {
-    return (double) millionths / SharedQuota.FULL_QUOTA;
-  }
-
-  void onLeadership(long term, Duration expiresAt) {
-    allocator = allocator.onLeadership(term, expiresAt, MonotonicClock.now());
+  void onLeadership(long term, Duration until) {
+    allocator = allocator.onLeadership(term, until, MonotonicClock.now());
   }
 
   void onLeadershipLost() {
@@ -235,25 +149,12 @@
     allocator = allocator.onDecommissioned(address, confirmed);
   }
 
-  /** What this one may use at this moment; null where it is not among those that share. */
-  LeaseHolder.UsableShare usableShare() {
-    return leaseHolder == null
-        ? null
-        : stopped
-            ? new LeaseHolder.UsableShare(0, LeaseHolder.FOREVER)
-            : leaseHolder.usableShare(MonotonicClock.now());
-  }
-
-  /** Nothing is used from now on, and then the dealer is told so. */
-  void stop(Member leader) {
-    if (leaseHolder != null && !stopped) {
-      stopped = true;
-      expiryTimer.run();
-      listener.onQuotaGrant(quota.tier(), 0, UNTIL_REPLACED);
-      if (leader != null && !leader.equals(peers.self())) {
-        peers.send(leader, toPayload(leaseHolder.leave()));
-      }
-    }
+  /** Stops using the quota, and then tells the allocator so. */
+  void stop(Optional<Member> leader) {
     stopped = true;
+    Optional<LeaseMessage> leave = usage.stop();
+    if (leave.isPresent() && leader.isPresent() && !leader.get().equals(peers.self())) {
+      peers.send(leader.get(), converter.toPayload(leave.get()));
+    }
   }
 }
--- a/members/src/main/java/tamarindroute/members/shares/QuotaLeases.java
+++ b/members/src/main/java/tamarindroute/members/shares/QuotaLeases.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import tamarindroute.decision.Cache;
@@ -10,78 +11,94 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.net.Scheduler;
-import tamarindroute.shares.LeaseHolder;
 
-/**
- * All bounds at one member; all of it on the owner's thread. Whoever carries it starts it once the
- * member listens.
- */
+/** All shared quotas at one member. Confined to the event loop. */
 public final class QuotaLeases implements LeaderStatus {
 
-  /** The way to others. */
+  /** Sends to other members. */
   public interface PeerTransport {
 
+    /** This member with its current incarnation. */
     Member self();
 
-    /** Sends to a life; it may be lost. */
+    /** Sends to exactly this incarnation; the message may be lost. */
     void send(Member to, MemberMessage.LeasePayload lease);
 
     /**
-     * Asks the machine itself whether anybody listens there; says nothing where a proxy stands
-     * between.
+     * Finds out whether the machine of a member refuses datagrams because nobody listens there.
+     * Does nothing if a proxy stands between.
+     *
+     * @param onRefused called if it refuses within the timeout
      */
     void probe(
         Address address, MemberMessage.LeasePayload lease, Duration timeout, Runnable onRefused);
   }
 
-  /** Where a part goes: it holds from now on for so long, and the even share after it. */
+  /** Receives granted shares. */
   public interface QuotaGrantListener {
+
+    /**
+     * A share was granted, in place of the one before.
+     *
+     * @param tier the caches that it applies to
+     * @param share the part of the quota, 0 to 1
+     * @param validFor how long it holds; the even share holds after it
+     */
     void onQuotaGrant(Cache.Tier tier, double share, Duration validFor);
   }
 
+  /** Ticks for each shortest lease; a quarter of the interval in which holders renew. */
+  private static final int TICKS_PER_LEASE = 12;
+
+  private static final Duration DEFAULT_LEASE_DURATION = Duration.ofSeconds(1);
+
   private final Scheduler scheduler;
-  private final PeerTransport peers;
   private final Map<Integer, QuotaGroup> groups;
   private final Duration tickInterval;
+
+  /** Null while none is known. */
   private Member leader;
+
   private boolean stopped;
 
+  /**
+   * Creates the quotas; {@link #start} starts to use them.
+   *
+   * @param quotas the same at all members
+   */
   public QuotaLeases(
       Scheduler scheduler,
       PeerTransport peers,
       QuotaGrantListener listener,
       List<QuotaDefinition> quotas) {
     this.scheduler = scheduler;
-    this.peers = peers;
     this.groups =
         quotas.stream()
             .collect(
                 Collectors.toMap(
                     QuotaDefinition::number,
-                    quota -> new QuotaGroup(quota, scheduler, peers, listener)));
-    // A quarter of the time in which a holder asks anew, so that it asks hardly late.
+                    definition -> new QuotaGroup(definition, scheduler, peers, listener)));
     this.tickInterval =
         quotas.stream()
-            .map(quota -> quota.quota().leaseDuration())
+            .map(definition -> definition.quota().leaseDuration())
             .min(Duration::compareTo)
-            .orElse(Duration.ofSeconds(1))
-            .dividedBy(12);
+            .orElse(DEFAULT_LEASE_DURATION)
+            .dividedBy(TICKS_PER_LEASE);
   }
 
-  /** Takes the first steps, and more from then on. */
+  /** Starts to use the quotas; the member has to listen already. */
   public void start() {
-    if (stopped) {
-      return;
+    if (!stopped) {
+      scheduler.schedule(tickInterval, this::start);
+      forEachGroup(group -> group.tick(Optional.ofNullable(leader)));
     }
-    scheduler.schedule(tickInterval, this::start);
-    forEachGroup(group -> group.tick(leader));
   }
 
   private void forEachGroup(Consumer<QuotaGroup> task) {
     groups.values().forEach(task);
   }
 
-  /** A letter of another member. */
+  /** Handles a message of another member. */
   public void onLease(Member from, MemberMessage.LeasePayload lease) {
     QuotaGroup group = groups.get(lease.quotaNumber());
     if (group != null) {
@@ -89,15 +106,10 @@
     }
   }
 
-  /** What may be used of a bound at this moment; null where this one has no part in it. */
-  public LeaseHolder.UsableShare usableShare(int term) {
-    return groups.get(term).usableShare();
-  }
-
-  /** Ahead of the member's leaving: nothing is used any more. */
+  /** Stops using the quotas and gives all leases back; to be called before the member leaves. */
   public void stop() {
     stopped = true;
-    forEachGroup(group -> group.stop(leader));
+    forEachGroup(group -> group.stop(Optional.ofNullable(leader)));
   }
 
   @Override
@@ -111,8 +123,8 @@
   }
 
   @Override
-  public void onLeaderKnown(Member member) {
-    leader = member;
+  public void onLeaderKnown(Optional<Member> leader) {
+    this.leader = leader.orElse(null);
   }
 
   @Override
--- a/members/src/main/java/tamarindroute/members/shares/package-info.java
+++ b/members/src/main/java/tamarindroute/members/shares/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Owns the carrying of shares: the holder and the dealer of each bound at one member, their words
- * as letters, when they are asked anew, whom the dealer asks whether anybody listens there, and the
- * telling of a part to the decisions. It must never decide what may be used or who leads, take
- * silence for death, nor tell a part that its holder does not hold at that moment.
+ * Carries leases of shared quotas between members: for each quota the holder's and the allocator's
+ * side, their messages, and the probes by which an allocator finds out that nobody listens at an
+ * address any more. Hands each granted share to the routing policies.
+ *
+ * <p>What a member may use is decided by {@code tamarindroute.shares}. {@link
+ * tamarindroute.members.shares.LeaderLease} proves from the agreed view who allocates.
  */
 package tamarindroute.members.shares;
--- a/members/src/test/java/tamarindroute/members/FeedEventReplicatorTest.java
+++ b/members/src/test/java/tamarindroute/members/FeedEventReplicatorTest.java
@@ -180,7 +180,7 @@
   @Test
   void oversizedEventIsLeftToTheFeedAndLaterEventsFollowIt() {
     nodes(2);
-    String list = event(2, "x".repeat(FeedEventReplicator.MAX_EVENT_BYTES));
+    String list = event(2, "x".repeat(FeedEventStore.MAX_EVENT_BYTES));
     nodes.get(0).onFeed(list);
     nodes.get(0).onFeed(event(3, "a"));
     runPeriod();
--- a/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
@@ -99,7 +99,7 @@
     assertThat(settings.listenAddress()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
     assertThat(settings.advertisedAddress()).isEqualTo(new Address("10.0.0.1", 9101));
     assertThat(settings.incarnationFile()).isEqualTo(folder.resolve("s.birth"));
-    assertThat(settings.seal().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
+    assertThat(settings.authenticator().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
     assertThat(settings.seeds()).containsExactly(new Address("10.0.0.2", 9101));
     assertThat(settings.voters())
         .containsExactly(new Address("10.0.0.1", 9101), new Address("0:0:0:0:0:0:0:1", 9101));
--- a/members/src/test/java/tamarindroute/members/QuotaLeasesTest.java
+++ b/members/src/test/java/tamarindroute/members/QuotaLeasesTest.java
@@ -12,6 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
@@ -189,7 +190,7 @@
       leads = true;
       Member self = MemberCluster.on(eventLoop, endpoint::self);
       for (MemberProcess one : gateways) {
-        one.eventLoop.execute(() -> ((Gateway) one).quotaLeases.onLeaderKnown(self));
+        one.eventLoop.execute(() -> ((Gateway) one).quotaLeases.onLeaderKnown(Optional.of(self)));
       }
       eventLoop.execute(() -> goOn(number));
     }
--- a/members/src/test/java/tamarindroute/members/SealedChannelTest.java
+++ b/members/src/test/java/tamarindroute/members/SealedChannelTest.java
@@ -12,14 +12,14 @@
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.MessageAuthenticator;
 
-/** What is opened, and what is not. */
+/** Which datagrams are accepted. */
 class SealedChannelTest {
 
   private static final Member SELF = new Member(new Address("127.0.0.1", 9001), 5);
 
-  private final MessageAuthenticator seal =
+  private final MessageAuthenticator authenticator =
       new MessageAuthenticator(Map.of(1, MemberCluster.KEY), 1);
-  private final SealedChannel channel = new SealedChannel(seal, 2);
+  private final SealedChannel channel = new SealedChannel(authenticator, 2);
 
   private static MemberMessage from(int port, long incarnation) {
     return MemberMessage.of(
@@ -30,7 +30,7 @@
 
   @Test
   void eachMessageIsAcceptedOnceAndFormerIncarnationsAreMarked() throws MalformedMessageException {
-    SealedChannel sender = new SealedChannel(seal, 2);
+    SealedChannel sender = new SealedChannel(authenticator, 2);
     byte[] first = sender.seal(from(9002, 7));
     byte[] second = sender.seal(from(9002, 7));
     byte[] laterIncarnation = sender.seal(from(9002, 8));
@@ -44,23 +44,25 @@
 
   @Test
   void otherIncarnationsAndOurOwnAddressAreRejected() {
-    byte[] twisted = seal.seal(MemberMessageCodec.encode(from(9002, 7)), 9, 0);
-    assertThatThrownBy(() -> channel.open(twisted, SELF)).hasMessageContaining("another life");
-    byte[] ours = new SealedChannel(seal, 2).seal(from(9001, 7));
-    assertThatThrownBy(() -> channel.open(ours, SELF)).hasMessageContaining("our own name");
-    byte[] changed = new SealedChannel(seal, 2).seal(from(9002, 7));
+    byte[] otherIncarnation = authenticator.seal(MemberMessageCodec.encode(from(9002, 7)), 9, 0);
+    assertThatThrownBy(() -> channel.open(otherIncarnation, SELF))
+        .hasMessageContaining("is sealed as incarnation 9");
+    byte[] ours = new SealedChannel(authenticator, 2).seal(from(9001, 7));
+    assertThatThrownBy(() -> channel.open(ours, SELF))
+        .hasMessageContaining("has the address of this member");
+    byte[] changed = new SealedChannel(authenticator, 2).seal(from(9002, 7));
     changed[20] ^= 1;
     assertThatThrownBy(() -> channel.open(changed, SELF)).hasMessageContaining("seal");
   }
 
   @Test
   void onlyTheLatestSendersAreRemembered() throws MalformedMessageException {
-    byte[] first = new SealedChannel(seal, 2).seal(from(9002, 7));
-    byte[] third = new SealedChannel(seal, 2).seal(from(9004, 7));
+    byte[] first = new SealedChannel(authenticator, 2).seal(from(9002, 7));
+    byte[] third = new SealedChannel(authenticator, 2).seal(from(9004, 7));
     channel.open(first, SELF);
-    channel.open(new SealedChannel(seal, 2).seal(from(9003, 7)), SELF);
+    channel.open(new SealedChannel(authenticator, 2).seal(from(9003, 7)), SELF);
     channel.open(third, SELF);
-    // Forgotten, so that it would count again: the bound's price, told in docs/members.md.
+    // Accepted again, as its sender was forgotten.
     assertThat(channel.open(first, SELF).fromFormerIncarnation()).isFalse();
     assertThatThrownBy(() -> channel.open(third, SELF))
         .isInstanceOf(MalformedMessageException.class);
--- a/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/FragmentFixtureTest.java
@@ -28,26 +28,26 @@
 
   @Test
   void longMessageIsCutEvery3840Bytes() {
-    byte[] message = new byte[2 * 3_840 + 1];
-    Arrays.fill(message, 0, 3_840, (byte) 1);
-    Arrays.fill(message, 3_840, 7_680, (byte) 2);
-    message[7_680] = 3;
+    byte[] original = new byte[2 * 3_840 + 1];
+    Arrays.fill(original, 0, 3_840, (byte) 1);
+    Arrays.fill(original, 3_840, 7_680, (byte) 2);
+    original[7_680] = 3;
     String first = "0102030405060708" + "0000" + "0003" + "01".repeat(3_840);
     String second = "0102030405060708" + "0001" + "0003" + "02".repeat(3_840);
     String third = "0102030405060708" + "0002" + "0003" + "03";
     List<String> expected = List.of(first, second, third);
-    MessageFragmenter fragmenter = new MessageFragmenter();
-    Optional<byte[]> whole = Optional.empty();
-    for (int place = 0; place < 3; place++) {
+    FragmentReassembler reassembler = new FragmentReassembler();
+    Optional<byte[]> message = Optional.empty();
+    for (int index = 0; index < 3; index++) {
       assertThat(
               HexFormat.of()
-                  .formatHex(MessageFragmenter.fragment(message, 0x0102030405060708L, place)))
-          .isEqualTo(expected.get(place));
-      assertThat(whole).isEmpty();
-      whole =
-          fragmenter.onFragment(
-              FROM, HexFormat.of().parseHex(expected.get(place)), Duration.ofSeconds(1));
+                  .formatHex(MessageFragmenter.fragment(original, 0x0102030405060708L, index)))
+          .isEqualTo(expected.get(index));
+      assertThat(message).isEmpty();
+      message =
+          reassembler.onFragment(
+              FROM, HexFormat.of().parseHex(expected.get(index)), Duration.ofSeconds(1));
     }
-    assertThat(whole).hasValue(message);
+    assertThat(message).hasValue(original);
   }
 }
--- a/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
@@ -17,6 +17,7 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
+/** Messages of the agreement are cut into fragments, sent, and reassembled. */
 class MessageFragmenterTest {
 
   private static final Address TO = new Address("10.0.0.9", 1);
@@ -34,65 +35,63 @@
 
   private record Arrival(Member from, byte[] bytes) {}
 
-  /**
-   * A message comes out as it was, once, or not at all; without loss each does, in whatever order.
-   */
+  /** Fragments are reordered; without loss each message is reassembled. */
   @Property(seed = "28", tries = 300)
   void messagesAreReassembledOnceOrNotAtAll(
       @ForAll @IntRange(max = 1 << 30) int seed, @ForAll @IntRange(max = 30) int loss) {
     Random random = new Random(seed);
-    List<Arrival> way = new ArrayList<>();
+    List<Arrival> arrivals = new ArrayList<>();
     List<byte[]> sent = new ArrayList<>();
-    for (int who = 0; who < 3; who++) {
+    for (int sender = 0; sender < 3; sender++) {
       FragmentSendQueue sendQueue = new FragmentSendQueue();
       for (int i = 0; i < 4; i++) {
         byte[] message = message(random, 1 + random.nextInt(6 * MessageFragmenter.FRAGMENT_BYTES));
         sent.add(message);
-        for (FragmentSendQueue.Fragment piece : sendQueue.enqueue(TO, message)) {
-          way.add(new Arrival(sender(who), piece.bytes()));
+        for (FragmentSendQueue.Fragment fragment : sendQueue.enqueue(TO, message)) {
+          arrivals.add(new Arrival(sender(sender), fragment.bytes()));
         }
       }
       while (!sendQueue.isEmpty()) {
-        for (FragmentSendQueue.Fragment piece : sendQueue.nextBatch()) {
-          way.add(new Arrival(sender(who), piece.bytes()));
+        for (FragmentSendQueue.Fragment fragment : sendQueue.nextBatch()) {
+          arrivals.add(new Arrival(sender(sender), fragment.bytes()));
         }
       }
     }
-    way.removeIf(one -> random.nextInt(100) < loss);
+    arrivals.removeIf(arrival -> random.nextInt(100) < loss);
     // Out of order by up to twenty places.
-    for (int i = 0; i + 20 < way.size(); i++) {
+    for (int i = 0; i + 20 < arrivals.size(); i++) {
       int other = i + random.nextInt(20);
-      Arrival held = way.set(i, way.get(other));
-      way.set(other, held);
+      Arrival moved = arrivals.set(i, arrivals.get(other));
+      arrivals.set(other, moved);
     }
-    MessageFragmenter fragmenter = new MessageFragmenter();
-    List<byte[]> out = new ArrayList<>();
-    for (Arrival one : way) {
-      fragmenter.onFragment(one.from(), one.bytes(), NOW).ifPresent(out::add);
-      assertThat(fragmenter.partialMessages())
-          .isLessThanOrEqualTo(3 * MessageFragmenter.MAX_PARTIAL_PER_SENDER);
+    FragmentReassembler reassembler = new FragmentReassembler();
+    List<byte[]> received = new ArrayList<>();
+    for (Arrival arrival : arrivals) {
+      reassembler.onFragment(arrival.from(), arrival.bytes(), NOW).ifPresent(received::add);
+      assertThat(reassembler.partialMessageCount())
+          .isLessThanOrEqualTo(3 * FragmentReassembler.MAX_PARTIAL_PER_SENDER);
     }
-    assertThat(out).allMatch(one -> sent.stream().anyMatch(message -> Arrays.equals(one, message)));
-    assertThat(out.stream().map(Arrays::hashCode).distinct()).as("none twice").hasSameSizeAs(out);
+    assertThat(received)
+        .allMatch(bytes -> sent.stream().anyMatch(message -> Arrays.equals(bytes, message)));
+    assertThat(received.stream().map(Arrays::hashCode).distinct())
+        .as("no message twice")
+        .hasSameSizeAs(received);
     if (loss == 0) {
-      assertThat(out).hasSameSizeAs(sent);
-      assertThat(fragmenter.bufferedBytes()).isZero();
+      assertThat(received).hasSameSizeAs(sent);
+      assertThat(reassembler.bufferedBytes()).isZero();
     }
   }
 
-  /**
-   * Whoever has the key and sends noise, or starts what it never ends, takes no more than the
-   * bounds tell.
-   */
+  /** Of random bytes and of messages that are never completed. */
   @Property(seed = "29", tries = 20)
   void bufferedFragmentsAreBounded(@ForAll @IntRange(max = 1 << 30) int seed) {
     Random random = new Random(seed);
-    MessageFragmenter fragmenter = new MessageFragmenter();
+    FragmentReassembler reassembler = new FragmentReassembler();
     byte[] longest = new byte[AgreementMessageCodec.MAX_MESSAGE_BYTES];
-    // Many messages of few pieces, or few of many: first one bound is met, then the other.
+    // Many messages of few fragments reach one bound, few messages of many the other.
     int numbers = seed % 2 == 0 ? 200 : 2;
     for (int i = 0; i < 4_000; i++) {
-      byte[] piece =
+      byte[] fragment =
           random.nextInt(4) == 0
               ? message(
                   random,
@@ -102,95 +101,95 @@
                   longest,
                   1 + random.nextInt(numbers),
                   random.nextInt(MessageFragmenter.MAX_FRAGMENTS - 1));
-      fragmenter.onFragment(
-          sender(random.nextInt(numbers == 2 ? 5 : 40)), piece, NOW.plusMillis(i));
-      assertThat(fragmenter.partialMessages()).isLessThanOrEqualTo(MessageFragmenter.MAX_PARTIAL);
-      assertThat(fragmenter.bufferedBytes()).isBetween(0, MessageFragmenter.MAX_BUFFERED_BYTES);
+      reassembler.onFragment(
+          sender(random.nextInt(numbers == 2 ? 5 : 40)), fragment, NOW.plusMillis(i));
+      assertThat(reassembler.partialMessageCount())
+          .isLessThanOrEqualTo(FragmentReassembler.MAX_PARTIAL);
+      assertThat(reassembler.bufferedBytes()).isBetween(0, FragmentReassembler.MAX_BUFFERED_BYTES);
     }
-    fragmenter.expire(NOW.plus(MessageFragmenter.MAX_AGE.multipliedBy(2)));
-    assertThat(fragmenter.partialMessages()).isZero();
-    assertThat(fragmenter.bufferedBytes()).isZero();
+    reassembler.expire(NOW.plus(FragmentReassembler.MAX_AGE.multipliedBy(2)));
+    assertThat(reassembler.partialMessageCount()).isZero();
+    assertThat(reassembler.bufferedBytes()).isZero();
   }
 
-  /** One that starts messages without end makes no other sender's be lost. */
   @Example
   void oneSendersExcessCostsOthersNothing() {
-    MessageFragmenter fragmenter = new MessageFragmenter();
+    FragmentReassembler reassembler = new FragmentReassembler();
     byte[] message = message(new Random(1), 2 * MessageFragmenter.FRAGMENT_BYTES);
-    assertThat(fragmenter.onFragment(sender(1), MessageFragmenter.fragment(message, 1, 0), NOW))
+    assertThat(reassembler.onFragment(sender(1), MessageFragmenter.fragment(message, 1, 0), NOW))
         .isEmpty();
     for (int i = 1; i <= 500; i++) {
-      fragmenter.onFragment(sender(2), MessageFragmenter.fragment(message, i, 0), NOW);
+      reassembler.onFragment(sender(2), MessageFragmenter.fragment(message, i, 0), NOW);
     }
-    assertThat(fragmenter.partialMessages())
-        .isEqualTo(1 + MessageFragmenter.MAX_PARTIAL_PER_SENDER);
-    assertThat(fragmenter.onFragment(sender(1), MessageFragmenter.fragment(message, 1, 1), NOW))
+    assertThat(reassembler.partialMessageCount())
+        .isEqualTo(1 + FragmentReassembler.MAX_PARTIAL_PER_SENDER);
+    assertThat(reassembler.onFragment(sender(1), MessageFragmenter.fragment(message, 1, 1), NOW))
         .isPresent();
   }
 
   @Example
   void longestMessagePassesAndALongerOneIsDropped() {
-    MessageFragmenter fragmenter = new MessageFragmenter();
+    FragmentReassembler reassembler = new FragmentReassembler();
     FragmentSendQueue sendQueue = new FragmentSendQueue();
     byte[] longest = message(new Random(2), AgreementMessageCodec.MAX_MESSAGE_BYTES);
     assertThat(sendQueue.enqueue(TO, longest)).isEmpty();
     sendQueue.enqueue(TO, new byte[AgreementMessageCodec.MAX_MESSAGE_BYTES + 1]);
-    int whole = 0;
+    int complete = 0;
     int sent = 0;
     while (!sendQueue.isEmpty()) {
-      for (FragmentSendQueue.Fragment piece : sendQueue.nextBatch()) {
+      for (FragmentSendQueue.Fragment fragment : sendQueue.nextBatch()) {
         sent++;
-        whole +=
-            fragmenter
-                    .onFragment(sender(1), piece.bytes(), NOW)
-                    .filter(one -> Arrays.equals(one, longest))
+        complete +=
+            reassembler
+                    .onFragment(sender(1), fragment.bytes(), NOW)
+                    .filter(bytes -> Arrays.equals(bytes, longest))
                     .isPresent()
                 ? 1
                 : 0;
       }
     }
-    assertThat(whole).isEqualTo(1);
+    assertThat(complete).isEqualTo(1);
     assertThat(sent).isEqualTo(FragmentSendQueue.TRANSMISSIONS * MessageFragmenter.MAX_FRAGMENTS);
   }
 
-  /** At a fifth of loss, either way the same for all lengths: a short one is lost once in 125. */
+  /** A message of one fragment is lost once in 125, one of eleven more often. */
   @Example
   void fewMessagesAreLostAtTwentyPercentLoss() {
     Random random = new Random(3);
-    MessageFragmenter fragmenter = new MessageFragmenter();
+    FragmentReassembler reassembler = new FragmentReassembler();
     FragmentSendQueue sendQueue = new FragmentSendQueue();
-    int[] whole = new int[2];
+    int[] complete = new int[2];
     for (int i = 0; i < 2_000; i++) {
-      int pick = i % 2;
+      int kind = i % 2;
       List<FragmentSendQueue.Fragment> sent =
           new ArrayList<>(
               sendQueue.enqueue(
-                  TO, message(random, 1 + pick * 10 * MessageFragmenter.FRAGMENT_BYTES)));
+                  TO, message(random, 1 + kind * 10 * MessageFragmenter.FRAGMENT_BYTES)));
       while (!sendQueue.isEmpty()) {
         sent.addAll(sendQueue.nextBatch());
       }
-      for (FragmentSendQueue.Fragment piece : sent) {
+      for (FragmentSendQueue.Fragment fragment : sent) {
         if (random.nextInt(100) >= 20
-            && fragmenter.onFragment(sender(1), piece.bytes(), NOW.plusMillis(i)).isPresent()) {
-          whole[pick]++;
+            && reassembler.onFragment(sender(1), fragment.bytes(), NOW.plusMillis(i)).isPresent()) {
+          complete[kind]++;
         }
       }
     }
-    assertThat(whole[0]).isBetween(980, 1_000);
-    assertThat(whole[1]).isBetween(880, 940);
+    assertThat(complete[0]).isBetween(980, 1_000);
+    assertThat(complete[1]).isBetween(880, 940);
   }
 
   @Example
   void fragmentFitsIntoAMessageWithTheLongestAddresses() {
     Address name = new Address("0000:0000:0000:0000:0000:0000:255.255.255.255", 65_535);
     Member longest = new Member(name, Long.MAX_VALUE);
-    byte[] piece =
+    byte[] fragment =
         MessageFragmenter.fragment(
             new byte[AgreementMessageCodec.MAX_MESSAGE_BYTES], Long.MAX_VALUE, 0);
     assertThat(
             MemberMessageCodec.encode(
                     MemberMessage.of(
-                        longest, Long.MAX_VALUE, new MemberMessage.AgreementPayload(piece)))
+                        longest, Long.MAX_VALUE, new MemberMessage.AgreementPayload(fragment)))
                 .length)
         .isLessThanOrEqualTo(MemberMessageCodec.MAX_MESSAGE_BYTES);
   }
--- a/members/src/test/java/tamarindroute/members/shares/LeaderLeaseTest.java
+++ b/members/src/test/java/tamarindroute/members/shares/LeaderLeaseTest.java
@@ -17,22 +17,22 @@
  */
 class LeaderLeaseTest {
 
-  /** Takes no word; the tests read what is proven. */
+  /** Ignores everything; the tests use the results of the lease. */
   private static final class NoOpLeaderStatus implements LeaderStatus {
     @Override
-    public void onLeadership(long number, Duration until) {}
+    public void onLeadership(long term, Duration until) {}
 
     @Override
     public void onLeadershipLost() {}
 
     @Override
-    public void onLeaderKnown(Member who) {}
+    public void onLeaderKnown(Optional<Member> leader) {}
 
     @Override
-    public void onMemberSeen(Member who) {}
+    public void onMemberSeen(Member member) {}
 
     @Override
-    public void onDecommissioned(Address place, boolean agreed) {}
+    public void onDecommissioned(Address address, boolean confirmed) {}
   }
 
   private record Span(int who, long from, long until) {}
--- a/rig/src/test/java/tamarindroute/rig/check/MemberChecks.java
+++ b/rig/src/test/java/tamarindroute/rig/check/MemberChecks.java
@@ -11,7 +11,7 @@
 /** What is asked of members, from what they print and what the rig did to them. */
 final class MemberChecks {
 
-  private static final Set<String> OUT = Set.of("away", "left");
+  private static final Set<String> OUT = Set.of("faulty", "left");
 
   /** Who is joining is known, and not yet counted. */
   private static final Set<String> IN = Set.of("alive", "suspect");
@@ -32,7 +32,7 @@
     Duration borne = words.size() > 2 ? Checkers.time(words.get(2)) : Duration.ZERO;
     for (Word word : said.words) {
       verdict.judged++;
-      if (!word.standing().equals("away")
+      if (!word.standing().equals("faulty")
           || word.life() < said.lastLife.get(word.about())
               && times.downWithin(word.about(), Duration.ZERO, word.at())) {
         continue;
@@ -124,7 +124,7 @@
               .noneMatch(
                   word ->
                       word.speaker().equals(one)
-                          && word.standing().startsWith("cut off")
+                          && word.standing().startsWith("isolated")
                           && word.at().compareTo(at) >= 0
                           && word.at().compareTo(end) <= 0)) {
             verdict.breach(
@@ -171,7 +171,7 @@
     Map<String, Integer> times = new HashMap<>();
     for (Word word : new MemberWords(journal).words) {
       verdict.judged++;
-      if (word.standing().equals("away")
+      if (word.standing().equals("faulty")
           && times.merge(word.speaker() + " " + word.about() + " " + word.life(), 1, Integer::sum)
               > most) {
         verdict.breach(word.at(), word.speaker() + " calls " + word.about() + " away once more");
--- a/rig/src/test/java/tamarindroute/rig/check/MemberWords.java
+++ b/rig/src/test/java/tamarindroute/rig/check/MemberWords.java
@@ -20,7 +20,7 @@
 
   private static final Pattern MEMBER =
       Pattern.compile("member:? ([0-9.]+:[0-9]+)#(-?[0-9]+) ([a-z]+)");
-  private static final Pattern TOUCH = Pattern.compile("touch:? (.*)");
+  private static final Pattern TOUCH = Pattern.compile("connectivity:? (.*)");
   private static final Pattern STARTED =
       Pattern.compile("process (\\S+) started life=([0-9]+) .*address=(\\S+) .*");
 
--- a/rig/src/test/java/tamarindroute/rig/play/Commands.java
+++ b/rig/src/test/java/tamarindroute/rig/play/Commands.java
@@ -204,9 +204,9 @@
         }
       }
       long end = System.nanoTime() + longest.toNanos();
-      while (!journal.last(one, "touch").endsWith("in touch")) {
+      while (!journal.last(one, "connectivity").endsWith("connected")) {
         if (System.nanoTime() > end) {
-          throw new IOException("member " + one + " is not in touch");
+          throw new IOException("member " + one + " is not connected");
         }
         TimeUnit.MILLISECONDS.sleep(20);
       }
