--- a/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
+++ b/members/src/main/java/tamarindroute/members/MembershipEndpoint.java
@@ -17,7 +17,6 @@
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 import tamarindroute.membership.Membership;
-import tamarindroute.net.CloseReason;
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.net.Scheduler;
 import tamarindroute.protocol.MalformedMessageException;
@@ -176,24 +175,10 @@
       return;
     }
     byte[] datagram = channel.seal(MemberMessage.of(membership.self(), 0, payload));
-    Runnable cancel = datagrams.query(destination.get(), datagram, refusalHandler(onRefused));
+    Runnable cancel = datagrams.query(destination.get(), datagram, new RefusalHandler(onRefused));
     scheduler.schedule(timeout, cancel);
   }
 
-  private static DatagramTransport.ReplyHandler refusalHandler(Runnable onRefused) {
-    return new DatagramTransport.ReplyHandler() {
-      @Override
-      public void onReply(byte[] bytes) {}
-
-      @Override
-      public void onClosed(CloseReason closeReason) {
-        if (closeReason == CloseReason.REFUSED) {
-          onRefused.run();
-        }
-      }
-    };
-  }
-
   private void onDatagram(byte[] bytes, InetSocketAddress from) {
     if (left) {
       return;
--- a/members/src/test/java/tamarindroute/members/AgreedViewServiceTest.java
+++ b/members/src/test/java/tamarindroute/members/AgreedViewServiceTest.java
@@ -31,7 +31,7 @@
 
   @TempDir Path folder;
 
-  private MemberCluster town() throws Exception {
+  private MemberCluster startCluster() throws Exception {
     MemberCluster cluster = new MemberCluster(5);
     cluster.voters = 3;
     cluster.folder = folder;
@@ -54,7 +54,7 @@
         node.eventLoop, () -> node.agreedViews.agreement().map(Agreement::status).orElse(null));
   }
 
-  /** Waits until all hold the same view, of all that there are. */
+  /** Waits until all members hold the same view, which contains exactly these members. */
   private static MembershipView awaitAgreedView(MemberCluster cluster) throws Exception {
     Set<Member> all = new HashSet<>();
     for (MemberCluster.Node node : cluster.nodes) {
@@ -79,8 +79,8 @@
     MemberCluster.awaitTrue(
         () -> {
           for (MemberCluster.Node node : cluster.nodes) {
-            Agreement.GroupStatus state = status(node);
-            if (state != null && state.isLeader() && state.noQuorumSince().isEmpty()) {
+            Agreement.GroupStatus status = status(node);
+            if (status != null && status.isLeader() && status.noQuorumSince().isEmpty()) {
               leader[0] = node;
             }
           }
@@ -91,84 +91,77 @@
 
   private static Agreement.ProposalResult propose(MemberCluster.Node node, Command command)
       throws Exception {
-    List<Agreement.ProposalResult> outcomes = new ArrayList<>();
-    MemberCluster.on(
-        node.eventLoop,
-        () -> {
-          node.agreedViews.propose(command, outcomes::add);
-          return null;
-        });
-    MemberCluster.awaitTrue(() -> MemberCluster.on(node.eventLoop, () -> !outcomes.isEmpty()));
-    return outcomes.get(0);
+    List<Agreement.ProposalResult> results = new ArrayList<>();
+    MemberCluster.run(node.eventLoop, () -> node.agreedViews.propose(command, results::add));
+    MemberCluster.awaitTrue(() -> MemberCluster.on(node.eventLoop, () -> !results.isEmpty()));
+    return results.get(0);
   }
 
   @Test
   void viewsAdvanceWithoutTheLeaderAndAVoterRestartsWithOrWithoutItsStore() throws Exception {
-    try (MemberCluster cluster = town()) {
+    try (MemberCluster cluster = startCluster()) {
       MembershipView first = awaitAgreedView(cluster);
       assertThat(first.voters()).hasSize(3);
-      MemberCluster.Node dead = awaitLeader(cluster);
-      int place = cluster.nodes.indexOf(dead);
-      Member voted = agreement(dead).self();
-      dead.kill();
+      MemberCluster.Node killed = awaitLeader(cluster);
+      int index = cluster.nodes.indexOf(killed);
+      Member voter = agreement(killed).self();
+      killed.kill();
       MembershipView second = awaitAgreedView(cluster);
       assertThat(second.number()).isGreaterThan(first.number());
       assertThat(second.groupId()).isEqualTo(first.groupId());
-      // With its folder it is the voter that it was, though as a member it is a later life.
-      MemberCluster.Node again = cluster.start(place, 10, MemberCluster.KEY, Map.of());
+      // With its store it is the same voter, though a later incarnation as a member.
+      MemberCluster.Node restarted = cluster.start(index, 10, MemberCluster.KEY, Map.of());
       MembershipView third = awaitAgreedView(cluster);
-      assertThat(again.self().incarnation()).isGreaterThan(dead.self().incarnation());
-      assertThat(agreement(again).self()).isEqualTo(voted);
+      assertThat(restarted.self().incarnation()).isGreaterThan(killed.self().incarnation());
+      assertThat(agreement(restarted).self()).isEqualTo(voter);
       assertThat(third.voters()).isEqualTo(first.voters());
-      // Without, it is another, taken in in the place of what it was.
-      again.kill();
-      Files.delete(folder.resolve(place + ".agreed"));
-      MemberCluster.Node anew = cluster.start(place, 10, MemberCluster.KEY, Map.of());
-      MemberCluster.awaitTrue(() -> agreement(anew) != null);
-      Member other = agreement(anew).self();
-      assertThat(other.incarnation()).isGreaterThan(voted.incarnation());
+      // Without it, it is a new voter that replaces the former one.
+      restarted.kill();
+      Files.delete(folder.resolve(index + ".agreed"));
+      MemberCluster.Node withoutStore = cluster.start(index, 10, MemberCluster.KEY, Map.of());
+      MemberCluster.awaitTrue(() -> agreement(withoutStore) != null);
+      Member newVoter = agreement(withoutStore).self();
+      assertThat(newVoter.incarnation()).isGreaterThan(voter.incarnation());
       MemberCluster.awaitTrue(
           () ->
-              validView(anew)
+              validView(withoutStore)
                   .filter(
                       view ->
-                          view.voters().contains(other)
-                              && !view.voters().contains(voted)
+                          view.voters().contains(newVoter)
+                              && !view.voters().contains(voter)
                               && view.voters().size() == 3)
                   .isPresent());
       awaitAgreedView(cluster);
     }
   }
 
-  /**
-   * A fifth of all datagrams is lost on each way; another leads soon, and who holds the view stays
-   * in touch.
-   */
+  /** Another voter becomes leader soon after the first one was killed. */
   @Test
   void agreementContinuesWithOneFifthOfDatagramsLost() throws Exception {
     try (MemberCluster cluster = new MemberCluster(5)) {
       cluster.voters = 3;
       cluster.folder = folder;
       for (int i = 0; i < 5; i++) {
-        Map<Address, InetSocketAddress> through = new HashMap<>();
+        Map<Address, InetSocketAddress> addressOverrides = new HashMap<>();
         for (int other = 0; other < 5; other++) {
           if (other != i) {
-            MemberCluster.LossyProxy way = cluster.new LossyProxy(cluster.addresses.get(other));
-            way.lossPercent = 20;
-            through.put(MemberConfiguration.toAddress(cluster.addresses.get(other)), way.address());
+            LossyProxy proxy = cluster.newProxy(other);
+            proxy.lossPercent = 20;
+            addressOverrides.put(
+                MemberConfiguration.toAddress(cluster.addresses.get(other)), proxy.address());
           }
         }
-        cluster.start(i, 1_000, MemberCluster.KEY, through);
+        cluster.start(i, 1_000, MemberCluster.KEY, addressOverrides);
       }
       awaitAgreedView(cluster);
       awaitLeader(cluster).kill();
-      long killed = System.nanoTime();
+      long killedAt = System.nanoTime();
       MemberCluster.Node next = awaitLeader(cluster);
       System.out.println(
-          "a leader at a fifth of loss after "
-              + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - killed)
+          "new leader at 20% loss after "
+              + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - killedAt)
               + " ms");
-      assertThat(System.nanoTime() - killed).isLessThan(TimeUnit.SECONDS.toNanos(20));
+      assertThat(System.nanoTime() - killedAt).isLessThan(TimeUnit.SECONDS.toNanos(20));
       assertThat(propose(next, new Command.Put("k", 1, "t", new byte[15_000])).status())
           .isEqualTo(Agreement.ProposalStatus.COMMITTED);
       awaitAgreedView(cluster);
@@ -177,21 +170,21 @@
 
   @Test
   void withoutAMajorityNothingIsCommittedAndLeasesExpire() throws Exception {
-    try (MemberCluster cluster = town()) {
+    try (MemberCluster cluster = startCluster()) {
       awaitAgreedView(cluster);
-      // A whole view of many datagrams comes to who has none yet.
+      // The view is long enough for many fragments.
       MemberCluster.Node leader = awaitLeader(cluster);
       for (int i = 0; i < 8; i++) {
-        long from =
+        long baseNumber =
             MemberCluster.on(
                 leader.eventLoop, () -> leader.agreedViews.agreement().get().localView().number());
-        // By whoever leads, by a voter that does not, by one without a vote.
-        Command put = new Command.Put("k" + i, from, "t", new byte[16_000]);
+        // Proposed by the leader, by other voters and by members without a vote.
+        Command put = new Command.Put("k" + i, baseNumber, "t", new byte[16_000]);
         assertThat(propose(cluster.nodes.get(1 + i % 4), put).status())
             .isEqualTo(Agreement.ProposalStatus.COMMITTED);
       }
-      MemberCluster.Node fresh = cluster.nodes.get(4);
-      fresh.kill();
+      MemberCluster.Node restarted = cluster.nodes.get(4);
+      restarted.kill();
       cluster.start(4, 2_000, MemberCluster.KEY, Map.of());
       MembershipView last = awaitAgreedView(cluster);
       assertThat(last.entries()).hasSize(8);
@@ -200,15 +193,15 @@
           node.kill();
         }
       }
-      long cut = System.nanoTime();
-      Agreement.ProposalResult outcome =
+      long quorumLostAt = System.nanoTime();
+      Agreement.ProposalResult result =
           propose(leader, new Command.Put("late", last.number(), "t", new byte[1]));
-      assertThat(outcome.status()).isNotEqualTo(Agreement.ProposalStatus.COMMITTED);
+      assertThat(result.status()).isNotEqualTo(Agreement.ProposalStatus.COMMITTED);
       for (MemberCluster.Node node : cluster.nodes) {
         MemberCluster.awaitTrue(() -> validView(node).isEmpty());
       }
-      // The lease, and some for this machine.
-      assertThat(System.nanoTime() - cut).isLessThan(TimeUnit.SECONDS.toNanos(16));
+      // The lease, and some time for a busy machine.
+      assertThat(System.nanoTime() - quorumLostAt).isLessThan(TimeUnit.SECONDS.toNanos(16));
       assertThat(status(leader).noQuorumSince()).isPresent();
       assertThat(
               MemberCluster.on(
--- a/members/src/test/java/tamarindroute/members/MemberCluster.java
+++ b/members/src/test/java/tamarindroute/members/MemberCluster.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
-import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,7 +13,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Random;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -28,15 +26,12 @@
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.protocol.MessageAuthenticator;
 
-/**
- * Some members in one process, each with a thread and a socket of its own, and ways between that
- * can be cut.
- */
+/** Members in one process, each with an event loop and a socket of its own. */
 final class MemberCluster implements AutoCloseable {
 
   static final byte[] KEY = new byte[32];
 
-  /** Longer than a busy machine's pauses, so that nobody is taken for dead by them. */
+  /** Tolerates the pauses of a busy machine. */
   static final MembershipSettings FAST_SETTINGS =
       new MembershipSettings(
           Duration.ofMillis(400),
@@ -51,8 +46,8 @@
           8_192,
           MembershipSettings.Guards.ALL);
 
-  /** One member, and all that it was told. */
-  final class Node {
+  /** One member, and the states that it reported of the others. */
+  final class Node implements MembershipEndpoint.Listener {
     final EventLoop eventLoop = new EventLoop();
     final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final Map<Address, List<MemberState>> reportedStates =
@@ -60,51 +55,48 @@
     final MembershipEndpoint endpoint;
     AgreedViewService agreedViews;
 
-    Node(MemberConfiguration settings, long wallMillis, Path voterStore) throws Exception {
+    Node(MemberConfiguration configuration, long wallMillis, Path voterStore) throws Exception {
       endpoint =
           on(
               eventLoop,
-              () ->
-                  new MembershipEndpoint(
-                      eventLoop,
-                      datagrams,
-                      settings,
-                      wallMillis,
-                      new MembershipEndpoint.Listener() {
-                        @Override
-                        public void onStateChanged(Member about, MemberState state) {
-                          reportedStates
-                              .computeIfAbsent(
-                                  about.address(),
-                                  a -> Collections.synchronizedList(new ArrayList<>()))
-                              .add(state);
-                        }
-
-                        @Override
-                        public void onAgreementMessage(Member from, byte[] bytes) {
-                          if (agreedViews != null) {
-                            agreedViews.onPayload(from, bytes);
-                          }
-                        }
-                      }));
-      on(
+              () -> new MembershipEndpoint(eventLoop, datagrams, configuration, wallMillis, this));
+      run(
           eventLoop,
           () -> {
             endpoint.start();
-            if (!settings.voters().isEmpty()) {
-              agreedViews =
-                  new AgreedViewService(
-                      eventLoop,
-                      settings.advertisedAddress(),
-                      settings.voters(),
-                      voterStore,
-                      new EndpointTransport(endpoint));
-              agreedViews.tick();
+            if (!configuration.voters().isEmpty()) {
+              startAgreedViews(configuration, voterStore);
             }
-            return null;
           });
     }
 
+    private void startAgreedViews(MemberConfiguration configuration, Path voterStore)
+        throws IOException {
+      agreedViews =
+          new AgreedViewService(
+              eventLoop,
+              configuration.advertisedAddress(),
+              configuration.voters(),
+              voterStore,
+              new EndpointTransport(endpoint));
+      agreedViews.tick();
+    }
+
+    @Override
+    public void onStateChanged(Member member, MemberState state) {
+      reportedStates
+          .computeIfAbsent(
+              member.address(), address -> Collections.synchronizedList(new ArrayList<>()))
+          .add(state);
+    }
+
+    @Override
+    public void onAgreementMessage(Member from, byte[] bytes) {
+      if (agreedViews != null) {
+        agreedViews.onPayload(from, bytes);
+      }
+    }
+
     Map<Member, MemberState> members() throws Exception {
       return on(eventLoop, () -> Map.copyOf(endpoint.members()));
     }
@@ -122,84 +114,28 @@
     }
 
     void leave() throws Exception {
-      on(
-          eventLoop,
-          () -> {
-            endpoint.leave();
-            return null;
-          });
+      run(eventLoop, endpoint::leave);
     }
 
-    /** Its socket is gone and it says nothing more. */
+    /** Closes the socket without a word. */
     void kill() throws Exception {
       datagrams.shutDown();
       if (agreedViews != null) {
-        on(
-            eventLoop,
-            () -> {
-              agreedViews.close();
-              return null;
-            });
+        run(eventLoop, agreedViews::close);
       }
       leave();
       nodes.remove(this);
     }
   }
 
-  /** One directed way that can be cut; each datagram is sent twice, as a network may. */
-  final class LossyProxy implements AutoCloseable {
-    private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    volatile boolean blocked;
-
-    /** Of a hundred datagrams so many are lost. */
-    volatile int lossPercent;
-
-    private final Random random = new Random(proxies.size());
-    volatile int forwardedCount;
-
-    LossyProxy(InetSocketAddress to) throws IOException {
-      Thread pump =
-          new Thread(
-              () -> {
-                DatagramPacket packet = new DatagramPacket(new byte[5_000], 5_000);
-                try {
-                  while (true) {
-                    packet.setLength(5_000);
-                    socket.receive(packet);
-                    if (!blocked && random.nextInt(100) >= lossPercent) {
-                      forwardedCount++;
-                      packet.setSocketAddress(to);
-                      socket.send(packet);
-                      socket.send(packet);
-                    }
-                  }
-                } catch (IOException e) {
-                  // Closed at the test's end.
-                }
-              },
-              "way");
-      pump.setDaemon(true);
-      pump.start();
-      proxies.add(this);
-    }
-
-    InetSocketAddress address() {
-      return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
-    }
-
-    @Override
-    public void close() {
-      socket.close();
-    }
-  }
-
   final List<InetSocketAddress> addresses = new ArrayList<>();
   final List<Node> nodes = new ArrayList<>();
   private final List<LossyProxy> proxies = new ArrayList<>();
 
-  /** So many of the first places vote, and keep what they agree here. */
+  /** How many of the first members vote. */
   int voters;
 
+  /** Folder of the voters' stores; null without voters. */
   Path folder;
 
   MemberCluster(int size) throws IOException {
@@ -215,11 +151,7 @@
       int index, long wallMillis, byte[] key, Map<Address, InetSocketAddress> addressOverrides)
       throws Exception {
     Address self = MemberConfiguration.toAddress(addresses.get(index));
-    List<Address> seeds =
-        new ArrayList<>(
-            addresses.subList(0, Math.min(2, addresses.size())).stream()
-                .map(MemberConfiguration::toAddress)
-                .toList());
+    List<Address> seeds = new ArrayList<>(firstAddresses(Math.min(2, addresses.size())));
     seeds.remove(self);
     Node node =
         new Node(
@@ -229,7 +161,7 @@
                 null,
                 new MessageAuthenticator(Map.of(1, key), 1),
                 seeds,
-                addresses.subList(0, voters).stream().map(MemberConfiguration::toAddress).toList(),
+                firstAddresses(voters),
                 addressOverrides,
                 FAST_SETTINGS),
             wallMillis,
@@ -238,11 +170,23 @@
     return node;
   }
 
+  /** The advertised addresses of the first members. */
+  List<Address> firstAddresses(int count) {
+    return addresses.subList(0, count).stream().map(MemberConfiguration::toAddress).toList();
+  }
+
+  /** A proxy in front of a member, closed with the cluster. */
+  LossyProxy newProxy(int index) throws IOException {
+    LossyProxy proxy = new LossyProxy(addresses.get(index), proxies.size());
+    proxies.add(proxy);
+    return proxy;
+  }
+
   Node start(int index) throws Exception {
     return start(index, 1_000, KEY, Map.of());
   }
 
-  /** Waits until each holds all others alive and is in touch. */
+  /** Waits until each member regards all others as alive and itself as connected. */
   void awaitAllConnected() throws Exception {
     for (Node node : nodes) {
       for (Node other : nodes) {
@@ -262,6 +206,22 @@
     }
   }
 
+  /** A task that may throw. */
+  interface Task {
+    void run() throws Exception;
+  }
+
+  /** Runs a task on an event loop and waits for it. */
+  static void run(EventLoop eventLoop, Task task) throws Exception {
+    on(
+        eventLoop,
+        () -> {
+          task.run();
+          return null;
+        });
+  }
+
+  /** Runs a task on an event loop and returns its result. */
   static <T> T on(EventLoop eventLoop, Callable<T> task) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     eventLoop.execute(
--- a/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberFormatsFixtureTest.java
@@ -32,6 +32,24 @@
           "050000000000000007000000000000000108011001180122100a093132372e302e302e3110aa4618073a0101"
               + "412467595173e06bd13b79d5a09c67f6776d01ccc8b7c83cc9a91f771a08722e");
 
+  private static final Member OTHER = new Member(new Address("127.0.0.1", 9002), 1);
+
+  private static final String SETTINGS =
+      """
+      <?xml version="1.0" encoding="UTF-8"?>
+      <members xmlns="urn:tamarindroute:members:1" listen="0.0.0.0:9001" name="10.0.0.1:9101" state="s.birth">
+        <key id="7" file="new.key"/>
+        <key id="6" file="old.key"/>
+        <seed address="10.0.0.1:9101"/>
+        <seed address="10.0.0.2:9101"/>
+        <voter address="10.0.0.1:9101"/>
+        <voter address="[::1]:9101"/>
+        <way to="10.0.0.2:9101" by="127.0.0.1:19002"/>
+        <timing probe="PT2S" timeout="PT0.15S" pause="PT1M"/>
+        <limits bytes="8192" members="6000"/>
+      </members>
+      """;
+
   @TempDir Path folder;
 
   private static MessageAuthenticator seal() {
@@ -78,36 +96,20 @@
   void everySettingIsReadFromTheFile() throws Exception {
     Files.writeString(folder.resolve("new.key"), "ab".repeat(16));
     Files.writeString(folder.resolve("old.key"), "CD".repeat(64) + "\n");
-    Path file =
-        Files.writeString(
-            folder.resolve("members.xml"),
-            """
-                <?xml version="1.0" encoding="UTF-8"?>
-                <members xmlns="urn:tamarindroute:members:1" listen="0.0.0.0:9001" name="10.0.0.1:9101" state="s.birth">
-                  <key id="7" file="new.key"/>
-                  <key id="6" file="old.key"/>
-                  <seed address="10.0.0.1:9101"/>
-                  <seed address="10.0.0.2:9101"/>
-                  <voter address="10.0.0.1:9101"/>
-                  <voter address="[::1]:9101"/>
-                  <way to="10.0.0.2:9101" by="127.0.0.1:19002"/>
-                  <timing probe="PT2S" timeout="PT0.15S" pause="PT1M"/>
-                  <limits bytes="8192" members="6000"/>
-                </members>
-                """);
-    MemberConfiguration settings = MemberConfiguration.read(file);
-    assertThat(settings.listenAddress()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
-    assertThat(settings.advertisedAddress()).isEqualTo(new Address("10.0.0.1", 9101));
-    assertThat(settings.incarnationFile()).isEqualTo(folder.resolve("s.birth"));
-    assertThat(settings.authenticator().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
-    assertThat(settings.seeds()).containsExactly(new Address("10.0.0.2", 9101));
-    assertThat(settings.voters())
+    Path file = Files.writeString(folder.resolve("members.xml"), SETTINGS);
+    MemberConfiguration configuration = MemberConfiguration.read(file);
+    assertThat(configuration.listenAddress()).isEqualTo(new InetSocketAddress("0.0.0.0", 9001));
+    assertThat(configuration.advertisedAddress()).isEqualTo(new Address("10.0.0.1", 9101));
+    assertThat(configuration.incarnationFile()).isEqualTo(folder.resolve("s.birth"));
+    assertThat(configuration.authenticator().seal(new byte[0], 1, 0)[0]).isEqualTo((byte) 7);
+    assertThat(configuration.seeds()).containsExactly(new Address("10.0.0.2", 9101));
+    assertThat(configuration.voters())
         .containsExactly(new Address("10.0.0.1", 9101), new Address("0:0:0:0:0:0:0:1", 9101));
-    assertThat(settings.addressOverrides())
+    assertThat(configuration.addressOverrides())
         .containsExactly(
             Map.entry(new Address("10.0.0.2", 9101), new InetSocketAddress("127.0.0.1", 19002)));
     MembershipSettings defaults = MembershipSettings.DEFAULTS;
-    assertThat(settings.membershipSettings())
+    assertThat(configuration.membershipSettings())
         .isEqualTo(
             new MembershipSettings(
                 Duration.ofSeconds(2),
@@ -124,63 +126,56 @@
   }
 
   @Test
-  void aFeedEventGoesAsItsCompactJsonWithTheChecksumOfTheOneBefore() {
+  void feedEventIsSentAsCompactJsonWithTheChecksumOfTheOneBefore() {
     List<MemberMessage.Payload> sent = new ArrayList<>();
-    long[] last = {0};
-    FeedEventReplicator.FeedFollower reader =
-        new FeedEventReplicator.FeedFollower() {
-          @Override
-          public long lastNumber() {
-            return last[0];
-          }
-
-          @Override
-          public boolean apply(long number, String event) {
-            return false;
-          }
-        };
-    Scheduler scheduler =
-        new Scheduler() {
-          @Override
-          public Duration now() {
-            return Duration.ZERO;
-          }
-
-          @Override
-          public void execute(Runnable task) {}
-
-          @Override
-          public Runnable schedule(Duration span, Runnable task) {
-            return () -> {};
-          }
-        };
-    Member other = new Member(new Address("127.0.0.1", 9002), 1);
-    FeedEventReplicator feedReplicator =
+    FeedEventReplicator replicator =
         new FeedEventReplicator(
-            new Address("127.0.0.1", 9001),
-            reader,
-            scheduler,
-            new FeedEventReplicator.Peers() {
-              @Override
-              public List<Member> liveOthers() {
-                return new ArrayList<>();
-              }
-
-              @Override
-              public void send(Member to, MemberMessage.Payload payload) {
-                sent.add(payload);
-              }
-            });
-    last[0] = 2;
-    feedReplicator.onFeedText(
-        "{ \"n\": 2, \"events\": [ {\"n\": 1, \"purge\": {\"key\": \"a\"}}, {\"n\": 2, \"drain\": \"b\"} ]}");
-    feedReplicator.onFeedEvents(other, new MemberMessage.FeedEventsPayload(1, List.of()));
+            new Address("127.0.0.1", 9001), new AppliedUpTo(2), NO_TASKS, recordingPeers(sent));
+    replicator.onFeedText(
+        "{ \"n\": 2, \"events\": [ {\"n\": 1, \"purge\": {\"key\": \"a\"}},"
+            + " {\"n\": 2, \"drain\": \"b\"} ]}");
+    replicator.onFeedEvents(OTHER, new MemberMessage.FeedEventsPayload(1, List.of()));
     // The CRC-32 of {"n":1,"purge":{"key":"a"}}.
-    assertThat(sent)
-        .containsExactly(
-            new MemberMessage.FeedEventsPayload(
-                2,
-                List.of(
-                    new MemberMessage.FeedEvent(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}"))));
+    MemberMessage.FeedEvent event =
+        new MemberMessage.FeedEvent(2, 2_121_522_556L, "{\"n\":2,\"drain\":\"b\"}");
+    assertThat(sent).containsExactly(new MemberMessage.FeedEventsPayload(2, List.of(event)));
+  }
+
+  /** Follows a feed whose events were applied up to a number. */
+  private record AppliedUpTo(long lastNumber) implements FeedEventReplicator.FeedFollower {
+    @Override
+    public boolean apply(long number, String event) {
+      return false;
+    }
   }
+
+  private static FeedEventReplicator.Peers recordingPeers(List<MemberMessage.Payload> sent) {
+    return new FeedEventReplicator.Peers() {
+      @Override
+      public List<Member> liveOthers() {
+        return new ArrayList<>();
+      }
+
+      @Override
+      public void send(Member to, MemberMessage.Payload payload) {
+        sent.add(payload);
+      }
+    };
+  }
+
+  private static final Scheduler NO_TASKS =
+      new Scheduler() {
+        @Override
+        public Duration now() {
+          return Duration.ZERO;
+        }
+
+        @Override
+        public void execute(Runnable task) {}
+
+        @Override
+        public Runnable schedule(Duration delay, Runnable task) {
+          return () -> {};
+        }
+      };
 }
--- a/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
+++ b/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
@@ -34,7 +34,7 @@
       MemberCluster.Node restarted = cluster.start(3, 10, MemberCluster.KEY, Map.of());
       cluster.awaitAllConnected();
       assertThat(restarted.self().incarnation()).isGreaterThan(killed.self().incarnation());
-      // Of those that were there all the time nobody said a false word.
+      // Members that were running all the time were not declared faulty.
       for (MemberCluster.Node node : cluster.nodes) {
         for (MemberCluster.Node other : cluster.nodes) {
           if (node != other && other != restarted) {
@@ -67,7 +67,7 @@
   @Test
   void oneCutDirectionIsToleratedAndDuplicatesCountOnce() throws Exception {
     try (MemberCluster cluster = new MemberCluster(4)) {
-      MemberCluster.LossyProxy proxy = cluster.new LossyProxy(cluster.addresses.get(1));
+      LossyProxy proxy = cluster.newProxy(1);
       cluster.start(
           0,
           1_000,
@@ -79,7 +79,7 @@
       cluster.awaitAllConnected();
       assertThat(proxy.forwardedCount).isPositive();
       proxy.blocked = true;
-      // Seven periods, and three times the pause that is borne: whoever was to be missed would be.
+      // Seven periods and three times the tolerated pause, enough for a false declaration.
       TimeUnit.SECONDS.sleep(3);
       for (MemberCluster.Node node : cluster.nodes) {
         assertThat(node.reportedStates.values())
@@ -120,40 +120,28 @@
     }
   }
 
-  /** MINA keeps fewer sessions than there may be members; nothing that is sent is lost by that. */
+  /** The transport keeps fewer sessions than there may be members. */
   @Test
   void moreMembersThanSessionsAllReceiveDatagrams() throws Exception {
     int memberCount = 3_000;
     EventLoop eventLoop = new EventLoop();
     DatagramTransport datagrams = new DatagramTransport(eventLoop);
-    try (DatagramSocket all = new DatagramSocket(new InetSocketAddress("0.0.0.0", 0));
-        MemberCluster address = new MemberCluster(1)) {
-      all.setReceiveBufferSize(1 << 22);
-      all.setSoTimeout(10_000);
-      MemberCluster.on(
+    try (DatagramSocket receiver = new DatagramSocket(new InetSocketAddress("0.0.0.0", 0));
+        MemberCluster cluster = new MemberCluster(1)) {
+      receiver.setReceiveBufferSize(1 << 22);
+      receiver.setSoTimeout(10_000);
+      MemberCluster.run(
           eventLoop,
-          () -> {
-            datagrams.listen(address.addresses.get(0), (bytes, from, at, answer) -> {});
-            return null;
-          });
+          () -> datagrams.listen(cluster.addresses.get(0), (bytes, from, at, answer) -> {}));
       DatagramPacket packet = new DatagramPacket(new byte[100], 100);
       boolean[] received = new boolean[memberCount];
       for (int from = 0; from < memberCount; from += 100) {
         int first = from;
-        MemberCluster.on(
-            eventLoop,
-            () -> {
-              for (int i = first; i < first + 100; i++) {
-                String host = "127.1." + i / 250 + "." + (1 + i % 250);
-                datagrams.send(
-                    address.addresses.get(0),
-                    new InetSocketAddress(host, all.getLocalPort()),
-                    new byte[] {(byte) (i >> 8), (byte) i});
-              }
-              return null;
-            });
+        InetSocketAddress sender = cluster.addresses.get(0);
+        int port = receiver.getLocalPort();
+        MemberCluster.run(eventLoop, () -> sendNumbers(datagrams, sender, port, first));
         for (int i = 0; i < 100; i++) {
-          all.receive(packet);
+          receiver.receive(packet);
           received[(packet.getData()[0] & 0xFF) << 8 | packet.getData()[1] & 0xFF] = true;
         }
       }
@@ -162,4 +150,14 @@
       datagrams.shutDown();
     }
   }
+
+  /** Sends a hundred numbers, each to an address of its own on this machine. */
+  private static void sendNumbers(
+      DatagramTransport datagrams, InetSocketAddress from, int port, int first) {
+    for (int i = first; i < first + 100; i++) {
+      String host = "127.1." + i / 250 + "." + (1 + i % 250);
+      byte[] number = {(byte) (i >> 8), (byte) i};
+      datagrams.send(from, new InetSocketAddress(host, port), number);
+    }
+  }
 }
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageCodecTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageCodecTest.java
@@ -8,6 +8,7 @@
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
+import java.util.function.Consumer;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -28,47 +29,60 @@
 
   private static final Member SELF = new Member(new Address("127.0.0.1", 9001), 17);
 
+  private static final Arbitrary<Long> NUMBERS = Arbitraries.longs().between(0, Long.MAX_VALUE);
+
   @Provide
   Arbitrary<MemberMessage> messages() {
-    Arbitrary<Address> addresses =
-        Combinators.combine(
-                Arbitraries.of("127.0.0.1", "10.20.30.40", "::1", "fe80:0:0:0:1234:5678:9abc:def0"),
-                Arbitraries.integers().between(1, 65_535))
-            .as(Address::new);
-    Arbitrary<Long> numbers = Arbitraries.longs().between(0, Long.MAX_VALUE);
-    Arbitrary<Member> members = Combinators.combine(addresses, numbers).as(Member::new);
-    Arbitrary<MembershipUpdate> rumours =
-        Combinators.combine(members, Arbitraries.of(MemberState.values()), numbers, addresses)
-            .as(MembershipUpdate::new);
-    Arbitrary<MemberMessage> membershipMessages =
-        Combinators.combine(
-                Arbitraries.of(Message.Kind.values()),
-                members,
-                numbers,
-                numbers,
-                members,
-                rumours.list().ofMaxSize(24))
-            .as(Message::new)
-            .map(MemberMessage::of);
     Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(3000);
-    Arbitrary<MemberMessage.LeasePayload> leases =
-        Combinators.combine(
-                Arbitraries.integers().between(0, Integer.MAX_VALUE),
-                Arbitraries.of(MemberMessage.LeaseKind.values()),
-                numbers,
-                numbers,
-                numbers,
-                Arbitraries.integers()
-                    .between(0, Integer.MAX_VALUE)
-                    .map(ms -> Duration.ofMillis(ms)))
-            .as(MemberMessage.LeasePayload::new);
     return Arbitraries.oneOf(
-        membershipMessages,
-        Combinators.combine(members, numbers, leases).as((m, n, l) -> MemberMessage.of(m, n, l)),
-        Combinators.combine(members, numbers, bytes)
-            .as((m, n, b) -> MemberMessage.of(m, n, new MemberMessage.FactsPayload(b))),
-        Combinators.combine(members, numbers, bytes)
-            .as((m, n, b) -> MemberMessage.of(m, n, new MemberMessage.AgreementPayload(b))));
+        membershipMessages(),
+        messagesWith(leases()),
+        messagesWith(bytes.map(MemberMessage.FactsPayload::new)),
+        messagesWith(bytes.map(MemberMessage.AgreementPayload::new)));
+  }
+
+  private static <P extends MemberMessage.Payload> Arbitrary<MemberMessage> messagesWith(
+      Arbitrary<P> payloads) {
+    return Combinators.combine(members(), NUMBERS, payloads)
+        .as((sender, incarnation, payload) -> MemberMessage.of(sender, incarnation, payload));
+  }
+
+  private static Arbitrary<Address> addresses() {
+    return Combinators.combine(
+            Arbitraries.of("127.0.0.1", "10.20.30.40", "::1", "fe80:0:0:0:1234:5678:9abc:def0"),
+            Arbitraries.integers().between(1, 65_535))
+        .as(Address::new);
+  }
+
+  private static Arbitrary<Member> members() {
+    return Combinators.combine(addresses(), NUMBERS).as(Member::new);
+  }
+
+  private static Arbitrary<MemberMessage> membershipMessages() {
+    Arbitrary<MembershipUpdate> updates =
+        Combinators.combine(members(), Arbitraries.of(MemberState.values()), NUMBERS, addresses())
+            .as(MembershipUpdate::new);
+    return Combinators.combine(
+            Arbitraries.of(Message.Kind.values()),
+            members(),
+            NUMBERS,
+            NUMBERS,
+            members(),
+            updates.list().ofMaxSize(24))
+        .as(Message::new)
+        .map(MemberMessage::of);
+  }
+
+  private static Arbitrary<MemberMessage.LeasePayload> leases() {
+    Arbitrary<Integer> integers = Arbitraries.integers().between(0, Integer.MAX_VALUE);
+    return Combinators.combine(
+            integers,
+            Arbitraries.of(MemberMessage.LeaseKind.values()),
+            NUMBERS,
+            NUMBERS,
+            NUMBERS,
+            integers.map(Duration::ofMillis))
+        .as(MemberMessage.LeasePayload::new);
   }
 
   @Property(tries = 500, seed = "28")
@@ -161,6 +175,20 @@
                         List.of(
                             new MembershipUpdate(SELF, MemberState.FAULTY, 1, SELF.address()))))));
     MemberMessageCodec.decode(valid.toByteArray());
+    List<Envelope.Builder> invalid = new ArrayList<>(invalidEnvelopes(valid));
+    invalid.addAll(invalidMembershipMessages(valid));
+    for (Envelope.Builder envelope : invalid) {
+      assertThatThrownBy(() -> MemberMessageCodec.decode(envelope.build().toByteArray()))
+          .as(envelope.toString())
+          .isInstanceOf(MalformedMessageException.class);
+    }
+    assertThatThrownBy(
+            () -> MemberMessageCodec.decode(new byte[MemberMessageCodec.MAX_MESSAGE_BYTES + 1]))
+        .isInstanceOf(MalformedMessageException.class)
+        .hasMessageContaining("longer");
+  }
+
+  private static List<Envelope.Builder> invalidEnvelopes(Envelope valid) {
     List<Envelope.Builder> invalid = new ArrayList<>();
     invalid.add(valid.toBuilder().setVersion(2).setHighestVersion(2));
     invalid.add(valid.toBuilder().setLowestVersion(2));
@@ -173,6 +201,11 @@
     }
     invalid.add(changed(valid, envelope -> envelope.getSenderBuilder().setPort(65_536)));
     invalid.add(changed(valid, envelope -> envelope.getSenderBuilder().setIncarnation(-1)));
+    return invalid;
+  }
+
+  private static List<Envelope.Builder> invalidMembershipMessages(Envelope valid) {
+    List<Envelope.Builder> invalid = new ArrayList<>();
     invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setKindValue(99)));
     invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setKindValue(0)));
     invalid.add(changed(valid, envelope -> envelope.getMembershipBuilder().setRequestId(-1)));
@@ -191,19 +224,10 @@
     invalid.add(
         changed(
             valid, envelope -> envelope.getMembershipBuilder().getUpdatesBuilder(0).clearMember()));
-    for (Envelope.Builder envelope : invalid) {
-      assertThatThrownBy(() -> MemberMessageCodec.decode(envelope.build().toByteArray()))
-          .as(envelope.toString())
-          .isInstanceOf(MalformedMessageException.class);
-    }
-    assertThatThrownBy(
-            () -> MemberMessageCodec.decode(new byte[MemberMessageCodec.MAX_MESSAGE_BYTES + 1]))
-        .isInstanceOf(MalformedMessageException.class)
-        .hasMessageContaining("longer");
+    return invalid;
   }
 
-  private static Envelope.Builder changed(
-      Envelope valid, java.util.function.Consumer<Envelope.Builder> change) {
+  private static Envelope.Builder changed(Envelope valid, Consumer<Envelope.Builder> change) {
     Envelope.Builder changed = valid.toBuilder();
     change.accept(changed);
     return changed;
--- a/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
@@ -2,13 +2,8 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
 
 /**
  * Compares three protocols in virtual time: this membership, the same without its guards, and
@@ -23,13 +18,22 @@
   /**
    * A workload.
    *
+   * @param name printed
    * @param loss probability that a message is lost
    * @param pauseSeconds length of one pause of a tenth of the members; 0 for none
    * @param oneWayCut whether everything from one member is lost
    */
-  private record Workload(String name, double loss, double pauseSeconds, boolean oneWayCut) {}
+  record Workload(String name, double loss, double pauseSeconds, boolean oneWayCut) {}
 
-  private record Result(
+  /**
+   * Result of one run.
+   *
+   * @param secondsUntilKnown time from the failures until the last declaration
+   * @param missed declarations that were missing at the end
+   * @param falsePerMemberHour false declarations per member and hour
+   * @param bytesPerSecond bytes sent a second and member
+   */
+  record Result(
       double secondsUntilKnown, double missed, double falsePerMemberHour, double bytesPerSecond) {}
 
   private static final List<Workload> WORKLOADS =
@@ -44,8 +48,15 @@
           new Workload("20%, pauses 5 s", 0.2, 5, false),
           new Workload("20%, pauses 10 s", 0.2, 10, false),
           new Workload("20%, one cut one way", 0.2, 0, true));
-  private static final int SETTLE_SECONDS = 10;
+
+  /** Time before the failures. */
+  static final int SETTLE_SECONDS = 10;
+
   private static final int OBSERVE_SECONDS = 20;
+  static final int TOTAL_SECONDS = SETTLE_SECONDS + OBSERVE_SECONDS;
+  private static final int CUT_AFTER_SECONDS = 2;
+  private static final int FAILING_DIVISOR = 100;
+  private static final int MAX_DELAY_MILLIS = 40;
 
   private MembershipBenchmark() {}
 
@@ -65,7 +76,7 @@
         for (int seed = 1; seed <= seeds; seed++) {
           results.add(
               protocol.equals("heartbeats")
-                  ? runHeartbeats(count, workload, seed)
+                  ? new HeartbeatSimulation(count, workload, seed).run()
                   : runMembership(
                       count,
                       workload,
@@ -130,122 +141,55 @@
         sorted[sorted.length - 1]);
   }
 
+  /** How many members are killed: one in a hundred. */
+  static int failingMembers(int count) {
+    return Math.max(1, count / FAILING_DIVISOR);
+  }
+
   private static Result runMembership(
       int count, Workload workload, int seed, MembershipSettings settings) {
     MembershipSimulator simulator = new MembershipSimulator(settings, count, seed).startJoined();
     simulator.loss = workload.loss;
-    simulator.maxDelayNanos = Duration.ofMillis(40).toNanos();
-    Map<Address, Integer> indexByAddress = new HashMap<>();
-    for (int i = 0; i < count; i++) {
-      indexByAddress.put(simulator.nodes.get(i).address, i);
-    }
-    Map<Integer, Set<Integer>> known = new HashMap<>();
-    long[] falseFaulty = {0};
-    double[] last = {0};
-    simulator.observers.add(
-        (node, actions) ->
-            actions.forEach(
-                action -> {
-                  if (action instanceof Action.StateChanged change
-                      && change.state() == MemberState.FAULTY) {
-                    int subject = indexByAddress.get(change.member().address());
-                    if (simulator.nodes.get(subject).killed) {
-                      known.computeIfAbsent(subject, subjectKey -> new HashSet<>()).add(node);
-                      last[0] = simulator.now().toNanos() / 1e9 - SETTLE_SECONDS;
-                    } else if (!workload.oneWayCut || subject != 0) {
-                      falseFaulty[0]++;
-                    }
-                  }
-                }));
-    int dead = Math.max(1, count / 100);
-    schedulePauses(simulator, workload, dead);
+    simulator.maxDelayNanos = Duration.ofMillis(MAX_DELAY_MILLIS).toNanos();
+    FailureRecorder recorder = new FailureRecorder(simulator, workload.oneWayCut);
+    int failing = failingMembers(count);
+    schedulePauses(simulator, workload, failing);
     if (workload.oneWayCut) {
       simulator.schedule(
-          Duration.ofSeconds(2), () -> simulator.linkFilter = (from, to) -> from == 0);
+          Duration.ofSeconds(CUT_AFTER_SECONDS),
+          () -> simulator.linkFilter = (from, to) -> from == 0);
     }
     simulator.run(Duration.ofSeconds(SETTLE_SECONDS));
-    for (int i = 1; i <= dead; i++) {
+    for (int i = 1; i <= failing; i++) {
       simulator.kill(i);
     }
     simulator.run(Duration.ofSeconds(OBSERVE_SECONDS));
-    int cutOne = workload.oneWayCut ? 1 : 0;
+    double known = recorder.lastDeclaredSeconds();
+    return new Result(
+        known == 0 ? 0 : known - SETTLE_SECONDS,
+        missedDeclarations(recorder, count, failing, workload.oneWayCut ? 1 : 0),
+        recorder.falseDeclarations() * 3_600.0 / TOTAL_SECONDS / count,
+        simulator.bytes / (double) TOTAL_SECONDS / count);
+  }
+
+  private static double missedDeclarations(
+      FailureRecorder recorder, int count, int failing, int cutOff) {
     double missed = 0;
-    for (int i = 1; i <= dead; i++) {
-      Set<Integer> observers = known.getOrDefault(i, Set.of());
-      missed +=
-          Math.max(
-              0,
-              count
-                  - dead
-                  - cutOne
-                  - observers.stream().filter(n -> cutOne == 0 || n != 0).count());
+    for (int killed = 1; killed <= failing; killed++) {
+      missed += Math.max(0, count - failing - cutOff - recorder.observerCount(killed));
     }
-    int span = SETTLE_SECONDS + OBSERVE_SECONDS;
-    return new Result(
-        last[0],
-        missed,
-        falseFaulty[0] * 3_600.0 / span / count,
-        simulator.bytes / (double) span / count);
+    return missed;
   }
 
   /** Pauses a tenth of the members once each, spread over the whole time. */
-  private static void schedulePauses(MembershipSimulator simulator, Workload workload, int dead) {
+  private static void schedulePauses(
+      MembershipSimulator simulator, Workload workload, int failing) {
     int count = simulator.nodes.size();
     for (int i = 0; i < count / 10 && workload.pauseSeconds > 0; i++) {
-      int index = dead + 1 + i;
+      int index = failing + 1 + i;
       simulator.schedule(
-          Duration.ofMillis(
-              (long) (1_000.0 * (SETTLE_SECONDS + OBSERVE_SECONDS) * i / (count / 10))),
+          Duration.ofMillis((long) (1_000.0 * TOTAL_SECONDS * i / (count / 10))),
           () -> simulator.pause(index, Duration.ofMillis((long) (workload.pauseSeconds * 1_000))));
     }
   }
-
-  /**
-   * Heartbeats every period from each member to all others; a member is declared faulty after five
-   * missing ones. Each pair is simulated by itself.
-   */
-  private static Result runHeartbeats(int count, Workload workload, int seed) {
-    int missingHeartbeats = 5;
-    int span = SETTLE_SECONDS + OBSERVE_SECONDS;
-    SplittableRandom random = new SplittableRandom(seed);
-    int dead = Math.max(1, count / 100);
-    long falseFaulty = 0;
-    double last = 0;
-    long unknown = 0;
-    for (int subject = 0; subject < count; subject++) {
-      boolean stops = workload.pauseSeconds > 0 && subject > dead && subject <= dead + count / 10;
-      double stop = stops ? (double) span * (subject - dead - 1) / (count / 10) : -1;
-      boolean dies = subject >= 1 && subject <= dead;
-      for (int observer = 0; observer < count; observer++) {
-        if (observer == subject || workload.oneWayCut && subject == 0) {
-          continue;
-        }
-        double lastHeard = 0;
-        boolean faulty = false;
-        double phase = random.nextDouble();
-        for (double time = phase; time <= span; time++) {
-          boolean sent =
-              !(dies && time >= SETTLE_SECONDS)
-                  && !(stop >= 0 && time >= stop && time < stop + workload.pauseSeconds);
-          boolean arrived = sent && random.nextDouble() >= workload.loss;
-          if (time - lastHeard >= missingHeartbeats && !faulty) {
-            faulty = true;
-            if (dies && time >= SETTLE_SECONDS) {
-              last = Math.max(last, lastHeard + missingHeartbeats - SETTLE_SECONDS);
-            } else {
-              falseFaulty++;
-            }
-          }
-          lastHeard = arrived ? time : lastHeard;
-          faulty = faulty && !arrived;
-        }
-        unknown += dies && !faulty ? 1 : 0;
-      }
-    }
-    return new Result(
-        last,
-        unknown,
-        falseFaulty * 3_600.0 / span / count,
-        (count - 1.0) * OutboundMessages.MESSAGE_BYTES);
-  }
 }
--- a/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
+++ b/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
@@ -25,15 +25,7 @@
     Map<Address, Set<Integer>> observersByAddress = new HashMap<>();
     simulator.observers.add(
         (node, actions) ->
-            actions.forEach(
-                action -> {
-                  if (action instanceof Action.StateChanged change
-                      && change.state() == MemberState.FAULTY) {
-                    observersByAddress
-                        .computeIfAbsent(change.member().address(), address -> new HashSet<>())
-                        .add(node);
-                  }
-                }));
+            actions.forEach(action -> recordFaulty(node, action, observersByAddress)));
     simulator.run(Duration.ofSeconds(2));
     for (int i = 10; i < 20; i++) {
       simulator.kill(i);
@@ -54,4 +46,13 @@
     assertThat(observersByAddress.values())
         .allSatisfy(observers -> assertThat(observers).hasSize(count - 10));
   }
+
+  private static void recordFaulty(
+      int node, Action action, Map<Address, Set<Integer>> observersByAddress) {
+    if (action instanceof Action.StateChanged change && change.state() == MemberState.FAULTY) {
+      observersByAddress
+          .computeIfAbsent(change.member().address(), address -> new HashSet<>())
+          .add(node);
+    }
+  }
 }
