--- a/members/src/test/java/tamarindroute/members/FeedEventReplicatorTest.java
+++ b/members/src/test/java/tamarindroute/members/FeedEventReplicatorTest.java
@@ -15,7 +15,7 @@
 import tamarindroute.membership.Member;
 import tamarindroute.net.Scheduler;
 
-/** The feed's news among many, over a network of this test that loses and reorders by a seed. */
+/** Replication among many members over a simulated network that loses and reorders messages. */
 class FeedEventReplicatorTest {
 
   private final List<Node> nodes = new ArrayList<>();
@@ -24,7 +24,7 @@
   private int lossPercent;
   private int sent;
 
-  /** One follower of the feed: what it took, in order. */
+  /** One member with the events that it applied, in their order. */
   private final class Node
       implements FeedEventReplicator.FeedFollower, FeedEventReplicator.Peers, Scheduler {
     final Member self = new Member(new Address("127.0.0.1", 1 + nodes.size()), 1);
@@ -61,16 +61,16 @@
       assertThat(MemberMessageCodec.encode(MemberMessage.of(self, 1, payload)).length)
           .isLessThanOrEqualTo(MemberMessageCodec.MAX_MESSAGE_BYTES);
       if (random.nextInt(100) >= lossPercent) {
-        Runnable arrives =
+        Runnable delivery =
             () ->
                 nodes
                     .get(to.address().port() - 1)
                     .feedReplicator
                     .onFeedEvents(self, (MemberMessage.FeedEventsPayload) payload);
         if (random.nextBoolean()) {
-          inFlight.addFirst(arrives);
+          inFlight.addFirst(delivery);
         } else {
-          inFlight.addLast(arrives);
+          inFlight.addLast(delivery);
         }
       }
     }
@@ -86,18 +86,18 @@
     }
 
     @Override
-    public Runnable schedule(Duration span, Runnable task) {
+    public Runnable schedule(Duration delay, Runnable task) {
       scheduled.add(task);
       return () -> scheduled.remove(task);
     }
   }
 
-  private static String event(int number, String what) {
-    return "{\"n\":" + number + ",\"purge\":{\"key\":\"" + what + "\"}}";
+  private static String event(int number, String key) {
+    return "{\"n\":" + number + ",\"purge\":{\"key\":\"" + key + "\"}}";
   }
 
-  private void nodes(int many) {
-    for (int i = 0; i < many; i++) {
+  private void startNodes(int count) {
+    for (int i = 0; i < count; i++) {
       nodes.add(new Node());
       nodes.get(i).onFeed(event(1, "first"));
       nodes.get(i).feedReplicator.poll();
@@ -106,9 +106,10 @@
   }
 
   private void deliverAll() {
-    int most = 100_000;
+    int remaining = 100_000;
     while (!inFlight.isEmpty()) {
-      assertThat(most--).as("it comes to rest").isPositive();
+      assertThat(remaining).as("messages end").isPositive();
+      remaining--;
       inFlight.poll().run();
     }
   }
@@ -126,7 +127,7 @@
   @Test
   void eventOfOneFeedReachesAllWithinFivePeriodsAtThirtyPercentLoss() {
     lossPercent = 30;
-    nodes(200);
+    startNodes(200);
     for (int each = 2; each <= 20; each++) {
       int number = each;
       nodes
@@ -140,7 +141,7 @@
         runPeriod();
       }
       assertThat(nodes.stream().filter(node -> node.applied.size() < number).count())
-          .as("lack event " + number)
+          .as("members without event " + number)
           .isZero();
     }
     assertThat(nodes).extracting(node -> node.applied).containsOnly(nodes.get(0).applied);
@@ -148,7 +149,7 @@
 
   @Test
   void differentHistoryIsNotMixedInAndRequestsEnd() {
-    nodes(2);
+    startNodes(2);
     nodes.get(0).onFeed(event(2, "a"), event(3, "b"));
     deliverAll();
     assertThat(nodes.get(1).applied).hasSize(3);
@@ -161,13 +162,13 @@
       runPeriod();
     }
     assertThat(nodes.get(2).applied).hasSize(1);
-    // Three ask each period, and each has an answer and what comes of it.
+    // Three members poll in each period; each poll may cause an answer and one more message.
     assertThat(sent - before).isLessThanOrEqualTo(10 * 3 * 3);
   }
 
   @Test
   void storedEventsAreDroppedWhenTheFeedRestartsItsNumbers() {
-    nodes(2);
+    startNodes(2);
     nodes.get(0).onFeed(event(2, "a"), event(3, "b"));
     inFlight.clear();
     nodes.get(0).applied.clear();
@@ -179,7 +180,7 @@
 
   @Test
   void oversizedEventIsLeftToTheFeedAndLaterEventsFollowIt() {
-    nodes(2);
+    startNodes(2);
     String list = event(2, "x".repeat(FeedEventStore.MAX_EVENT_BYTES));
     nodes.get(0).onFeed(list);
     nodes.get(0).onFeed(event(3, "a"));
--- a/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
@@ -15,7 +15,7 @@
 import tamarindroute.config.UnusableException;
 import tamarindroute.membership.Address;
 
-/** Settings files, sound and not. */
+/** Valid and invalid settings files, and the incarnation file. */
 class MemberConfigurationTest {
 
   @TempDir Path folder;
@@ -28,43 +28,44 @@
     Files.writeString(folder.resolve("members.key"), "0123456789abcdef".repeat(4) + "\n");
   }
 
-  private Path file(String text) throws IOException {
+  private Path write(String text) throws IOException {
     return Files.writeString(folder.resolve("members.xml"), text);
   }
 
   private List<String> faults(String text) throws IOException {
-    Path file = file(text);
+    Path file = write(text);
     UnusableException e =
         catchThrowableOfType(UnusableException.class, () -> MemberConfiguration.read(file));
-    assertThat(e).as("refused").isNotNull();
+    assertThat(e).as("rejected").isNotNull();
     return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
   }
 
   @Test
   void exampleFileIsValid() throws IOException {
-    MemberConfiguration settings = MemberConfiguration.read(file(valid));
-    assertThat(settings.advertisedAddress()).isEqualTo(new Address("127.0.0.1", 9001));
-    assertThat(settings.seeds())
+    MemberConfiguration configuration = MemberConfiguration.read(write(valid));
+    assertThat(configuration.advertisedAddress()).isEqualTo(new Address("127.0.0.1", 9001));
+    assertThat(configuration.seeds())
         .containsExactly(new Address("127.0.0.1", 9002), new Address("127.0.0.1", 9003));
-    assertThat(settings.incarnationFile()).isEqualTo(folder.resolve("members.birth"));
-    assertThat(settings.membershipSettings().probePeriod()).isEqualTo(Duration.ofSeconds(1));
+    assertThat(configuration.incarnationFile()).isEqualTo(folder.resolve("members.birth"));
+    assertThat(configuration.membershipSettings().probePeriod()).isEqualTo(Duration.ofSeconds(1));
   }
 
   @Test
   void overridesKeysAndTimingsAreRead() throws IOException {
-    MemberConfiguration settings =
+    MemberConfiguration configuration =
         MemberConfiguration.read(
-            file(
+            write(
                 valid
                     .replace("probe=\"PT1S\" pause=\"PT3S\"", "probe=\"PT0.2S\" pause=\"PT2S\"")
                     .replace(
                         "<timing",
                         "<voter address=\"[::1]:9003\"/><way to=\"127.0.0.1:9002\" by=\"127.0.0.1:19002\"/><timing")));
-    assertThat(settings.addressOverrides())
+    assertThat(configuration.addressOverrides())
         .containsEntry(new Address("127.0.0.1", 9002), new InetSocketAddress("127.0.0.1", 19002));
-    assertThat(settings.voters()).containsExactly(new Address("0:0:0:0:0:0:0:1", 9003));
-    assertThat(settings.membershipSettings().probeTimeout()).isEqualTo(Duration.ofMillis(25));
-    assertThat(settings.membershipSettings().toleratedPause()).isEqualTo(Duration.ofSeconds(2));
+    assertThat(configuration.voters()).containsExactly(new Address("0:0:0:0:0:0:0:1", 9003));
+    assertThat(configuration.membershipSettings().probeTimeout()).isEqualTo(Duration.ofMillis(25));
+    assertThat(configuration.membershipSettings().toleratedPause())
+        .isEqualTo(Duration.ofSeconds(2));
   }
 
   @Test
@@ -104,14 +105,14 @@
     new IncarnationFile(stored).store(5_000);
     assertThat(new IncarnationFile(stored).propose(4_000)).isEqualTo(5_001);
     assertThat(new IncarnationFile(stored).propose(6_000)).isEqualTo(6_000);
-    Files.writeString(stored, "no birth");
+    Files.writeString(stored, "not a number");
     assertThat(new IncarnationFile(stored).propose(4_000)).isEqualTo(4_000);
   }
 
   @Test
   void voterStoreIsBesideTheIncarnationFile() throws IOException {
     String withVoter = valid.replace("<timing", "<voter address=\"127.0.0.1:9001\"/><timing");
-    assertThat(MemberConfiguration.read(file(withVoter)).voterStore())
+    assertThat(MemberConfiguration.read(write(withVoter)).voterStore())
         .isEqualTo(folder.resolve("members.birth.agreed"));
     assertThat(faults(withVoter.replace(" state=\"members.birth\"", "")))
         .singleElement()
--- a/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
@@ -7,7 +7,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.stream.IntStream;
 import net.jqwik.api.Example;
@@ -21,6 +20,7 @@
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
 
+/** A leader's proposals for a simulated membership; each is committed at once. */
 class ViewChangeBatcherTest {
 
   private static final Member SELF = member(0, 1);
@@ -30,33 +30,33 @@
   private final List<Command.MembershipChange> changes = new ArrayList<>();
   private long millis;
 
-  private static Member member(int i, long birth) {
-    return new Member(new Address("10.0." + i / 200 + "." + i % 200, 1), birth);
+  private static Member member(int i, long incarnation) {
+    return new Member(new Address("10.0." + i / 200 + "." + i % 200, 1), incarnation);
   }
 
-  /** Steps each quarter of a second; a cut is agreed at once. */
-  private void run(Duration span) {
-    for (long end = millis + span.toMillis(); millis < end; millis += 250) {
+  /** Runs a step every quarter of a second. */
+  private void run(Duration duration) {
+    for (long end = millis + duration.toMillis(); millis < end; millis += 250) {
       ViewChangeBatcher.Step step = batcher.step(view, SELF, others, Duration.ofMillis(millis));
       batcher = step.next();
-      step.change()
-          .ifPresent(
-              cut -> {
-                ViewTransitions.Transition agreed = ViewTransitions.apply(view, cut);
-                assertThat(agreed.rejection()).isEqualTo(Optional.empty());
-                view = agreed.view();
-                changes.add(cut);
-              });
+      step.change().ifPresent(this::commit);
     }
   }
 
+  private void commit(Command.MembershipChange change) {
+    ViewTransitions.Transition transition = ViewTransitions.apply(view, change);
+    assertThat(transition.rejection()).isEmpty();
+    view = transition.view();
+    changes.add(change);
+  }
+
   @Example
   void simultaneousChangesAreOneBatch() {
     IntStream.rangeClosed(1, 50).forEach(i -> others.put(member(i, 1), MemberState.ALIVE));
     run(Duration.ofSeconds(3));
     assertThat(changes).hasSize(1);
     assertThat(view.members()).hasSize(51);
-    // Found dead one after the other, a few each quarter of a second.
+    // Found faulty one after the other, a few every quarter of a second.
     for (int i = 1; i <= 30; i++) {
       others.put(member(i, 1), i % 2 == 0 ? MemberState.FAULTY : MemberState.LEFT);
       run(Duration.ofMillis(i % 5 == 0 ? 250 : 0));
@@ -96,10 +96,7 @@
     assertThat(changes).hasSize(3);
   }
 
-  /**
-   * Whatever membership holds: no cut is refused, they keep their distance, the view ends as what
-   * it holds.
-   */
+  /** With random changes of the members' states. */
   @Property(seed = "30", tries = 200)
   void changesAreValidAndPacedAndConvergeToTheMembership(
       @ForAll @IntRange(max = 1 << 30) int seed) {
@@ -110,11 +107,11 @@
     millis = 0;
     batcher = ViewChangeBatcher.initial(Duration.ZERO);
     for (int turn = 0; turn < 60; turn++) {
-      int place = 1 + random.nextInt(6);
-      long birth = 1 + random.nextInt(3);
-      others.put(member(place, birth), MemberState.values()[random.nextInt(5)]);
+      int index = 1 + random.nextInt(6);
+      long incarnation = 1 + random.nextInt(3);
+      others.put(member(index, incarnation), MemberState.values()[random.nextInt(5)]);
       if (random.nextInt(4) == 0) {
-        others.remove(member(place, birth));
+        others.remove(member(index, incarnation));
       }
       run(Duration.ofMillis(250L * random.nextInt(12)));
     }
@@ -122,13 +119,13 @@
         .isLessThanOrEqualTo(
             (int) (millis / ViewChangeBatcher.MIN_PROPOSAL_INTERVAL.toMillis()) + 1);
     others.replaceAll(
-        (one, state) -> one.incarnation() == 3 ? MemberState.ALIVE : MemberState.FAULTY);
+        (member, state) -> member.incarnation() == 3 ? MemberState.ALIVE : MemberState.FAULTY);
     run(Duration.ofSeconds(70));
     List<Member> alive = new ArrayList<>(List.of(SELF));
     others.forEach(
-        (one, state) -> {
+        (member, state) -> {
           if (state == MemberState.ALIVE) {
-            alive.add(one);
+            alive.add(member);
           }
         });
     assertThat(view.members()).containsExactlyInAnyOrderElementsOf(alive);
--- a/members/src/test/java/tamarindroute/members/shares/LeaderLeaseTest.java
+++ b/members/src/test/java/tamarindroute/members/shares/LeaderLeaseTest.java
@@ -11,10 +11,7 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/**
- * Leads of voters that come and go at any pace: proofs are late, the word that one leads is old,
- * and no two overlap.
- */
+/** Leaderships of voters with late reads: no two of them overlap. */
 class LeaderLeaseTest {
 
   /** Ignores everything; the tests use the results of the lease. */
@@ -35,66 +32,70 @@
     public void onDecommissioned(Address address, boolean confirmed) {}
   }
 
-  private record Span(int who, long from, long until) {}
+  /** A leadership, in milliseconds. */
+  private record Leadership(int voter, long from, long until) {
+    boolean overlaps(Leadership other) {
+      return voter != other.voter && from < other.until && other.from < until;
+    }
+  }
 
   private static Duration ms(long millis) {
     return Duration.ofMillis(millis);
   }
 
   /**
-   * In each term one of three leads; a reading asked for while it does is answered up to 4 s later.
+   * In each term one of three voters leads; reads that it requests are answered up to 4 s later.
+   *
+   * @param skippedWait milliseconds of the waiting time that are left out, as a seeded defect
    */
-  private static List<Span> simulate(int seed, long wait) {
+  private static List<Leadership> simulate(int seed, long skippedWait) {
     Random random = new Random(seed);
     List<LeaderLease> voters = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       voters.add(new LeaderLease(new NoOpLeaderStatus()));
     }
-    List<Span> spans = new ArrayList<>();
+    List<Leadership> leaderships = new ArrayList<>();
     long now = 0;
     for (long term = 1; term < 60; term++) {
-      int who = random.nextInt(3);
+      int leader = random.nextInt(3);
       long end = now + 1 + random.nextInt(random.nextBoolean() ? 2_000 : 12_000);
       while (now < end) {
-        // Asked for before or in its term, proven in it, and answered perhaps after others led.
-        long sent = now - random.nextInt(300);
+        // Requested before or in the term, and answered perhaps after others have led.
+        long requested = now - random.nextInt(300);
         long answered =
             now + (random.nextInt(10) == 0 ? random.nextInt(4_000) : random.nextInt(50));
-        Optional<Duration> until = voters.get(who).confirm(term, ms(sent + wait), ms(answered));
-        if (until.isPresent() && until.get().toMillis() - wait > answered) {
-          spans.add(new Span(who, answered, until.get().toMillis() - wait));
+        Optional<Duration> until =
+            voters.get(leader).confirm(term, ms(requested + skippedWait), ms(answered));
+        if (until.isPresent() && until.get().toMillis() - skippedWait > answered) {
+          leaderships.add(new Leadership(leader, answered, until.get().toMillis() - skippedWait));
         }
         now += 1 + random.nextInt(1_500);
       }
     }
-    return spans;
+    return leaderships;
   }
 
-  private static boolean overlap(List<Span> spans) {
-    return spans.stream()
-        .anyMatch(
-            a ->
-                spans.stream()
-                    .anyMatch(b -> a.who != b.who && a.from < b.until && b.from < a.until));
+  private static boolean anyOverlap(List<Leadership> leaderships) {
+    return leaderships.stream().anyMatch(one -> leaderships.stream().anyMatch(one::overlaps));
   }
 
   @Test
   void leadershipsNeverOverlapAndAStableLeaderLeads() {
-    int led = 0;
+    int count = 0;
     for (int seed = 0; seed < 200; seed++) {
-      List<Span> spans = simulate(seed, 0);
-      assertThat(overlap(spans)).as("seed %s", seed).isFalse();
-      led += spans.size();
+      List<Leadership> leaderships = simulate(seed, 0);
+      assertThat(anyOverlap(leaderships)).as("seed %s", seed).isFalse();
+      count += leaderships.size();
     }
-    assertThat(led).isGreaterThan(1_000);
+    assertThat(count).isGreaterThan(1_000);
   }
 
-  /** The check finds two that lead at once where one does not wait for the other's time. */
+  /** Shows that the simulation notices overlapping leaderships. */
   @Test
   void withoutTheWaitLeadershipsOverlap() {
     boolean found = false;
     for (int seed = 0; seed < 200; seed++) {
-      found |= overlap(simulate(seed, LeaderLease.DURATION.toMillis() + 100));
+      found |= anyOverlap(simulate(seed, LeaderLease.DURATION.toMillis() + 100));
     }
     assertThat(found).isTrue();
   }
