--- a/cli/src/test/java/tamarindroute/cli/MembersIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembersIT.java
@@ -128,7 +128,7 @@
             "-jar",
             "target/tamarindroute.jar",
             "serve"));
-    processes.logged("alone.log", "warm: ");
+    processes.logged("alone.log", "warmed-up: ");
     assertThat(processes.read("classes"))
         .contains("tamarindroute.gateway.GatewayServer")
         .doesNotContain("tamarindroute.member")
