--- a/decision/src/main/java/tamarindroute/decision/Attempt.java
+++ b/decision/src/main/java/tamarindroute/decision/Attempt.java
@@ -27,7 +27,7 @@
   public final boolean revalidate;
 
   /**
-   * When the gateway asks for a further decision if the attempt is still outstanding; null for
+   * When the gateway requests a further decision if the attempt is still outstanding; null for
    * never.
    */
   public final Duration expectedBy;
--- a/decision/src/main/java/tamarindroute/decision/Decision.java
+++ b/decision/src/main/java/tamarindroute/decision/Decision.java
@@ -6,6 +6,9 @@
 public sealed interface Decision
     permits Attempt, Decision.Wait, Decision.Cancel, Decision.Reject, Decision.Fail {
 
+  /** The decision to do nothing for now. */
+  Decision WAIT = new Wait();
+
   /** Do nothing for now and keep the request. */
   record Wait() implements Decision {}
 
@@ -17,7 +20,7 @@
   record Cancel(Attempt attempt) implements Decision {}
 
   /**
-   * End the request and tell the client that sending it again is harmless.
+   * End the request and report to the client that sending it again is harmless.
    *
    * @param retryAfter how long the client is advised to wait first; null for no advice
    */
--- a/decision/src/main/java/tamarindroute/decision/Outcome.java
+++ b/decision/src/main/java/tamarindroute/decision/Outcome.java
@@ -6,7 +6,7 @@
  * How an attempt ended.
  *
  * @param result the kind of end
- * @param detail what the cache said about the way of the answer
+ * @param detail where the answer came from, as the cache reported
  * @param duration from sending to the end
  * @param sourceWait wait for the first byte of the fill source; null if not reported
  * @param requestCompleted whether the request has its final answer
@@ -20,7 +20,7 @@
 
   /** The kinds of end of an attempt. */
   public enum Result {
-    /** Answered with what was asked for. */
+    /** Answered with the requested content. */
     SERVED(false),
     /** The cache reported an error. */
     FAILED(false),
@@ -38,7 +38,7 @@
     NOT_SENT(true),
     /** The request reached the cache after its time was over and was not executed. */
     DEADLINE_EXCEEDED(true),
-    /** The cache, or the source it was told to ask, does not hold the object. */
+    /** The cache, or the source named in the attempt, does not hold the object. */
     MISS(true);
 
     /** Whether this result proves that the request was not executed. */
@@ -60,7 +60,7 @@
     HIT,
     /** Filled from the source. */
     FILLED,
-    /** Filled from the source, which itself had to ask the origin. */
+    /** Filled from the source, which itself had to fetch it from the origin. */
     FROM_ORIGIN,
     /** Joined a fill of the same object that was already under way. */
     COALESCED,
--- a/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
@@ -24,7 +24,7 @@
 
   private boolean isOutstandingOrFailed(Attempt attempt) {
     return attempt.outcome == null
-        || attempt.outcome.result() != Result.MISS && !hasSourceFailed(attempt);
+        || (attempt.outcome.result() != Result.MISS && !hasSourceFailed(attempt));
   }
 
   /** Whether this source was tried in vain for the request, or is being tried. */
--- a/policy/src/main/java/tamarindroute/policy/CacheTiers.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheTiers.java
@@ -4,7 +4,6 @@
 import java.util.Comparator;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
@@ -19,7 +18,7 @@
   private final AdaptiveConcurrencyLimit limit;
   private final QuotaGrants quotaGrants;
   private final RandomSequence random;
-  private final Map<Cache, CacheState> states = new IdentityHashMap<>();
+  private final IdentityHashMap<Cache, CacheState> states = new IdentityHashMap<>();
   private List<CacheState> edges = List.of();
   private List<CacheState> parents = List.of();
   private List<CacheState> origins = List.of();
--- a/policy/src/main/java/tamarindroute/policy/IdempotencyGuard.java
+++ b/policy/src/main/java/tamarindroute/policy/IdempotencyGuard.java
@@ -49,7 +49,7 @@
     RequestClass terms = request.requestClass;
     return request.firstPossiblyExecuted(null) == null
         || terms.idempotency() == Idempotency.IDEMPOTENT
-        || terms.idempotency() == Idempotency.KEYED
-            && terms.deduplicationScope() == DeduplicationScope.ALL;
+        || (terms.idempotency() == Idempotency.KEYED
+            && terms.deduplicationScope() == DeduplicationScope.ALL);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
@@ -14,8 +14,6 @@
  */
 final class LateAttemptPolicy {
 
-  private static final Decision WAIT = new Decision.Wait();
-
   /** Weight of a late attempt, relative to a failure. */
   private static final double LATE_WEIGHT = 0.5;
 
@@ -54,13 +52,13 @@
     failures.recordSilence(attempt, LATE_WEIGHT, now);
     recordWait(request, attempt, now);
     if (!mayRetry(request, now) || !isObjectiveReachable(request, now)) {
-      return WAIT;
+      return Decision.WAIT;
     }
     if (settings.hedgingAllowed()) {
-      return planner.next(request, now) instanceof Attempt second ? second : WAIT;
+      return planner.next(request, now) instanceof Attempt second ? second : Decision.WAIT;
     }
     boolean cancel = settings.cancelAllowed() && isSuspected(request, attempt, now);
-    return cancel ? new Decision.Cancel(attempt) : WAIT;
+    return cancel ? new Decision.Cancel(attempt) : Decision.WAIT;
   }
 
   private void recordWait(Request request, Attempt attempt, double now) {
--- a/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
@@ -64,7 +64,7 @@
   void advanceTo(long currentWindow) {
     if (currentWindow > window) {
       popularity = (1 - SMOOTHING) * popularity + SMOOTHING * requestsInWindow / WINDOW_SECONDS;
-      popularity *= Math.pow(1 - SMOOTHING, currentWindow - window - 1);
+      popularity *= Math.pow(1 - SMOOTHING, (double) (currentWindow - window - 1));
       requestsInWindow = 0;
       window = currentWindow;
     }
--- a/policy/src/main/java/tamarindroute/policy/QueuedAttemptCheck.java
+++ b/policy/src/main/java/tamarindroute/policy/QueuedAttemptCheck.java
@@ -37,6 +37,6 @@
     }
     Optional<Duration> maxCopyAge = purges.maxCopyAge(request, now);
     return maxCopyAge.isEmpty()
-        || attempt.maxCopyAge != null && attempt.maxCopyAge.compareTo(maxCopyAge.get()) <= 0;
+        || (attempt.maxCopyAge != null && attempt.maxCopyAge.compareTo(maxCopyAge.get()) <= 0);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
@@ -30,8 +30,6 @@
   /** Part of a cold cache's share that is offered to fronts without requests. */
   private static final double ADVERTISED_SHARE = 0.7;
 
-  private static final Decision WAIT = new Decision.Wait();
-
   private final boolean cancelAllowed;
   private final CacheTiers tiers;
   private final QuotaGrants quotaGrants;
@@ -68,7 +66,7 @@
     }
     Optional<Attempt> late =
         request.attempts.stream().filter(attempt -> attempt.isLate(at)).findFirst();
-    return late.isEmpty() ? WAIT : lateAttempts.onLate(request, late.get(), now);
+    return late.isEmpty() ? Decision.WAIT : lateAttempts.onLate(request, late.get(), now);
   }
 
   private void recordArrival(Request request, double now) {
@@ -87,7 +85,7 @@
     if (outstanding != null && completed && cancelAllowed) {
       return new Decision.Cancel(outstanding);
     }
-    return outstanding != null || completed ? WAIT : planner.next(request, now);
+    return outstanding != null || completed ? Decision.WAIT : planner.next(request, now);
   }
 
   @Override
--- a/policy/src/main/java/tamarindroute/policy/TransferTimes.java
+++ b/policy/src/main/java/tamarindroute/policy/TransferTimes.java
@@ -4,7 +4,6 @@
 import static tamarindroute.numeric.Seconds.toDuration;
 
 import java.util.IdentityHashMap;
-import java.util.Map;
 import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.Request;
 import tamarindroute.decision.RequestClass;
@@ -16,7 +15,8 @@
 final class TransferTimes {
 
   private final PolicySettings settings;
-  private final Map<RequestClass, ClassStatistics> statisticsByClass = new IdentityHashMap<>();
+  private final IdentityHashMap<RequestClass, ClassStatistics> statisticsByClass =
+      new IdentityHashMap<>();
 
   TransferTimes(PolicySettings settings) {
     this.settings = settings;
--- a/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.NavigableMap;
 import java.util.PriorityQueue;
 import java.util.Random;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
@@ -125,7 +125,7 @@
 
   /** Runs until every request is past its deadline. */
   void run() {
-    TreeMap<Double, Consumer<CapacitySimulation>> events = plan.events();
+    NavigableMap<Double, Consumer<CapacitySimulation>> events = plan.events();
     double nextArrival = 0;
     double publishedAt = 0;
     double end = plan.seconds() + SimulatedWorkload.MAX_TIMEOUT + MARGIN;
--- a/policy/src/test/java/tamarindroute/policy/ColdStartFleet.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartFleet.java
@@ -241,7 +241,7 @@
     boolean lookup = attempt.source == attempt.cache;
     double drawn = random.nextDouble();
     boolean sent = drawn >= unsentShare;
-    boolean hit = lookup || hot && drawn > 1 - HOT_FILL_SHARE;
+    boolean hit = lookup || (hot && drawn > 1 - HOT_FILL_SHARE);
     Result result = result(sent, drawn, lookup && !hot);
     boolean served = result == Result.SERVED;
     Detail servedDetail = hit ? Detail.HIT : Detail.FILLED;
--- a/policy/src/test/java/tamarindroute/policy/Scenario.java
+++ b/policy/src/test/java/tamarindroute/policy/Scenario.java
@@ -42,11 +42,11 @@
    */
   void play(List<String> lines) {
     for (String line : lines) {
-      String[] parts = line.replaceAll("#.*", "").strip().split(" times ");
+      String[] parts = line.replaceAll("#.*", "").strip().split(" times ", -1);
       int repetitions = parts.length > 1 ? Integer.parseInt(parts[0]) : 1;
       String steps = parts[parts.length - 1];
       for (int n = 1; n <= repetitions; n++) {
-        for (String step : steps.split("; ")) {
+        for (String step : steps.split("; ", -1)) {
           play(ScenarioStep.parse(step.replace("$", "" + n)));
         }
       }
--- a/policy/src/test/java/tamarindroute/policy/ScenarioStep.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioStep.java
@@ -23,7 +23,7 @@
   private ScenarioStep(String text, Optional<String> expectation) {
     this.text = text;
     this.expectation = expectation;
-    this.words = Arrays.asList(text.split("\\s+"));
+    this.words = Arrays.asList(text.split("\\s+", -1));
     for (String word : words) {
       int equals = word.indexOf('=');
       if (equals >= 0) {
@@ -34,7 +34,7 @@
 
   /** Parses {@code STEP} or {@code STEP -> EXPECTATION}. */
   static ScenarioStep parse(String step) {
-    String[] parts = step.split(" -> ");
+    String[] parts = step.split(" -> ", -1);
     return new ScenarioStep(parts[0], parts.length > 1 ? Optional.of(parts[1]) : Optional.empty());
   }
 
--- a/policy/src/test/java/tamarindroute/policy/ScenarioValues.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioValues.java
@@ -50,7 +50,7 @@
 
   /** INITIAL-CAPACITY/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
   private static PolicySettings.ColdStart coldStart(String text) {
-    String[] parts = text.split("/");
+    String[] parts = text.split("/", -1);
     return new PolicySettings.ColdStart(
         Double.parseDouble(parts[0]),
         Duration.ofMillis(Long.parseLong(parts[1])),
--- a/policy/src/test/java/tamarindroute/policy/SimulatedLocation.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedLocation.java
@@ -5,7 +5,6 @@
 import java.util.Collection;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Cache;
@@ -40,7 +39,7 @@
   private final SimulationPlan plan;
   private final List<Cache> caches = new ArrayList<>();
   private final List<SimulatedCache> edges = new ArrayList<>();
-  private final Map<Cache, SimulatedCache> byCache = new IdentityHashMap<>();
+  private final IdentityHashMap<Cache, SimulatedCache> byCache = new IdentityHashMap<>();
   private final double inboundLinkCapacity;
   private boolean originFailing;
 
--- a/policy/src/test/java/tamarindroute/policy/SimulatedReports.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedReports.java
@@ -22,7 +22,7 @@
     boolean served = result == Result.SERVED;
     boolean all = plan.reportedDetails() == SimulationPlan.ReportedDetails.ALL;
     boolean hits = plan.reportedDetails() == SimulationPlan.ReportedDetails.HIT;
-    boolean detailReported = all || hits && served;
+    boolean detailReported = all || (hits && served);
     boolean waitReported = all && served && transfer.isFill();
     Duration wait = waitReported ? Seconds.toDuration(transfer.fate().delay()) : null;
     return new Outcome(
--- a/policy/src/test/java/tamarindroute/policy/SimulationPlan.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulationPlan.java
@@ -1,5 +1,6 @@
 package tamarindroute.policy;
 
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
@@ -131,7 +132,7 @@
     return edgeCapacities;
   }
 
-  TreeMap<Double, Consumer<CapacitySimulation>> events() {
+  NavigableMap<Double, Consumer<CapacitySimulation>> events() {
     return new TreeMap<>(events);
   }
 
--- a/policy/src/test/java/tamarindroute/policy/SimulationResult.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulationResult.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Predicate;
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Request;
@@ -24,7 +23,7 @@
   }
 
   private final List<SimulatedRequest> requests = new ArrayList<>();
-  private final Map<SimulatedRequest, Ending> endings = new IdentityHashMap<>();
+  private final IdentityHashMap<SimulatedRequest, Ending> endings = new IdentityHashMap<>();
 
   private int attemptsInOtherCell;
   private int attemptsInSameCell;
