--- a/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
@@ -115,7 +115,7 @@
 
   @Override
   public void onQuotaGrant(Cache.Tier tier, double share, Duration expiresAt, Duration now) {
-    // What has accrued by now does so by the previous grant.
+    // Until now tokens accrue at the rate of the previous grant.
     tiers.all(tier).forEach(state -> state.slowStart().accrue(seconds(now)));
     quotaGrants.put(tier, new QuotaGrant(Math.max(0, Math.min(1, share)), seconds(expiresAt)));
   }
