--- a/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
@@ -6,35 +6,14 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
 /**
- * Applies commands to views, within fixed limits. Pure and deterministic: every voter and every
- * member computes the same result.
+ * Applies commands to views, within {@link ViewLimits}. Pure and deterministic: every voter and
+ * every member computes the same result.
  */
 public final class ViewTransitions {
 
-  /** Largest number of members. */
-  public static final int MAX_MEMBERS = 5_000;
-
-  /** Largest number of voters. Each commit waits for a majority of them. */
-  public static final int MAX_VOTERS = 7;
-
-  /** Largest number of entries. */
-  public static final int MAX_ENTRIES = 4_096;
-
-  /** Largest size of one entry's value, in bytes. */
-  public static final int MAX_VALUE_BYTES = 16 * 1024;
-
-  /** Largest size of all entries' values together, in bytes. */
-  public static final int MAX_TOTAL_VALUE_BYTES = 1024 * 1024;
-
-  /** Largest length of a key, type or host name, in characters. */
-  public static final int MAX_NAME_LENGTH = 128;
-
-  private static final int MAX_PORT = 0xffff;
-
   /**
    * Result of applying a command.
    *
@@ -56,7 +35,7 @@
 
   /** Applies a command to a view. */
   public static Transition apply(MembershipView view, Command command) {
-    Optional<String> violation = findViolation(command);
+    Optional<String> violation = ViewLimits.findViolation(command);
     if (violation.isPresent()) {
       return new Transition(view, violation);
     }
@@ -75,74 +54,6 @@
     return Transition.applied(view);
   }
 
-  /**
-   * Returns which limit a command violates, whatever view it is applied to; empty if none. Checked
-   * before a command is proposed, and again when it is decoded or applied.
-   */
-  public static Optional<String> findViolation(Command command) {
-    if (command instanceof Command.MembershipChange change) {
-      return findChangeViolation(change);
-    }
-    if (command instanceof Command.Put put) {
-      return findPutViolation(put);
-    }
-    if (command instanceof Command.Remove remove) {
-      return findNameViolation("key", remove.key());
-    }
-    if (command instanceof Command.SetVoters setVoters) {
-      return findVotersViolation(setVoters);
-    }
-    return Optional.empty();
-  }
-
-  private static Optional<String> findChangeViolation(Command.MembershipChange change) {
-    int changes = change.removed().size() + change.added().size();
-    if (changes > 2 * MAX_MEMBERS) {
-      return Optional.of(
-          "membership change of " + changes + " members, at most " + 2 * MAX_MEMBERS + " allowed");
-    }
-    return findAddressViolation(change.removed()).or(() -> findAddressViolation(change.added()));
-  }
-
-  private static Optional<String> findPutViolation(Command.Put put) {
-    int bytes = put.value().length;
-    if (bytes > MAX_VALUE_BYTES) {
-      return Optional.of("value of " + bytes + " bytes, at most " + MAX_VALUE_BYTES + " allowed");
-    }
-    return findNameViolation("key", put.key()).or(() -> findNameViolation("type", put.type()));
-  }
-
-  private static Optional<String> findVotersViolation(Command.SetVoters setVoters) {
-    int voters = setVoters.voters().size();
-    if (voters == 0 || voters > MAX_VOTERS) {
-      return Optional.of(voters + " voters, 1 to " + MAX_VOTERS + " allowed");
-    }
-    return findAddressViolation(setVoters.voters());
-  }
-
-  private static Optional<String> findNameViolation(String what, String name) {
-    int length = name.length();
-    return length > 0 && length <= MAX_NAME_LENGTH
-        ? Optional.empty()
-        : Optional.of(what + " of " + length + " characters, 1 to " + MAX_NAME_LENGTH + " allowed");
-  }
-
-  private static Optional<String> findAddressViolation(List<Member> members) {
-    return members.stream()
-        .map(member -> findViolation(member.address()))
-        .flatMap(Optional::stream)
-        .findFirst();
-  }
-
-  /** Returns which limit a member's address violates; empty if none. */
-  public static Optional<String> findViolation(Address address) {
-    int port = address.port();
-    if (port < 0 || port > MAX_PORT) {
-      return Optional.of("port " + port + ", 0 to " + MAX_PORT + " allowed");
-    }
-    return findNameViolation("host", address.host());
-  }
-
   private static Transition changeMembers(MembershipView view, Command.MembershipChange change) {
     if (change.baseNumber() != view.number()) {
       return outdated(view, "membership change", change.baseNumber(), view.number());
@@ -154,9 +65,9 @@
     members.addAll(view.members());
     change.removed().forEach(members::remove);
     members.addAll(change.added());
-    if (members.size() > MAX_MEMBERS) {
+    if (members.size() > ViewLimits.MAX_MEMBERS) {
       return Transition.rejected(
-          view, members.size() + " members, at most " + MAX_MEMBERS + " allowed");
+          view, members.size() + " members, at most " + ViewLimits.MAX_MEMBERS + " allowed");
     }
     if (members.stream().map(Member::address).distinct().count() < members.size()) {
       return Transition.rejected(view, "two incarnations at one address");
@@ -175,15 +86,19 @@
     }
     SortedMap<String, ReplicatedEntry> entries = new TreeMap<>(view.entries());
     entries.put(put.key(), new ReplicatedEntry(put.type(), put.value(), view.number() + 1));
-    if (entries.size() > MAX_ENTRIES) {
+    if (entries.size() > ViewLimits.MAX_ENTRIES) {
       return Transition.rejected(
-          view, entries.size() + " entries, at most " + MAX_ENTRIES + " allowed");
+          view, entries.size() + " entries, at most " + ViewLimits.MAX_ENTRIES + " allowed");
     }
     int totalBytes = entries.values().stream().mapToInt(ReplicatedEntry::size).sum();
-    if (totalBytes > MAX_TOTAL_VALUE_BYTES) {
+    if (totalBytes > ViewLimits.MAX_TOTAL_VALUE_BYTES) {
       return Transition.rejected(
           view,
-          "entries of " + totalBytes + " bytes, at most " + MAX_TOTAL_VALUE_BYTES + " allowed");
+          "entries of "
+              + totalBytes
+              + " bytes, at most "
+              + ViewLimits.MAX_TOTAL_VALUE_BYTES
+              + " allowed");
     }
     return nextView(view, view.members(), view.voters(), entries);
   }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftModelCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftModelCodec.java
@@ -13,7 +13,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import tamarindroute.agreement.Command;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.proto.GroupChangeProto;
 import tamarindroute.agreement.proto.GroupProto;
 import tamarindroute.agreement.proto.LogEntryProto;
@@ -39,7 +39,7 @@
       AgreementMessageCodec.MAX_MESSAGE_BYTES / MAX_CHUNK_BYTES + 1;
 
   /** All voters, and one member each that is being added and removed. */
-  private static final int MAX_GROUP_MEMBERS = ViewTransitions.MAX_VOTERS + 2;
+  private static final int MAX_GROUP_MEMBERS = ViewLimits.MAX_VOTERS + 2;
 
   private RaftModelCodec() {}
 
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftOperations.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftOperations.java
@@ -14,6 +14,7 @@
 import tamarindroute.agreement.Agreement.ProposalStatus;
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.agreement.wire.ViewCodec;
 import tamarindroute.membership.Member;
@@ -61,7 +62,7 @@
   }
 
   private static Optional<String> findViolation(Command command) {
-    Optional<String> violation = ViewTransitions.findViolation(command);
+    Optional<String> violation = ViewLimits.findViolation(command);
     if (violation.isPresent()) {
       return violation;
     }
@@ -120,8 +121,8 @@
       onResult.accept(result(ProposalStatus.COMMITTED, "", leader()));
     } else if (!add) {
       changeMembership(endpoint, MembershipChangeMode.REMOVE_MEMBER, onResult);
-    } else if (committed.getVotingMembers().size() >= ViewTransitions.MAX_VOTERS) {
-      String reason = "group already has " + ViewTransitions.MAX_VOTERS + " voters";
+    } else if (committed.getVotingMembers().size() >= ViewLimits.MAX_VOTERS) {
+      String reason = "group already has " + ViewLimits.MAX_VOTERS + " voters";
       onResult.accept(result(ProposalStatus.REJECTED, reason, leader()));
     } else if (isMember) {
       promote(endpoint, onResult);
--- a/agreement/src/main/java/tamarindroute/agreement/raft/StoredRaftState.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/StoredRaftState.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.TreeMap;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.proto.BootstrapOfferProto;
 import tamarindroute.agreement.proto.GroupProto;
 import tamarindroute.agreement.proto.StoreRecordProto;
@@ -131,7 +131,7 @@
 
   /** Returns the founders that this voter has pledged to; empty if none. */
   List<Member> pledgedFounders() {
-    return ViewCodec.fromProto(pledge.getPledgedFoundersList(), ViewTransitions.MAX_VOTERS);
+    return ViewCodec.fromProto(pledge.getPledgedFoundersList(), ViewLimits.MAX_VOTERS);
   }
 
   /** Returns the state to restart MicroRaft from. Requires a group. */
--- a/agreement/src/main/java/tamarindroute/agreement/wire/AgreementMessageCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/AgreementMessageCodec.java
@@ -9,8 +9,8 @@
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.agreement.ViewLease;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.ViewResponse;
-import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.agreement.proto.BootstrapOfferProto;
 import tamarindroute.agreement.proto.EnvelopeProto;
 import tamarindroute.agreement.proto.ProposalProto;
@@ -200,7 +200,7 @@
 
   private static DecodedMessage.BootstrapOffer decode(BootstrapOfferProto offer) {
     List<Member> pledgedFounders =
-        ViewCodec.fromProto(offer.getPledgedFoundersList(), ViewTransitions.MAX_VOTERS);
+        ViewCodec.fromProto(offer.getPledgedFoundersList(), ViewLimits.MAX_VOTERS);
     return new DecodedMessage.BootstrapOffer(
         ViewCodec.fromProto(offer.getSelf()), pledgedFounders, offer.getFounded());
   }
--- a/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
@@ -9,7 +9,7 @@
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.agreement.ReplicatedEntry;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.proto.CommandProto;
 import tamarindroute.agreement.proto.EntryProto;
 import tamarindroute.agreement.proto.MemberProto;
@@ -19,7 +19,7 @@
 
 /**
  * Converts members, commands and views to Protocol Buffers and back. Reading throws {@link
- * InvalidMessageException} if a value exceeds a limit of {@link ViewTransitions}.
+ * InvalidMessageException} if a value exceeds a limit of {@link ViewLimits}.
  */
 public final class ViewCodec {
 
@@ -40,7 +40,7 @@
   /** Reads a member. */
   public static Member fromProto(MemberProto proto) {
     Address address = new Address(proto.getHost(), proto.getPort());
-    requireNone(ViewTransitions.findViolation(address));
+    requireNone(ViewLimits.findViolation(address));
     return new Member(address, proto.getIncarnation());
   }
 
@@ -86,19 +86,19 @@
           case MEMBERSHIP_CHANGE ->
               new Command.MembershipChange(
                   baseNumber,
-                  fromProto(proto.getRemovedList(), ViewTransitions.MAX_MEMBERS),
-                  fromProto(proto.getAddedList(), ViewTransitions.MAX_MEMBERS));
+                  fromProto(proto.getRemovedList(), ViewLimits.MAX_MEMBERS),
+                  fromProto(proto.getAddedList(), ViewLimits.MAX_MEMBERS));
           case PUT ->
               new Command.Put(
                   proto.getKey(), baseNumber, proto.getType(), proto.getValue().toByteArray());
           case REMOVE -> new Command.Remove(proto.getKey(), baseNumber);
           case SET_VOTERS ->
               new Command.SetVoters(
-                  baseNumber, fromProto(proto.getAddedList(), ViewTransitions.MAX_VOTERS));
+                  baseNumber, fromProto(proto.getAddedList(), ViewLimits.MAX_VOTERS));
           case UNRECOGNIZED ->
               throw new InvalidMessageException("unknown command kind " + proto.getKindValue());
         };
-    requireNone(ViewTransitions.findViolation(command));
+    requireNone(ViewLimits.findViolation(command));
     return command;
   }
 
@@ -133,28 +133,26 @@
         proto.getGroupId(),
         proto.getNumber(),
         proto.getLastRemovalNumber(),
-        fromProto(proto.getMembersList(), ViewTransitions.MAX_MEMBERS),
-        fromProto(proto.getVotersList(), ViewTransitions.MAX_VOTERS),
+        fromProto(proto.getMembersList(), ViewLimits.MAX_MEMBERS),
+        fromProto(proto.getVotersList(), ViewLimits.MAX_VOTERS),
         entriesFromProto(proto.getEntriesList()));
   }
 
   private static SortedMap<String, ReplicatedEntry> entriesFromProto(List<EntryProto> protos) {
-    requireAtMost(protos.size(), ViewTransitions.MAX_ENTRIES, "entries");
+    requireAtMost(protos.size(), ViewLimits.MAX_ENTRIES, "entries");
     SortedMap<String, ReplicatedEntry> entries = new TreeMap<>();
     int totalBytes = 0;
     for (EntryProto proto : protos) {
-      requireAtMost(
-          proto.getKey().length(), ViewTransitions.MAX_NAME_LENGTH, "characters of a key");
-      requireAtMost(
-          proto.getType().length(), ViewTransitions.MAX_NAME_LENGTH, "characters of a type");
-      requireAtMost(proto.getValue().size(), ViewTransitions.MAX_VALUE_BYTES, "bytes of a value");
+      requireAtMost(proto.getKey().length(), ViewLimits.MAX_NAME_LENGTH, "characters of a key");
+      requireAtMost(proto.getType().length(), ViewLimits.MAX_NAME_LENGTH, "characters of a type");
+      requireAtMost(proto.getValue().size(), ViewLimits.MAX_VALUE_BYTES, "bytes of a value");
       totalBytes += proto.getValue().size();
       entries.put(
           proto.getKey(),
           new ReplicatedEntry(
               proto.getType(), proto.getValue().toByteArray(), proto.getLastChangedNumber()));
     }
-    requireAtMost(totalBytes, ViewTransitions.MAX_TOTAL_VALUE_BYTES, "bytes of all values");
+    requireAtMost(totalBytes, ViewLimits.MAX_TOTAL_VALUE_BYTES, "bytes of all values");
     return entries;
   }
 
--- a/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
@@ -88,7 +88,7 @@
   void limitsAreEnforced() {
     MembershipView view = MembershipView.initial(1);
     List<Member> tooMany =
-        IntStream.rangeClosed(0, ViewTransitions.MAX_MEMBERS)
+        IntStream.rangeClosed(0, ViewLimits.MAX_MEMBERS)
             .mapToObj(i -> new Member(new Address("h" + i, 1), 1))
             .toList();
     assertThat(
@@ -100,12 +100,11 @@
                 view,
                 new Command.MembershipChange(0, List.of(), tooMany.subList(1, tooMany.size())))
             .view();
-    assertThat(full.members()).hasSize(ViewTransitions.MAX_MEMBERS);
-    byte[] large = new byte[ViewTransitions.MAX_VALUE_BYTES];
+    assertThat(full.members()).hasSize(ViewLimits.MAX_MEMBERS);
+    byte[] large = new byte[ViewLimits.MAX_VALUE_BYTES];
     assertThat(
             ViewTransitions.apply(
-                    view,
-                    new Command.Put("a", 0, "t", new byte[ViewTransitions.MAX_VALUE_BYTES + 1]))
+                    view, new Command.Put("a", 0, "t", new byte[ViewLimits.MAX_VALUE_BYTES + 1]))
                 .rejection())
         .isPresent();
     MembershipView filled = view;
@@ -116,7 +115,6 @@
       filled = ViewTransitions.apply(filled, new Command.Put("k" + entries, 0, "t", large)).view();
       entries++;
     }
-    assertThat(entries)
-        .isEqualTo(ViewTransitions.MAX_TOTAL_VALUE_BYTES / ViewTransitions.MAX_VALUE_BYTES);
+    assertThat(entries).isEqualTo(ViewLimits.MAX_TOTAL_VALUE_BYTES / ViewLimits.MAX_VALUE_BYTES);
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
@@ -19,8 +19,8 @@
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.agreement.ReplicatedEntry;
 import tamarindroute.agreement.ViewLease;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.agreement.ViewResponse;
-import tamarindroute.agreement.ViewTransitions;
 import tamarindroute.agreement.proto.CommandProto;
 import tamarindroute.agreement.proto.EnvelopeProto;
 import tamarindroute.agreement.proto.ProposalProto;
@@ -104,7 +104,7 @@
             .setKind(CommandProto.Kind.PUT)
             .setKey("k")
             .setType("t")
-            .setValue(ByteString.copyFrom(new byte[ViewTransitions.MAX_VALUE_BYTES + 1]))
+            .setValue(ByteString.copyFrom(new byte[ViewLimits.MAX_VALUE_BYTES + 1]))
             .build();
     assertThat(
             DecodedMessage.decode(
@@ -134,18 +134,18 @@
   /** A view at all its limits fits in one message. */
   @Test
   void largestViewFitsInOneMessage() {
-    String name = "x".repeat(ViewTransitions.MAX_NAME_LENGTH - 5);
+    String name = "x".repeat(ViewLimits.MAX_NAME_LENGTH - 5);
     List<Member> members =
-        IntStream.range(0, ViewTransitions.MAX_MEMBERS)
+        IntStream.range(0, ViewLimits.MAX_MEMBERS)
             .mapToObj(i -> new Member(new Address(name + i, 65_000), Long.MAX_VALUE))
             .toList();
     TreeMap<String, ReplicatedEntry> entries = new TreeMap<>();
-    for (int i = 0; i < ViewTransitions.MAX_ENTRIES; i++) {
+    for (int i = 0; i < ViewLimits.MAX_ENTRIES; i++) {
       entries.put(
           name + i,
           new ReplicatedEntry(
               name,
-              new byte[ViewTransitions.MAX_TOTAL_VALUE_BYTES / ViewTransitions.MAX_ENTRIES],
+              new byte[ViewLimits.MAX_TOTAL_VALUE_BYTES / ViewLimits.MAX_ENTRIES],
               Long.MAX_VALUE));
     }
     MembershipView view =
--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
@@ -122,7 +122,7 @@
     Comparator<Member> order =
         Comparator.comparing(Member::address).thenComparingLong(Member::incarnation);
     List<Member> removed = ripe.stream().filter(view::contains).sorted(order).toList();
-    int freeSlots = ViewTransitions.MAX_MEMBERS - view.members().size() + removed.size();
+    int freeSlots = ViewLimits.MAX_MEMBERS - view.members().size() + removed.size();
     return new Command.MembershipChange(
         view.number(),
         removed,
