--- a/agreement/src/test/java/tamarindroute/agreement/BootstrapTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/BootstrapTest.java
@@ -29,7 +29,7 @@
    * store at any time: no two different groups that were ever established share a founder.
    */
   @Property(seed = "32", tries = 2_000)
-  void atMostOneGroupEverReachesQuorum(
+  void establishedGroupsShareNoFounder(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> actions) {
     List<Bootstrap> voters = new ArrayList<>();
     IntStream.range(0, 3).forEach(i -> voters.add(started(i, 1)));
--- a/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
@@ -77,11 +77,11 @@
     for (Command command : commands) {
       view = ViewTransitions.apply(view, command).view();
     }
-    Command.Put one = new Command.Put("a", view.baseNumber("a"), "t", new byte[] {7});
+    Command.Put first = new Command.Put("a", view.baseNumber("a"), "t", new byte[] {7});
     Command.Put other = new Command.Put("a", view.baseNumber("a"), "t", new byte[] {8});
-    ViewTransitions.Transition first = ViewTransitions.apply(view, one);
-    assertThat(first.rejection()).isEmpty();
-    assertThat(ViewTransitions.apply(first.view(), other).rejection()).isPresent();
+    ViewTransitions.Transition transition = ViewTransitions.apply(view, first);
+    assertThat(transition.rejection()).isEmpty();
+    assertThat(ViewTransitions.apply(transition.view(), other).rejection()).isPresent();
   }
 
   @Test
