--- a/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
@@ -5,6 +5,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.Example;
@@ -43,27 +44,10 @@
     List<Arrival> arrivals = new ArrayList<>();
     List<byte[]> sent = new ArrayList<>();
     for (int sender = 0; sender < 3; sender++) {
-      FragmentSendQueue sendQueue = new FragmentSendQueue();
-      for (int i = 0; i < 4; i++) {
-        byte[] message = message(random, 1 + random.nextInt(6 * MessageFragmenter.FRAGMENT_BYTES));
-        sent.add(message);
-        for (FragmentSendQueue.Fragment fragment : sendQueue.enqueue(TO, message)) {
-          arrivals.add(new Arrival(sender(sender), fragment.bytes()));
-        }
-      }
-      while (!sendQueue.isEmpty()) {
-        for (FragmentSendQueue.Fragment fragment : sendQueue.nextBatch()) {
-          arrivals.add(new Arrival(sender(sender), fragment.bytes()));
-        }
-      }
+      sendMessages(sender(sender), random, sent, arrivals);
     }
     arrivals.removeIf(arrival -> random.nextInt(100) < loss);
-    // Out of order by up to twenty places.
-    for (int i = 0; i + 20 < arrivals.size(); i++) {
-      int other = i + random.nextInt(20);
-      Arrival moved = arrivals.set(i, arrivals.get(other));
-      arrivals.set(other, moved);
-    }
+    reorder(arrivals, random);
     FragmentReassembler reassembler = new FragmentReassembler();
     List<byte[]> received = new ArrayList<>();
     for (Arrival arrival : arrivals) {
@@ -82,6 +66,30 @@
     }
   }
 
+  private static void sendMessages(
+      Member sender, Random random, List<byte[]> sent, List<Arrival> arrivals) {
+    FragmentSendQueue sendQueue = new FragmentSendQueue();
+    for (int i = 0; i < 4; i++) {
+      byte[] message = message(random, 1 + random.nextInt(6 * MessageFragmenter.FRAGMENT_BYTES));
+      sent.add(message);
+      for (FragmentSendQueue.Fragment fragment : sendQueue.enqueue(TO, message)) {
+        arrivals.add(new Arrival(sender, fragment.bytes()));
+      }
+    }
+    while (!sendQueue.isEmpty()) {
+      for (FragmentSendQueue.Fragment fragment : sendQueue.nextBatch()) {
+        arrivals.add(new Arrival(sender, fragment.bytes()));
+      }
+    }
+  }
+
+  /** Moves arrivals by up to twenty positions. */
+  private static void reorder(List<Arrival> arrivals, Random random) {
+    for (int i = 0; i + 20 < arrivals.size(); i++) {
+      Collections.swap(arrivals, i, i + random.nextInt(20));
+    }
+  }
+
   /** Of random bytes and of messages that are never completed. */
   @Property(seed = "29", tries = 20)
   void bufferedFragmentsAreBounded(@ForAll @IntRange(max = 1 << 30) int seed) {
--- a/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
@@ -54,6 +54,11 @@
     simulator.loss = 0;
     simulator.run(Duration.ofSeconds(25));
     assertThat(checker.violations).isEmpty();
+    assertAllAgree(simulator);
+  }
+
+  private static void assertAllAgree(MembershipSimulator simulator) {
+    int count = simulator.nodes.size();
     for (int observer = 0; observer < count; observer++) {
       assertThat(simulator.nodes.get(observer).membership.liveMembers())
           .as("at %d", observer)
