--- a/cli/src/main/java/tamarindroute/cli/package-info.java
+++ b/cli/src/main/java/tamarindroute/cli/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns the command line: its words, its help, its exit codes. It must never do a command's work
- * itself, nor be on the way of a gateway of the operators' platform.
+ * The command line: subcommands with their options, help and exit codes, each a class of its own.
+ * The work is done by the gateway, the name server and the other services; a gateway that the
+ * platform starts does not load this package.
  */
 package tamarindroute.cli;
--- a/cli/src/main/java/tamarindroute/start/package-info.java
+++ b/cli/src/main/java/tamarindroute/start/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns what `Main` and the command line share: the exit codes and the run of the platform's two
- * commands. It must never use the libraries of the command line, nor know who starts it.
+ * What {@code Main} and the command line share: the exit codes and the launch of the platform's two
+ * services. Uses none of the command line's libraries, for which a small gateway has no memory.
  */
 package tamarindroute.start;
