--- a/net/src/main/java/tamarindroute/net/BoundedAcceptor.java
+++ b/net/src/main/java/tamarindroute/net/BoundedAcceptor.java
@@ -9,8 +9,8 @@
 
 /**
  * MINA's acceptor with a bound on accepted connections. It has a thread of its own, which in a rush
- * of clients is far ahead of the owner's and would use up all file descriptors; connections beyond
- * the bound are closed at once.
+ * of clients is far ahead of the event loop and would use up all file descriptors; connections
+ * beyond the bound are closed at once.
  */
 final class BoundedAcceptor extends NioSocketAcceptor {
 
--- a/net/src/main/java/tamarindroute/net/CacheConnectionPool.java
+++ b/net/src/main/java/tamarindroute/net/CacheConnectionPool.java
@@ -48,7 +48,7 @@
    * Creates a pool without connections.
    *
    * @param transport that opens connections
-   * @param scheduler the owner's thread
+   * @param scheduler the event loop
    * @param cacheId for the log
    * @param address of the cache
    * @param limits for the connections
--- a/net/src/main/java/tamarindroute/net/CacheResponseReader.java
+++ b/net/src/main/java/tamarindroute/net/CacheResponseReader.java
@@ -72,7 +72,7 @@
    *
    * @param pendingRequests by their ids; kept up to date by the connection
    * @param settledIds of the connection's former requests
-   * @param scheduler the owner's thread
+   * @param scheduler the event loop
    * @param stallTimeout for a response to continue: the time within which a healthy cache accepts a
    *     connection
    * @param cacheId for the log
--- a/net/src/main/java/tamarindroute/net/ClientConnections.java
+++ b/net/src/main/java/tamarindroute/net/ClientConnections.java
@@ -9,7 +9,7 @@
 
 /**
  * The connections that clients opened: admits them up to a limit, and drains them at the end.
- * Confined to the owner's thread, except for the counts of sessions, which MINA's threads keep.
+ * Confined to the event loop, except for the counts of sessions, which MINA's threads keep.
  */
 final class ClientConnections {
 
@@ -147,7 +147,7 @@
   }
 
   /**
-   * Tells all clients that no more are accepted.
+   * Informs all clients that no more are accepted.
    *
    * @param listener run once, when the last session has ended
    */
--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -11,8 +11,8 @@
 import tamarindroute.log.Log;
 
 /**
- * One TCP connection. Confined to the owner's thread, except for the methods marked as called on
- * MINA's thread and the volatile fields that these share.
+ * One TCP connection. Confined to the event loop, except for the methods marked as called on MINA's
+ * thread and the volatile fields that these share.
  */
 public final class Connection {
 
@@ -71,8 +71,8 @@
   }
 
   /** Makes this the connection of the session. */
-  void attachTo(IoSession owner) {
-    owner.setAttribute(SESSION_ATTRIBUTE, this);
+  void attachTo(IoSession target) {
+    target.setAttribute(SESSION_ATTRIBUTE, this);
   }
 
   IoSession session() {
@@ -207,7 +207,7 @@
     session.closeNow();
   }
 
-  /** Discards all that is received from now on, without work for the owner's thread. */
+  /** Discards all that is received from now on, without work for the event loop. */
   public void discard() {
     discarding = true;
   }
@@ -279,7 +279,7 @@
     return true;
   }
 
-  /** On MINA's thread, before received bytes are handed over to the owner's thread. */
+  /** On MINA's thread, before received bytes are handed over to the event loop. */
   void throttleReads(IoSession source) {
     inbound.beforeHandOver(source);
   }
--- a/net/src/main/java/tamarindroute/net/ConnectionHandler.java
+++ b/net/src/main/java/tamarindroute/net/ConnectionHandler.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 
-/** Handles the events of one connection. Called on the owner's thread, which it must not block. */
+/** Handles the events of one connection. Called on the event loop, which it must not block. */
 public interface ConnectionHandler {
 
   /** The connection is established. */
--- a/net/src/main/java/tamarindroute/net/ControlFeedClient.java
+++ b/net/src/main/java/tamarindroute/net/ControlFeedClient.java
@@ -65,7 +65,7 @@
    * Creates a client that is not connected yet.
    *
    * @param transport that opens connections
-   * @param scheduler the owner's thread
+   * @param scheduler the event loop
    * @param address of the feed
    * @param listener of the events
    * @param seed of the random part of retry delays
--- a/net/src/main/java/tamarindroute/net/DatagramQueries.java
+++ b/net/src/main/java/tamarindroute/net/DatagramQueries.java
@@ -98,7 +98,7 @@
     }
   }
 
-  /** One query; confined to the owner's thread. */
+  /** One query; confined to the event loop. */
   private final class PendingQuery {
 
     private final DatagramTransport.ReplyHandler handler;
--- a/net/src/main/java/tamarindroute/net/DatagramQueue.java
+++ b/net/src/main/java/tamarindroute/net/DatagramQueue.java
@@ -4,12 +4,10 @@
 import java.util.function.Consumer;
 import org.apache.mina.core.buffer.IoBuffer;
 
-/**
- * Hands received datagrams over to the owner's thread, and drops them while too many wait for it.
- */
+/** Hands received datagrams over to the event loop, and drops them while too many wait for it. */
 final class DatagramQueue {
 
-  /** Some tens of milliseconds of the owner's work; the rest of a flood is dropped. */
+  /** Some tens of milliseconds of the event loop's work; the rest of a flood is dropped. */
   private static final int MAX_QUEUED = 2000;
 
   private final Scheduler scheduler;
@@ -26,8 +24,8 @@
   }
 
   /**
-   * On MINA's thread: copies a datagram and gives it to the consumer on the owner's thread, or
-   * drops it.
+   * On MINA's thread: copies a datagram and gives it to the consumer on the event loop, or drops
+   * it.
    */
   void add(IoBuffer datagram, Consumer<byte[]> consumer) {
     if (!queuePermits.tryAcquire()) {
--- a/net/src/main/java/tamarindroute/net/DatagramTransport.java
+++ b/net/src/main/java/tamarindroute/net/DatagramTransport.java
@@ -13,8 +13,8 @@
 
 /**
  * UDP through MINA: datagrams received on local addresses and replied to from there, and queries
- * from fresh ports. Every datagram is handed over to the owner's thread, or dropped if too many
- * wait for it.
+ * from fresh ports. Every datagram is handed over to the event loop, or dropped if too many wait
+ * for it.
  */
 public final class DatagramTransport {
 
@@ -27,7 +27,7 @@
   /** Holds the datagrams of a pause of some tens of milliseconds. */
   private static final int KERNEL_BUFFER_BYTES = 1 << 20;
 
-  /** Handles the datagrams received on a local address; called on the owner's thread. */
+  /** Handles the datagrams received on a local address; called on the event loop. */
   public interface DatagramHandler {
 
     /**
@@ -42,7 +42,7 @@
         byte[] bytes, InetSocketAddress sender, Duration receivedAt, Consumer<byte[]> reply);
   }
 
-  /** Handles the replies to one query; called on the owner's thread. */
+  /** Handles the replies to one query; called on the event loop. */
   public interface ReplyHandler {
 
     /** A datagram came from the address that the query was sent to. */
@@ -64,7 +64,7 @@
     this.queries = new DatagramQueries(scheduler, queue);
   }
 
-  /** The number of datagrams dropped so far because too many waited for the owner's thread. */
+  /** The number of datagrams dropped so far because too many waited for the event loop. */
   public int dropped() {
     return queue.dropped();
   }
--- a/net/src/main/java/tamarindroute/net/InboundQueue.java
+++ b/net/src/main/java/tamarindroute/net/InboundQueue.java
@@ -8,7 +8,7 @@
 
 /**
  * The bytes of a connection that were received but not consumed by its handler, and the flow
- * control of its reads. Confined to the owner's thread, except for {@link #beforeHandOver} and the
+ * control of its reads. Confined to the event loop, except for {@link #beforeHandOver} and the
  * fields that it shares.
  */
 final class InboundQueue {
@@ -24,7 +24,7 @@
   private final Connection connection;
   private final BufferPool bufferPool;
 
-  /** Counted up on MINA's thread and down on the owner's. */
+  /** Counted up on MINA's thread and down on the event loop. */
   private final AtomicInteger unconsumedCount = new AtomicInteger();
 
   private final ArrayDeque<Read> unconsumed = new ArrayDeque<>();
@@ -65,10 +65,10 @@
   }
 
   /**
-   * Counts a read and suspends reading if there are too many, on MINA's thread: an owner that lags
-   * behind would be too late to stop a flood. The owner counts down and then checks whether reading
-   * is suspended; this counts, suspends and then checks the count again, so that at least one of
-   * them resumes reading.
+   * Counts a read and suspends reading if there are too many, on MINA's thread: an event loop that
+   * lags behind would be too late to stop a flood. The event loop counts down and then checks
+   * whether reading is suspended; this counts, suspends and then checks the count again, so that at
+   * least one of them resumes reading.
    */
   void beforeHandOver(IoSession session) {
     if (unconsumedCount.incrementAndGet() >= maxUnconsumed()) {
--- a/net/src/main/java/tamarindroute/net/LingeringClose.java
+++ b/net/src/main/java/tamarindroute/net/LingeringClose.java
@@ -37,13 +37,13 @@
     this.transport = transport;
   }
 
-  /** Starts the timeout for the unsent bytes; on the owner's thread. */
+  /** Starts the timeout for the unsent bytes; on the event loop. */
   void start() {
     transport.onLingering(connection);
     timer = transport.schedule(FLUSH_TIMEOUT, connection::closeNow);
   }
 
-  /** The connection has ended; on the owner's thread. */
+  /** The connection has ended; on the event loop. */
   void cancelTimer() {
     timer.run();
   }
--- a/net/src/main/java/tamarindroute/net/OutboundBytes.java
+++ b/net/src/main/java/tamarindroute/net/OutboundBytes.java
@@ -8,15 +8,15 @@
 
 /**
  * The bytes that a connection has written, and how many of them were passed to the operating
- * system. Written on the owner's thread; the counts are read on any thread.
+ * system. Written on the event loop; the counts are read on any thread.
  */
 final class OutboundBytes {
 
   private volatile long written;
 
   /**
-   * Counted on whichever thread completes a write: MINA's, or the owner's if that is sooner than
-   * its listener.
+   * Counted on whichever thread completes a write: MINA's, or the event loop's if that is sooner
+   * than its listener.
    */
   private final AtomicLong sent = new AtomicLong();
 
--- a/net/src/main/java/tamarindroute/net/ResponseHandler.java
+++ b/net/src/main/java/tamarindroute/net/ResponseHandler.java
@@ -4,9 +4,9 @@
 import tamarindroute.protocol.CacheResponse;
 
 /**
- * Handles the response to one request to a cache; called on the owner's thread. A response is
- * {@code onResponse}, any number of {@code onBody}, then {@code onComplete}; {@code onFailure} may
- * take the place of any of these and is the last call.
+ * Handles the response to one request to a cache; called on the event loop. A response is {@code
+ * onResponse}, any number of {@code onBody}, then {@code onComplete}; {@code onFailure} may take
+ * the place of any of these and is the last call.
  */
 public interface ResponseHandler {
 
--- a/net/src/main/java/tamarindroute/net/SocketTransport.java
+++ b/net/src/main/java/tamarindroute/net/SocketTransport.java
@@ -20,8 +20,8 @@
 
 /**
  * TCP through MINA: one selector thread for all connections, the listening socket, and outgoing
- * connections. Every event is handed over to the owner's thread. The file descriptors of the
- * process are shared out between clients and caches.
+ * connections. Every event is handed over to the event loop. The file descriptors of the process
+ * are shared out between clients and caches.
  */
 public final class SocketTransport extends IoHandlerAdapter {
 
@@ -52,7 +52,7 @@
   /**
    * Starts MINA's threads.
    *
-   * @param scheduler the owner's thread
+   * @param scheduler the event loop
    * @param bufferPool for reads and writes
    * @param descriptors the number of file descriptors that the process may open
    */
@@ -109,15 +109,14 @@
   }
 
   /**
-   * Closes the listening socket. Blocks for a moment, and so must not be called on the owner's
-   * thread.
+   * Closes the listening socket. Blocks for a moment, and so must not be called on the event loop.
    */
   public void stopListening() {
     acceptor.unbind();
   }
 
   /**
-   * Tells all clients that no more are accepted, after {@link #stopListening}.
+   * Informs all clients that no more are accepted, after {@link #stopListening}.
    *
    * @param listener run once, when the last client's connection has ended completely
    */
--- a/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
@@ -37,9 +37,10 @@
   private static final class AcceleratedScheduler implements Scheduler {
 
     private static final int SPEED_UP = 10;
-    private volatile Thread ownerThread;
+    private volatile Thread eventLoopThread;
     private final ScheduledExecutorService thread =
-        Executors.newSingleThreadScheduledExecutor(task -> ownerThread = new Thread(task, "owner"));
+        Executors.newSingleThreadScheduledExecutor(
+            task -> eventLoopThread = new Thread(task, "owner"));
 
     /** MINA's thread waits for this after each event that it hands over. */
     private volatile CompletableFuture<?> heldBackUntil = CompletableFuture.completedFuture(null);
@@ -52,7 +53,7 @@
     @Override
     public void execute(Runnable task) {
       thread.execute(task);
-      if (Thread.currentThread() != ownerThread) {
+      if (Thread.currentThread() != eventLoopThread) {
         heldBackUntil.completeOnTimeout(null, 5, TimeUnit.SECONDS).join();
       }
     }
@@ -126,7 +127,7 @@
     server.close();
   }
 
-  private <T> T onOwnerThread(Callable<T> task) throws Exception {
+  private <T> T onEventLoop(Callable<T> task) throws Exception {
     return scheduler.thread.submit(task).get(5, TimeUnit.SECONDS);
   }
 
@@ -184,7 +185,7 @@
   @Test
   void fieldsAreEvaluatedWhenTheRequestIsWritten() throws Exception {
     String[] fields = {"ttl=1500"};
-    onOwnerThread(
+    onEventLoop(
         () -> {
           connectionPool.send("1", () -> fields[0], List.of(), 0, new RecordingHandler());
           fields[0] = "ttl=900";
@@ -200,7 +201,7 @@
   void aRequestCancelledWhileOthersAreWrittenIsNotWritten() throws Exception {
     RecordingHandler unwanted = new RecordingHandler();
     unwanted.wanted = false;
-    onOwnerThread(
+    onEventLoop(
         () -> {
           send("1", unwanted);
           unwanted.afterwards = send("2", new RecordingHandler());
@@ -224,7 +225,7 @@
     RecordingHandler first = new RecordingHandler();
     RecordingHandler second = new RecordingHandler();
     first.afterwards = () -> send("2", second);
-    onOwnerThread(() -> send("1", first));
+    onEventLoop(() -> send("1", first));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       scheduler.heldBackUntil = second.failure;
@@ -269,7 +270,7 @@
     RecordingHandler first = new RecordingHandler();
     RecordingHandler second = new RecordingHandler();
     first.afterwards = () -> send("1", second);
-    onOwnerThread(() -> send("1", first));
+    onEventLoop(() -> send("1", first));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       write(cache, responseFrame("1", "NOENT") + responseFrame("1", "NOENT"));
@@ -287,14 +288,14 @@
   void theNextAttemptTakesAnotherConnectionOnlyAtACacheThatRespondedTwice() throws Exception {
     RecordingHandler sane = new RecordingHandler();
     sane.afterwards = () -> send("1", new RecordingHandler());
-    onOwnerThread(() -> send("1", sane));
+    onEventLoop(() -> send("1", sane));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       write(cache, responseFrame("1", "NOENT"));
       readUntil(cache, askFrameEnd("1"));
       RecordingHandler after = new RecordingHandler();
       after.afterwards = () -> send("2", new RecordingHandler());
-      onOwnerThread(() -> send("2", after));
+      onEventLoop(() -> send("2", after));
       readUntil(cache, askFrameEnd("2"));
       write(
           cache,
@@ -313,12 +314,12 @@
     CompletableFuture<Void> up = new CompletableFuture<>();
     RecordingHandler probe = new RecordingHandler();
     probe.afterwards = () -> up.complete(null);
-    onOwnerThread(() -> send("0", probe));
+    onEventLoop(() -> send("0", probe));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("0"));
       write(cache, responseFrame("0", "NOENT"));
       await(up);
-      onOwnerThread(
+      onEventLoop(
           () -> {
             List<IoBuffer> body = List.of(IoBuffer.wrap(new byte[24 * 1024 * 1024]));
             Runnable cancelFirst =
@@ -351,7 +352,7 @@
   @Test
   void aConnectionWithOnlyUnsolicitedResponsesIsClosed() throws Exception {
     RecordingHandler open = new RecordingHandler();
-    onOwnerThread(() -> send("1", open));
+    onEventLoop(() -> send("1", open));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       write(cache, responseFrame("9", "NOENT").repeat(700));
@@ -367,7 +368,7 @@
     RecordingHandler cancelled = new RecordingHandler();
     RecordingHandler behind = new RecordingHandler();
     Runnable[] cancel = new Runnable[1];
-    onOwnerThread(
+    onEventLoop(
         () -> {
           cancel[0] = send("1", cancelled);
           return send("2", behind);
@@ -376,7 +377,7 @@
       readUntil(cache, askFrameEnd("2"));
       write(cache, "*4\r\n$1\r\n1\r\n$3\r\nACK\r\n$1\r\n-\r\n$200000\r\n");
       await(cancelled.status);
-      onOwnerThread(
+      onEventLoop(
           () -> {
             cancel[0].run();
             return null;
--- a/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
+++ b/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
@@ -15,7 +15,7 @@
  */
 final class ActionWriter {
 
-  private static final int LOOK_UP = 80;
+  private static final int LOOKUP = 80;
   private static final int REJECT = 81;
   private static final int FAIL = 82;
   private static final int CANCEL = 83;
@@ -64,8 +64,8 @@
 
   /** Sends an attempt of a request to a cache. */
   void send(int instance, int requestId, Attempt attempt) {
-    if (isPlainLookUp(attempt)) {
-      record(LOOK_UP, instance).putInt(requestId).putInt((int) attempt.cache.stableId);
+    if (isPlainLookup(attempt)) {
+      record(LOOKUP, instance).putInt(requestId).putInt((int) attempt.cache.stableId);
       return;
     }
     record(SEND, instance)
@@ -77,8 +77,8 @@
         .put((byte) attempt.rank);
   }
 
-  /** Whether the attempt asks for the cache's own fresh copy alone. */
-  private static boolean isPlainLookUp(Attempt attempt) {
+  /** Whether the attempt requests the cache's own fresh copy alone. */
+  private static boolean isPlainLookup(Attempt attempt) {
     return attempt.source == attempt.cache
         && attempt.rank == 0
         && attempt.maxCopyAge == null
--- a/router/src/main/java/tamarindroute/wirehost/SimulatedGateway.java
+++ b/router/src/main/java/tamarindroute/wirehost/SimulatedGateway.java
@@ -73,7 +73,7 @@
   }
 
   /**
-   * Handles an event other than the news of the list of caches.
+   * Handles an event other than a change of the list of caches.
    *
    * @param code of the event
    * @param event of this instance
--- a/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
+++ b/threads/src/test/java/tamarindroute/host/TaskQueueRaceTest.java
@@ -103,7 +103,7 @@
   /** This thread is the consumer; two others add tasks, one of them twice. */
   private static void addFromTwoThreads(TaskQueue queue) {
     StringBuilder executionOrder = new StringBuilder();
-    Runnable owner =
+    Runnable consumer =
         () -> {
           while (executionOrder.length() < 3) {
             Runnable task = queue.poll();
@@ -121,7 +121,7 @@
         },
         () ->
             Interleavings.runConcurrently(
-                () -> queue.add(() -> executionOrder.append('c')), owner));
+                () -> queue.add(() -> executionOrder.append('c')), consumer));
     String order = executionOrder.toString();
     require(
         order.indexOf('a') < order.indexOf('b')
