--- a/net/src/main/java/tamarindroute/net/BufferPool.java
+++ b/net/src/main/java/tamarindroute/net/BufferPool.java
@@ -1,6 +1,7 @@
 package tamarindroute.net;
 
 import java.nio.ByteBuffer;
+import java.util.Deque;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -79,6 +80,28 @@
         bytes == null ? ByteBuffer.allocate(BUFFER_BYTES) : bytes.clear(), true);
   }
 
+  /**
+   * Copies bytes into buffers of this pool.
+   *
+   * @param bytes to be consumed completely
+   * @param target that buffers are appended to; its last buffer is filled up first
+   */
+  public void copy(ByteBuffer bytes, Deque<IoBuffer> target) {
+    while (bytes.hasRemaining()) {
+      IoBuffer last = target.peekLast();
+      if (last == null || last.limit() == last.capacity()) {
+        last = acquire();
+        last.limit(0);
+        target.add(last);
+      }
+      int offset = last.limit();
+      int length = Math.min(bytes.remaining(), last.capacity() - offset);
+      last.limit(offset + length);
+      last.buf().put(offset, bytes, bytes.position(), length);
+      bytes.position(bytes.position() + length);
+    }
+  }
+
   /** Takes a buffer back; called once for each acquired one. */
   private void release(ByteBuffer bytes) {
     // Counted in one step: with a separate read of the count, another thread could fill the pool in
--- a/net/src/main/java/tamarindroute/net/CacheConnection.java
+++ b/net/src/main/java/tamarindroute/net/CacheConnection.java
@@ -124,11 +124,11 @@
     ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
     ByteBuffer header =
         CacheProtocol.encodeRequestHeader(id, request.fields().get(), request.bodyLength());
-    Connection.copy(header, transport.bufferPool(), frame);
+    transport.bufferPool().copy(header, frame);
     for (IoBuffer part : request.body()) {
-      Connection.copy(part.buf().duplicate(), transport.bufferPool(), frame);
+      transport.bufferPool().copy(part.buf().duplicate(), frame);
     }
-    Connection.copy(RespWriter.frameTrailer(), transport.bufferPool(), frame);
+    transport.bufferPool().copy(RespWriter.frameTrailer(), frame);
     return frame;
   }
 
--- a/net/src/main/java/tamarindroute/net/ClientConnections.java
+++ b/net/src/main/java/tamarindroute/net/ClientConnections.java
@@ -113,7 +113,7 @@
   }
 
   private boolean evictIdle() {
-    Connection idle = Connection.longestIdle(clients);
+    Connection idle = IdleConnections.longestIdle(clients);
     Log.info(
         "listener-at-capacity",
         clients.size()
--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -4,8 +4,6 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.Collection;
-import java.util.Comparator;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.IoSession;
 import tamarindroute.log.Log;
@@ -62,14 +60,6 @@
     return (Connection) session.getAttribute(SESSION_ATTRIBUTE);
   }
 
-  /** The connection that has been idle for longest; null if all are in use. */
-  static Connection longestIdle(Collection<Connection> connections) {
-    return connections.stream()
-        .filter(connection -> connection.handler.idleSince() != null)
-        .min(Comparator.comparing(connection -> connection.handler.idleSince()))
-        .orElse(null);
-  }
-
   /** Makes this the connection of the session. */
   void attachTo(IoSession target) {
     target.setAttribute(SESSION_ATTRIBUTE, this);
@@ -343,27 +333,4 @@
     transport.onConnectionClosed(this);
     handler.onClosed(reason);
   }
-
-  /**
-   * Copies bytes into pooled buffers.
-   *
-   * @param bytes to be consumed completely
-   * @param bufferPool that buffers are taken from
-   * @param target that they are appended to; its last buffer is filled up first
-   */
-  public static void copy(ByteBuffer bytes, BufferPool bufferPool, ArrayDeque<IoBuffer> target) {
-    while (bytes.hasRemaining()) {
-      IoBuffer last = target.peekLast();
-      if (last == null || last.limit() == last.capacity()) {
-        last = bufferPool.acquire();
-        last.limit(0);
-        target.add(last);
-      }
-      int offset = last.limit();
-      int length = Math.min(bytes.remaining(), last.capacity() - offset);
-      last.limit(offset + length);
-      last.buf().put(offset, bytes, bytes.position(), length);
-      bytes.position(bytes.position() + length);
-    }
-  }
 }
--- /dev/null
+++ b/net/src/main/java/tamarindroute/net/IdleConnections.java
@@ -0,0 +1,18 @@
+package tamarindroute.net;
+
+import java.util.Collection;
+import java.util.Comparator;
+
+/** Selects the connection to close when another one needs its file descriptor. */
+final class IdleConnections {
+
+  private IdleConnections() {}
+
+  /** The connection that has been idle for longest; null if all are in use. */
+  static Connection longestIdle(Collection<Connection> connections) {
+    return connections.stream()
+        .filter(connection -> connection.handler.idleSince() != null)
+        .min(Comparator.comparing(connection -> connection.handler.idleSince()))
+        .orElse(null);
+  }
+}
--- a/net/src/test/java/tamarindroute/net/BufferPoolTest.java
+++ b/net/src/test/java/tamarindroute/net/BufferPoolTest.java
@@ -60,8 +60,8 @@
     }
     ArrayDeque<IoBuffer> copies = new ArrayDeque<>();
     BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
-    Connection.copy(ByteBuffer.wrap(bytes, 0, 7), bufferPool, copies);
-    Connection.copy(ByteBuffer.wrap(bytes, 7, bytes.length - 7), bufferPool, copies);
+    bufferPool.copy(ByteBuffer.wrap(bytes, 0, 7), copies);
+    bufferPool.copy(ByteBuffer.wrap(bytes, 7, bytes.length - 7), copies);
     ByteBuffer all = ByteBuffer.allocate(bytes.length);
     copies.forEach(copy -> all.put(copy.buf()));
     assertThat(copies).hasSize(3);
--- a/net/src/test/java/tamarindroute/net/SentBytesTest.java
+++ b/net/src/test/java/tamarindroute/net/SentBytesTest.java
@@ -84,7 +84,7 @@
                 buffers.add(bufferPool.acquire());
               }
               ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-              Connection.copy(ByteBuffer.wrap(new byte[100]), bufferPool, frame);
+              bufferPool.copy(ByteBuffer.wrap(new byte[100]), frame);
               connection.write(frame);
             });
         reacquired.get(5, TimeUnit.SECONDS);
--- a/net/src/test/java/tamarindroute/net/SocketTransportTest.java
+++ b/net/src/test/java/tamarindroute/net/SocketTransportTest.java
@@ -215,7 +215,7 @@
               .submit(
                   () -> {
                     ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-                    Connection.copy(ByteBuffer.wrap(new byte[240_000]), bufferPool, frame);
+                    bufferPool.copy(ByteBuffer.wrap(new byte[240_000]), frame);
                     connection.write(frame);
                   })
               .get();
--- a/router/src/main/java/tamarindroute/gateway/ClientConnection.java
+++ b/router/src/main/java/tamarindroute/gateway/ClientConnection.java
@@ -167,7 +167,7 @@
   private void addToBody(ByteBuffer part) {
     overCapacity |= !bufferPool.hasCapacity();
     if (!overCapacity) {
-      Connection.copy(part, bufferPool, body);
+      bufferPool.copy(part, body);
     }
   }
 
--- a/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
+++ b/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
@@ -56,7 +56,7 @@
     /** Writes a whole frame. */
     void send(byte[] frame) {
       ArrayDeque<IoBuffer> buffers = new ArrayDeque<>();
-      Connection.copy(ByteBuffer.wrap(frame), bufferPool, buffers);
+      bufferPool.copy(ByteBuffer.wrap(frame), buffers);
       connection.write(buffers);
     }
 
@@ -84,7 +84,7 @@
     void begin(CacheResponse head, int bodyLength) {
       ByteBuffer header =
           ClientProtocol.encodeServedHeader(pending.tag, head.copyTag(), bodyLength);
-      Connection.copy(header, bufferPool, buffers);
+      bufferPool.copy(header, buffers);
       remaining = bodyLength;
     }
 
@@ -95,7 +95,7 @@
      */
     void append(ByteBuffer part, Connection source) {
       int count = part.remaining();
-      Connection.copy(part, bufferPool, buffers);
+      bufferPool.copy(part, buffers);
       remaining -= count;
       if (reserved) {
         reservedBytes -= count;
@@ -116,7 +116,7 @@
             ClientProtocol.encodeNotModified(pending.tag, head.copyTag()));
         return;
       }
-      Connection.copy(RespWriter.frameTrailer(), bufferPool, buffers);
+      bufferPool.copy(RespWriter.frameTrailer(), buffers);
       pending.client.responses.connection.write(buffers);
       releaseReservation();
     }
