--- a/windows/src/main/java/tamarindroute/windows/Range.java
+++ b/windows/src/main/java/tamarindroute/windows/KeyRange.java
@@ -10,8 +10,8 @@
  *     first
  * @param fills the same of parents; the origin comes last where fills may go there
  */
-public record Range(String location, double share, List<Integer> edges, List<Integer> fills) {
-  public Range {
+public record KeyRange(String location, double share, List<Integer> edges, List<Integer> fills) {
+  public KeyRange {
     edges = List.copyOf(edges);
     fills = List.copyOf(fills);
     if (!(share >= 0 && share <= 1)) {
--- a/windows/src/main/java/tamarindroute/windows/Wish.java
+++ b/windows/src/main/java/tamarindroute/windows/MaintenanceRequest.java
@@ -12,9 +12,9 @@
  * @param share the least part of the location's edges, by number, that must have had its window
  * @param length how long each cache is out, its drain included
  * @param latest when the last window must have ended; its caches may still be cold then
- * @param order lower ones are placed first
+ * @param placementOrder lower ones are placed first
  */
-public record Wish(
+public record MaintenanceRequest(
     String id,
     List<String> caches,
     String location,
@@ -22,8 +22,8 @@
     Duration length,
     Duration earliest,
     Duration latest,
-    int order) {
-  public Wish {
+    int placementOrder) {
+  public MaintenanceRequest {
     caches = List.copyOf(caches);
     if (length.isNegative() || length.isZero() || caches.isEmpty() == (location == null)) {
       throw new IllegalArgumentException(
@@ -31,18 +31,18 @@
     }
   }
 
-  public static Wish of(
+  public static MaintenanceRequest forCaches(
       String id, List<String> caches, Duration length, Duration earliest, Duration latest) {
-    return new Wish(id, caches, null, 0, length, earliest, latest, 0);
+    return new MaintenanceRequest(id, caches, null, 0, length, earliest, latest, 0);
   }
 
-  public static Wish share(
+  public static MaintenanceRequest share(
       String id,
       String location,
       double share,
       Duration length,
       Duration earliest,
       Duration latest) {
-    return new Wish(id, List.of(), location, share, length, earliest, latest, 0);
+    return new MaintenanceRequest(id, List.of(), location, share, length, earliest, latest, 0);
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/Entry.java
+++ b/windows/src/main/java/tamarindroute/windows/MaintenanceWindow.java
@@ -11,7 +11,7 @@
  * @param start null until a time is reserved
  * @param end when its caches are to be back
  */
-public record Entry(
+public record MaintenanceWindow(
     String id,
     Phase phase,
     int revision,
@@ -24,51 +24,52 @@
 
   /** A window's phases in their order; {@code CALLED_OFF} is one that never drained anything. */
   public enum Phase {
-    ASKED,
-    RESERVED,
+    REQUESTED,
+    SCHEDULED,
     DRAINING,
     OPEN,
     RETURNING,
     CLOSED,
-    CALLED_OFF;
+    CANCELLED;
 
     /** Whether the caches don't count as cover, whatever is heard of them. */
-    public boolean holds() {
+    public boolean withholdsCaches() {
       return this == DRAINING || this == OPEN || this == RETURNING;
     }
 
     public boolean ended() {
-      return this == CLOSED || this == CALLED_OFF;
+      return this == CLOSED || this == CANCELLED;
     }
   }
 
   /** What is agreed is bounded: a batch is at most a location's edges. */
-  public static final int MOST_CACHES = 256;
+  public static final int MAX_CACHES = 256;
 
-  public Entry {
+  public MaintenanceWindow {
     caches = List.copyOf(caches);
-    if (caches.isEmpty() || caches.size() > MOST_CACHES || length.isNegative() || length.isZero()) {
+    if (caches.isEmpty() || caches.size() > MAX_CACHES || length.isNegative() || length.isZero()) {
       throw new IllegalArgumentException(
           "window " + id + " of " + caches.size() + " caches, " + length);
     }
   }
 
-  public static Entry asked(
+  public static MaintenanceWindow requested(
       String id,
       int revision,
       List<String> caches,
       Duration length,
       Duration earliest,
       Duration latest) {
-    return new Entry(id, Phase.ASKED, revision, caches, length, earliest, latest, null, null);
+    return new MaintenanceWindow(
+        id, Phase.REQUESTED, revision, caches, length, earliest, latest, null, null);
   }
 
-  Entry in(Phase next) {
-    return new Entry(id, next, revision, caches, length, earliest, latest, start, end);
+  MaintenanceWindow withPhase(Phase next) {
+    return new MaintenanceWindow(id, next, revision, caches, length, earliest, latest, start, end);
   }
 
-  Entry at(Phase next, Duration from, Duration to) {
-    return new Entry(id, next, revision, caches, length, earliest, latest, from, to);
+  MaintenanceWindow scheduled(Phase next, Duration from, Duration to) {
+    return new MaintenanceWindow(id, next, revision, caches, length, earliest, latest, from, to);
   }
 
   String key() {
--- a/windows/src/test/java/tamarindroute/windows/BruteForce.java
+++ b/windows/src/test/java/tamarindroute/windows/BruteForce.java
@@ -8,7 +8,7 @@
 
 /** The earliest end of any plan for a few caches, by trying all starts of all of them. */
 final class BruteForce {
-  private final World world;
+  private final PlanningInput input;
   private final List<String> caches;
   private final int length;
   private final int warm;
@@ -19,11 +19,11 @@
 
   private int best = Integer.MAX_VALUE;
 
-  BruteForce(World world, List<String> caches, int length) {
-    this.world = world;
+  BruteForce(PlanningInput input, List<String> caches, int length) {
+    this.input = input;
     this.caches = caches;
     this.length = length;
-    warm = world.span(world.rules().warmUp());
+    warm = input.binsCovering(input.rules().warmUp());
     starts = new int[caches.size()];
   }
 
@@ -35,10 +35,12 @@
 
   private void place(int next, int end) {
     if (next == caches.size()) {
-      best = fits(0, world.bins(), next) ? Math.min(best, end) : best;
+      best = fits(0, input.binCount(), next) ? Math.min(best, end) : best;
       return;
     }
-    for (int start = 0; start + length + warm <= world.bins() && start + length < best; start++) {
+    for (int start = 0;
+        start + length + warm <= input.binCount() && start + length < best;
+        start++) {
       starts[next] = start;
       if (fits(start, start + length + warm, next + 1)) {
         place(next + 1, Math.max(end, start + length));
@@ -71,13 +73,14 @@
     }
     List<String> known = lacks.get(key);
     if (known == null) {
-      List<World.Held> windows = new ArrayList<>();
+      List<PlanningInput.ScheduledOutage> windows = new ArrayList<>();
       for (int c = 0; c < placed; c++) {
-        Duration start = world.time(starts[c]);
+        Duration start = input.timeOf(starts[c]);
         windows.add(
-            new World.Held(caches.get(c), start, start.plus(world.bin().multipliedBy(length))));
+            new PlanningInput.ScheduledOutage(
+                caches.get(c), start, start.plus(input.binLength().multipliedBy(length))));
       }
-      known = List.copyOf(NaiveChecker.breaches(world, windows, bin).keySet());
+      known = List.copyOf(NaiveChecker.breaches(input, windows, bin).keySet());
       lacks.put(key, known);
     }
     return known;
--- a/windows/src/test/java/tamarindroute/windows/LifeModel.java
+++ b/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
@@ -13,7 +13,7 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tamarindroute.windows.Entry.Phase;
+import tamarindroute.windows.MaintenanceWindow.Phase;
 
 /**
  * All that can happen to two windows on three caches that cover one range, with two gateways that
@@ -21,12 +21,16 @@
  * caches that fail, restart or never return. Both judge before either's put is taken, and either
  * may be taken first.
  */
-final class LifeModel {
+final class CoordinatorModel {
   /** The machine under test; a seeded defect overrides what it breaks. */
   interface Machine {
-    default Life.Step next(
-        Life.State state, Life.Event event, Duration now, boolean first, Life.Judge judge) {
-      return Life.next(state, event, now, SETTINGS, judge);
+    default WindowCoordinator.Transition next(
+        WindowCoordinator.State state,
+        WindowCoordinator.Event event,
+        Duration now,
+        boolean first,
+        WindowCoordinator.CoverageAssessor assessor) {
+      return WindowCoordinator.next(state, event, now, SETTINGS, assessor);
     }
 
     /** Whether the agreed view takes a put. */
@@ -41,7 +45,8 @@
   }
 
   static final Machine SOUND = new Machine() {};
-  static final Life.Settings SETTINGS = new Life.Settings(s(2), s(4), s(3), s(2), s(60));
+  static final WindowCoordinator.Settings SETTINGS =
+      new WindowCoordinator.Settings(s(2), s(4), s(3), s(2), s(60));
 
   record Budget(
       int kills,
@@ -68,16 +73,17 @@
   /** {@code gone} is the first breach of a rule that was found, or null. */
   record Found(int states, String gone) {}
 
-  private record Gateway(Life.State state, boolean dead, boolean first, int cutFor, int revision) {}
+  private record Gateway(
+      WindowCoordinator.State state, boolean dead, boolean first, int cutFor, int revision) {}
 
   private record Cache(int birth, boolean up, int warmAt, boolean failed, boolean lost) {}
 
   private record World(
       int time,
       long number,
-      SortedMap<String, Entry> entries,
+      SortedMap<String, MaintenanceWindow> entries,
       List<Gateway> gateways,
-      List<Life.Agree> late,
+      List<WindowCoordinator.Propose> late,
       List<Cache> caches,
       int opened,
       Budget left) {}
@@ -92,7 +98,7 @@
   private final int horizon;
   private String gone;
 
-  LifeModel(Machine machine, int horizon) {
+  CoordinatorModel(Machine machine, int horizon) {
     this.machine = machine;
     this.horizon = horizon;
   }
@@ -101,25 +107,26 @@
     return Duration.ofSeconds(seconds);
   }
 
-  private final Life.Judge judge =
-      new Life.Judge() {
+  private final WindowCoordinator.CoverageAssessor assessor =
+      new WindowCoordinator.CoverageAssessor() {
         @Override
-        public Life.Slot place(Entry asked, Collection<Entry> others, Duration now) {
+        public WindowCoordinator.Slot findSlot(
+            MaintenanceWindow asked, Collection<MaintenanceWindow> others, Duration now) {
           Duration start = asked.earliest().compareTo(now) > 0 ? asked.earliest() : now;
-          for (Entry other : others) {
+          for (MaintenanceWindow other : others) {
             Duration warm = other.end().plus(s(2));
             start = warm.compareTo(start) > 0 ? warm : start;
           }
-          return new Life.Slot(start, null);
+          return new WindowCoordinator.Slot(start, null);
         }
 
         @Override
-        public Plan.Lack lack(SortedSet<String> out, boolean reserve, Duration now) {
+        public Plan.Shortage shortage(SortedSet<String> out, boolean reserve, Duration now) {
           int left = NAMES.size() - machine.counts(out).size();
           int need = reserve ? 2 : 1;
           return left >= need
               ? null
-              : new Plan.Lack(Plan.Lacks.COVER, 0, out.first(), need, left, now);
+              : new Plan.Shortage(Plan.ShortageKind.NO_EDGE, 0, out.first(), need, left, now);
         }
 
         @Override
@@ -169,7 +176,7 @@
                   g.dead
                       ? started(newest, false)
                       : new Gateway(wished(g.state, newest), false, g.first, 0, newest)));
-      List<Life.Agree> puts = new ArrayList<>(world.late);
+      List<WindowCoordinator.Propose> puts = new ArrayList<>(world.late);
       world =
           deliver(
               act(
@@ -189,7 +196,7 @@
     boolean known = world.entries.size() == 2 || world.gateways.get(0).revision > 1;
     boolean all = known && world.entries.values().stream().allMatch(e -> e.phase().ended());
     if (gone == null
-        && (!all || world.gateways.stream().anyMatch(g -> !g.state.drains().isEmpty()))) {
+        && (!all || world.gateways.stream().anyMatch(g -> !g.state.draining().isEmpty()))) {
       gone = "half a window: " + world.entries;
     }
   }
@@ -208,7 +215,7 @@
             with(
                 world,
                 i,
-                new Gateway(Life.initial(), true, false, 0, g.revision),
+                new Gateway(WindowCoordinator.initial(), true, false, 0, g.revision),
                 left.less(1, 0, 0, 0, 0, 0, 0)));
       }
       if (g.cutFor > 0) {
@@ -255,11 +262,11 @@
     }
     List<World> nexts = new ArrayList<>();
     for (World one : disturbed) {
-      List<Life.Agree> puts = new ArrayList<>(one.late);
+      List<WindowCoordinator.Propose> puts = new ArrayList<>(one.late);
       World acted = act(one, puts);
       nexts.add(deliver(acted, puts));
       if (puts.size() > 1) {
-        List<Life.Agree> swapped = new ArrayList<>(puts);
+        List<WindowCoordinator.Propose> swapped = new ArrayList<>(puts);
         Collections.reverse(swapped);
         nexts.add(deliver(acted, swapped));
       }
@@ -282,7 +289,7 @@
 
   private static boolean held(World world, int c) {
     return world.entries.values().stream()
-        .anyMatch(e -> e.phase().holds() && e.caches().contains(NAMES.get(c)));
+        .anyMatch(e -> e.phase().withholdsCaches() && e.caches().contains(NAMES.get(c)));
   }
 
   private static World with(World w, int place, Gateway gateway, Budget left) {
@@ -300,24 +307,39 @@
   }
 
   private Gateway started(int revision, boolean first) {
-    Life.State state =
-        machine.next(Life.initial(), new Life.Leads(true), s(0), first, judge).state();
+    WindowCoordinator.State state =
+        machine
+            .next(
+                WindowCoordinator.initial(),
+                new WindowCoordinator.LeadershipChanged(true),
+                s(0),
+                first,
+                assessor)
+            .state();
     return new Gateway(wished(state, revision), false, first, 0, revision);
   }
 
-  private Life.State wished(Life.State state, int revision) {
-    Map<String, Entry> asked = new TreeMap<>();
+  private WindowCoordinator.State wished(WindowCoordinator.State state, int revision) {
+    Map<String, MaintenanceWindow> asked = new TreeMap<>();
     for (int i = revision - 1; i < 2; i++) {
-      asked.put("w" + i, Entry.asked("w" + i, 1, List.of(NAMES.get(i)), s(2), s(1), s(34)));
+      asked.put(
+          "w" + i,
+          MaintenanceWindow.requested("w" + i, 1, List.of(NAMES.get(i)), s(2), s(1), s(34)));
     }
     // Out of touch it only takes note.
     return machine
-        .next(state, new Life.Wished(new Life.Wishes(revision, asked)), s(0), true, judge)
+        .next(
+            state,
+            new WindowCoordinator.RequestsChanged(
+                new WindowCoordinator.RequestedWindows(revision, asked)),
+            s(0),
+            true,
+            assessor)
         .state();
   }
 
   /** Both gateways hear and judge; their puts are on the way. */
-  private World act(World w, List<Life.Agree> puts) {
+  private World act(World w, List<WindowCoordinator.Propose> puts) {
     List<Gateway> gateways = new ArrayList<>();
     for (Gateway gateway : w.gateways) {
       gateways.add(gateway.dead ? gateway : act(w, gateway, puts));
@@ -327,36 +349,42 @@
   }
 
   /** The puts are taken or refused in their order, caches go on, time does. */
-  private World deliver(World acted, List<Life.Agree> puts) {
+  private World deliver(World acted, List<WindowCoordinator.Propose> puts) {
     World taken = acted;
-    for (Life.Agree put : puts) {
+    for (WindowCoordinator.Propose put : puts) {
       taken = take(taken, put);
     }
     return cachesGoOn(taken);
   }
 
-  private Gateway act(World w, Gateway gateway, List<Life.Agree> puts) {
+  private Gateway act(World w, Gateway gateway, List<WindowCoordinator.Propose> puts) {
     Duration now = s(w.time);
-    Life.State state = gateway.state;
+    WindowCoordinator.State state = gateway.state;
     if (gateway.cutFor == 0) {
-      SortedMap<String, Life.Word> words = new TreeMap<>();
+      SortedMap<String, WindowCoordinator.CacheObservation> words = new TreeMap<>();
       for (int c = 0; c < NAMES.size(); c++) {
         Cache cache = w.caches.get(c);
         String name = NAMES.get(c);
         boolean drained =
             w.gateways.stream()
-                .allMatch(g -> g.dead || g.cutFor > 0 || g.state.drains().contains(name));
+                .allMatch(g -> g.dead || g.cutFor > 0 || g.state.draining().contains(name));
         words.put(
             name,
-            new Life.Word(cache.birth, cache.up, cache.up && w.time >= cache.warmAt, drained, now));
+            new WindowCoordinator.CacheObservation(
+                cache.birth, cache.up, cache.up && w.time >= cache.warmAt, drained, now));
       }
-      state = quiet(state, new Life.Heard(words), now, gateway.first);
+      state = quiet(state, new WindowCoordinator.CachesObserved(words), now, gateway.first);
       state =
-          quiet(state, new Life.Agreed(w.number, w.entries, s(w.time + LEASE)), now, gateway.first);
+          quiet(
+              state,
+              new WindowCoordinator.ViewUpdated(w.number, w.entries, s(w.time + LEASE)),
+              now,
+              gateway.first);
     }
-    Life.Step step = machine.next(state, new Life.Tick(), now, gateway.first, judge);
-    for (Life.Action action : step.actions()) {
-      if (action instanceof Life.Agree put) {
+    WindowCoordinator.Transition transition =
+        machine.next(state, new WindowCoordinator.Tick(), now, gateway.first, assessor);
+    for (WindowCoordinator.Action action : transition.actions()) {
+      if (action instanceof WindowCoordinator.Propose put) {
         check(gateway.cutFor <= LEASE, "a step while the view is too old: " + put);
         check(
             gateway.cutFor > 0
@@ -373,12 +401,13 @@
     boolean uncovered =
         gateway.cutFor == 0
             && serving(w) == 0
-            && w.entries.values().stream().anyMatch(e -> e.phase().holds());
+            && w.entries.values().stream().anyMatch(e -> e.phase().withholdsCaches());
     check(
-        !uncovered || step.state().told().stream().anyMatch(t -> t.startsWith("UNCOVERED")),
+        !uncovered
+            || transition.state().notified().stream().anyMatch(t -> t.startsWith("UNCOVERED")),
         "uncovered, and nobody was told");
     return new Gateway(
-        step.state(),
+        transition.state(),
         false,
         gateway.first,
         gateway.cutFor == 0 ? 0 : Math.min(gateway.cutFor + 1, LEASE + 2),
@@ -386,50 +415,51 @@
   }
 
   /** Events of one moment are one event: the puts come of the tick at their end. */
-  private Life.State quiet(Life.State state, Life.Event event, Duration now, boolean first) {
-    Life.State before =
-        new Life.State(
-            state.number(),
-            state.entries(),
-            state.until(),
+  private WindowCoordinator.State quiet(
+      WindowCoordinator.State state, WindowCoordinator.Event event, Duration now, boolean first) {
+    WindowCoordinator.State before =
+        new WindowCoordinator.State(
+            state.viewNumber(),
+            state.windows(),
+            state.leaseEnd(),
             false,
-            state.sent(),
-            state.seen(),
-            state.words(),
-            state.wishes(),
-            state.drains(),
-            state.told());
-    Life.State next = machine.next(before, event, now, first, judge).state();
-    return new Life.State(
-        next.number(),
-        next.entries(),
-        next.until(),
+            state.proposedAt(),
+            state.phaseEntries(),
+            state.observations(),
+            state.requests(),
+            state.draining(),
+            state.notified());
+    WindowCoordinator.State next = machine.next(before, event, now, first, assessor).state();
+    return new WindowCoordinator.State(
+        next.viewNumber(),
+        next.windows(),
+        next.leaseEnd(),
         true,
-        next.number() > state.number() ? null : state.sent(),
-        next.seen(),
-        next.words(),
-        next.wishes(),
-        next.drains(),
-        state.told());
+        next.viewNumber() > state.viewNumber() ? null : state.proposedAt(),
+        next.phaseEntries(),
+        next.observations(),
+        next.requests(),
+        next.draining(),
+        state.notified());
   }
 
-  private static boolean warm(World w, Entry entry) {
-    return entry.caches().stream()
+  private static boolean warm(World w, MaintenanceWindow window) {
+    return window.caches().stream()
         .map(c -> w.caches.get(NAMES.indexOf(c)))
         .allMatch(c -> c.up && w.time >= c.warmAt);
   }
 
-  private static boolean givenUp(World w, Entry entry) {
-    return s(w.time).compareTo(entry.end().plus(SETTINGS.giveUp())) >= 0;
+  private static boolean givenUp(World w, MaintenanceWindow window) {
+    return s(w.time).compareTo(window.end().plus(SETTINGS.returnTimeout())) >= 0;
   }
 
-  private World take(World w, Life.Agree put) {
-    if (!machine.takes(w.number, put.expected())) {
+  private World take(World w, WindowCoordinator.Propose put) {
+    if (!machine.takes(w.number, put.expectedViewNumber())) {
       return w;
     }
-    SortedMap<String, Entry> entries = new TreeMap<>(w.entries);
+    SortedMap<String, MaintenanceWindow> entries = new TreeMap<>(w.entries);
     String id = put.key().substring("window/".length());
-    Entry old = entries.get(id);
+    MaintenanceWindow old = entries.get(id);
     if (put.value() == null) {
       entries.remove(id);
     } else {
--- a/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
+++ b/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
@@ -19,11 +19,11 @@
     LoadCurve curve = LoadCurve.empty(4);
     for (int i = random.nextInt(4); i >= 0; i--) {
       // One process's words of one sequence are the same word, or it breaks its word: both occur.
-      LoadCurve.Word word = LoadCurve.Word.none(4);
+      LoadCurve.LoadSample sample = LoadCurve.LoadSample.empty(4);
       for (int more = random.nextInt(3); more >= 0; more--) {
-        word = word.and(random.nextInt(4), random.nextInt(3), NOW);
+        sample = sample.withLoad(random.nextInt(4), random.nextInt(3), NOW);
       }
-      curve = curve.heard("m" + random.nextInt(3), word);
+      curve = curve.withSample("m" + random.nextInt(3), sample);
     }
     return curve;
   }
@@ -31,7 +31,7 @@
   private static String text(LoadCurve curve) {
     StringBuilder text = new StringBuilder();
     curve
-        .words()
+        .samples()
         .forEach(
             (m, w) ->
                 text.append(m)
@@ -54,23 +54,27 @@
 
   @Test
   void daysDecayMembersAddUpAndTheUnseenGrow() {
-    LoadCurve.Word word = LoadCurve.Word.none(4).and(1, 10, NOW).and(1, 16, NOW);
-    LoadCurve curve = LoadCurve.empty(4).heard("m", word);
-    assertThat(curve.at(1, NOW)).isCloseTo((10 * LoadCurve.KEPT + 16) / 1.5, within(1e-9));
-    assertThat(curve.at(0, NOW)).as("smoothed").isCloseTo(14.0 / 4, within(1e-9));
-    assertThat(curve.heard("n", word).at(1, NOW)).isCloseTo(28, within(1e-9));
-    Duration later = NOW.plus(LoadCurve.FRESH).plusHours(5);
-    assertThat(curve.at(1, later)).isCloseTo(14 * (1 + 5 * LoadCurve.GROWN), within(1e-9));
-    assertThat(curve.at(1, NOW.plusDays(9))).isCloseTo(14 * LoadCurve.MOST_GROWN, within(1e-9));
-    assertThat(curve.from(1, 5, NOW)).hasSize(5).startsWith(14.0).endsWith(14.0);
+    LoadCurve.LoadSample sample =
+        LoadCurve.LoadSample.empty(4).withLoad(1, 10, NOW).withLoad(1, 16, NOW);
+    LoadCurve curve = LoadCurve.empty(4).withSample("m", sample);
+    assertThat(curve.loadAt(1, NOW))
+        .isCloseTo((10 * LoadCurve.DAILY_DECAY + 16) / 1.5, within(1e-9));
+    assertThat(curve.loadAt(0, NOW)).as("smoothed").isCloseTo(14.0 / 4, within(1e-9));
+    assertThat(curve.withSample("n", sample).loadAt(1, NOW)).isCloseTo(28, within(1e-9));
+    Duration later = NOW.plus(LoadCurve.FRESH_PERIOD).plusHours(5);
+    assertThat(curve.loadAt(1, later))
+        .isCloseTo(14 * (1 + 5 * LoadCurve.GROWTH_PER_HOUR), within(1e-9));
+    assertThat(curve.loadAt(1, NOW.plusDays(9))).isCloseTo(14 * LoadCurve.MAX_GROWTH, within(1e-9));
+    assertThat(curve.loadFrom(1, 5, NOW)).hasSize(5).startsWith(14.0).endsWith(14.0);
   }
 
   @Test
   void wordsOutOfBoundsAreRefusedWhole() {
-    assertThatThrownBy(() -> LoadCurve.Word.none(4).and(0, Double.NaN, NOW))
+    assertThatThrownBy(() -> LoadCurve.LoadSample.empty(4).withLoad(0, Double.NaN, NOW))
         .hasMessageContaining("bin 0");
-    assertThatThrownBy(() -> LoadCurve.Word.none(4).and(2, -1, NOW)).hasMessageContaining("bin 2");
+    assertThatThrownBy(() -> LoadCurve.LoadSample.empty(4).withLoad(2, -1, NOW))
+        .hasMessageContaining("bin 2");
     LoadCurve curve = LoadCurve.empty(4);
-    assertThat(curve.heard("m", LoadCurve.Word.none(5))).isEqualTo(curve);
+    assertThat(curve.withSample("m", LoadCurve.LoadSample.empty(5))).isEqualTo(curve);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/Measure.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
@@ -14,8 +14,8 @@
  * Prints how long plans take, how good they are, and a location's night in batches, one by one and
  * in random order.
  */
-public final class Measure {
-  private Measure() {}
+public final class PlannerBenchmark {
+  private PlannerBenchmark() {}
 
   public static void main(String[] args) {
     if (args.length < 2) {
@@ -32,37 +32,38 @@
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
 
-  static World large(long seed) {
-    return Worlds.world(
+  static PlanningInput large(long seed) {
+    return SampleInputs.world(
         seed,
-        new Worlds.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
-        new World.Rules(Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+        new SampleInputs.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
+        new PlanningInput.CoverageRules(
+            Set.of(PlanningInput.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
   }
 
   /** Every edge of every location, from midnight on, within two days. */
-  static List<Wish> all(World world) {
-    List<Wish> wishes = new ArrayList<>();
+  static List<MaintenanceRequest> all(PlanningInput input) {
+    List<MaintenanceRequest> wishes = new ArrayList<>();
     for (int l = 0; l < 10; l++) {
       wishes.add(
-          Wish.share(
+          MaintenanceRequest.share(
               "all-" + l,
               "l" + l,
               1,
               Duration.ofMinutes(45),
               Duration.ZERO,
-              Worlds.BIN.multipliedBy(world.bins())));
+              SampleInputs.BIN.multipliedBy(input.binCount())));
     }
     return wishes;
   }
 
   private static void time() {
-    World world = large(1);
-    List<Wish> wishes = all(world);
+    PlanningInput input = large(1);
+    List<MaintenanceRequest> wishes = all(input);
     double[] took = new double[15];
     Plan plan = null;
     for (int i = 0; i < took.length; i++) {
       long start = cpu();
-      plan = Planner.plan(world, List.of(), wishes);
+      plan = Planner.plan(input, List.of(), wishes);
       took[i] = (cpu() - start) / 1e6;
     }
     double first = took[0];
@@ -71,15 +72,15 @@
         "plan: %d caches, %d ranges, %d bins, processor time: first %.0f ms, median %.0f ms,"
             + " worst %.0f ms; %d batches,"
             + " %d refusals%n",
-        world.caches().size(),
-        world.ranges().size(),
-        world.bins(),
+        input.caches().size(),
+        input.ranges().size(),
+        input.binCount(),
         first,
         took[7],
         took[14],
         plan.batches().size(),
-        plan.refusals().size());
-    plan.refusals().forEach(r -> System.out.println("  refused: " + r));
+        plan.rejections().size());
+    plan.rejections().forEach(r -> System.out.println("  refused: " + r));
   }
 
   private static void quality(int worlds) {
@@ -87,16 +88,16 @@
     int none = 0;
     int missed = 0;
     for (int seed = 1; seed <= worlds; seed++) {
-      World world = Worlds.small(seed);
+      PlanningInput input = SampleInputs.small(seed);
       int length = 1 + seed % 2;
-      List<String> edges = Worlds.edges(world, "l0");
-      int best = new BruteForce(world, edges, length).end();
-      Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, length)));
+      List<String> edges = SampleInputs.edges(input, "l0");
+      int best = new BruteForce(input, edges, length).end();
+      Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, length)));
       if (best == Integer.MAX_VALUE) {
         none++;
-      } else if (!plan.refusals().isEmpty()) {
+      } else if (!plan.rejections().isEmpty()) {
         missed++;
-        System.out.println("missed: seed " + seed + ", best " + best + ": " + plan.refusals());
+        System.out.println("missed: seed " + seed + ", best " + best + ": " + plan.rejections());
       } else {
         factors.add((double) end(plan) / best);
         if (end(plan) > best * 1.3) {
@@ -120,56 +121,62 @@
 
   static int end(Plan plan) {
     return plan.batches().stream()
-        .mapToInt(b -> (int) b.end().dividedBy(Worlds.BIN))
+        .mapToInt(b -> (int) b.end().dividedBy(SampleInputs.BIN))
         .max()
         .orElse(0);
   }
 
   private static void night(long seed) {
-    World world =
-        Worlds.world(
+    PlanningInput input =
+        SampleInputs.world(
             seed,
-            new Worlds.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
-            new World.Rules(
-                Set.of(World.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
-    List<String> edges = Worlds.edges(world, "l0");
-    Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, 3)));
-    List<World.Held> batches = NaiveChecker.held(plan);
-    report("batches", seed, world, batches);
-    List<World.Held> single = new ArrayList<>();
+            new SampleInputs.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
+            new PlanningInput.CoverageRules(
+                Set.of(PlanningInput.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+    List<String> edges = SampleInputs.edges(input, "l0");
+    Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, 3)));
+    List<PlanningInput.ScheduledOutage> batches = NaiveChecker.held(plan);
+    report("batches", seed, input, batches);
+    List<PlanningInput.ScheduledOutage> single = new ArrayList<>();
     for (int i = 0; i < edges.size(); i++) {
       single.add(
-          new World.Held(
-              edges.get(i), Worlds.BIN.multipliedBy(5L * i), Worlds.BIN.multipliedBy(5L * i + 3)));
+          new PlanningInput.ScheduledOutage(
+              edges.get(i),
+              SampleInputs.BIN.multipliedBy(5L * i),
+              SampleInputs.BIN.multipliedBy(5L * i + 3)));
     }
-    report("one by one", seed, world, single);
+    report("one by one", seed, input, single);
     // As many at once as the plan has on average, whoever they are, each batch after the one before
     // is warm.
-    int rounds = (int) Math.ceil((Measure.end(plan) + 2) / 5.0);
+    int rounds = (int) Math.ceil((PlannerBenchmark.end(plan) + 2) / 5.0);
     int size = (int) Math.ceil((double) edges.size() / rounds);
     List<String> shuffled = new ArrayList<>(edges);
     Collections.shuffle(shuffled, new Random(seed));
-    List<World.Held> random = new ArrayList<>();
+    List<PlanningInput.ScheduledOutage> random = new ArrayList<>();
     for (int i = 0; i < shuffled.size(); i++) {
       long start = 5L * (i / size);
       random.add(
-          new World.Held(
-              shuffled.get(i), Worlds.BIN.multipliedBy(start), Worlds.BIN.multipliedBy(start + 3)));
+          new PlanningInput.ScheduledOutage(
+              shuffled.get(i),
+              SampleInputs.BIN.multipliedBy(start),
+              SampleInputs.BIN.multipliedBy(start + 3)));
     }
-    report("random order", seed, world, random);
+    report("random order", seed, input, random);
   }
 
-  private static void report(String how, long seed, World world, List<World.Held> windows) {
-    int end = windows.stream().mapToInt(w -> (int) w.end().dividedBy(Worlds.BIN)).max().orElse(0);
+  private static void report(
+      String how, long seed, PlanningInput input, List<PlanningInput.ScheduledOutage> windows) {
+    int end =
+        windows.stream().mapToInt(w -> (int) w.end().dividedBy(SampleInputs.BIN)).max().orElse(0);
     double room = 1;
-    Map<String, Double> loads = NaiveChecker.loads(world, windows);
-    for (Cache cache : world.caches()) {
+    Map<String, Double> loads = NaiveChecker.loads(input, windows);
+    for (Cache cache : input.caches()) {
       double most = loads.getOrDefault(cache.name(), 0.0);
       room = Math.min(room, 1 - most / cache.capacity());
     }
     int uncovered =
         (int)
-            NaiveChecker.harm(world, List.of(), windows).stream()
+            NaiveChecker.harm(input, List.of(), windows).stream()
                 .filter(h -> h.startsWith("cover"))
                 .count();
     System.out.printf(
--- a/windows/src/test/java/tamarindroute/windows/PlannerTest.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerTest.java
@@ -15,55 +15,64 @@
 import org.junit.jupiter.api.Test;
 
 class PlannerTest {
-  private static final Set<World.Failure> ALL = Set.of(World.Failure.values());
+  private static final Set<PlanningInput.Failure> ALL = Set.of(PlanningInput.Failure.values());
 
   /**
    * Some windows agreed before: each of these is harmless beside the others, as an earlier plan's
    * are.
    */
-  private static List<World.Held> others(World world, long seed) {
-    List<String> some = new ArrayList<>(Worlds.edges(world, "l0"));
+  private static List<PlanningInput.ScheduledOutage> others(PlanningInput input, long seed) {
+    List<String> some = new ArrayList<>(SampleInputs.edges(input, "l0"));
     java.util.Collections.shuffle(some, new Random(seed));
     return NaiveChecker.held(
         Planner.plan(
-            world,
+            input,
             List.of(),
             List.of(
-                Wish.of(
+                MaintenanceRequest.forCaches(
                     "before",
                     some.subList(0, 2),
-                    Worlds.BIN.multipliedBy(3),
-                    Worlds.BIN.multipliedBy(seed % 3),
-                    Worlds.BIN.multipliedBy(28)))));
+                    SampleInputs.BIN.multipliedBy(3),
+                    SampleInputs.BIN.multipliedBy(seed % 3),
+                    SampleInputs.BIN.multipliedBy(28)))));
   }
 
-  private static List<Wish> wishes(World world, long seed) {
-    List<String> edges = Worlds.edges(world, "l0");
+  private static List<MaintenanceRequest> wishes(PlanningInput input, long seed) {
+    List<String> edges = SampleInputs.edges(input, "l0");
     return List.of(
-        Worlds.wish(world, edges.subList(2, 7), 1 + (int) (seed % 2)),
-        Wish.share(
-            "half", "l1", 0.5, Duration.ofMinutes(40), Duration.ZERO, Worlds.BIN.multipliedBy(28)),
-        Wish.of(
+        SampleInputs.wish(input, edges.subList(2, 7), 1 + (int) (seed % 2)),
+        MaintenanceRequest.share(
+            "half",
+            "l1",
+            0.5,
+            Duration.ofMinutes(40),
+            Duration.ZERO,
+            SampleInputs.BIN.multipliedBy(28)),
+        MaintenanceRequest.forCaches(
             "parents",
             List.of("p0", "p1"),
-            Worlds.BIN,
+            SampleInputs.BIN,
             Duration.ofMinutes(20),
-            Worlds.BIN.multipliedBy(28)));
+            SampleInputs.BIN.multipliedBy(28)));
   }
 
   private static List<String> harm(
-      World world, World told, List<World.Held> others, List<World.Held> toldOthers, long seed) {
-    Plan plan = Planner.plan(told, toldOthers, wishes(world, seed));
-    return NaiveChecker.harm(world, others, NaiveChecker.held(plan));
+      PlanningInput input,
+      PlanningInput told,
+      List<PlanningInput.ScheduledOutage> others,
+      List<PlanningInput.ScheduledOutage> toldOthers,
+      long seed) {
+    Plan plan = Planner.plan(told, toldOthers, wishes(input, seed));
+    return NaiveChecker.harm(input, others, NaiveChecker.held(plan));
   }
 
   @Property(seed = "28", tries = 12)
   void everyPlanKeepsCoverAndRoomWithOneFailureMore(
       @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    World world = Worlds.middle(seed, ALL);
-    List<World.Held> others = others(world, seed);
-    assertThat(NaiveChecker.harm(world, List.of(), others)).isEmpty();
-    assertThat(harm(world, world, others, others, seed)).isEmpty();
+    PlanningInput input = SampleInputs.middle(seed, ALL);
+    List<PlanningInput.ScheduledOutage> others = others(input, seed);
+    assertThat(NaiveChecker.harm(input, List.of(), others)).isEmpty();
+    assertThat(harm(input, input, others, others, seed)).isEmpty();
   }
 
   /**
@@ -75,37 +84,44 @@
     int[] found = new int[4];
     int placed = 0;
     for (long seed = 1; seed <= 4; seed++) {
-      World world = Worlds.middle(seed, ALL);
-      World.Rules rules = world.rules();
-      List<World.Held> others = others(world, seed);
-      placed += Planner.plan(world, others, wishes(world, seed)).batches().size();
-      World warm =
+      PlanningInput input = SampleInputs.middle(seed, ALL);
+      PlanningInput.CoverageRules rules = input.rules();
+      List<PlanningInput.ScheduledOutage> others = others(input, seed);
+      placed += Planner.plan(input, others, wishes(input, seed)).batches().size();
+      PlanningInput warm =
           with(
-              world,
-              new World.Rules(ALL, rules.miss(), rules.cold(), Duration.ZERO, rules.siblings()),
+              input,
+              new PlanningInput.CoverageRules(
+                  ALL, rules.missRatio(), rules.coldShare(), Duration.ZERO, rules.siblingFill()),
               1);
-      World bold =
+      PlanningInput bold =
           with(
-              world,
-              new World.Rules(
-                  Set.of(), rules.miss(), rules.cold(), rules.warmUp(), rules.siblings()),
+              input,
+              new PlanningInput.CoverageRules(
+                  Set.of(),
+                  rules.missRatio(),
+                  rules.coldShare(),
+                  rules.warmUp(),
+                  rules.siblingFill()),
               1);
-      found[0] += harm(world, warm, others, others, seed).isEmpty() ? 0 : 1;
-      found[1] += harm(world, bold, others, others, seed).isEmpty() ? 0 : 1;
-      found[2] += harm(world, with(world, rules, 0), others, others, seed).isEmpty() ? 0 : 1;
-      found[3] += harm(world, world, others, List.of(), seed).isEmpty() ? 0 : 1;
+      found[0] += harm(input, warm, others, others, seed).isEmpty() ? 0 : 1;
+      found[1] += harm(input, bold, others, others, seed).isEmpty() ? 0 : 1;
+      found[2] += harm(input, with(input, rules, 0), others, others, seed).isEmpty() ? 0 : 1;
+      found[3] += harm(input, input, others, List.of(), seed).isEmpty() ? 0 : 1;
     }
     assertThat(placed).isGreaterThan(4);
     assertThat(found).as("cold returns, reserve, load, other windows").doesNotContain(0);
   }
 
-  private static World with(World world, World.Rules rules, double load) {
+  private static PlanningInput with(
+      PlanningInput input, PlanningInput.CoverageRules rules, double load) {
     Map<String, double[]> loads = new java.util.HashMap<>();
-    world
+    input
         .load()
         .forEach(
             (l, old) -> loads.put(l, java.util.Arrays.stream(old).map(x -> x * load).toArray()));
-    return new World(world.caches(), world.ranges(), loads, world.from(), world.bin(), rules);
+    return new PlanningInput(
+        input.caches(), input.ranges(), loads, input.start(), input.binLength(), rules);
   }
 
   /** On small worlds no plan ends later than this many times the best ... */
@@ -123,18 +139,20 @@
     // The first sixty, and of three hundred the two whose plans are the furthest from the best.
     for (int seed :
         IntStream.concat(IntStream.rangeClosed(1, 60), IntStream.of(154, 253)).toArray()) {
-      World world = Worlds.small(seed);
-      List<String> edges = Worlds.edges(world, "l0");
+      PlanningInput input = SampleInputs.small(seed);
+      List<String> edges = SampleInputs.edges(input, "l0");
       int length = 1 + seed % 2;
-      int best = new BruteForce(world, edges, length).end();
-      Plan plan = Planner.plan(world, List.of(), List.of(Worlds.wish(world, edges, length)));
+      int best = new BruteForce(input, edges, length).end();
+      Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, length)));
       if (best == Integer.MAX_VALUE) {
         none++;
-        assertThat(plan.refusals()).as("seed %d", seed).hasSize(1);
-      } else if (plan.refusals().isEmpty()) {
+        assertThat(plan.rejections()).as("seed %d", seed).hasSize(1);
+      } else if (plan.rejections().isEmpty()) {
         planned++;
-        met += Measure.end(plan) == best ? 1 : 0;
-        assertThat(Measure.end(plan)).as("seed %d", seed).isBetween(best, (int) (best * FACTOR));
+        met += PlannerBenchmark.end(plan) == best ? 1 : 0;
+        assertThat(PlannerBenchmark.end(plan))
+            .as("seed %d", seed)
+            .isBetween(best, (int) (best * FACTOR));
       } else {
         missed++;
       }
@@ -147,16 +165,16 @@
 
   @Test
   void aThousandCachesAndFourThousandRangesInASecondOrThree() {
-    World world = Measure.large(1);
-    assertThat(world.caches()).hasSizeGreaterThanOrEqualTo(1000);
-    assertThat(world.ranges()).hasSize(4096);
-    List<Wish> wishes = Measure.all(world);
+    PlanningInput input = PlannerBenchmark.large(1);
+    assertThat(input.caches()).hasSizeGreaterThanOrEqualTo(1000);
+    assertThat(input.ranges()).hasSize(4096);
+    List<MaintenanceRequest> wishes = PlannerBenchmark.all(input);
     long best = Long.MAX_VALUE;
     for (int i = 0; i < 4 && best > 3_000; i++) {
       long start = System.nanoTime();
-      Plan plan = Planner.plan(world, List.of(), wishes);
+      Plan plan = Planner.plan(input, List.of(), wishes);
       best = Math.min(best, (System.nanoTime() - start) / 1_000_000);
-      assertThat(plan.refusals()).isEmpty();
+      assertThat(plan.rejections()).isEmpty();
       assertThat(plan.batches().stream().mapToInt(b -> b.caches().size()).sum()).isEqualTo(950);
     }
     assertThat(best).as("milliseconds").isLessThan(3_000);
@@ -166,7 +184,7 @@
    * Three equal edges, any of which serves the one range; two bear the load of the day's first
    * hour, all of it is one's at 4.
    */
-  private static World three(int bins, Set<World.Failure> reserve) {
+  private static PlanningInput three(int bins, Set<PlanningInput.Failure> reserve) {
     List<Cache> caches = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       caches.add(new Cache("c" + i, "here", Cache.Tier.EDGE, 10, "", true, Duration.ZERO));
@@ -174,117 +192,127 @@
     caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 100, "", true, Duration.ZERO));
     double[] load = new double[bins];
     java.util.Arrays.fill(load, 9);
-    return new World(
+    return new PlanningInput(
         caches,
-        List.of(new Range("here", 1, List.of(0, 1, 2), List.of(3))),
+        List.of(new KeyRange("here", 1, List.of(0, 1, 2), List.of(3))),
         Map.of("here", load),
         Duration.ZERO,
-        Worlds.BIN,
-        new World.Rules(reserve, 0.1, 0.1, Worlds.BIN, false));
+        SampleInputs.BIN,
+        new PlanningInput.CoverageRules(reserve, 0.1, 0.1, SampleInputs.BIN, false));
   }
 
   @Test
   void oneByOneWithTheReserveAndTheColdReturnKept() {
-    World world = three(12, Set.of(World.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
     Plan plan =
         Planner.plan(
-            world,
+            input,
             List.of(),
             List.of(
-                Wish.of(
+                MaintenanceRequest.forCaches(
                     "w",
                     List.of("c0", "c1", "c2"),
-                    Worlds.BIN,
+                    SampleInputs.BIN,
                     Duration.ZERO,
-                    Worlds.BIN.multipliedBy(12))));
-    assertThat(plan.refusals()).isEmpty();
+                    SampleInputs.BIN.multipliedBy(12))));
+    assertThat(plan.rejections()).isEmpty();
     assertThat(plan.batches())
         .extracting(Plan.Batch::start)
-        .containsExactly(Duration.ZERO, Worlds.BIN.multipliedBy(2), Worlds.BIN.multipliedBy(4));
+        .containsExactly(
+            Duration.ZERO, SampleInputs.BIN.multipliedBy(2), SampleInputs.BIN.multipliedBy(4));
     assertThat(plan.batches())
-        .allSatisfy(b -> assertThat(b.warm()).isEqualTo(b.end().plus(Worlds.BIN)));
+        .allSatisfy(b -> assertThat(b.warmAt()).isEqualTo(b.end().plus(SampleInputs.BIN)));
   }
 
   @Test
   void aRefusalTellsRangeCacheNumberAndTheTimeThatWouldDo() {
-    World world = three(12, Set.of(World.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
     Plan plan =
         Planner.plan(
-            world,
+            input,
             List.of(),
             List.of(
-                Wish.of(
+                MaintenanceRequest.forCaches(
                     "w",
                     List.of("c0", "c1", "c2"),
-                    Worlds.BIN,
+                    SampleInputs.BIN,
                     Duration.ZERO,
-                    Worlds.BIN.multipliedBy(4))));
+                    SampleInputs.BIN.multipliedBy(4))));
     assertThat(plan.batches()).isEmpty();
-    assertThat(plan.refusals())
+    assertThat(plan.rejections())
         .singleElement()
         .satisfies(
             r -> {
-              assertThat(r.lack().what()).isEqualTo(Plan.Lacks.COVER);
-              assertThat(r.lack().range()).isZero();
-              assertThat(r.lack().need()).isEqualTo(1);
-              assertThat(r.lack().have()).isZero();
-              assertThat(r.wouldEnd()).isEqualTo(Worlds.BIN.multipliedBy(5));
+              assertThat(r.shortage().kind()).isEqualTo(Plan.ShortageKind.NO_EDGE);
+              assertThat(r.shortage().range()).isZero();
+              assertThat(r.shortage().required()).isEqualTo(1);
+              assertThat(r.shortage().available()).isZero();
+              assertThat(r.feasibleEnd()).isEqualTo(SampleInputs.BIN.multipliedBy(5));
             });
-    World full = with(world, world.rules(), 1.2);
+    PlanningInput full = with(input, input.rules(), 1.2);
     Plan none =
         Planner.plan(
             full,
             List.of(),
             List.of(
-                Wish.of(
-                    "w", List.of("c0"), Worlds.BIN, Duration.ZERO, Worlds.BIN.multipliedBy(12))));
-    assertThat(none.refusals())
+                MaintenanceRequest.forCaches(
+                    "w",
+                    List.of("c0"),
+                    SampleInputs.BIN,
+                    Duration.ZERO,
+                    SampleInputs.BIN.multipliedBy(12))));
+    assertThat(none.rejections())
         .singleElement()
         .satisfies(
             r -> {
-              assertThat(r.lack().what()).isEqualTo(Plan.Lacks.ROOM);
-              assertThat(r.lack().cache()).isIn("c1", "c2");
-              assertThat(r.lack().need())
+              assertThat(r.shortage().kind()).isEqualTo(Plan.ShortageKind.CAPACITY);
+              assertThat(r.shortage().cache()).isIn("c1", "c2");
+              assertThat(r.shortage().required())
                   .isCloseTo(10.8, org.assertj.core.data.Offset.offset(1e-9));
-              assertThat(r.lack().have()).isEqualTo(10);
-              assertThat(r.wouldEnd()).isNull();
+              assertThat(r.shortage().available()).isEqualTo(10);
+              assertThat(r.feasibleEnd()).isNull();
             });
   }
 
   @Test
   void timeAndUnknownCachesRefuseTooAndAShareTakesAsManyAsNeeded() {
-    World world = three(12, Set.of(World.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
     Plan plan =
         Planner.plan(
-            world,
+            input,
             List.of(),
             List.of(
-                Wish.of(
+                MaintenanceRequest.forCaches(
                     "short",
                     List.of("c0"),
-                    Worlds.BIN.multipliedBy(2),
-                    Worlds.BIN,
-                    Worlds.BIN.multipliedBy(2)),
-                Wish.of(
+                    SampleInputs.BIN.multipliedBy(2),
+                    SampleInputs.BIN,
+                    SampleInputs.BIN.multipliedBy(2)),
+                MaintenanceRequest.forCaches(
                     "who",
                     List.of("nobody"),
-                    Worlds.BIN,
+                    SampleInputs.BIN,
+                    Duration.ZERO,
+                    SampleInputs.BIN.multipliedBy(12)),
+                MaintenanceRequest.share(
+                    "some",
+                    "here",
+                    0.6,
+                    SampleInputs.BIN,
                     Duration.ZERO,
-                    Worlds.BIN.multipliedBy(12)),
-                Wish.share(
-                    "some", "here", 0.6, Worlds.BIN, Duration.ZERO, Worlds.BIN.multipliedBy(12))));
-    assertThat(plan.refusals())
-        .extracting(r -> r.lack().what())
-        .containsExactly(Plan.Lacks.TIME, Plan.Lacks.UNKNOWN);
-    assertThat(plan.refusals().get(0).wouldEnd()).isEqualTo(Worlds.BIN.multipliedBy(3));
+                    SampleInputs.BIN.multipliedBy(12))));
+    assertThat(plan.rejections())
+        .extracting(r -> r.shortage().kind())
+        .containsExactly(Plan.ShortageKind.TIME, Plan.ShortageKind.UNKNOWN_CACHE);
+    assertThat(plan.rejections().get(0).feasibleEnd()).isEqualTo(SampleInputs.BIN.multipliedBy(3));
     assertThat(plan.batches().stream().mapToInt(b -> b.caches().size()).sum()).isEqualTo(2);
   }
 
   @Test
   void whatLacksNowIsToldForAnyCachesOut() {
-    World world = three(12, Set.of(World.Failure.CACHE));
-    assertThat(Planner.lack(world, List.of("c1"), Duration.ZERO)).isNull();
-    assertThat(Planner.lack(world, List.of("c1", "c2"), Duration.ZERO).what())
-        .isEqualTo(Plan.Lacks.COVER);
+    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
+    assertThat(Planner.shortage(input, List.of("c1"), Duration.ZERO)).isNull();
+    assertThat(Planner.shortage(input, List.of("c1", "c2"), Duration.ZERO).kind())
+        .isEqualTo(Plan.ShortageKind.NO_EDGE);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/Worlds.java
+++ b/windows/src/test/java/tamarindroute/windows/SampleInputs.java
@@ -12,13 +12,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Worlds by seed: weighted rendezvous hashing as the policy's, a day's load whose peak nearly fills
- * the fullest cache.
+ * SampleInputs by seed: weighted rendezvous hashing as the policy's, a day's load whose peak nearly
+ * fills the fullest cache.
  */
-final class Worlds {
+final class SampleInputs {
   static final Duration BIN = Duration.ofMinutes(15);
 
-  private Worlds() {}
+  private SampleInputs() {}
 
   record Shape(
       int locations,
@@ -30,7 +30,7 @@
       int bins,
       double peak) {}
 
-  static World world(long seed, Shape shape, World.Rules rules) {
+  static PlanningInput world(long seed, Shape shape, PlanningInput.CoverageRules rules) {
     Random random = new Random(seed);
     List<Cache> caches = new ArrayList<>();
     for (int l = 0; l < shape.locations; l++) {
@@ -58,7 +58,7 @@
               Duration.ZERO));
     }
     caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 1e9, "", true, Duration.ZERO));
-    List<Range> ranges = new ArrayList<>();
+    List<KeyRange> ranges = new ArrayList<>();
     for (int r = 0; r < shape.ranges; r++) {
       String location = "l" + r % shape.locations;
       double share = (double) shape.locations / shape.ranges;
@@ -66,7 +66,7 @@
           new ArrayList<>(ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.deep));
       fills.add(caches.size() - 1);
       ranges.add(
-          new Range(
+          new KeyRange(
               location,
               Math.min(1, share),
               ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed, shape.deep),
@@ -83,31 +83,36 @@
                   b -> 0.65 - 0.35 * Math.cos(2 * Math.PI * (b - shift) / Math.min(96, shape.bins)))
               .toArray());
     }
-    return scaled(new World(caches, ranges, load, Duration.ZERO, BIN, rules), shape.peak);
+    return scaled(new PlanningInput(caches, ranges, load, Duration.ZERO, BIN, rules), shape.peak);
   }
 
   /**
    * Capacities scaled by tier, so that each tier's fullest cache would be at the given part of its
    * own at the peak.
    */
-  private static World scaled(World world, double peak) {
+  private static PlanningInput scaled(PlanningInput input, double peak) {
     Map<String, double[]> highest = new HashMap<>();
-    world
+    input
         .load()
         .forEach(
             (l, load) -> highest.put(l, new double[] {Arrays.stream(load).max().orElseThrow()}));
-    Board board =
-        new Board(
-            new World(
-                world.caches(), world.ranges(), highest, world.from(), world.bin(), world.rules()),
+    CoverageTimeline timeline =
+        new CoverageTimeline(
+            new PlanningInput(
+                input.caches(),
+                input.ranges(),
+                highest,
+                input.start(),
+                input.binLength(),
+                input.rules()),
             List.of());
     Map<Cache.Tier, Double> factor = new HashMap<>();
-    for (int c = 0; c < world.caches().size(); c++) {
-      Cache cache = world.caches().get(c);
-      factor.merge(cache.tier(), board.most(c, 0) / cache.capacity(), Math::max);
+    for (int c = 0; c < input.caches().size(); c++) {
+      Cache cache = input.caches().get(c);
+      factor.merge(cache.tier(), timeline.maxLoad(c, 0) / cache.capacity(), Math::max);
     }
-    return new World(
-        world.caches().stream()
+    return new PlanningInput(
+        input.caches().stream()
             .map(
                 c ->
                     c.tier() == Cache.Tier.ORIGIN
@@ -121,11 +126,11 @@
                             c.ready(),
                             c.warmAt()))
             .toList(),
-        world.ranges(),
-        world.load(),
-        world.from(),
-        world.bin(),
-        world.rules());
+        input.ranges(),
+        input.load(),
+        input.start(),
+        input.binLength(),
+        input.rules());
   }
 
   static List<Integer> ranked(
@@ -149,13 +154,13 @@
   }
 
   /** One location of a few edges, small enough for all plans to be tried. */
-  static World small(long seed) {
+  static PlanningInput small(long seed) {
     Random random = new Random(seed * 7919);
     int edges = 4 + random.nextInt(2);
     boolean reserve = random.nextInt(3) > 0;
-    World.Rules rules =
-        new World.Rules(
-            reserve ? Set.of(World.Failure.values()) : Set.of(),
+    PlanningInput.CoverageRules rules =
+        new PlanningInput.CoverageRules(
+            reserve ? Set.of(PlanningInput.Failure.values()) : Set.of(),
             0.2,
             0.1,
             BIN.multipliedBy(random.nextInt(3)),
@@ -168,22 +173,22 @@
   }
 
   /** Some worlds of middle size, with two locations. */
-  static World middle(long seed, Set<World.Failure> reserve) {
+  static PlanningInput middle(long seed, Set<PlanningInput.Failure> reserve) {
     return world(
         seed,
         new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
-        new World.Rules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
+        new PlanningInput.CoverageRules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
   }
 
-  static List<String> edges(World world, String location) {
-    return world.caches().stream()
+  static List<String> edges(PlanningInput input, String location) {
+    return input.caches().stream()
         .filter(c -> c.tier() == Cache.Tier.EDGE && c.location().equals(location))
         .map(Cache::name)
         .toList();
   }
 
-  static Wish wish(World world, List<String> caches, int bins) {
-    return Wish.of(
-        "night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(world.bins()));
+  static MaintenanceRequest wish(PlanningInput input, List<String> caches, int bins) {
+    return MaintenanceRequest.forCaches(
+        "night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(input.binCount()));
   }
 }
