--- a/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
@@ -31,6 +31,41 @@
     }
   }
 
+  /** Connects idle clients; returns the most descriptors that the program had open meanwhile. */
+  private long connect(List<Socket> idle, int count) throws IOException {
+    long most = 0;
+    for (int i = 0; i < count; i++) {
+      Socket socket = new Socket();
+      idle.add(socket);
+      socket.connect(address, 2000);
+      most = Math.max(most, openDescriptors());
+    }
+    return most;
+  }
+
+  private static void close(List<Socket> idle) throws IOException {
+    for (Socket socket : idle) {
+      socket.close();
+    }
+  }
+
+  /** Returns when the open descriptors have stayed within a bound for a while, or after 5 s. */
+  private void awaitStable(long most) throws Exception {
+    int stableSamples = 0;
+    for (int i = 0; i < 500 && stableSamples < STABLE_SAMPLES; i++) {
+      stableSamples = openDescriptors() > most ? 0 : stableSamples + 1;
+      TimeUnit.MILLISECONDS.sleep(10);
+    }
+  }
+
+  private void assertTenServed(String objectPrefix) throws IOException {
+    try (ToyServer.Client client = client()) {
+      for (int tag = 1; tag <= 10; tag++) {
+        assertThat(status(call(client, String.valueOf(tag), objectPrefix + tag))).isEqualTo("ACK");
+      }
+    }
+  }
+
   /**
    * Idle clients use up the listener's share while the feed is down; after its return a drain is
    * known and clients are served.
@@ -44,46 +79,27 @@
     // Both sides share what is not reserved for the program's own 64.
     int side = (limit - 64) / 2;
     List<Socket> idle = new ArrayList<>();
-    long most = 0;
     int port = feed.port();
     feed.close();
     awaitLogged("feed-lost");
     try {
-      for (int i = 0; i < 2 * limit; i++) {
-        Socket one = new Socket();
-        idle.add(one);
-        one.connect(address, 2000);
-        most = Math.max(most, openDescriptors());
-      }
+      long most = connect(idle, 2 * limit);
       // A client that connects among so many others may be closed.
-      for (int i = 0, stableSamples = 0; i < 500 && stableSamples < STABLE_SAMPLES; i++) {
-        stableSamples = openDescriptors() > atRest + side ? 0 : stableSamples + 1;
-        TimeUnit.MILLISECONDS.sleep(10);
-      }
+      awaitStable(atRest + side);
       assertThat(openDescriptors()).isBetween((long) side, atRest + side);
-      try (ToyServer.Client client = client()) {
-        for (int tag = 1; tag <= 10; tag++) {
-          assertThat(status(call(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
-        }
-      }
+      assertTenServed("a");
       feed = new ToyServer.Feed(port);
       nextCommand(feed.asked, "GET /v1/events?SUB=");
       feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
       nextCommand(feed.asked, "GET /v1/events?SUB=2");
       first.seen.clear();
-      try (ToyServer.Client client = client()) {
-        for (int tag = 1; tag <= 10; tag++) {
-          assertThat(status(call(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
-        }
-      }
+      assertTenServed("b");
       assertThat(first.seen).isEmpty();
       assertThat(most).isLessThan(limit);
       assertThat(Files.readString(folder.resolve("out.log")))
           .doesNotContain("Too many open files", "defect");
     } finally {
-      for (Socket one : idle) {
-        one.close();
-      }
+      close(idle);
     }
   }
 
@@ -98,22 +114,12 @@
     descriptors = limit;
     launch();
     List<Socket> idle = new ArrayList<>();
-    for (int i = 0; i < 2 * limit; i++) {
-      Socket one = new Socket();
-      idle.add(one);
-      one.connect(address, 2000);
-    }
+    connect(idle, 2 * limit);
     for (int i = 0; i < 200 && openDescriptors() < limit - 1; i++) {
       TimeUnit.MILLISECONDS.sleep(10);
     }
     assertThat(openDescriptors()).as("none is left").isGreaterThanOrEqualTo(limit - 1);
-    for (Socket one : idle) {
-      one.close();
-    }
-    try (ToyServer.Client client = client()) {
-      for (int tag = 1; tag <= 10; tag++) {
-        assertThat(status(call(client, String.valueOf(tag), "a" + tag))).isEqualTo("ACK");
-      }
-    }
+    close(idle);
+    assertTenServed("a");
   }
 }
--- a/cli/src/test/java/tamarindroute/gateway/FleetIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/FleetIT.java
@@ -176,76 +176,99 @@
     }
   }
 
+  /** A gateway process of a fleet. */
+  private record Member(Process process, InetSocketAddress listener) {}
+
   /**
-   * All gateways of a fleet start at once before one cold cache: together they stay within its
-   * capacity.
+   * Starts gateways by one configuration, each at a port of its own, and adds them as they start.
    */
-  @Test
-  void aDozenGatewaysRestartedAtOnceSpareOneColdCache() throws Exception {
-    gateway.destroyForcibly().waitFor();
-    int fleet = 12;
-    rewriteConfiguration("\"ReplicasOfMe\": 1", "\"ReplicasOfMe\": " + fleet);
-    rewriteConfiguration("\"CountByZone\": [0, 1]", "\"CountByZone\": [0, " + fleet + "]");
+  private void startFleet(List<Member> members, int size, String configuration) throws Exception {
+    for (int i = 0; i < size; i++) {
+      InetSocketAddress listener;
+      try (ServerSocket free = new ServerSocket(0)) {
+        listener = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+      }
+      Path config = folder.resolve("config" + i + ".json");
+      Files.writeString(
+          config,
+          configuration.replace(
+              "127.0.0.1:" + address.getPort(), "127.0.0.1:" + listener.getPort()));
+      members.add(new Member(launchProgram(config.toString()), listener));
+    }
+  }
+
+  /** Clients of gateways that are ready, one of each. */
+  private List<ToyServer.Client> clientsOf(List<Member> members) throws Exception {
+    List<ToyServer.Client> clients = new ArrayList<>();
+    for (Member member : members) {
+      address = member.listener();
+      gateway = member.process();
+      awaitReady();
+      clients.add(client());
+    }
+    return clients;
+  }
+
+  /** Sends 30 calls by each client, each a transfer of 0.1 s; returns how many are served. */
+  private int serveTransfers(List<ToyServer.Client> clients) throws Exception {
+    // 850 KB at 8,500 KB a second.
+    for (int tag = 1; tag <= 30; tag++) {
+      for (ToyServer.Client client : clients) {
+        String fields = callFields(Integer.toHexString(0x100 + requestCount), 2500);
+        client.call(String.valueOf(tag), "clip", fields.replace("mem=1", "mem=850"), "");
+      }
+    }
+    int served = 0;
+    for (ToyServer.Client client : clients) {
+      for (int tag = 1; tag <= 30; tag++) {
+        served += status(client.read()).equals("ACK") ? 1 : 0;
+      }
+      client.close();
+    }
+    return served;
+  }
+
+  /** The configuration of a fleet whose first cache has just started. */
+  private String configurationWithColdCache(int fleetSize, long startedMillis) throws Exception {
+    rewriteConfiguration("\"ReplicasOfMe\": 1", "\"ReplicasOfMe\": " + fleetSize);
+    rewriteConfiguration("\"CountByZone\": [0, 1]", "\"CountByZone\": [0, " + fleetSize + "]");
     rewriteConfiguration("\"weight\": 40", "\"weight\": 4");
     String text = Files.readString(folder.resolve("config.json"));
-    String cold =
+    String coldCache =
         "\"addr\": \"127.0.0.1:"
             + first.port()
             + "\", \"zone\": \"shed\", \"kind\": \"edge\", \"cell\": 0, "
             + "\"state\": \"ready\", \"weight\": 4, \"started_ms\": ";
-    assertThat(text).contains(cold + 0);
-    long started = System.currentTimeMillis();
-    text = text.replace(cold + 0, cold + started);
-    List<InetSocketAddress> listeners = new ArrayList<>();
-    List<Process> gateways = new ArrayList<>();
-    List<ToyServer.Client> clients = new ArrayList<>();
+    assertThat(text).contains(coldCache + 0);
+    return text.replace(coldCache + 0, coldCache + startedMillis);
+  }
+
+  /**
+   * All gateways of a fleet start at once before one cold cache: together they stay within its
+   * capacity.
+   */
+  @Test
+  void aDozenGatewaysRestartedAtOnceSpareOneColdCache() throws Exception {
+    gateway.destroyForcibly().waitFor();
+    int fleetSize = 12;
+    long startedMillis = System.currentTimeMillis();
+    List<Member> members = new ArrayList<>();
     try {
-      for (int i = 0; i < fleet; i++) {
-        try (ServerSocket free = new ServerSocket(0)) {
-          listeners.add(new InetSocketAddress("127.0.0.1", free.getLocalPort()));
-        }
-        Path config = folder.resolve("config" + i + ".json");
-        Files.writeString(
-            config,
-            text.replace(
-                "127.0.0.1:" + address.getPort(), "127.0.0.1:" + listeners.get(i).getPort()));
-        gateways.add(launchProgram(config.toString()));
-      }
-      for (int i = 0; i < fleet; i++) {
-        address = listeners.get(i);
-        gateway = gateways.get(i);
-        awaitReady();
-        clients.add(client());
-      }
-      long from = System.currentTimeMillis();
-      // A transfer of 0.1 s each: 850 KB at 8,500 KB a second.
-      for (int tag = 1; tag <= 30; tag++) {
-        for (ToyServer.Client client : clients) {
-          client.call(
-              String.valueOf(tag),
-              "clip",
-              callFields(Integer.toHexString(0x100 + requestCount), 2500)
-                  .replace("mem=1", "mem=850"),
-              "");
-        }
-      }
-      int served = 0;
-      for (ToyServer.Client client : clients) {
-        for (int tag = 1; tag <= 30; tag++) {
-          served += status(client.read()).equals("ACK") ? 1 : 0;
-        }
-        client.close();
-      }
-      long asks = first.seen.stream().filter(command -> command.startsWith("ASK")).count();
+      startFleet(members, fleetSize, configurationWithColdCache(fleetSize, startedMillis));
+      List<ToyServer.Client> clients = clientsOf(members);
+      long firstCallMillis = System.currentTimeMillis();
+      int served = serveTransfers(clients);
+      long attempts = first.seen.stream().filter(command -> command.startsWith("ASK")).count();
       // The settings' multiple of the capacity at the cache's age, in transfers of 0.1 s.
-      double age = (System.currentTimeMillis() - started) / 1000.0;
-      double asked = (System.currentTimeMillis() - from) / 1000.0;
+      double age = (System.currentTimeMillis() - startedMillis) / 1000.0;
+      double duration = (System.currentTimeMillis() - firstCallMillis) / 1000.0;
       double warmth = COLD_FROM + (1 - COLD_FROM) * age / COLD_SECONDS;
-      assertThat(asks * 0.1).isLessThan(FALL_MULTIPLE * 4 * warmth * Math.max(FALL_SECONDS, asked));
-      assertThat(served).isGreaterThan(fleet);
+      assertThat(attempts * 0.1)
+          .isLessThan(FALL_MULTIPLE * 4 * warmth * Math.max(FALL_SECONDS, duration));
+      assertThat(served).isGreaterThan(fleetSize);
     } finally {
-      for (Process one : gateways) {
-        one.destroyForcibly().waitFor();
+      for (Member member : members) {
+        member.process().destroyForcibly().waitFor();
       }
     }
   }
--- a/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
+++ b/router/src/test/java/tamarindroute/settings/SettingsFormatTest.java
@@ -105,7 +105,7 @@
           Duration.ofSeconds(8));
 
   @Test
-  void everyKeyOfTheLinesIsDecoded() throws Exception {
+  void policySettingsOfTheLinesAreDecoded() throws Exception {
     SettingsReader reader = SettingsReader.ofLines(LINES);
     assertThat(reader.validate()).isEmpty();
     assertThat(reader.settings(77))
@@ -131,6 +131,11 @@
                     0.064, Duration.ofSeconds(22), 2.25, Duration.ofSeconds(2)),
                 Duration.ofSeconds(6),
                 PolicySettings.WeightMeaning.LIVE));
+  }
+
+  @Test
+  void otherSettingsOfTheLinesAreDecoded() throws Exception {
+    SettingsReader reader = SettingsReader.ofLines(LINES);
     assertThat(reader.requestClasses()).containsExactly(CLIP, PICK, ONCE);
     assertThat(reader.requestClassesByName())
         .containsExactly(Map.entry("clip", CLIP), Map.entry("pick", PICK), Map.entry("once", ONCE));
@@ -150,7 +155,7 @@
   }
 
   @Test
-  void nothingGivenIsDecodedToTheDefaults() throws Exception {
+  void absentSettingsAreDecodedToTheDefaults() throws Exception {
     SettingsReader reader = SettingsReader.ofLines("");
     PolicySettings.ColdStart start =
         new PolicySettings.ColdStart(1, Duration.ZERO, 1, Duration.ofSeconds(1));
@@ -189,7 +194,7 @@
   }
 
   @Test
-  void wordsOfTheSettingsAreDecoded() throws Exception {
+  void keywordsOfTheSettingsAreDecoded() throws Exception {
     assertThat(settings("Weights=nominal").weightMeaning())
         .isEqualTo(PolicySettings.WeightMeaning.NOMINAL);
     assertThat(settings("Weights=rough").weightMeaning())
@@ -219,8 +224,13 @@
         .startsWith(
             "{\"n\":1,\"events\":[{\"n\":1,\"members\":{\"version\":1,\"full\":true,"
                 + "\"servers\":[{\"id\":\"s-0000000a\",\"addr\":\"127.0.0.1:7011\",\"zone\":\"shed\"");
-    SettingsReader reader = configuration.settings();
-    assertThat(reader.settings(configuration.seed()))
+  }
+
+  @Test
+  void policySettingsOfTheConfigurationFileAreDecoded() throws Exception {
+    PlatformConfiguration configuration =
+        PlatformConfiguration.read(Path.of("example/config.json").toString());
+    assertThat(configuration.settings().settings(configuration.seed()))
         .isEqualTo(
             new PolicySettings(
                 0x8c1f30d27a5be964L,
@@ -243,6 +253,12 @@
                     0.064, Duration.ofSeconds(22), 2, Duration.ofSeconds(2)),
                 Duration.ofSeconds(6),
                 PolicySettings.WeightMeaning.OFF));
+  }
+
+  @Test
+  void requestClassesOfTheConfigurationFileAreDecoded() throws Exception {
+    SettingsReader reader =
+        PlatformConfiguration.read(Path.of("example/config.json").toString()).settings();
     assertThat(reader.requestClassesByName())
         .containsExactly(
             Map.entry(
