--- a/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
+++ b/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
@@ -9,10 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * A thousand members, a fifth of all messages lost each way, ten killed, twenty stopped for up to
- * what is stated.
- */
+/** A thousand members at 20% loss; ten are killed, twenty paused for up to the tolerated time. */
 class ThousandMembersTest {
 
   @Test
@@ -28,27 +25,19 @@
     Map<Address, Set<Integer>> observersByAddress = new HashMap<>();
     simulator.observers.add(
         (node, actions) ->
-            actions.forEach(
-                action -> {
-                  if (action instanceof Action.StateChanged became
-                      && became.state() == MemberState.AWAY) {
-                    observersByAddress
-                        .computeIfAbsent(became.member().address(), a -> new HashSet<>())
-                        .add(node);
-                  }
-                }));
+            actions.forEach(action -> recordFaulty(node, action, observersByAddress)));
     simulator.run(Duration.ofSeconds(2));
     for (int i = 10; i < 20; i++) {
       simulator.kill(i);
     }
     for (int i = 20; i < 40; i++) {
       int index = i;
-      Duration span = Duration.ofMillis(150L * (i - 19));
+      Duration duration = Duration.ofMillis(150L * (i - 19));
       simulator.schedule(
           Duration.ofMillis(100L * (i - 20)),
           () -> {
-            checker.onPause(index, span);
-            simulator.pause(index, span);
+            checker.onPause(index, duration);
+            simulator.pause(index, duration);
           });
     }
     simulator.run(MembershipSettings.DEFAULTS.probePeriod().multipliedBy(10));
@@ -57,4 +46,13 @@
     assertThat(observersByAddress.values())
         .allSatisfy(observers -> assertThat(observers).hasSize(count - 10));
   }
+
+  private static void recordFaulty(
+      int node, Action action, Map<Address, Set<Integer>> observersByAddress) {
+    if (action instanceof Action.StateChanged change && change.state() == MemberState.FAULTY) {
+      observersByAddress
+          .computeIfAbsent(change.member().address(), address -> new HashSet<>())
+          .add(node);
+    }
+  }
 }
