--- a/net/src/main/java/tamarindroute/protocol/CacheProtocol.java
+++ b/net/src/main/java/tamarindroute/protocol/CacheProtocol.java
@@ -91,7 +91,7 @@
     return request.revalidate() ? REVALIDATE_HINT : null;
   }
 
-  /** Encodes the command that gives a request up; no response is owed then. */
+  /** Encodes the command that cancels a request; the cache sends no response then. */
   public static byte[] encodeCancel(String requestId) {
     return RespWriter.frame(CANCEL, requestId);
   }
--- a/net/src/main/java/tamarindroute/protocol/ClientCommand.java
+++ b/net/src/main/java/tamarindroute/protocol/ClientCommand.java
@@ -14,9 +14,9 @@
    */
   record Call(String tag, String requestClass, String fields) implements ClientCommand {}
 
-  /** The client no longer waits for the request of this tag; no response is owed. */
+  /** The client no longer waits for the request of this tag and gets no response to it. */
   record Cancel(String tag) implements ClientCommand {}
 
-  /** Asks whether the gateway accepts clients. */
+  /** Checks whether the gateway accepts clients. */
   record HealthCheck(String tag) implements ClientCommand {}
 }
--- a/net/src/main/java/tamarindroute/protocol/ClientProtocol.java
+++ b/net/src/main/java/tamarindroute/protocol/ClientProtocol.java
@@ -159,8 +159,8 @@
   /**
    * Encodes a call without a body, for the gateway's warm-up.
    *
-   * @param method written as the first field, by which {@link #isCallFrameOf} tells the call from a
-   *     client's
+   * @param method written as the first field, by which {@link #isCallFrameOf} distinguishes the
+   *     call from a client's
    */
   public static byte[] encodeCall(String tag, String requestClass, String method, CallFields call) {
     FieldList fields =
--- a/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
+++ b/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
@@ -187,7 +187,7 @@
     List.copyOf(pendingById.values()).forEach(outcomeHandler::onDeadline);
   }
 
-  /** A request got its final response, or is owed none. */
+  /** A request got its final response, or needs none. */
   void onRequestFinished(PendingRequest pending) {
     pending.client.onRequestFinished(pending);
     pendingById.remove(pending.id());
--- a/router/src/main/java/tamarindroute/gateway/GatewayServer.java
+++ b/router/src/main/java/tamarindroute/gateway/GatewayServer.java
@@ -47,7 +47,7 @@
   private final WarmUp warmUp;
   private final Duration longestDeadline;
 
-  /** Runs beside the gateway; null if none does. */
+  /** Follows the gateway's start and end; null for none. */
   private final LifecycleComponent component;
 
   private GatewayServer(
@@ -111,10 +111,10 @@
   }
 
   /**
-   * Starts a gateway with a component beside it; both go on in threads of their own.
+   * Starts a gateway with an additional component; both go on in threads of their own.
    *
    * @param path path of the configuration file
-   * @param component told of the gateway's start and end; null for none
+   * @param component notified of the gateway's start and end; null for none
    */
   public static synchronized void start(
       String path,
--- a/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
+++ b/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
@@ -17,8 +17,8 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * Last stage of the pipeline: records the outcome of each attempt, tells the policy once, and gives
- * each request its one final response.
+ * Last stage of the pipeline: records the outcome of each attempt, reports it to the policy once,
+ * and gives each request its one final response.
  */
 final class OutcomeHandler {
 
@@ -36,7 +36,7 @@
     this.router = router;
   }
 
-  /** Sets the stage that is told when a request is finished. */
+  /** Sets the stage that is notified when a request is finished. */
   void connect(AdmissionControl admissionControl) {
     admission = admissionControl;
   }
@@ -159,7 +159,7 @@
     }
   }
 
-  /** Handles a client that no longer waits: no response is owed. */
+  /** Handles a client that no longer waits: it gets no response. */
   void onClientCancelled(PendingRequest pending) {
     finish(pending);
     for (InFlightAttempt inFlight : pending.inFlight()) {
--- a/router/src/main/java/tamarindroute/gateway/PendingRequest.java
+++ b/router/src/main/java/tamarindroute/gateway/PendingRequest.java
@@ -12,9 +12,9 @@
 /**
  * An admitted request, from its admission to its final response and the end of its last attempt.
  *
- * <p>It is open until {@link #finish}; no response is owed after that, but attempts may still be in
- * flight. The client's body is kept for further attempts and freed once the request is finished and
- * nothing is in flight.
+ * <p>It is open until {@link #finish}; the client gets no response after that, but attempts may
+ * still be in flight. The client's body is kept for further attempts and freed once the request is
+ * finished and nothing is in flight.
  */
 final class PendingRequest {
 
@@ -76,13 +76,13 @@
     cancelDecisionTimer.run();
   }
 
-  /** Whether no response is owed any more. */
+  /** Whether the client needs no response any more. */
   boolean isFinished() {
     return finished;
   }
 
   /**
-   * Marks that no response is owed any more, and stops the timers.
+   * Marks that the client needs no response any more, and stops the timers.
    *
    * @return false if the request was finished before
    */
--- a/router/src/main/java/tamarindroute/gateway/Router.java
+++ b/router/src/main/java/tamarindroute/gateway/Router.java
@@ -10,8 +10,8 @@
 import tamarindroute.log.Log;
 
 /**
- * Third stage of the pipeline: asks the policy what to do with a request, carries the decision out,
- * and sets the timer of the next decision.
+ * Third stage of the pipeline: has the policy decide what to do with a request, carries the
+ * decision out, and sets the timer of the next decision.
  */
 final class Router {
 
