--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
@@ -142,7 +142,7 @@
   private static Command.MembershipChange toMembershipChange(
       MembershipView view, List<Member> due) {
     List<Member> removed = due.stream().filter(view::contains).sorted(MEMBER_ORDER).toList();
-    int freeSlots = ViewTransitions.MAX_MEMBERS - view.members().size() + removed.size();
+    int freeSlots = ViewLimits.MAX_MEMBERS - view.members().size() + removed.size();
     List<Member> added =
         due.stream()
             .filter(member -> !view.contains(member))
