--- a/net/src/main/java/tamarindroute/protocol/HttpResponseReader.java
+++ b/net/src/main/java/tamarindroute/protocol/HttpResponseReader.java
@@ -70,7 +70,7 @@
   public boolean read(ByteBuffer in) throws MalformedMessageException {
     while (in.hasRemaining()) {
       boolean whole =
-          state == State.BODY || state == State.CHUNK ? readBody(in) : readLineByte(in.get());
+          (state == State.BODY || state == State.CHUNK) ? readBody(in) : readLineByte(in.get());
       if (whole) {
         return true;
       }
@@ -163,7 +163,7 @@
       case "transfer-encoding" -> chunked = value.endsWith("chunked");
       case "connection" ->
           closesConnection =
-              value.equals("close") || closesConnection && !value.equals("keep-alive");
+              value.equals("close") || (closesConnection && !value.equals("keep-alive"));
       default -> {
         // Other headers are of no use here.
       }
--- a/router/src/main/java/tamarindroute/gateway/ClientConnection.java
+++ b/router/src/main/java/tamarindroute/gateway/ClientConnection.java
@@ -30,7 +30,7 @@
    * From a connection's start to its first request's end, and from a request's first byte to its
    * last.
    */
-  static final Duration FRAME_TIMEOUT = Duration.ofMillis(2000);
+  static final Duration FRAME_TIMEOUT = Duration.ofSeconds(2);
 
   /** Half of the 0.1 s after which no attempt may begin for a client that has gone. */
   private static final Duration ABANDONED_AFTER = Duration.ofMillis(50);
--- a/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
+++ b/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
@@ -100,7 +100,7 @@
       if (reserved) {
         reservedBytes -= count;
       } else if (bufferPool.hasCapacityFor(reservedBytes + remaining)
-          || reservedBytes == 0 && unsentBytes() < SLOW_CLIENT_BYTES) {
+          || (reservedBytes == 0 && unsentBytes() < SLOW_CLIENT_BYTES)) {
         reserved = true;
         reservedBytes += remaining;
       } else {
--- a/router/src/main/java/tamarindroute/gateway/WarmUp.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUp.java
@@ -29,7 +29,7 @@
   private static final int REQUEST_COUNT = 150;
 
   /** A restart must be quick, on a slow machine too. */
-  private static final Duration TIME_LIMIT = Duration.ofMillis(1000);
+  private static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
   /** Connections of the warm-up may still arrive so long after its end. */
   private static final Duration STRAGGLER_TIME = Duration.ofSeconds(1);
--- a/router/src/main/java/tamarindroute/settings/SettingsReader.java
+++ b/router/src/main/java/tamarindroute/settings/SettingsReader.java
@@ -37,7 +37,7 @@
   /** Creates a reader from lines of the form {@code key=value}. */
   public static SettingsReader ofLines(String text) throws MalformedSettingsException {
     Map<String, String> valuesByKey = new TreeMap<>();
-    for (String line : text.split("\n")) {
+    for (String line : text.split("\n", -1)) {
       int separator = line.indexOf('=');
       if (separator < 0 && !line.isBlank()) {
         throw new MalformedSettingsException("a settings line without '=': " + line);
--- a/router/src/test/java/tamarindroute/gateway/PipelineHarness.java
+++ b/router/src/test/java/tamarindroute/gateway/PipelineHarness.java
@@ -155,6 +155,7 @@
 
   /** Scripts the policy's next decisions. */
   @SafeVarargs
+  @SuppressWarnings("varargs")
   final void willDecide(Function<Request, Decision>... next) throws Exception {
     onEventLoop(() -> policy.decisions.addAll(List.of(next)));
   }
