--- a/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
+++ b/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
@@ -1,6 +1,7 @@
 package tamarindroute.members;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -37,7 +38,8 @@
   private static final int MAX_KEY_FILE_BYTES = 256;
 
   /** Stands for an address that can't be read. */
-  private static final InetSocketAddress PLACEHOLDER = new InetSocketAddress("127.0.0.1", 1);
+  private static final InetSocketAddress PLACEHOLDER =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   private final Path file;
   private final List<Fault> faults;
--- a/members/src/main/java/tamarindroute/members/agreed/FragmentReassembler.java
+++ b/members/src/main/java/tamarindroute/members/agreed/FragmentReassembler.java
@@ -99,7 +99,8 @@
     }
     CompletedNumbers completed =
         completedBySender.computeIfAbsent(sender, member -> new CompletedNumbers());
-    if (completed.contains(key.number()) || count == 1 && completed.isBeforeWindow(key.number())) {
+    boolean tooOld = count == 1 && completed.isBeforeWindow(key.number());
+    if (tooOld || completed.contains(key.number())) {
       return Optional.empty();
     }
     byte[] body = new byte[buffer.remaining()];
--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -85,7 +85,8 @@
       }
     }
     boolean intervalOver = now.minus(lastProposedAt).compareTo(MIN_PROPOSAL_INTERVAL) >= 0;
-    if (due.isEmpty() || anotherPending && !overdue || !intervalOver) {
+    boolean waitsForOthers = anotherPending && !overdue;
+    if (due.isEmpty() || waitsForOthers || !intervalOver) {
       return new Step(new ViewChangeBatcher(since, lastProposedAt), Optional.empty());
     }
     return new Step(new ViewChangeBatcher(since, now), Optional.of(toMembershipChange(view, due)));
--- a/members/src/main/java/tamarindroute/members/wire/MemberMessageCodec.java
+++ b/members/src/main/java/tamarindroute/members/wire/MemberMessageCodec.java
@@ -181,7 +181,8 @@
     long nextNumber = 0;
     for (WireFeedEvent event : message.getEventsList()) {
       long number = event.getNumber();
-      if (number <= 0 || nextNumber > 0 && number != nextNumber) {
+      boolean outOfOrder = nextNumber > 0 && number != nextNumber;
+      if (number <= 0 || outOfOrder) {
         throw new MalformedMessageException(
             "feed event " + number + " is not the next one, expected " + nextNumber);
       }
--- a/members/src/test/java/tamarindroute/members/LossyProxy.java
+++ b/members/src/test/java/tamarindroute/members/LossyProxy.java
@@ -6,18 +6,19 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Random;
+import java.util.concurrent.atomic.AtomicInteger;
 
 /** One direction of a link, which can lose datagrams or be blocked; duplicates each datagram. */
 final class LossyProxy implements AutoCloseable {
 
   private static final int MAX_DATAGRAM_BYTES = 5_000;
 
-  private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+  private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
   private final Random random;
   private final InetSocketAddress destination;
   volatile boolean blocked;
   volatile int lossPercent;
-  volatile int forwardedCount;
+  final AtomicInteger forwardedCount = new AtomicInteger();
 
   LossyProxy(InetSocketAddress destination, long seed) throws IOException {
     this.destination = destination;
@@ -43,14 +44,14 @@
   }
 
   private void forward(DatagramPacket packet) throws IOException {
-    forwardedCount++;
+    forwardedCount.incrementAndGet();
     packet.setSocketAddress(destination);
     socket.send(packet);
     socket.send(packet);
   }
 
   InetSocketAddress address() {
-    return new InetSocketAddress("127.0.0.1", socket.getLocalPort());
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
   }
 
   @Override
--- a/members/src/test/java/tamarindroute/members/MemberCluster.java
+++ b/members/src/test/java/tamarindroute/members/MemberCluster.java
@@ -141,8 +141,9 @@
   MemberCluster(int size) throws IOException {
     List<DatagramSocket> reserved = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      reserved.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-      addresses.add(new InetSocketAddress("127.0.0.1", reserved.get(i).getLocalPort()));
+      reserved.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+      addresses.add(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), reserved.get(i).getLocalPort()));
     }
     reserved.forEach(DatagramSocket::close);
   }
--- a/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
+++ b/members/src/test/java/tamarindroute/members/MembershipEndpointTest.java
@@ -5,6 +5,7 @@
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -77,7 +78,7 @@
         cluster.start(i);
       }
       cluster.awaitAllConnected();
-      assertThat(proxy.forwardedCount).isPositive();
+      assertThat(proxy.forwardedCount).hasPositiveValue();
       proxy.blocked = true;
       // Seven periods and three times the tolerated pause, enough for a false declaration.
       TimeUnit.SECONDS.sleep(3);
@@ -142,7 +143,7 @@
         MemberCluster.run(eventLoop, () -> sendNumbers(datagrams, sender, port, first));
         for (int i = 0; i < 100; i++) {
           receiver.receive(packet);
-          received[(packet.getData()[0] & 0xFF) << 8 | packet.getData()[1] & 0xFF] = true;
+          received[ByteBuffer.wrap(packet.getData()).getShort()] = true;
         }
       }
       assertThat(received).doesNotContain(false);
--- a/members/src/test/java/tamarindroute/members/QuotaCluster.java
+++ b/members/src/test/java/tamarindroute/members/QuotaCluster.java
@@ -33,8 +33,7 @@
 
   /** Short leases, but long enough to be renewed in time on a busy machine. */
   private static final SharedQuota QUOTA =
-      new SharedQuota(
-          SIZE, SharedQuota.FULL_QUOTA, Duration.ofMillis(1_000), Duration.ofMillis(3_000));
+      new SharedQuota(SIZE, SharedQuota.FULL_QUOTA, Duration.ofSeconds(1), Duration.ofSeconds(3));
 
   private static final Duration LEADERSHIP = Duration.ofMillis(500);
   private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(100);
@@ -286,9 +285,13 @@
   }
 
   @Override
-  public void close() throws Exception {
+  public void close() {
     for (Gateway gateway : new ArrayList<>(gateways)) {
-      gateway.kill();
+      try {
+        gateway.kill();
+      } catch (Exception e) {
+        throw new IllegalStateException("a gateway could not be stopped", e);
+      }
     }
     cluster.close();
   }
--- a/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
@@ -108,7 +108,7 @@
     batcher = ViewChangeBatcher.initial(Duration.ZERO);
     for (int turn = 0; turn < 60; turn++) {
       int index = 1 + random.nextInt(6);
-      long incarnation = 1 + random.nextInt(3);
+      long incarnation = 1L + random.nextInt(3);
       others.put(member(index, incarnation), MemberState.values()[random.nextInt(5)]);
       if (random.nextInt(4) == 0) {
         others.remove(member(index, incarnation));
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
@@ -85,7 +85,7 @@
     for (MemberMessage.LeaseKind kind : MemberMessage.LeaseKind.values()) {
       MemberMessage.LeasePayload lease =
           new MemberMessage.LeasePayload(
-              2, kind, 1_700_000_000_123L, 5, 250_000, Duration.ofMillis(3_000));
+              2, kind, 1_700_000_000_123L, 5, 250_000, Duration.ofSeconds(3));
       messages.add(Arguments.of(message(lease), HEAD + LEASE_PAYLOADS.get(kind.ordinal())));
     }
     return messages;
--- a/membership/src/main/java/tamarindroute/membership/MessageHandler.java
+++ b/membership/src/main/java/tamarindroute/membership/MessageHandler.java
@@ -56,8 +56,9 @@
   }
 
   private boolean isForSelf(Message message) {
-    return message.targetIncarnation() == context.self.incarnation()
-        || message.targetIncarnation() == 0 && message.kind() == Message.Kind.JOIN;
+    boolean untargetedJoin =
+        message.targetIncarnation() == 0 && message.kind() == Message.Kind.JOIN;
+    return untargetedJoin || message.targetIncarnation() == context.self.incarnation();
   }
 
   private void dispatch(Message message, MemberEntry sender, boolean accused) {
--- a/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
+++ b/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
@@ -118,7 +118,8 @@
       long sinceTimeoutNanos =
           context.nowNanos - entry.stateSinceNanos - timeoutNanos(reports, required);
       boolean declaredElsewhere = isDeclaredFaultyByOthers(entry, required);
-      if (declaredElsewhere || reports >= required && sinceTimeoutNanos >= 0) {
+      boolean confirmed = reports >= required && sinceTimeoutNanos >= 0;
+      if (declaredElsewhere || confirmed) {
         due.add(entry);
         overdue |= declaredElsewhere || sinceTimeoutNanos >= batchWaitNanos;
       } else {
--- a/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
+++ b/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
@@ -71,8 +71,9 @@
 
   /** Whether a later incarnation than the sender is known, or the sender has left for good. */
   private static boolean isSuperseded(MemberEntry entry, Member sender) {
-    return entry.member.incarnation() > sender.incarnation()
-        || entry.member.incarnation() == sender.incarnation() && entry.state == MemberState.LEFT;
+    boolean hasLeft =
+        entry.member.incarnation() == sender.incarnation() && entry.state == MemberState.LEFT;
+    return hasLeft || entry.member.incarnation() > sender.incarnation();
   }
 
   private MemberEntry admitJoining(Member sender) {
--- a/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
@@ -56,6 +56,7 @@
   static final int TOTAL_SECONDS = SETTLE_SECONDS + OBSERVE_SECONDS;
   private static final int CUT_AFTER_SECONDS = 2;
   private static final int FAILING_DIVISOR = 100;
+  private static final int PAUSED_DIVISOR = 10;
   private static final int MAX_DELAY_MILLIS = 40;
 
   private MembershipBenchmark() {}
@@ -185,11 +186,13 @@
   private static void schedulePauses(
       MembershipSimulator simulator, Workload workload, int failing) {
     int count = simulator.nodes.size();
-    for (int i = 0; i < count / 10 && workload.pauseSeconds > 0; i++) {
+    int paused = workload.pauseSeconds > 0 ? count / PAUSED_DIVISOR : 0;
+    Duration length = Duration.ofMillis((long) (workload.pauseSeconds * 1_000));
+    for (int i = 0; i < paused; i++) {
       int index = failing + 1 + i;
       simulator.schedule(
-          Duration.ofMillis((long) (1_000.0 * TOTAL_SECONDS * i / (count / 10))),
-          () -> simulator.pause(index, Duration.ofMillis((long) (workload.pauseSeconds * 1_000))));
+          Duration.ofMillis((long) (1_000.0 * TOTAL_SECONDS * i / paused)),
+          () -> simulator.pause(index, length));
     }
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
+++ b/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
@@ -125,8 +125,8 @@
     ModelState delivered = state.copy(ModelState.UNCHANGED);
     delivered.nowNanos = Math.max(state.nowNanos, flight.arrivesNanos());
     delivered.inFlight.remove(flight);
-    if (state.members[flight.to()] == null
-        || state.partition != null && state.partition.isCut(flight.from(), flight.to())) {
+    boolean cut = state.partition != null && state.partition.isCut(flight.from(), flight.to());
+    if (cut || state.members[flight.to()] == null) {
       return List.of(delivered);
     }
     if (state.pausedUntilNanos[flight.to()] >= 0) {
@@ -165,13 +165,7 @@
     List<Action> actions =
         member.onMessage(
             defect.apply(member, flight.message()), Duration.ofNanos(successor.nowNanos));
-    if (forOtherIncarnation
-        && actions.stream()
-            .anyMatch(
-                action ->
-                    action instanceof Action.IncarnationRaised
-                        || action instanceof Action.Send send
-                            && send.message().kind() == Message.Kind.ACK)) {
+    if (forOtherIncarnation && actions.stream().anyMatch(ModelTransitions::isAcceptance)) {
       violations.add(
           "message for a former incarnation of "
               + flight.to()
@@ -185,6 +179,13 @@
     return successor;
   }
 
+  private static boolean isAcceptance(Action action) {
+    if (action instanceof Action.Send send) {
+      return send.message().kind() == Message.Kind.ACK;
+    }
+    return action instanceof Action.IncarnationRaised;
+  }
+
   private static long knownIncarnation(ModelState state, int observer, Address subject) {
     return state.members[observer].members().keySet().stream()
         .filter(member -> member.address().equals(subject))
--- a/membership/src/test/java/tamarindroute/membership/Partition.java
+++ b/membership/src/test/java/tamarindroute/membership/Partition.java
@@ -19,6 +19,7 @@
   }
 
   boolean isCut(int from, int to) {
-    return (links & 1 << from * 3 + to) != 0;
+    int link = 1 << (from * ModelState.MEMBERS + to);
+    return (links & link) != 0;
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
+++ b/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
@@ -31,7 +31,7 @@
       }
     }
     for (Membership member : members) {
-      assertThat(member.localStatus(Duration.ofMillis(5_000)).isConnected())
+      assertThat(member.localStatus(Duration.ofSeconds(5)).isConnected())
           .as(member.self().toString())
           .isTrue();
       assertThat(member.liveMembers()).hasSize(3);
