--- a/members/src/main/java/tamarindroute/members/FeedEventReplicator.java
+++ b/members/src/main/java/tamarindroute/members/FeedEventReplicator.java
@@ -109,7 +109,7 @@
       JsonArray events = JsonParser.parseString(text).getAsJsonObject().getAsJsonArray("events");
       for (JsonElement element : events) {
         JsonObject event = element.getAsJsonObject();
-        store(event.get("n").getAsLong(), event.toString());
+        storeIfApplied(event.get("n").getAsLong(), event.toString());
       }
     } catch (JsonParseException
         | IllegalStateException
@@ -122,7 +122,7 @@
     }
   }
 
-  private void store(long number, String event) {
+  private void storeIfApplied(long number, String event) {
     if (number <= follower.lastNumber()) {
       store.put(number, event);
     }
@@ -166,7 +166,7 @@
     try {
       boolean applied = follower.apply(event.number(), event.json());
       if (applied) {
-        store(event.number(), event.json());
+        storeIfApplied(event.number(), event.json());
         Log.change(TOPIC, "event " + event.number() + " received from " + from);
       }
       return applied;
