--- a/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
@@ -40,7 +40,7 @@
     private volatile Thread eventLoopThread;
     private final ScheduledExecutorService thread =
         Executors.newSingleThreadScheduledExecutor(
-            task -> eventLoopThread = new Thread(task, "owner"));
+            task -> eventLoopThread = new Thread(task, "event-loop"));
 
     /** MINA's thread waits for this after each event that it hands over. */
     private volatile CompletableFuture<?> heldBackUntil = CompletableFuture.completedFuture(null);
--- a/router/src/main/java/tamarindroute/host/EventLoop.java
+++ b/router/src/main/java/tamarindroute/host/EventLoop.java
@@ -22,7 +22,7 @@
   private final long startNanos = System.nanoTime();
   private final Supplier<Instant> wallClock;
   private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
-  private final Thread thread = new Thread(this::run, "owner");
+  private final Thread thread = new Thread(this::run, "event-loop");
   private final TaskQueue taskQueue = new TaskQueue(thread);
   private int cancelledTimers;
 
