--- a/windows/src/main/java/tamarindroute/windows/Cache.java
+++ b/windows/src/main/java/tamarindroute/windows/Cache.java
@@ -5,10 +5,13 @@
 /**
  * A cache as the planner sees it.
  *
- * @param capacity the load that it bears when warm, in the unit of the load curve
- * @param hub what it stands in, lost together with it; empty for none
- * @param ready false for one that is down, barred or drained with no return known: never counted on
- * @param warmAt when it may be counted on, in agreed time; in the past for a warm one
+ * @param name identifies the cache in requests and windows
+ * @param location the location whose clients an edge serves; empty for other tiers
+ * @param tier what the cache is used for
+ * @param capacity the load it can take when warm, in the unit of the load curve
+ * @param hub the failure domain shared with other caches; empty for none
+ * @param ready false while it is down, ejected or drained with no known return
+ * @param warmAt the agreed time from which it is warm; in the past for a warm cache
  */
 public record Cache(
     String name,
@@ -18,19 +21,22 @@
     String hub,
     boolean ready,
     Duration warmAt) {
-  /**
-   * Edges serve views, parents serve their fills, the origin is the last source: it can't be taken
-   * out or fail.
-   */
+
+  /** What a cache is used for. */
   public enum Tier {
+    /** Serves clients' requests. */
     EDGE,
+    /** Serves the fills of edges. */
     PARENT,
+    /** The last fill source; it neither fails nor has windows. */
     ORIGIN
   }
 
+  /** Refuses a capacity that is negative, infinite or not a number. */
   public Cache {
     if (!(capacity >= 0) || Double.isInfinite(capacity)) {
-      throw new IllegalArgumentException("capacity of " + name + ": " + capacity);
+      throw new IllegalArgumentException(
+          "capacity of cache " + name + " is " + capacity + ", must be finite and at least 0");
     }
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/CoverageTimeline.java
+++ b/windows/src/main/java/tamarindroute/windows/CoverageTimeline.java
@@ -1,397 +1,236 @@
 package tamarindroute.windows;
 
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import tamarindroute.windows.Plan.Shortage;
-import tamarindroute.windows.Plan.ShortageKind;
+import java.util.Optional;
 
 /**
- * Which caches are in, out and cold in each bin of time, and what lacks when one more goes. Only
- * what its going can make worse is looked at: its own ranges, and the caches that stand behind it
- * there.
+ * The availability of each cache in each bin of time, and the shortages that follow from it. A
+ * change is checked only where it can make something worse: in the key ranges of the changed cache,
+ * at the caches that rank behind it.
  */
 final class CoverageTimeline {
-  static final byte IN = 0;
-  static final byte OUT = 1;
-  static final byte COLD = 2;
-
-  /** Sums of shares in any order differ by less. */
+  /** Tolerance for sums of shares, whose order of addition varies. */
   private static final double ROUNDING = 1e-9;
 
-  private static final int NO_PREDECESSOR = -1;
-  private static final int INDEPENDENT = -2;
-
-  final PlanningInput input;
-  final Map<String, Integer> indexByName = new HashMap<>();
-  private final byte[][] states;
-  private final int[][] edges;
-  private final int[][] fills;
-  private final int[][] rangesOf;
-  private final double[] capacity;
-  private final boolean[] edge;
+  private static final int NO_CACHE = -1;
 
-  /** For each kind of failure, what each cache fails with, or -1. */
-  private final int[][] groups;
+  private final PlanningInput input;
+  private final CacheTopology topology;
 
-  private final double[][] load;
-  private final double[] share;
-  private final double[] reassigned;
-  private final int[] reassignedAt;
-  private final int[] checkedAt;
-  private int checks;
-  private int evaluations;
+  /** By bin, then cache. */
+  private final Availability[][] availability;
 
-  /** How many cold edges each range has in each bin. */
-  private final byte[][] coldEdges;
+  private final LoadProjection loads;
 
-  /**
-   * For each bin and cache: what parents bear without cold edges at the most (NaN: to be told), and
-   * what those add.
-   */
-  private final double[][] warmLoad;
+  /** The check in which each cache's capacity was last compared, so that one check does it once. */
+  private final int[] checkedAt;
 
-  private final double[][] coldLoad;
+  private int check;
 
-  CoverageTimeline(PlanningInput input, List<PlanningInput.ScheduledOutage> held) {
+  CoverageTimeline(PlanningInput input, List<ScheduledOutage> outages) {
     this.input = input;
-    int caches = input.caches().size();
-    states = new byte[input.binCount()][caches];
-    edges = input.ranges().stream().map(r -> ints(r.edges())).toArray(int[][]::new);
-    fills = input.ranges().stream().map(r -> ints(r.fills())).toArray(int[][]::new);
-    load =
-        input.ranges().stream().map(r -> input.load().get(r.location())).toArray(double[][]::new);
-    share = input.ranges().stream().mapToDouble(KeyRange::share).toArray();
-    capacity = input.caches().stream().mapToDouble(Cache::capacity).toArray();
-    edge = new boolean[caches];
-    for (int c = 0; c < caches; c++) {
-      indexByName.put(input.caches().get(c).name(), c);
-      edge[c] = input.caches().get(c).tier() == Cache.Tier.EDGE;
+    topology = new CacheTopology(input);
+    availability = new Availability[input.binCount()][topology.cacheCount()];
+    for (Availability[] bin : availability) {
+      Arrays.fill(bin, Availability.IN_SERVICE);
     }
-    rangesOf = rangesOf(caches);
-    groups = groups();
-    reassigned = new double[caches];
-    reassignedAt = new int[caches];
-    checkedAt = new int[caches];
-    coldEdges = new byte[input.binCount()][edges.length];
-    warmLoad = new double[input.binCount()][];
-    coldLoad = new double[input.binCount()][];
-    for (int c = 0; c < caches; c++) {
-      Cache cache = input.caches().get(c);
-      fill(
-          c,
-          0,
-          cache.ready() ? input.firstBinFrom(cache.warmAt()) : input.binCount(),
-          cache.ready() ? COLD : OUT);
+    loads = new LoadProjection(input, topology, availability);
+    checkedAt = new int[topology.cacheCount()];
+    for (int cache = 0; cache < topology.cacheCount(); cache++) {
+      markInitialState(cache);
     }
-    Duration warmUp = input.rules().warmUp();
-    held.forEach(
-        one ->
-            markOutage(
-                one.cache(),
-                input.firstBinFrom(one.end()),
-                input.firstBinFrom(one.end().plus(warmUp)),
-                COLD));
-    held.forEach(
-        one ->
-            markOutage(one.cache(), input.binAt(one.start()), input.firstBinFrom(one.end()), OUT));
+    // An outage that overlaps another's warm-up prevails, so warm-ups are marked first.
+    outages.forEach(this::markWarmUp);
+    outages.forEach(this::markOutage);
   }
 
-  private void markOutage(String cache, int from, int to, byte how) {
-    Integer c = indexByName.get(cache);
-    if (c != null) {
-      fill(c, from, to, how);
+  private void markInitialState(int cache) {
+    Cache description = input.caches().get(cache);
+    if (description.ready()) {
+      fill(cache, 0, input.firstBinFrom(description.warmAt()), Availability.COLD);
+    } else {
+      fill(cache, 0, input.binCount(), Availability.OUT);
     }
   }
 
-  /**
-   * How much hangs on a cache: the shares of its ranges, the more the nearer it stands to their
-   * front.
-   */
-  double weight(int c) {
-    double weight = 0;
-    for (int r : rangesOf[c]) {
-      int place =
-          (edge[c] ? input.ranges().get(r).edges() : input.ranges().get(r).fills()).indexOf(c);
-      weight += share[r] / (1 + place);
+  private void markWarmUp(ScheduledOutage outage) {
+    Integer cache = topology.indexOf(outage.cache());
+    if (cache != null) {
+      int to = input.firstBinFrom(outage.end().plus(input.rules().warmUp()));
+      fill(cache, input.firstBinFrom(outage.end()), to, Availability.COLD);
     }
-    return weight / Math.max(ROUNDING, capacity[c]);
   }
 
-  private static int[] ints(List<Integer> list) {
-    return list.stream().mapToInt(Integer::intValue).toArray();
+  private void markOutage(ScheduledOutage outage) {
+    Integer cache = topology.indexOf(outage.cache());
+    if (cache != null) {
+      int to = input.firstBinFrom(outage.end());
+      fill(cache, input.binAt(outage.start()), to, Availability.OUT);
+    }
   }
 
-  private int[][] rangesOf(int caches) {
-    List<List<Integer>> of = new ArrayList<>();
-    for (int c = 0; c < caches; c++) {
-      of.add(new ArrayList<>());
+  private void fill(int cache, int from, int to, Availability value) {
+    for (int bin = Math.max(0, from); bin < Math.min(to, availability.length); bin++) {
+      set(cache, bin, value);
     }
-    for (int r = 0; r < edges.length; r++) {
-      for (int c : edges[r]) {
-        of.get(c).add(r);
-      }
-      for (int c : fills[r]) {
-        of.get(c).add(r);
-      }
-    }
-    return of.stream().map(CoverageTimeline::ints).toArray(int[][]::new);
   }
 
-  private int[][] groups() {
-    List<int[]> kinds = new ArrayList<>();
-    for (PlanningInput.Failure kind : PlanningInput.Failure.values()) {
-      // Any one parent is among any one cache.
-      boolean within =
-          kind == PlanningInput.Failure.PARENT
-              && input.rules().toleratedFailures().contains(PlanningInput.Failure.CACHE);
-      if (input.rules().toleratedFailures().contains(kind) && !within) {
-        int[] group = new int[capacity.length];
-        Map<String, Integer> hubs = new HashMap<>();
-        for (int c = 0; c < group.length; c++) {
-          group[c] = group(kind, c, hubs);
-        }
-        kinds.add(group);
-      }
-    }
-    if (kinds.isEmpty()) {
-      int[] none = new int[capacity.length];
-      Arrays.fill(none, -1);
-      kinds.add(none);
-    }
-    return kinds.toArray(int[][]::new);
+  PlanningInput input() {
+    return input;
   }
 
-  private int group(PlanningInput.Failure kind, int c, Map<String, Integer> hubs) {
-    Cache cache = input.caches().get(c);
-    if (cache.tier() == Cache.Tier.ORIGIN) {
-      return -1;
-    }
-    return switch (kind) {
-      case CACHE -> c;
-      case PARENT -> cache.tier() == Cache.Tier.PARENT ? c : -1;
-      case HUB -> cache.hub().isEmpty() ? -1 : hubs.computeIfAbsent(cache.hub(), h -> hubs.size());
-    };
+  CacheTopology topology() {
+    return topology;
   }
 
-  private void fill(int c, int from, int to, byte how) {
-    for (int b = Math.max(0, from); b < Math.min(to, states.length); b++) {
-      set(c, b, how);
-    }
+  Availability get(int cache, int bin) {
+    return availability[bin][cache];
   }
 
-  byte get(int c, int bin) {
-    return states[bin][c];
+  void set(int cache, int bin, Availability value) {
+    Availability before = availability[bin][cache];
+    availability[bin][cache] = value;
+    loads.onChange(cache, bin, before, value);
   }
 
-  void set(int c, int bin, byte how) {
-    byte was = states[bin][c];
-    states[bin][c] = how;
-    if (!edge[c]) {
-      warmLoad[bin] = was == how ? warmLoad[bin] : null;
-    } else if ((was == COLD) != (how == COLD)) {
-      for (int r : rangesOf[c]) {
-        coldEdges[bin][r] += how == COLD ? 1 : -1;
-        if (warmLoad[bin] != null && coldEdges[bin][r] == (how == COLD ? 1 : 0)) {
-          addColdLoad(r, bin, how == COLD ? 1 : -1);
-        }
-      }
-    }
+  /** The highest load of a cache in a bin over all tolerated failures. */
+  double maxLoad(int cache, int bin) {
+    return loads.maxLoad(cache, bin);
   }
 
   /**
-   * What a range's cold edges add to all parents that one failure may send its fills to, not only
-   * to the worst hit.
+   * How constrained a cache is: the shares of its key ranges, weighted by its rank in them, for
+   * each unit of capacity.
    */
-  private void addColdLoad(int r, int bin, int sign) {
-    double more =
-        sign
-            * share[r]
-            * load[r][bin]
-            * Math.min(1 - input.rules().missRatio(), input.rules().coldShare());
-    for (int p : fills[r]) {
-      for (int[] group : groups) {
-        int before = predecessors(p, fills[r], bin, group);
-        if (before == NO_PREDECESSOR || before >= 0 && before != group[p]) {
-          coldLoad[bin][p] += more;
-          break;
-        }
-      }
-    }
-  }
-
-  private double maxFillLoad(int p, int bin) {
-    if (warmLoad[bin] == null) {
-      warmLoad[bin] = new double[capacity.length];
-      Arrays.fill(warmLoad[bin], Double.NaN);
-      coldLoad[bin] = new double[capacity.length];
-      for (int r = 0; r < edges.length; r++) {
-        if (coldEdges[bin][r] > 0) {
-          addColdLoad(r, bin, 1);
-        }
+  double weight(int cache) {
+    double weight = 0;
+    for (int index : topology.rangesOf(cache)) {
+      KeyRange range = input.ranges().get(index);
+      List<Integer> ranking = topology.isEdge(cache) ? range.edges() : range.fills();
+      weight += range.share() / (1 + ranking.indexOf(cache));
+    }
+    return weight / Math.max(ROUNDING, topology.capacityOf(cache));
+  }
+
+  /** The first shortage in a bin that a cache's being out or cold there can have caused. */
+  Optional<Shortage> shortageCausedBy(int cache, int bin) {
+    check++;
+    boolean coldEdge = topology.isEdge(cache) && availability[bin][cache] == Availability.COLD;
+    for (int range : topology.rangesOf(cache)) {
+      Optional<Shortage> shortage = coverShortage(range, bin);
+      if (shortage.isEmpty()) {
+        shortage = capacityShortage(cache, topology.rankingOf(range, cache), range, bin);
       }
-    }
-    if (Double.isNaN(warmLoad[bin][p])) {
-      warmLoad[bin][p] = maxLoadOverFailures(p, bin);
-    }
-    return warmLoad[bin][p] + coldLoad[bin][p];
-  }
-
-  /** What lacks in a bin now that a cache is out, or cold, there; null if nothing does. */
-  Shortage shortage(int c, int bin) {
-    checks++;
-    for (int r : rangesOf[c]) {
-      Shortage shortage = coverShortage(r, bin);
-      shortage =
-          shortage == null ? capacityShortage(c, edge[c] ? edges[r] : fills[r], r, bin) : shortage;
-      if (shortage == null && edge[c] && states[bin][c] == COLD) {
-        shortage = capacityShortage(-1, fills[r], r, bin);
+      if (shortage.isEmpty() && coldEdge) {
+        shortage = capacityShortage(NO_CACHE, topology.fillsOf(range), range, bin);
       }
-      if (shortage != null) {
+      if (shortage.isPresent()) {
         return shortage;
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** What lacks anywhere in a bin. */
-  Shortage shortage(int bin) {
-    checks++;
-    for (int r = 0; r < edges.length; r++) {
-      Shortage shortage = coverShortage(r, bin);
-      shortage = shortage == null ? capacityShortage(-1, edges[r], r, bin) : shortage;
-      shortage = shortage == null ? capacityShortage(-1, fills[r], r, bin) : shortage;
-      if (shortage != null) {
+  /** The first shortage in a bin, whatever its cause. */
+  Optional<Shortage> anyShortage(int bin) {
+    check++;
+    for (int range = 0; range < topology.rangeCount(); range++) {
+      Optional<Shortage> shortage = coverShortage(range, bin);
+      if (shortage.isEmpty()) {
+        shortage = capacityShortage(NO_CACHE, topology.edgesOf(range), range, bin);
+      }
+      if (shortage.isEmpty()) {
+        shortage = capacityShortage(NO_CACHE, topology.fillsOf(range), range, bin);
+      }
+      if (shortage.isPresent()) {
         return shortage;
       }
     }
-    return null;
-  }
-
-  private Shortage capacityShortage(int c, int[] ranked, int range, int bin) {
-    boolean behind = c < 0;
-    for (int j : ranked) {
-      if (behind && states[bin][j] == IN && checkedAt[j] != checks) {
-        checkedAt[j] = checks;
-        double need = maxLoad(j, bin);
-        if (need > capacity[j] * (1 + ROUNDING)) {
-          return new Shortage(
-              ShortageKind.CAPACITY,
-              range,
-              input.caches().get(j).name(),
-              need,
-              capacity[j],
-              at(bin));
+    return Optional.empty();
+  }
+
+  /** Compares the caches that rank behind a cache, or all for {@link #NO_CACHE}. */
+  private Optional<Shortage> capacityShortage(int cache, int[] ranked, int range, int bin) {
+    boolean behind = cache == NO_CACHE;
+    for (int other : ranked) {
+      if (behind && isUnchecked(other, bin)) {
+        checkedAt[other] = check;
+        double load = loads.maxLoad(other, bin);
+        double capacity = topology.capacityOf(other);
+        if (load > capacity * (1 + ROUNDING)) {
+          return Optional.of(
+              new Shortage(
+                  Shortage.Kind.CAPACITY, range, topology.nameOf(other), load, capacity, at(bin)));
         }
       }
-      behind |= j == c;
+      behind |= other == cache;
     }
-    return null;
+    return Optional.empty();
+  }
+
+  private boolean isUnchecked(int cache, int bin) {
+    return availability[bin][cache] == Availability.IN_SERVICE && checkedAt[cache] != check;
   }
 
   private Duration at(int bin) {
     return input.timeOf(bin);
   }
 
-  /**
-   * A range is covered if an edge is left that has a fill source, whatever one group of caches
-   * fails.
-   */
-  private Shortage coverShortage(int r, int bin) {
-    Shortage shortage = coverShortage(r, bin, null, -1);
-    for (int[] group : groups) {
-      for (int c : edges[r]) {
-        shortage =
-            shortage == null && group[c] >= 0 ? coverShortage(r, bin, group, group[c]) : shortage;
+  /** A range is covered if any tolerated failure leaves it an edge that has a fill source. */
+  private Optional<Shortage> coverShortage(int range, int bin) {
+    Optional<Shortage> shortage = coverShortage(range, bin, null, CacheTopology.NO_GROUP);
+    for (int[] groups : topology.failureGroups()) {
+      if (shortage.isEmpty()) {
+        shortage = coverShortage(range, bin, groups, topology.edgesOf(range));
       }
-      for (int c : fills[r]) {
-        shortage =
-            shortage == null && group[c] >= 0 ? coverShortage(r, bin, group, group[c]) : shortage;
+      if (shortage.isEmpty()) {
+        shortage = coverShortage(range, bin, groups, topology.fillsOf(range));
       }
     }
     return shortage;
   }
 
-  private Shortage coverShortage(int r, int bin, int[] group, int failed) {
-    int serving = remaining(edges[r], bin, group, failed);
-    if (serving == 0) {
-      return new Shortage(
-          ShortageKind.NO_EDGE, r, input.caches().get(edges[r][0]).name(), 1, 0, at(bin));
-    }
-    if (remaining(fills[r], bin, group, failed) == 0
-        && !(input.rules().siblingFill() && serving > 1)) {
-      return new Shortage(
-          ShortageKind.NO_FILL_SOURCE, r, input.caches().get(edges[r][0]).name(), 1, 0, at(bin));
+  /** The shortage of a range when the group of any of the given caches fails. */
+  private Optional<Shortage> coverShortage(int range, int bin, int[] groups, int[] failing) {
+    for (int cache : failing) {
+      if (groups[cache] >= 0) {
+        Optional<Shortage> shortage = coverShortage(range, bin, groups, groups[cache]);
+        if (shortage.isPresent()) {
+          return shortage;
+        }
+      }
     }
-    return null;
+    return Optional.empty();
   }
 
-  private int remaining(int[] ranked, int bin, int[] group, int failed) {
-    int left = 0;
-    for (int c : ranked) {
-      left += states[bin][c] == IN && (group == null || group[c] != failed) ? 1 : 0;
+  /** The shortage of a range when one group has failed; {@code groups} is null for no failure. */
+  private Optional<Shortage> coverShortage(int range, int bin, int[] groups, int failedGroup) {
+    int edges = remaining(topology.edgesOf(range), bin, groups, failedGroup);
+    if (edges == 0) {
+      return Optional.of(coverShortage(Shortage.Kind.NO_EDGE, range, bin));
     }
-    return left;
-  }
-
-  /**
-   * The most that a cache must bear in a bin when any one group fails: each range goes to the first
-   * that is left.
-   */
-  double maxLoad(int j, int bin) {
-    return edge[j] ? maxLoadOverFailures(j, bin) : maxFillLoad(j, bin);
-  }
-
-  private double maxLoadOverFailures(int j, int bin) {
-    double most = 0;
-    for (int[] group : groups) {
-      most = Math.max(most, maxLoad(j, bin, group));
+    boolean siblingFills = input.rules().siblingFill() && edges > 1;
+    if (!siblingFills && remaining(topology.fillsOf(range), bin, groups, failedGroup) == 0) {
+      return Optional.of(coverShortage(Shortage.Kind.NO_FILL_SOURCE, range, bin));
     }
-    return most;
+    return Optional.empty();
   }
 
-  private double maxLoad(int j, int bin, int[] group) {
-    double own = 0;
-    double further = 0;
-    int stamp = ++evaluations;
-    for (int r : rangesOf[j]) {
-      int before = predecessors(j, edge[j] ? edges[r] : fills[r], bin, group);
-      if (before == NO_PREDECESSOR) {
-        own += weight(r, j, bin);
-      } else if (before >= 0 && before != group[j]) {
-        reassigned[before] =
-            (reassignedAt[before] == stamp ? reassigned[before] : 0) + weight(r, j, bin);
-        reassignedAt[before] = stamp;
-        further = Math.max(further, reassigned[before]);
-      }
-    }
-    return own + further;
+  private Shortage coverShortage(Shortage.Kind kind, int range, int bin) {
+    String firstEdge = topology.nameOf(topology.edgesOf(range)[0]);
+    return new Shortage(kind, range, firstEdge, 1, 0, at(bin));
   }
 
-  /**
-   * The one group that all before a cache in a range belong to, nobody, or several: then no one
-   * failure reaches it.
-   */
-  private int predecessors(int j, int[] ranked, int bin, int[] group) {
-    int before = NO_PREDECESSOR;
-    for (int c : ranked) {
-      if (c == j) {
-        return before;
-      }
-      if (states[bin][c] == IN) {
-        if (group[c] < 0 || before != NO_PREDECESSOR && before != group[c]) {
-          return INDEPENDENT;
-        }
-        before = group[c];
+  private int remaining(int[] ranked, int bin, int[] groups, int failedGroup) {
+    int remaining = 0;
+    for (int cache : ranked) {
+      boolean failed = groups != null && groups[cache] == failedGroup;
+      if (availability[bin][cache] == Availability.IN_SERVICE && !failed) {
+        remaining++;
       }
     }
-    return INDEPENDENT;
-  }
-
-  private double weight(int r, int j, int bin) {
-    return share[r] * load[r][bin] * (edge[j] ? 1 : input.rules().missRatio());
+    return remaining;
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/Planner.java
+++ b/windows/src/main/java/tamarindroute/windows/Planner.java
@@ -5,389 +5,176 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.zip.CRC32;
 import tamarindroute.windows.Plan.Batch;
 import tamarindroute.windows.Plan.Rejection;
-import tamarindroute.windows.Plan.Shortage;
-import tamarindroute.windows.Plan.ShortageKind;
 
 /**
- * Places wishes one after another. Within a wish each cache takes the earliest time at which it
- * fits beside all that is placed; this is tried in a few orders, and the one that ends first is
- * kept. What fits is never made unfit by a later step, as each step looks at all that it can make
- * worse: so every plan keeps cover, room and reserve.
+ * Places maintenance requests one after another, each whole or not at all. Every placement is
+ * checked against all that it can make worse, on top of everything placed before; so a plan keeps
+ * cover and capacity with any one tolerated failure.
  */
 public final class Planner {
-  /**
-   * Orders tried for a small wish: about half of all orders of five caches, milliseconds for
-   * twenty.
-   */
+  /** Orders of caches that are tried for a small request. */
   static final int MAX_ORDERS = 64;
 
-  /**
-   * Caches placed over all orders of all wishes: 1,000 caches are tried in two orders, which stays
-   * under a second.
-   */
+  /** Caches placed over all orders of all requests; bounds the time of a large plan. */
   static final int MAX_PLACEMENTS = 2_000;
 
-  /**
-   * Caches that may be placed as one where each alone would leave another of them without room,
-   * from the third order on. Eight made no plan of 300 small worlds better.
-   */
-  static final int MAX_GROUP = 3;
-
-  private record Placement(int cache, int start) {}
-
-  private record Candidate(List<Placement> placed, List<Integer> unplaced, Shortage shortage) {
-    int end() {
-      return placed.stream().mapToInt(Placement::start).max().orElse(-1);
-    }
-
-    long starts() {
-      return placed.stream().mapToLong(Placement::start).sum();
-    }
-  }
+  /** Sums of shares in any order differ by less. */
+  private static final double ROUNDING = 1e-9;
 
-  /**
-   * A wish in bins: out for {@code length}, then cold for {@code warmUp}, starting between two
-   * bins.
-   */
-  private record BinnedRequest(
-      List<Integer> caches, int required, int length, int warmUp, int first, int last) {}
+  private static final Comparator<MaintenanceRequest> PLACEMENT_ORDER =
+      Comparator.comparingInt(MaintenanceRequest::placementOrder)
+          .thenComparing(MaintenanceRequest::latest)
+          .thenComparing(MaintenanceRequest::id);
 
   private final CoverageTimeline timeline;
-  private Shortage leastSevere;
+  private final PlanningInput input;
+  private final List<Batch> batches = new ArrayList<>();
+  private final List<Rejection> rejections = new ArrayList<>();
 
-  private int orderCount;
-
-  private Planner(CoverageTimeline timeline) {
-    this.timeline = timeline;
+  private Planner(PlanningInput input, List<ScheduledOutage> outages) {
+    this.input = input;
+    timeline = new CoverageTimeline(input, outages);
   }
 
+  /** Places the requests beside the outages that other windows have scheduled. */
   public static Plan plan(
-      PlanningInput input,
-      List<PlanningInput.ScheduledOutage> held,
-      List<MaintenanceRequest> wishes) {
-    return new Planner(new CoverageTimeline(input, held)).plan(wishes);
+      PlanningInput input, List<ScheduledOutage> outages, List<MaintenanceRequest> requests) {
+    return new Planner(input, outages).plan(requests);
   }
 
   /**
-   * What lacks at a time with some caches out, all that the world tells of them aside; null if
-   * nothing does.
+   * The first shortage at a time while the named caches are out. Unknown names are ignored; a time
+   * outside the input's bins counts as in the nearest one.
    */
-  public static Shortage shortage(PlanningInput input, List<String> out, Duration at) {
+  public static Optional<Shortage> shortage(PlanningInput input, List<String> out, Duration at) {
     CoverageTimeline timeline = new CoverageTimeline(input, List.of());
     int bin = Math.max(0, Math.min(input.binAt(at), input.binCount() - 1));
     for (String name : out) {
-      Integer c = timeline.indexByName.get(name);
-      if (c != null) {
-        timeline.set(c, bin, CoverageTimeline.OUT);
+      Integer cache = timeline.topology().indexOf(name);
+      if (cache != null) {
+        timeline.set(cache, bin, Availability.OUT);
       }
     }
-    return timeline.shortage(bin);
+    return timeline.anyShortage(bin);
   }
 
-  private Plan plan(List<MaintenanceRequest> wishes) {
-    List<MaintenanceRequest> sorted = new ArrayList<>(wishes);
-    sorted.sort(
-        Comparator.comparingInt(MaintenanceRequest::placementOrder)
-            .thenComparing(MaintenanceRequest::latest)
-            .thenComparing(MaintenanceRequest::id));
-    List<Batch> batches = new ArrayList<>();
-    List<Rejection> refusals = new ArrayList<>();
-    int caches = sorted.stream().mapToInt(request -> caches(request).size()).sum();
-    orderCount = Math.max(1, Math.min(MAX_ORDERS, MAX_PLACEMENTS / Math.max(1, caches)));
-    for (MaintenanceRequest request : sorted) {
-      Rejection rejection = place(request, batches);
-      if (rejection != null) {
-        refusals.add(rejection);
-      }
-    }
+  private Plan plan(List<MaintenanceRequest> requests) {
+    int caches = requests.stream().mapToInt(request -> cachesOf(request).size()).sum();
+    int orders = Math.max(1, Math.min(MAX_ORDERS, MAX_PLACEMENTS / Math.max(1, caches)));
+    requests.stream().sorted(PLACEMENT_ORDER).forEach(request -> place(request, orders));
     batches.sort(Comparator.comparing(Batch::start).thenComparing(Batch::request));
-    return new Plan(batches, refusals);
+    return new Plan(batches, rejections);
   }
 
-  private Rejection place(MaintenanceRequest request, List<Batch> batches) {
-    List<Integer> caches = caches(request);
+  private void place(MaintenanceRequest request, int orders) {
+    List<Integer> caches = cachesOf(request);
     if (caches.contains(null)) {
-      String name = request.caches().get(caches.indexOf(null));
-      return new Rejection(
-          request.id(),
-          name,
-          new Shortage(ShortageKind.UNKNOWN_CACHE, -1, name, 1, 0, request.earliest()),
-          null);
+      rejections.add(unknownCache(request, request.caches().get(caches.indexOf(null))));
+      return;
     }
-    PlanningInput input = timeline.input;
-    int length = input.binsCovering(request.length());
-    int warm = input.binsCovering(request.length().plus(input.rules().warmUp())) - length;
-    int need =
-        request.location() == null
-            ? caches.size()
-            : (int) Math.ceil(request.share() * caches.size() - 1e-9);
-    int first = Math.max(0, input.firstBinFrom(request.earliest()));
-    int latest = input.binCount() - length - warm;
-    int last = Math.min(latest, input.binAt(request.latest()) - length);
-    leastSevere = null;
-    Candidate best = best(new BinnedRequest(caches, need, length, warm, first, last));
-    if (best.placed.size() < need) {
-      return rejection(request, best, new BinnedRequest(caches, need, length, warm, first, latest));
+    BinnedRequest binned = toBins(request, caches);
+    PlacementSearch search = new PlacementSearch(timeline, orders);
+    Candidate best = search.best(binned);
+    if (best.placements().size() < binned.required()) {
+      rejections.add(rejection(request, binned, best, search));
+      return;
     }
-    put(best, length, warm);
-    batches.addAll(batches(request, best, length));
-    return null;
-  }
-
-  private Rejection rejection(MaintenanceRequest request, Candidate best, BinnedRequest longer) {
-    PlanningInput input = timeline.input;
-    String name = best.unplaced.isEmpty() ? "" : input.caches().get(best.unplaced.get(0)).name();
-    Shortage shortage =
-        best.shortage != null
-            ? best.shortage
-            : new Shortage(
-                ShortageKind.TIME,
-                -1,
-                name,
-                request.length().toSeconds(),
-                Math.max(0, request.latest().minus(input.timeOf(longer.first)).toSeconds()),
-                request.earliest());
-    Candidate later = best(longer);
-    Duration would =
-        later.placed.size() < longer.required ? null : input.timeOf(later.end() + longer.length);
-    return new Rejection(request.id(), name, shortage, would);
+    mark(best, binned);
+    batches.addAll(toBatches(request, best, binned.length()));
   }
 
-  private List<Integer> caches(MaintenanceRequest request) {
+  /** Indexes of the caches that a request concerns; null for an unknown one. */
+  private List<Integer> cachesOf(MaintenanceRequest request) {
     if (request.location() == null) {
-      return request.caches().stream().distinct().map(timeline.indexByName::get).toList();
+      return request.caches().stream().distinct().map(timeline.topology()::indexOf).toList();
     }
-    List<Integer> all = new ArrayList<>();
-    for (int c = 0; c < timeline.input.caches().size(); c++) {
-      Cache cache = timeline.input.caches().get(c);
+    List<Integer> edges = new ArrayList<>();
+    for (int index = 0; index < input.caches().size(); index++) {
+      Cache cache = input.caches().get(index);
       if (cache.tier() == Cache.Tier.EDGE && cache.location().equals(request.location())) {
-        all.add(c);
-      }
-    }
-    return all;
-  }
-
-  private Candidate best(BinnedRequest job) {
-    Candidate best = null;
-    Candidate last = null;
-    for (int i = 0; i < orderCount; i++) {
-      last = attempt(job, order(job.caches, i, last), i < 2 ? 1 : MAX_GROUP);
-      best = best == null || better(last, best) ? last : best;
-      if (best.placed.size() >= job.required && best.end() <= job.first) {
-        break;
+        edges.add(index);
       }
     }
-    return best;
+    return edges;
   }
 
-  private static boolean better(Candidate one, Candidate other) {
-    int placed = Integer.compare(one.placed.size(), other.placed.size());
-    int end = Integer.compare(other.end(), one.end());
-    return placed != 0 ? placed > 0 : end != 0 ? end > 0 : one.starts() < other.starts();
-  }
-
-  /**
-   * The most constrained first; then by turns those first that came last in the try before, and by
-   * lot.
-   */
-  private List<Integer> order(List<Integer> caches, int number, Candidate before) {
-    Map<Long, Integer> sorted = new TreeMap<>();
-    for (int i = 0; i < caches.size(); i++) {
-      int cache = caches.get(i);
-      long rank = number == 0 ? -(long) (1e6 * timeline.weight(cache)) : hash(number, cache);
-      if (number % 2 == 1) {
-        rank = rank % (1 << 12) - ((long) previousStart(before, cache) << 12);
-      }
-      // Places make ranks different.
-      sorted.put((rank << 12) + i, cache);
-    }
-    return new ArrayList<>(sorted.values());
-  }
-
-  private static int previousStart(Candidate before, int cache) {
-    return before.placed.stream()
-        .filter(p -> p.cache == cache)
-        .mapToInt(Placement::start)
-        .findFirst()
-        .orElse(PlanningInput.MAX_BINS);
-  }
-
-  private static long hash(int number, int cache) {
-    CRC32 crc = new CRC32();
-    for (int shift = 0; shift < 32; shift += 8) {
-      crc.update(cache >> shift);
-    }
-    crc.update(number);
-    return crc.getValue();
-  }
-
-  /**
-   * Places all that can be placed, keeps the needed ones that end first, and leaves the board as it
-   * was.
-   */
-  private Candidate attempt(BinnedRequest job, List<Integer> order, int together) {
-    List<Placement> placed = new ArrayList<>();
-    List<Integer> unplaced = new ArrayList<>();
-    Map<Integer, byte[]> before = new TreeMap<>();
-    order.forEach(cache -> before.put(cache, column(cache)));
-    Set<Integer> open = new TreeSet<>(order);
-    for (int cache : order) {
-      if (open.contains(cache)) {
-        List<Integer> group = new ArrayList<>(List.of(cache));
-        int start = earliest(group, open, together, job);
-        if (start < 0) {
-          unplaced.add(cache);
-        } else {
-          group.forEach(c -> placed.add(new Placement(c, start)));
-          open.removeAll(group);
-        }
-      }
-    }
-    before.forEach(this::restore);
-    placed.sort(Comparator.comparingInt(Placement::start));
-    return new Candidate(
-        List.copyOf(placed.subList(0, Math.min(job.required, placed.size()))),
-        unplaced,
-        leastSevere);
-  }
-
-  private byte[] column(int cache) {
-    byte[] column = new byte[timeline.input.binCount()];
-    for (int b = 0; b < column.length; b++) {
-      column[b] = timeline.get(cache, b);
-    }
-    return column;
-  }
-
-  private void restore(int cache, byte[] column) {
-    for (int b = 0; b < column.length; b++) {
-      timeline.set(cache, b, column[b]);
-    }
-  }
-
-  private void put(Candidate best, int length, int warm) {
-    for (Placement one : best.placed) {
-      for (int b = one.start; b < one.start + length + warm; b++) {
-        timeline.set(
-            one.cache, b, b < one.start + length ? CoverageTimeline.OUT : CoverageTimeline.COLD);
-      }
-    }
+  private BinnedRequest toBins(MaintenanceRequest request, List<Integer> caches) {
+    int length = input.binsCovering(request.length());
+    int warmUp = input.binsCovering(request.length().plus(input.rules().warmUp())) - length;
+    int required =
+        request.location() == null
+            ? caches.size()
+            : (int) Math.ceil(request.share() * caches.size() - ROUNDING);
+    int firstStart = Math.max(0, input.firstBinFrom(request.earliest()));
+    int lastStart = Math.min(lastStart(length, warmUp), input.binAt(request.latest()) - length);
+    return new BinnedRequest(caches, required, length, warmUp, firstStart, lastStart);
   }
 
-  /**
-   * The first start at which the group fits, which is then marked on the board; -1 if there is
-   * none.
-   */
-  private int earliest(List<Integer> group, Set<Integer> open, int together, BinnedRequest job) {
-    int start = job.first;
-    while (start <= job.last) {
-      int refused = rejectingBin(group, start, open, together, job);
-      if (refused < 0) {
-        return start;
-      }
-      // A bin that can't spare the cache refuses all starts that reach it, unless others may go
-      // along.
-      start = refused < start + job.length && together == 1 ? refused + 1 : start + 1;
-    }
-    return -1;
+  /** The last start whose window and warm-up end within the input's bins. */
+  private int lastStart(int length, int warmUp) {
+    return input.binCount() - length - warmUp;
   }
 
-  /**
-   * The bin that refuses the group, or -1 when it is placed. Whoever lacks room and is itself still
-   * to be placed may go along, as its own load then goes to others: the group grows by it.
-   */
-  private int rejectingBin(
-      List<Integer> group, int start, Set<Integer> open, int together, BinnedRequest job) {
-    byte[][] before = new byte[group.size()][job.length + job.warmUp];
-    for (int i = 0; i < job.length + job.warmUp; i++) {
-      Shortage shortage = set(group, start, i, before, job);
-      if (shortage != null) {
-        leastSevere =
-            leastSevere == null || shortage.severity() < leastSevere.severity()
-                ? shortage
-                : leastSevere;
-        for (int back = i; back >= 0; back--) {
-          for (int g = 0; g < group.size(); g++) {
-            timeline.set(group.get(g), start + back, before[g][back]);
-          }
-        }
-        return placeWithBlocker(group, shortage, start, open, together, job) ? -1 : start + i;
+  private static Rejection unknownCache(MaintenanceRequest request, String cache) {
+    Shortage shortage =
+        new Shortage(
+            Shortage.Kind.UNKNOWN_CACHE, Shortage.NO_RANGE, cache, 1, 0, request.earliest());
+    return new Rejection(request.id(), cache, shortage, null);
+  }
+
+  private Rejection rejection(
+      MaintenanceRequest request, BinnedRequest binned, Candidate best, PlacementSearch search) {
+    List<Integer> unplaced = best.unplaced();
+    String cache = unplaced.isEmpty() ? "" : timeline.topology().nameOf(unplaced.get(0));
+    Shortage shortage = best.leastSevere();
+    if (shortage == null) {
+      shortage = tooShort(request, binned, cache);
+    }
+    BinnedRequest unbounded = binned.withLastStart(lastStart(binned.length(), binned.warmUp()));
+    Candidate later = search.best(unbounded);
+    boolean feasible = later.placements().size() >= binned.required();
+    Duration feasibleEnd = feasible ? input.timeOf(later.lastStart() + binned.length()) : null;
+    return new Rejection(request.id(), cache, shortage, feasibleEnd);
+  }
+
+  private Shortage tooShort(MaintenanceRequest request, BinnedRequest binned, String cache) {
+    Duration available = request.latest().minus(input.timeOf(binned.firstStart()));
+    return new Shortage(
+        Shortage.Kind.TIME,
+        Shortage.NO_RANGE,
+        cache,
+        request.length().toSeconds(),
+        Math.max(0, available.toSeconds()),
+        request.earliest());
+  }
+
+  private void mark(Candidate candidate, BinnedRequest request) {
+    for (Candidate.Placement placement : candidate.placements()) {
+      int end = placement.start() + request.length();
+      for (int bin = placement.start(); bin < end + request.warmUp(); bin++) {
+        timeline.set(placement.cache(), bin, bin < end ? Availability.OUT : Availability.COLD);
       }
     }
-    return -1;
-  }
-
-  private boolean placeWithBlocker(
-      List<Integer> group,
-      Shortage shortage,
-      int start,
-      Set<Integer> open,
-      int together,
-      BinnedRequest job) {
-    int full =
-        shortage.kind() == ShortageKind.CAPACITY ? timeline.indexByName.get(shortage.cache()) : -1;
-    if (group.size() >= together || !open.contains(full) || group.contains(full)) {
-      return false;
-    }
-    group.add(full);
-    if (rejectingBin(group, start, open, together, job) < 0) {
-      return true;
-    }
-    group.remove((Integer) full);
-    return false;
   }
 
-  private Shortage set(List<Integer> group, int start, int i, byte[][] before, BinnedRequest job) {
-    Shortage shortage = null;
-    int bin = start + i;
-    for (int g = 0; g < group.size(); g++) {
-      int cache = group.get(g);
-      before[g][i] = timeline.get(cache, bin);
-      // A cache that is out or cold by an agreed window or by itself can't have its window there
-      // too.
-      shortage =
-          before[g][i] == CoverageTimeline.IN
-              ? shortage
-              : new Shortage(
-                  ShortageKind.TIME,
-                  -1,
-                  timeline.input.caches().get(cache).name(),
-                  1,
-                  0,
-                  timeline.input.timeOf(bin));
-      timeline.set(cache, bin, i < job.length ? CoverageTimeline.OUT : CoverageTimeline.COLD);
-    }
-    for (int g = 0; g < group.size() && shortage == null; g++) {
-      shortage = timeline.shortage(group.get(g), bin);
+  private List<Batch> toBatches(MaintenanceRequest request, Candidate candidate, int length) {
+    Map<Integer, List<String>> namesByStart = new TreeMap<>();
+    for (Candidate.Placement placement : candidate.placements()) {
+      namesByStart
+          .computeIfAbsent(placement.start(), start -> new ArrayList<>())
+          .add(timeline.topology().nameOf(placement.cache()));
     }
-    return shortage;
-  }
-
-  private List<Batch> batches(MaintenanceRequest request, Candidate best, int length) {
-    Map<Integer, List<String>> byStart = new TreeMap<>();
-    best.placed.forEach(
-        p ->
-            byStart
-                .computeIfAbsent(p.start, s -> new ArrayList<>())
-                .add(timeline.input.caches().get(p.cache).name()));
-    List<Batch> batches = new ArrayList<>();
-    byStart.forEach(
+    List<Batch> result = new ArrayList<>();
+    namesByStart.forEach(
         (start, names) -> {
-          Duration end = timeline.input.timeOf(start + length);
-          batches.add(
-              new Batch(
-                  request.id(),
-                  List.copyOf(names),
-                  timeline.input.timeOf(start),
-                  end,
-                  end.plus(timeline.input.rules().warmUp())));
+          Duration end = input.timeOf(start + length);
+          Duration warmAt = end.plus(input.rules().warmUp());
+          result.add(new Batch(request.id(), List.copyOf(names), input.timeOf(start), end, warmAt));
         });
-    return batches;
+    return result;
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/PlanningInput.java
+++ b/windows/src/main/java/tamarindroute/windows/PlanningInput.java
@@ -5,13 +5,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 
 /**
- * What the planner plans over. Times are agreed time: monotonic, the same for all that hold the
- * agreed view.
+ * What the planner plans over. Times are agreed time: monotonic, the same for all members that hold
+ * the agreed view. Time is divided into bins of equal length.
  *
- * @param load each location's load in each bin from {@code start} on
+ * @param caches all caches; key ranges refer to them by index
+ * @param ranges all key ranges
+ * @param load each location's load in each bin
+ * @param start the agreed time at which the first bin starts
+ * @param binLength the length of a bin
  * @param rules what counts as cover
  */
 public record PlanningInput(
@@ -21,110 +24,94 @@
     Duration start,
     Duration binLength,
     CoverageRules rules) {
-  /**
-   * Kinds of the further failure that must be borne: one edge or parent, one parent, all that stand
-   * in one hub.
-   */
-  public enum Failure {
-    CACHE,
-    PARENT,
-    HUB
-  }
 
-  /**
-   * What counts as cover.
-   *
-   * @param toleratedFailures one further failure of any of these kinds leaves every range covered,
-   *     with room
-   * @param missRatio the part of views that needs a fill from a parent or the origin
-   * @param coldShare the part of a range's views that a cold cache among its first takes and must
-   *     fill: the fourth rule's bound as a share. It is load for the parents, and never counted as
-   *     help to other edges
-   * @param warmUp how long a returned cache is cold
-   * @param siblingFill whether two edges that may hold a range are a fill source to each other
-   */
-  public record CoverageRules(
-      Set<Failure> toleratedFailures,
-      double missRatio,
-      double coldShare,
-      Duration warmUp,
-      boolean siblingFill) {}
-
-  /** A cache that another agreed window holds. */
-  public record ScheduledOutage(String cache, Duration start, Duration end) {}
-
-  /** Two weeks of quarter hours: longer plans would rest on a curve that nobody has seen. */
+  /** Two weeks of quarter hours. */
   public static final int MAX_BINS = 1344;
 
-  /** Four times what a plan must do in a second. */
+  /** Upper bound of the number of caches. */
   public static final int MAX_CACHES = 4096;
 
-  /** As above: 16,384 ranges are 4 a cache. */
+  /** Upper bound of the number of key ranges. */
   public static final int MAX_RANGES = 16_384;
 
+  /** Refuses sizes out of bounds, loads below zero, and ranges of unknown caches or locations. */
   public PlanningInput {
     caches = List.copyOf(caches);
     ranges = List.copyOf(ranges);
     load = new HashMap<>(load);
-    int bins = load.values().stream().mapToInt(l -> l.length).min().orElse(0);
-    if (bins < 1
-        || bins > MAX_BINS
-        || caches.size() > MAX_CACHES
-        || ranges.size() > MAX_RANGES
-        || binLength.isNegative()
-        || binLength.isZero()) {
+    requireWithin("bins", shortest(load), 1, MAX_BINS);
+    requireWithin("caches", caches.size(), 0, MAX_CACHES);
+    requireWithin("key ranges", ranges.size(), 0, MAX_RANGES);
+    if (binLength.isNegative() || binLength.isZero()) {
+      throw new IllegalArgumentException("length of a bin is " + binLength + ", must be positive");
+    }
+    load.forEach(PlanningInput::requireLoad);
+    for (KeyRange range : ranges) {
+      requireKnown(range, caches, load);
+    }
+  }
+
+  private static void requireWithin(String what, int count, int least, int most) {
+    if (count < least || count > most) {
       throw new IllegalArgumentException(
-          "out of bounds: "
-              + bins
-              + " bins, "
-              + caches.size()
-              + " caches, "
-              + ranges.size()
-              + " ranges, bins of "
-              + binLength);
+          "number of " + what + " is " + count + ", must be " + least + " to " + most);
     }
-    if (load.values().stream().flatMapToDouble(Arrays::stream).anyMatch(l -> !(l >= 0))) {
-      throw new IllegalArgumentException("a load that is no number or below zero");
+  }
+
+  private static void requireLoad(String location, double[] load) {
+    if (Arrays.stream(load).anyMatch(value -> !(value >= 0))) {
+      throw new IllegalArgumentException(
+          "load of location " + location + " has a value that is not a number of at least 0");
     }
-    for (KeyRange range : ranges) {
-      if (range.edges().isEmpty()
-          || !load.containsKey(range.location())
-          || !refersTo(caches, range.edges(), Cache.Tier.EDGE)
-          || !refersTo(caches, range.fills(), null)) {
-        throw new IllegalArgumentException("a range of unknown caches or of no load: " + range);
-      }
+  }
+
+  private static void requireKnown(KeyRange range, List<Cache> caches, Map<String, double[]> load) {
+    if (range.edges().isEmpty()) {
+      throw new IllegalArgumentException("key range has no edges: " + range);
+    }
+    if (!load.containsKey(range.location())) {
+      throw new IllegalArgumentException("key range of a location without load: " + range);
     }
+    if (!range.edges().stream().allMatch(index -> isKnown(caches, index, true))) {
+      throw new IllegalArgumentException("key range names an edge that is unknown: " + range);
+    }
+    if (!range.fills().stream().allMatch(index -> isKnown(caches, index, false))) {
+      throw new IllegalArgumentException("key range names a fill source that is unknown: " + range);
+    }
+  }
+
+  private static boolean isKnown(List<Cache> caches, int index, boolean edge) {
+    return index >= 0
+        && index < caches.size()
+        && (caches.get(index).tier() == Cache.Tier.EDGE) == edge;
   }
 
-  private static boolean refersTo(List<Cache> caches, List<Integer> places, Cache.Tier tier) {
-    return places.stream()
-        .allMatch(
-            p ->
-                p >= 0
-                    && p < caches.size()
-                    && (caches.get(p).tier() == Cache.Tier.EDGE) == (tier == Cache.Tier.EDGE));
+  private static int shortest(Map<String, double[]> load) {
+    return load.values().stream().mapToInt(values -> values.length).min().orElse(0);
   }
 
+  /** The number of bins for which every location's load is known. */
   int binCount() {
-    return load.values().stream().mapToInt(l -> l.length).min().orElse(0);
+    return shortest(load);
   }
 
-  /** The bin that a time lies in, which may be out of bounds. */
+  /** The bin that contains a time; it may be out of bounds. */
   int binAt(Duration time) {
     return Math.toIntExact(Math.floorDiv(time.minus(start).toMillis(), binLength.toMillis()));
   }
 
-  /** The first bin that starts at or after a time. */
+  /** The first bin that starts at or after a time; it may be out of bounds. */
   int firstBinFrom(Duration time) {
     return Math.toIntExact(-Math.floorDiv(-time.minus(start).toMillis(), binLength.toMillis()));
   }
 
-  /** How many bins a span may touch when it starts with a bin. */
+  /** The number of bins touched by a span that starts with a bin. */
   int binsCovering(Duration length) {
     return Math.toIntExact(-Math.floorDiv(-length.toMillis(), binLength.toMillis()));
   }
 
-  Duration timeOf(int place) {
-    return start.plus(binLength.multipliedBy(place));
+  /** The time at which a bin starts. */
+  Duration timeOf(int bin) {
+    return start.plus(binLength.multipliedBy(bin));
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/WindowTransitions.java
+++ b/windows/src/main/java/tamarindroute/windows/WindowTransitions.java
@@ -1,34 +1,41 @@
 package tamarindroute.windows;
 
 import java.time.Duration;
+import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
+import java.util.NavigableSet;
 import java.util.Objects;
-import java.util.SortedSet;
+import java.util.Optional;
+import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Predicate;
+import tamarindroute.windows.CoordinatorState.NoticeKey;
 import tamarindroute.windows.MaintenanceWindow.Phase;
-import tamarindroute.windows.Plan.Shortage;
-import tamarindroute.windows.WindowCoordinator.Action;
-import tamarindroute.windows.WindowCoordinator.Notice;
 
 /**
- * The next step of each window, judged on one state. At most one is put at a time, and only by a
- * leader in touch.
+ * Decides the next step of each window on one state. At most one step is proposed at a time, and
+ * only by a leader whose view is valid.
  */
 final class WindowTransitions {
-  private final WindowCoordinator.State state;
+  /** Windows that are under way come first: a return must not wait behind a start. */
+  private static final List<Phase> DECISION_ORDER =
+      List.of(Phase.RETURNING, Phase.OPEN, Phase.DRAINING, Phase.SCHEDULED, Phase.REQUESTED);
+
+  private final CoordinatorState state;
   private final Duration now;
-  private final WindowCoordinator.Settings settings;
-  private final WindowCoordinator.CoverageAssessor assessor;
-  private final List<Action> actions;
-  private final SortedSet<String> notified = new TreeSet<>();
-  private boolean propose;
+  private final CoordinatorSettings settings;
+  private final CoverageAssessor assessor;
+  private final List<WindowAction> actions;
+  private final Set<NoticeKey> notified = new HashSet<>();
+  private boolean proposalBlocked;
 
   WindowTransitions(
-      WindowCoordinator.State state,
+      CoordinatorState state,
       Duration now,
-      WindowCoordinator.Settings settings,
-      WindowCoordinator.CoverageAssessor assessor,
-      List<Action> actions) {
+      CoordinatorSettings settings,
+      CoverageAssessor assessor,
+      List<WindowAction> actions) {
     this.state = state;
     this.now = now;
     this.settings = settings;
@@ -37,35 +44,29 @@
   }
 
   WindowCoordinator.Transition run() {
-    boolean touch = now.compareTo(state.leaseEnd()) < 0;
-    boolean waits =
+    boolean awaitsAnswer =
         state.proposedAt() != null
-            && now.compareTo(state.proposedAt().plus(settings.proposalTimeout())) < 0;
-    propose = waits || !touch || !state.leader();
-    // Those under way first: what must come back must not wait behind what wants to go.
-    for (Phase phase :
-        List.of(Phase.RETURNING, Phase.OPEN, Phase.DRAINING, Phase.SCHEDULED, Phase.REQUESTED)) {
-      state.windows().values().stream().filter(e -> e.phase() == phase).forEach(this::advance);
+            && isBefore(now, state.proposedAt().plus(settings.proposalTimeout()));
+    boolean viewValid = isBefore(now, state.leaseEnd());
+    proposalBlocked = awaitsAnswer || !viewValid || !state.leader();
+    for (Phase phase : DECISION_ORDER) {
+      windowsWith(window -> window.phase() == phase).forEach(this::advance);
     }
-    state.windows().values().stream().filter(e -> e.phase().ended()).forEach(this::forget);
+    windowsWith(window -> window.phase().ended()).forEach(this::removeWhenExpired);
     addRequested();
-    Duration sent =
-        actions.stream().anyMatch(a -> a instanceof WindowCoordinator.Propose)
-            ? now
-            : waits ? state.proposedAt() : null;
-    return new WindowCoordinator.Transition(
-        new WindowCoordinator.State(
-            state.viewNumber(),
-            state.windows(),
-            state.leaseEnd(),
-            state.leader(),
-            sent,
-            state.phaseEntries(),
-            state.observations(),
-            state.requests(),
-            state.draining(),
-            notified),
-        actions);
+    CoordinatorState next = state.withProposedAt(proposedAt(awaitsAnswer)).withNotified(notified);
+    return new WindowCoordinator.Transition(next, actions);
+  }
+
+  private Duration proposedAt(boolean awaitsAnswer) {
+    if (actions.stream().anyMatch(WindowAction.Propose.class::isInstance)) {
+      return now;
+    }
+    return awaitsAnswer ? state.proposedAt() : null;
+  }
+
+  private List<MaintenanceWindow> windowsWith(Predicate<MaintenanceWindow> condition) {
+    return state.windows().values().stream().filter(condition).toList();
   }
 
   private void advance(MaintenanceWindow window) {
@@ -73,207 +74,216 @@
       case REQUESTED -> schedule(window);
       case SCHEDULED -> startDraining(window);
       case DRAINING -> open(window);
-      case OPEN -> supervise(window);
+      case OPEN -> superviseOpen(window);
       case RETURNING -> close(window);
-      default -> throw new IllegalStateException(window.toString());
+      case CLOSED, CANCELLED -> throw new IllegalStateException("window has ended: " + window);
     }
   }
 
   private void schedule(MaintenanceWindow window) {
-    if (withdrawn(window) || tooLate(window)) {
+    if (isWithdrawn(window) || isTooLate(window)) {
       cancel(window);
-      return;
-    }
-    if (propose) {
-      // Not judged this time: what was told of it stands.
-      state.notified().stream()
-          .filter(t -> t.startsWith(Notice.NO_SLOT + " " + window.id()))
-          .forEach(notified::add);
-      return;
-    }
-    WindowCoordinator.Slot slot =
-        assessor.findSlot(
-            window,
-            state.windows().values().stream()
-                .filter(e -> e.phase() == Phase.SCHEDULED || e.phase().withholdsCaches())
-                .toList(),
-            now);
-    if (slot.start() == null) {
-      notify(Notice.NO_SLOT, window, slot.shortage());
+    } else if (proposalBlocked) {
+      keepNotices(Notice.NO_SLOT, window);
     } else {
-      propose(
-          window,
-          window.scheduled(Phase.SCHEDULED, slot.start(), slot.start().plus(window.length())));
+      proposeSlot(window);
     }
   }
 
+  private void proposeSlot(MaintenanceWindow window) {
+    Collection<MaintenanceWindow> others =
+        windowsWith(other -> other.phase() == Phase.SCHEDULED || other.phase().withholdsCaches());
+    CoverageAssessor.Slot slot = assessor.findSlot(window, others, now);
+    if (slot instanceof CoverageAssessor.Slot.Found found) {
+      Duration end = found.start().plus(window.length());
+      propose(window, window.withPhase(Phase.SCHEDULED, found.start(), end));
+    } else if (slot instanceof CoverageAssessor.Slot.Unavailable unavailable) {
+      notify(Notice.NO_SLOT, window, unavailable.shortage());
+    }
+  }
+
+  /** A window that is not assessed this time keeps the notices it had. */
+  private void keepNotices(Notice notice, MaintenanceWindow window) {
+    state.notified().stream()
+        .filter(key -> key.notice() == notice && key.window().equals(window.id()))
+        .forEach(notified::add);
+  }
+
   private void startDraining(MaintenanceWindow window) {
-    if (withdrawn(window) || tooLate(window)) {
+    if (isWithdrawn(window) || isTooLate(window)) {
       cancel(window);
-    } else if (now.compareTo(window.start()) >= 0) {
-      Shortage shortage = assessor.shortage(unavailable(window, true), true, now);
-      if (shortage != null) {
-        notify(Notice.START_DELAYED, window, shortage);
-      } else {
-        propose(window, window.scheduled(Phase.DRAINING, now, now.plus(window.length())));
-      }
+      return;
+    }
+    if (isBefore(now, window.start())) {
+      return;
+    }
+    NavigableSet<String> out = unavailable(true);
+    out.addAll(window.caches());
+    Optional<Shortage> shortage = assessor.shortage(out, true, now);
+    if (shortage.isPresent()) {
+      notify(Notice.START_DELAYED, window, shortage.get());
+    } else {
+      propose(window, window.withPhase(Phase.DRAINING, now, now.plus(window.length())));
     }
   }
 
   private void open(MaintenanceWindow window) {
-    Shortage shortage = assessor.shortage(unavailable(null, false), true, now);
-    if (shortage != null) {
-      notify(Notice.RECALLED, window, shortage);
-    }
-    if (shortage != null || withdrawn(window) || now.compareTo(window.end()) >= 0) {
-      reportUncovered(window);
-      propose(window, window.scheduled(Phase.RETURNING, window.start(), earlier(window.end())));
-    } else if (window.caches().stream()
-            .allMatch(
-                c ->
-                    observationInPhase(window, c) != null
-                        && (observationInPhase(window, c).drained()
-                            || !observationInPhase(window, c).up()))
-        && assessor.shortage(unavailable(null, true), true, now) == null) {
+    Optional<Shortage> shortage = assessor.shortage(unavailable(false), true, now);
+    shortage.ifPresent(found -> notify(Notice.RECALLED, window, found));
+    if (shortage.isPresent() || isWithdrawn(window) || !isBefore(now, window.end())) {
+      notifyIfUncovered(window);
+      proposeReturn(window);
+    } else if (window.caches().stream().allMatch(cache -> isDrainedOrDown(window, cache))
+        && assessor.shortage(unavailable(true), true, now).isEmpty()) {
       propose(window, window.withPhase(Phase.OPEN));
     }
   }
 
-  private void supervise(MaintenanceWindow window) {
-    Shortage shortage = assessor.shortage(unavailable(null, false), true, now);
-    if (shortage != null) {
-      reportUncovered(window);
-      notify(Notice.RECALLED, window, shortage);
+  private boolean isDrainedOrDown(MaintenanceWindow window, String cache) {
+    return observationInPhase(window, cache)
+        .filter(observation -> observation.drained() || !observation.up())
+        .isPresent();
+  }
+
+  private void superviseOpen(MaintenanceWindow window) {
+    Optional<Shortage> shortage = assessor.shortage(unavailable(false), true, now);
+    if (shortage.isPresent()) {
+      notifyIfUncovered(window);
+      notify(Notice.RECALLED, window, shortage.get());
     }
-    // One whose cache is down can't be called back by us: operators are told, its end stands.
-    boolean back =
-        shortage != null
-            && window.caches().stream()
-                .anyMatch(c -> observation(c) != null && observation(c).up());
-    if (back || withdrawn(window) || now.compareTo(window.end()) >= 0) {
-      propose(window, window.scheduled(Phase.RETURNING, window.start(), earlier(window.end())));
+    // A cache that is down can only be called back by operators: its window's end stands.
+    boolean recallable =
+        shortage.isPresent() && window.caches().stream().anyMatch(this::isObservedUp);
+    if (recallable || isWithdrawn(window) || !isBefore(now, window.end())) {
+      proposeReturn(window);
     }
   }
 
+  private boolean isObservedUp(String cache) {
+    return observation(cache).filter(CacheObservation::up).isPresent();
+  }
+
+  private void proposeReturn(MaintenanceWindow window) {
+    Duration end = isBefore(window.end(), now) ? window.end() : now;
+    propose(window, window.withPhase(Phase.RETURNING, window.start(), end));
+  }
+
   private void close(MaintenanceWindow window) {
-    reportUncovered(window);
-    if (window.caches().stream()
-        .allMatch(
-            c ->
-                observationInPhase(window, c) != null
-                    && observationInPhase(window, c).up()
-                    && observationInPhase(window, c).warm())) {
+    notifyIfUncovered(window);
+    if (window.caches().stream().allMatch(cache -> isBackAndWarm(window, cache))) {
       propose(window, window.withPhase(Phase.CLOSED));
-    } else if (now.compareTo(window.end().plus(settings.returnTimeout())) >= 0) {
+    } else if (!isBefore(now, window.end().plus(settings.returnTimeout()))) {
       notify(Notice.RETURN_TIMED_OUT, window, null);
       propose(window, window.withPhase(Phase.CLOSED));
-    } else if (now.compareTo(window.end().plus(settings.warmUp())) >= 0) {
+    } else if (!isBefore(now, window.end().plus(settings.warmUp()))) {
       notify(Notice.RETURN_LATE, window, null);
     }
   }
 
-  private void reportUncovered(MaintenanceWindow window) {
-    Shortage shortage = assessor.shortage(unavailable(null, false), false, now);
-    if (shortage != null) {
-      notify(Notice.UNCOVERED, window, shortage);
-    }
+  private boolean isBackAndWarm(MaintenanceWindow window, String cache) {
+    return observationInPhase(window, cache)
+        .filter(observation -> observation.up() && observation.warm())
+        .isPresent();
+  }
+
+  private void notifyIfUncovered(MaintenanceWindow window) {
+    assessor
+        .shortage(unavailable(false), false, now)
+        .ifPresent(shortage -> notify(Notice.UNCOVERED, window, shortage));
   }
 
   private void cancel(MaintenanceWindow window) {
-    if (!withdrawn(window)) {
+    if (!isWithdrawn(window)) {
       notify(Notice.CANCELLED, window, null);
     }
     propose(window, window.withPhase(Phase.CANCELLED));
   }
 
-  private void forget(MaintenanceWindow window) {
-    if (now.compareTo(window.latest().plus(settings.retention())) >= 0) {
+  private void removeWhenExpired(MaintenanceWindow window) {
+    if (!isBefore(now, window.latest().plus(settings.retention()))) {
       propose(window, null);
     }
   }
 
   private void addRequested() {
-    for (MaintenanceWindow wish : state.requests().windows().values()) {
-      if (!state.windows().containsKey(wish.id()) && !tooLate(wish)) {
-        if (state.windows().size() >= WindowCoordinator.MAX_WINDOWS) {
-          notify(Notice.TOO_MANY_WINDOWS, wish, null);
-        } else {
-          propose(wish, wish);
-        }
+    for (MaintenanceWindow requested : state.requests().windows().values()) {
+      if (state.windows().containsKey(requested.id()) || isTooLate(requested)) {
+        continue;
+      }
+      if (state.windows().size() >= WindowCoordinator.MAX_WINDOWS) {
+        notify(Notice.TOO_MANY_WINDOWS, requested, null);
+      } else {
+        propose(requested, requested);
       }
     }
   }
 
-  private boolean withdrawn(MaintenanceWindow window) {
+  private boolean isWithdrawn(MaintenanceWindow window) {
     return state.requests().revision() > window.revision()
         && !state.requests().windows().containsKey(window.id());
   }
 
-  private boolean tooLate(MaintenanceWindow window) {
-    return now.plus(window.length()).compareTo(window.latest()) > 0;
+  private boolean isTooLate(MaintenanceWindow window) {
+    return isBefore(window.latest(), now.plus(window.length()));
   }
 
-  private Duration earlier(Duration end) {
-    return end.compareTo(now) < 0 ? end : now;
+  private static boolean isBefore(Duration one, Duration other) {
+    return one.compareTo(other) < 0;
   }
 
   /**
-   * What must not be counted on: caches of windows under way, of the one that wants to go, down or
-   * cold. Before a step those not heard of too; they call nothing back, or a leader that has just
-   * started would.
+   * The caches that can't be counted on: those of windows under way, and those that are down or
+   * cold.
+   *
+   * @param withUnobserved whether caches without a recent observation are included: before a step.
+   *     They recall nothing, else a leader that has just started would recall every window
    */
-  private SortedSet<String> unavailable(MaintenanceWindow more, boolean unheard) {
-    SortedSet<String> out = new TreeSet<>();
-    state.windows().values().stream()
-        .filter(e -> e.phase().withholdsCaches())
-        .forEach(e -> out.addAll(e.caches()));
-    if (more != null) {
-      out.addAll(more.caches());
-    }
+  private NavigableSet<String> unavailable(boolean withUnobserved) {
+    NavigableSet<String> out = new TreeSet<>();
+    windowsWith(window -> window.phase().withholdsCaches())
+        .forEach(window -> out.addAll(window.caches()));
     assessor.caches().stream()
-        .filter(
-            c -> observation(c) == null ? unheard : !observation(c).up() || !observation(c).warm())
+        .filter(cache -> !isInService(cache, !withUnobserved))
         .forEach(out::add);
     return out;
   }
 
-  private WindowCoordinator.CacheObservation observation(String cache) {
-    WindowCoordinator.CacheObservation observation = state.observations().get(cache);
-    return observation == null
-            || observation.observedAt().plus(settings.maxObservationAge()).compareTo(now) < 0
-        ? null
-        : observation;
+  private boolean isInService(String cache, boolean whenUnobserved) {
+    return observation(cache)
+        .map(observation -> observation.up() && observation.warm())
+        .orElse(whenUnobserved);
+  }
+
+  /** The observation of a cache, unless it is too old. */
+  private Optional<CacheObservation> observation(String cache) {
+    return Optional.ofNullable(state.observations().get(cache))
+        .filter(
+            observation ->
+                !isBefore(observation.observedAt().plus(settings.maxObservationAge()), now));
   }
 
-  /** A word of the cache that is from after this gateway saw the window in its phase. */
-  private WindowCoordinator.CacheObservation observationInPhase(
-      MaintenanceWindow window, String cache) {
-    WindowCoordinator.CacheObservation observation = observation(cache);
-    return observation == null
-            || observation.observedAt().compareTo(state.phaseEntries().get(window.id()).since()) < 0
-        ? null
-        : observation;
+  /** The observation of a cache, if it was made since this member saw the window in its phase. */
+  private Optional<CacheObservation> observationInPhase(MaintenanceWindow window, String cache) {
+    Duration since = state.phaseEntries().get(window.id()).since();
+    return observation(cache).filter(observation -> !isBefore(observation.observedAt(), since));
   }
 
   private void propose(MaintenanceWindow window, MaintenanceWindow value) {
-    if (!propose && !Objects.equals(state.windows().get(window.id()), value)) {
-      propose = true;
-      actions.add(new WindowCoordinator.Propose(window.key(), state.viewNumber(), value));
+    boolean unchanged = Objects.equals(state.windows().get(window.id()), value);
+    if (!proposalBlocked && !unchanged) {
+      proposalBlocked = true;
+      actions.add(new WindowAction.Propose(window.key(), state.viewNumber(), value));
     }
   }
 
-  private void notify(Notice matter, MaintenanceWindow window, Shortage shortage) {
-    // A leader tells, once as long as it stays so; one out of touch tells too what it sees
-    // uncovered.
-    if (state.leader() || matter == Notice.UNCOVERED) {
-      String what =
-          matter
-              + " "
-              + window.id()
-              + (shortage == null ? "" : " " + shortage.range() + " " + shortage.cache());
-      if (notified.add(what) && !state.notified().contains(what)) {
-        actions.add(new WindowCoordinator.Notify(matter, window.id(), shortage));
-      }
+  /** Notifies once while the reason lasts; only of uncovered ranges if this member doesn't lead. */
+  private void notify(Notice notice, MaintenanceWindow window, Shortage shortage) {
+    if (!state.leader() && notice != Notice.UNCOVERED) {
+      return;
+    }
+    NoticeKey key = NoticeKey.of(notice, window.id(), shortage);
+    if (notified.add(key) && !state.notified().contains(key)) {
+      actions.add(new WindowAction.Notify(notice, window.id(), shortage));
     }
   }
 }
--- a/windows/src/main/java/tamarindroute/windows/package-info.java
+++ b/windows/src/main/java/tamarindroute/windows/package-info.java
@@ -1,7 +1,12 @@
 /**
- * Owns when caches may be taken out: the planner of windows over the cover of key ranges, the load
- * by time of day as members tell it, and the life of a window as agreed entries. It must never
- * touch a socket, a file, a clock or a thread, know where caches come from, or hold a window that
- * is not agreed: facts are told to it, actions are carried out by others.
+ * Maintenance windows: when caches may be taken out of service without loss of cover or capacity.
+ *
+ * <p>{@link tamarindroute.windows.Planner} places maintenance requests over a {@link
+ * tamarindroute.windows.PlanningInput}; {@link tamarindroute.windows.LoadCurve} supplies the load
+ * by time of day; {@link tamarindroute.windows.WindowCoordinator} takes each window through its
+ * phases as entries of the agreed membership view (module {@code agreement}).
+ *
+ * <p>Everything here is pure: no sockets, files, clocks or threads. The caller reports events and
+ * carries out the returned actions. No module uses this one yet.
  */
 package tamarindroute.windows;
--- a/windows/src/test/java/tamarindroute/windows/BruteForce.java
+++ b/windows/src/test/java/tamarindroute/windows/BruteForce.java
@@ -73,11 +73,11 @@
     }
     List<String> known = lacks.get(key);
     if (known == null) {
-      List<PlanningInput.ScheduledOutage> windows = new ArrayList<>();
+      List<ScheduledOutage> windows = new ArrayList<>();
       for (int c = 0; c < placed; c++) {
         Duration start = input.timeOf(starts[c]);
         windows.add(
-            new PlanningInput.ScheduledOutage(
+            new ScheduledOutage(
                 caches.get(c), start, start.plus(input.binLength().multipliedBy(length))));
       }
       known = List.copyOf(NaiveChecker.breaches(input, windows, bin).keySet());
--- a/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
+++ b/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
@@ -8,125 +8,102 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SortedMap;
-import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import tamarindroute.windows.MaintenanceWindow.Phase;
+import tamarindroute.windows.ModelWorld.Gateway;
+import tamarindroute.windows.ModelWorld.ModelCache;
 
 /**
- * All that can happen to two windows on three caches that cover one range, with two gateways that
- * both think they lead: kills between any two steps, cuts, puts that come late, wishes withdrawn,
- * caches that fail, restart or never return. Both judge before either's put is taken, and either
- * may be taken first.
+ * Explores all that can happen to two windows on three caches of one key range, with two gateways
+ * that both believe they lead: kills between any two steps, cuts, late proposals, withdrawn
+ * requests, caches that fail, restart or never return. Both gateways decide before either's
+ * proposal is taken, and either may be taken first.
  */
 final class CoordinatorModel {
-  /** The machine under test; a seeded defect overrides what it breaks. */
+  /** The coordinator under test; a seeded defect overrides what it breaks. */
   interface Machine {
     default WindowCoordinator.Transition next(
-        WindowCoordinator.State state,
-        WindowCoordinator.Event event,
+        CoordinatorState state,
+        WindowEvent event,
         Duration now,
-        boolean first,
-        WindowCoordinator.CoverageAssessor assessor) {
+        boolean original,
+        CoverageAssessor assessor) {
       return WindowCoordinator.next(state, event, now, SETTINGS, assessor);
     }
 
-    /** Whether the agreed view takes a put. */
-    default boolean takes(long number, long expected) {
-      return number == expected;
+    /** Whether the agreed view accepts a proposal. */
+    default boolean accepts(long viewNumber, long expected) {
+      return viewNumber == expected;
     }
 
-    /** What the gateways' judge counts as out. */
-    default SortedSet<String> counts(SortedSet<String> out) {
+    /** What the gateways' assessor counts as out. */
+    default NavigableSet<String> counted(NavigableSet<String> out) {
       return out;
     }
   }
 
   static final Machine SOUND = new Machine() {};
-  static final WindowCoordinator.Settings SETTINGS =
-      new WindowCoordinator.Settings(s(2), s(4), s(3), s(2), s(60));
-
-  record Budget(
-      int kills,
-      int cuts,
-      int late,
-      int withdrawals,
-      int fails,
-      int restarts,
-      int losses,
-      int all) {
-    Budget less(int... by) {
-      return new Budget(
-          kills - by[0],
-          cuts - by[1],
-          late - by[2],
-          withdrawals - by[3],
-          fails - by[4],
-          restarts - by[5],
-          losses - by[6],
-          all - 1);
-    }
-  }
-
-  /** {@code gone} is the first breach of a rule that was found, or null. */
-  record Found(int states, String gone) {}
-
-  private record Gateway(
-      WindowCoordinator.State state, boolean dead, boolean first, int cutFor, int revision) {}
+  static final CoordinatorSettings SETTINGS =
+      new CoordinatorSettings(seconds(2), seconds(4), seconds(3), seconds(2), seconds(60));
+  static final List<String> NAMES = List.of("a", "b", "c");
 
-  private record Cache(int birth, boolean up, int warmAt, boolean failed, boolean lost) {}
+  /**
+   * The result of an exploration.
+   *
+   * @param states how many were visited
+   * @param breach the first breach of a rule, or null
+   */
+  record Result(int states, String breach) {}
 
-  private record World(
-      int time,
-      long number,
-      SortedMap<String, MaintenanceWindow> entries,
-      List<Gateway> gateways,
-      List<WindowCoordinator.Propose> late,
-      List<Cache> caches,
-      int opened,
-      Budget left) {}
+  private static final int LEASE_SECONDS = 2;
+  private static final int WARM_UP_SECONDS = 2;
+  private static final int RETURN_WARM_UP_SECONDS = 3;
+  private static final int WINDOWS = 2;
 
-  private static final List<String> NAMES = List.of("a", "b", "c");
-  private static final int LEASE = 2;
+  /** Of so many states, one is played on without faults; that takes as long as some 100 steps. */
+  private static final int RECOVERY_INTERVAL = 32;
 
-  /** Of so many states one is played to its end: that takes as long as some hundred steps. */
-  private static final int ENDED = 32;
+  private static final int RECOVERY_STEPS = 45;
 
   private final Machine machine;
   private final int horizon;
-  private String gone;
+  private String breach;
 
   CoordinatorModel(Machine machine, int horizon) {
     this.machine = machine;
     this.horizon = horizon;
   }
 
-  static Duration s(int seconds) {
+  static Duration seconds(int seconds) {
     return Duration.ofSeconds(seconds);
   }
 
-  private final WindowCoordinator.CoverageAssessor assessor =
-      new WindowCoordinator.CoverageAssessor() {
+  private final CoverageAssessor assessor =
+      new CoverageAssessor() {
         @Override
-        public WindowCoordinator.Slot findSlot(
-            MaintenanceWindow asked, Collection<MaintenanceWindow> others, Duration now) {
-          Duration start = asked.earliest().compareTo(now) > 0 ? asked.earliest() : now;
+        public Slot findSlot(
+            MaintenanceWindow requested, Collection<MaintenanceWindow> others, Duration now) {
+          Duration start = later(requested.earliest(), now);
           for (MaintenanceWindow other : others) {
-            Duration warm = other.end().plus(s(2));
-            start = warm.compareTo(start) > 0 ? warm : start;
+            start = later(other.end().plus(seconds(WARM_UP_SECONDS)), start);
           }
-          return new WindowCoordinator.Slot(start, null);
+          return new Slot.Found(start);
         }
 
         @Override
-        public Plan.Shortage shortage(SortedSet<String> out, boolean reserve, Duration now) {
-          int left = NAMES.size() - machine.counts(out).size();
-          int need = reserve ? 2 : 1;
-          return left >= need
-              ? null
-              : new Plan.Shortage(Plan.ShortageKind.NO_EDGE, 0, out.first(), need, left, now);
+        public Optional<Shortage> shortage(
+            NavigableSet<String> out, boolean withReserve, Duration now) {
+          int left = NAMES.size() - machine.counted(out).size();
+          int required = withReserve ? 2 : 1;
+          return left >= required
+              ? Optional.empty()
+              : Optional.of(
+                  new Shortage(Shortage.Kind.NO_EDGE, 0, out.first(), required, left, now));
         }
 
         @Override
@@ -135,395 +112,312 @@
         }
       };
 
-  Found explore(Budget budget) {
+  private static Duration later(Duration one, Duration other) {
+    return one.compareTo(other) > 0 ? one : other;
+  }
+
+  Result explore(FaultBudget budget) {
     List<Gateway> gateways = List.of(started(1, true), started(1, true));
-    Cache cache = new Cache(1, true, 0, false, false);
-    World first =
-        new World(
+    ModelCache cache = new ModelCache(1, true, 0, false, false);
+    ModelWorld first =
+        new ModelWorld(
             0, 0, new TreeMap<>(), gateways, List.of(), List.of(cache, cache, cache), 0, budget);
-    Set<World> seen = new HashSet<>(Set.of(first));
-    ArrayDeque<World> open = new ArrayDeque<>(seen);
-    int taken = 0;
-    while (!open.isEmpty() && gone == null) {
-      World world = open.poll();
-      if (taken++ % ENDED == 0) {
-        end(world);
+    Set<ModelWorld> seen = new HashSet<>(Set.of(first));
+    ArrayDeque<ModelWorld> open = new ArrayDeque<>(seen);
+    int visited = 0;
+    while (!open.isEmpty() && breach == null) {
+      ModelWorld world = open.poll();
+      if (visited % RECOVERY_INTERVAL == 0) {
+        checkRecovery(world);
       }
-      if (world.time >= horizon) {
+      visited++;
+      if (world.time() >= horizon) {
         continue;
       }
-      for (World next : nexts(world)) {
+      for (ModelWorld next : successors(world)) {
         if (seen.add(next)) {
           open.add(next);
         }
       }
     }
-    return new Found(seen.size(), gone);
+    return new Result(seen.size(), breach);
   }
 
-  /**
-   * With nothing more going wrong all windows end, nothing stays drained, and both gateways know
-   * it.
-   */
-  private void end(World from) {
-    World world = from;
-    for (int i = 0; i < 45 && gone == null; i++) {
-      List<Gateway> well = new ArrayList<>();
-      int newest = world.gateways.stream().mapToInt(Gateway::revision).max().orElseThrow();
-      world.gateways.forEach(
-          g ->
-              well.add(
-                  g.dead
-                      ? started(newest, false)
-                      : new Gateway(wished(g.state, newest), false, g.first, 0, newest)));
-      List<WindowCoordinator.Propose> puts = new ArrayList<>(world.late);
-      world =
-          deliver(
-              act(
-                  new World(
-                      world.time,
-                      world.number,
-                      world.entries,
-                      well,
-                      List.of(),
-                      world.caches,
-                      world.opened,
-                      world.left),
-                  puts),
-              puts);
+  /** Without further faults all windows end, nothing stays drained, and both gateways know it. */
+  private void checkRecovery(ModelWorld from) {
+    ModelWorld world = from;
+    for (int step = 0; step < RECOVERY_STEPS && breach == null; step++) {
+      List<WindowAction.Propose> proposals = new ArrayList<>(world.delayed());
+      world = deliver(decide(recovered(world), proposals), proposals);
     }
-    // One that was withdrawn before it was asked for never is.
-    boolean known = world.entries.size() == 2 || world.gateways.get(0).revision > 1;
-    boolean all = known && world.entries.values().stream().allMatch(e -> e.phase().ended());
-    if (gone == null
-        && (!all || world.gateways.stream().anyMatch(g -> !g.state.draining().isEmpty()))) {
-      gone = "half a window: " + world.entries;
+    // A window that was withdrawn before it was taken over never is.
+    boolean known = world.windows().size() == WINDOWS || world.gateways().get(0).revision() > 1;
+    boolean ended =
+        known && world.windows().values().stream().allMatch(window -> window.phase().ended());
+    boolean drains =
+        world.gateways().stream().anyMatch(gateway -> !gateway.state().draining().isEmpty());
+    if (breach == null && (!ended || drains)) {
+      breach = "unfinished window: " + world.windows();
     }
   }
 
-  private List<World> nexts(World world) {
-    List<World> disturbed = new ArrayList<>(List.of(world));
-    Budget left = world.left;
-    for (int i = 0; i < 2; i++) {
-      Gateway g = world.gateways.get(i);
-      if (g.dead) {
-        disturbed.add(with(world, i, started(g.revision, false), left));
-        continue;
-      }
-      if (left.all > 0 && left.kills > 0) {
-        disturbed.add(
-            with(
-                world,
-                i,
-                new Gateway(WindowCoordinator.initial(), true, false, 0, g.revision),
-                left.less(1, 0, 0, 0, 0, 0, 0)));
-      }
-      if (g.cutFor > 0) {
-        disturbed.add(with(world, i, new Gateway(g.state, false, g.first, 0, g.revision), left));
-      } else if (left.all > 0 && left.cuts > 0) {
-        disturbed.add(
-            with(
-                world,
-                i,
-                new Gateway(g.state, false, g.first, 1, g.revision),
-                left.less(0, 1, 0, 0, 0, 0, 0)));
-      }
-      if (left.all > 0 && left.withdrawals > 0) {
-        disturbed.add(
-            with(
-                world,
-                i,
-                new Gateway(wished(g.state, 2), false, g.first, g.cutFor, 2),
-                left.less(0, 0, 0, 1, 0, 0, 0)));
-      }
+  private ModelWorld recovered(ModelWorld world) {
+    int newest = world.gateways().stream().mapToInt(Gateway::revision).max().orElseThrow();
+    List<Gateway> gateways = new ArrayList<>();
+    for (Gateway gateway : world.gateways()) {
+      gateways.add(
+          gateway.dead()
+              ? started(newest, false)
+              : gateway.withCutSteps(0).withRevision(requested(gateway.state(), newest), newest));
     }
-    for (int c = 0; c < NAMES.size() && left.all > 0; c++) {
-      Cache cache = world.caches.get(c);
-      Cache cold = new Cache(cache.birth + 1, true, world.time + 2, cache.failed, cache.lost);
-      if (left.fails > 0 && cache.up) {
-        disturbed.add(
-            with(
-                world,
-                c,
-                new Cache(cache.birth, false, 0, true, cache.lost),
-                left.less(0, 0, 0, 0, 1, 0, 0)));
-      }
-      if (left.restarts > 0 && held(world, c)) {
-        disturbed.add(with(world, c, cold, left.less(0, 0, 0, 0, 0, 1, 0)));
-      }
-      if (left.losses > 0 && !cache.up && !cache.lost) {
-        disturbed.add(
-            with(
-                world,
-                c,
-                new Cache(cache.birth, false, 0, cache.failed, true),
-                left.less(0, 0, 0, 0, 0, 0, 1)));
-      }
+    return world.withGateways(gateways).withDelayed(List.of());
+  }
+
+  private List<ModelWorld> successors(ModelWorld world) {
+    List<ModelWorld> disturbed = new ArrayList<>(List.of(world));
+    for (int index = 0; index < world.gateways().size(); index++) {
+      disturbed.addAll(gatewayFaults(world, index));
     }
-    List<World> nexts = new ArrayList<>();
-    for (World one : disturbed) {
-      List<WindowCoordinator.Propose> puts = new ArrayList<>(one.late);
-      World acted = act(one, puts);
-      nexts.add(deliver(acted, puts));
-      if (puts.size() > 1) {
-        List<WindowCoordinator.Propose> swapped = new ArrayList<>(puts);
-        Collections.reverse(swapped);
-        nexts.add(deliver(acted, swapped));
-      }
-      if (!puts.isEmpty() && one.left.late > 0 && one.left.all > 0) {
-        World late =
-            new World(
-                acted.time,
-                acted.number,
-                acted.entries,
-                acted.gateways,
-                List.copyOf(puts),
-                acted.caches,
-                acted.opened,
-                one.left.less(0, 0, 1, 0, 0, 0, 0));
-        nexts.add(cachesGoOn(late));
-      }
+    for (int index = 0; index < NAMES.size(); index++) {
+      disturbed.addAll(cacheFaults(world, index));
     }
-    return nexts;
+    List<ModelWorld> successors = new ArrayList<>();
+    disturbed.forEach(one -> successors.addAll(steps(one)));
+    return successors;
   }
 
-  private static boolean held(World world, int c) {
-    return world.entries.values().stream()
-        .anyMatch(e -> e.phase().withholdsCaches() && e.caches().contains(NAMES.get(c)));
+  private List<ModelWorld> gatewayFaults(ModelWorld world, int index) {
+    Gateway gateway = world.gateways().get(index);
+    FaultBudget budget = world.budget();
+    List<ModelWorld> faults = new ArrayList<>();
+    if (gateway.dead()) {
+      return List.of(world.withGateway(index, started(gateway.revision(), false)));
+    }
+    if (budget.allowsKill()) {
+      faults.add(world.withGateway(index, gateway.killed()).withBudget(budget.afterKill()));
+    }
+    if (!gateway.inContact()) {
+      faults.add(world.withGateway(index, gateway.withCutSteps(0)));
+    } else if (budget.allowsCut()) {
+      faults.add(world.withGateway(index, gateway.withCutSteps(1)).withBudget(budget.afterCut()));
+    }
+    if (budget.allowsWithdrawal()) {
+      Gateway informed = gateway.withRevision(requested(gateway.state(), 2), 2);
+      faults.add(world.withGateway(index, informed).withBudget(budget.afterWithdrawal()));
+    }
+    return faults;
   }
 
-  private static World with(World w, int place, Gateway gateway, Budget left) {
-    List<Gateway> gateways = new ArrayList<>(w.gateways);
-    gateways.set(place, gateway);
-    return new World(
-        w.time, w.number, w.entries, List.copyOf(gateways), w.late, w.caches, w.opened, left);
+  private static List<ModelWorld> cacheFaults(ModelWorld world, int index) {
+    ModelCache cache = world.caches().get(index);
+    FaultBudget budget = world.budget();
+    List<ModelWorld> faults = new ArrayList<>();
+    if (budget.allowsFailure() && cache.up()) {
+      faults.add(world.withCache(index, cache.failedForGood()).withBudget(budget.afterFailure()));
+    }
+    if (budget.allowsRestart() && world.isWithheld(index)) {
+      ModelCache restarted = cache.restarted(world.time() + WARM_UP_SECONDS);
+      faults.add(world.withCache(index, restarted).withBudget(budget.afterRestart()));
+    }
+    if (budget.allowsLoss() && !cache.up() && !cache.lost()) {
+      faults.add(world.withCache(index, cache.lostForGood()).withBudget(budget.afterLoss()));
+    }
+    return faults;
   }
 
-  private static World with(World w, int place, Cache cache, Budget left) {
-    List<Cache> caches = new ArrayList<>(w.caches);
-    caches.set(place, cache);
-    return new World(
-        w.time, w.number, w.entries, w.gateways, w.late, List.copyOf(caches), w.opened, left);
+  /** Both gateways decide; their proposals arrive in either order, or late. */
+  private List<ModelWorld> steps(ModelWorld world) {
+    List<WindowAction.Propose> proposals = new ArrayList<>(world.delayed());
+    ModelWorld decided = decide(world, proposals);
+    List<ModelWorld> steps = new ArrayList<>(List.of(deliver(decided, proposals)));
+    if (proposals.size() > 1) {
+      List<WindowAction.Propose> swapped = new ArrayList<>(proposals);
+      Collections.reverse(swapped);
+      steps.add(deliver(decided, swapped));
+    }
+    if (!proposals.isEmpty() && world.budget().allowsDelay()) {
+      steps.add(
+          advanceCaches(decided.withDelayed(proposals).withBudget(world.budget().afterDelay())));
+    }
+    return steps;
   }
 
-  private Gateway started(int revision, boolean first) {
-    WindowCoordinator.State state =
-        machine
-            .next(
-                WindowCoordinator.initial(),
-                new WindowCoordinator.LeadershipChanged(true),
-                s(0),
-                first,
-                assessor)
-            .state();
-    return new Gateway(wished(state, revision), false, first, 0, revision);
+  private Gateway started(int revision, boolean original) {
+    WindowEvent leads = new WindowEvent.LeadershipChanged(true);
+    CoordinatorState state =
+        machine.next(WindowCoordinator.initial(), leads, seconds(0), original, assessor).state();
+    return new Gateway(requested(state, revision), false, original, 0, revision);
   }
 
-  private WindowCoordinator.State wished(WindowCoordinator.State state, int revision) {
-    Map<String, MaintenanceWindow> asked = new TreeMap<>();
-    for (int i = revision - 1; i < 2; i++) {
-      asked.put(
-          "w" + i,
-          MaintenanceWindow.requested("w" + i, 1, List.of(NAMES.get(i)), s(2), s(1), s(34)));
+  /** Revision 1 requests both windows, revision 2 withdraws the first. */
+  private CoordinatorState requested(CoordinatorState state, int revision) {
+    Map<String, MaintenanceWindow> windows = new TreeMap<>();
+    for (int index = revision - 1; index < WINDOWS; index++) {
+      String id = "w" + index;
+      windows.put(
+          id,
+          MaintenanceWindow.requested(
+              id, 1, List.of(NAMES.get(index)), seconds(2), seconds(1), seconds(34)));
     }
-    // Out of touch it only takes note.
-    return machine
-        .next(
-            state,
-            new WindowCoordinator.RequestsChanged(
-                new WindowCoordinator.RequestedWindows(revision, asked)),
-            s(0),
-            true,
-            assessor)
-        .state();
+    // What is proposed on this event is dropped, as if it were lost.
+    WindowEvent event = new WindowEvent.RequestsChanged(new RequestedWindows(revision, windows));
+    return machine.next(state, event, seconds(0), true, assessor).state();
   }
 
-  /** Both gateways hear and judge; their puts are on the way. */
-  private World act(World w, List<WindowCoordinator.Propose> puts) {
+  private ModelWorld decide(ModelWorld world, List<WindowAction.Propose> proposals) {
     List<Gateway> gateways = new ArrayList<>();
-    for (Gateway gateway : w.gateways) {
-      gateways.add(gateway.dead ? gateway : act(w, gateway, puts));
-    }
-    return new World(
-        w.time, w.number, w.entries, List.copyOf(gateways), List.of(), w.caches, w.opened, w.left);
-  }
-
-  /** The puts are taken or refused in their order, caches go on, time does. */
-  private World deliver(World acted, List<WindowCoordinator.Propose> puts) {
-    World taken = acted;
-    for (WindowCoordinator.Propose put : puts) {
-      taken = take(taken, put);
+    for (Gateway gateway : world.gateways()) {
+      gateways.add(gateway.dead() ? gateway : decide(world, gateway, proposals));
     }
-    return cachesGoOn(taken);
+    return world.withGateways(gateways).withDelayed(List.of());
   }
 
-  private Gateway act(World w, Gateway gateway, List<WindowCoordinator.Propose> puts) {
-    Duration now = s(w.time);
-    WindowCoordinator.State state = gateway.state;
-    if (gateway.cutFor == 0) {
-      SortedMap<String, WindowCoordinator.CacheObservation> words = new TreeMap<>();
-      for (int c = 0; c < NAMES.size(); c++) {
-        Cache cache = w.caches.get(c);
-        String name = NAMES.get(c);
-        boolean drained =
-            w.gateways.stream()
-                .allMatch(g -> g.dead || g.cutFor > 0 || g.state.draining().contains(name));
-        words.put(
-            name,
-            new WindowCoordinator.CacheObservation(
-                cache.birth, cache.up, cache.up && w.time >= cache.warmAt, drained, now));
-      }
-      state = quiet(state, new WindowCoordinator.CachesObserved(words), now, gateway.first);
-      state =
-          quiet(
-              state,
-              new WindowCoordinator.ViewUpdated(w.number, w.entries, s(w.time + LEASE)),
-              now,
-              gateway.first);
-    }
+  private Gateway decide(ModelWorld world, Gateway gateway, List<WindowAction.Propose> proposals) {
+    Duration now = seconds(world.time());
+    CoordinatorState state = gateway.inContact() ? informed(world, gateway, now) : gateway.state();
     WindowCoordinator.Transition transition =
-        machine.next(state, new WindowCoordinator.Tick(), now, gateway.first, assessor);
-    for (WindowCoordinator.Action action : transition.actions()) {
-      if (action instanceof WindowCoordinator.Propose put) {
-        check(gateway.cutFor <= LEASE, "a step while the view is too old: " + put);
-        check(
-            gateway.cutFor > 0
-                || put.value() == null
-                || put.value().phase() != Phase.CLOSED
-                || warm(w, put.value())
-                || givenUp(w, put.value()),
-            "closed though not warm: " + put);
-        if (gateway.cutFor == 0) {
-          puts.add(put);
+        machine.next(state, new WindowEvent.Tick(), now, gateway.original(), assessor);
+    for (WindowAction action : transition.actions()) {
+      if (action instanceof WindowAction.Propose proposal) {
+        checkProposal(world, gateway, proposal);
+        if (gateway.inContact()) {
+          proposals.add(proposal);
         }
       }
     }
-    boolean uncovered =
-        gateway.cutFor == 0
-            && serving(w) == 0
-            && w.entries.values().stream().anyMatch(e -> e.phase().withholdsCaches());
+    checkNotified(world, gateway, transition.state());
+    int cutSteps = gateway.inContact() ? 0 : Math.min(gateway.cutSteps() + 1, LEASE_SECONDS + 2);
+    return gateway.withState(transition.state()).withCutSteps(cutSteps);
+  }
+
+  private CoordinatorState informed(ModelWorld world, Gateway gateway, Duration now) {
+    SortedMap<String, CacheObservation> observations = new TreeMap<>();
+    for (int index = 0; index < NAMES.size(); index++) {
+      ModelCache cache = world.caches().get(index);
+      String name = NAMES.get(index);
+      boolean drained =
+          world.gateways().stream()
+              .allMatch(
+                  other ->
+                      other.dead()
+                          || !other.inContact()
+                          || other.state().draining().contains(name));
+      boolean warm = cache.inService(world.time());
+      observations.put(
+          name, new CacheObservation(cache.incarnation(), cache.up(), warm, drained, now));
+    }
+    Duration leaseEnd = seconds(world.time() + LEASE_SECONDS);
+    CoordinatorState observed =
+        takeNote(
+            gateway.state(), new WindowEvent.CachesObserved(observations), now, gateway.original());
+    return takeNote(
+        observed,
+        new WindowEvent.ViewUpdated(world.viewNumber(), world.windows(), leaseEnd),
+        now,
+        gateway.original());
+  }
+
+  /** Events of one moment count as one: proposals follow from the tick at their end. */
+  private CoordinatorState takeNote(
+      CoordinatorState state, WindowEvent event, Duration now, boolean original) {
+    CoordinatorState next =
+        machine.next(state.withLeader(false), event, now, original, assessor).state();
+    boolean newView = next.viewNumber() > state.viewNumber();
+    return next.withLeader(true)
+        .withProposedAt(newView ? null : state.proposedAt())
+        .withNotified(state.notified());
+  }
+
+  private void checkProposal(ModelWorld world, Gateway gateway, WindowAction.Propose proposal) {
+    check(gateway.cutSteps() <= LEASE_SECONDS, "a step while the view is too old: " + proposal);
+    MaintenanceWindow value = proposal.value();
+    boolean closes = value != null && value.phase() == Phase.CLOSED;
     check(
-        !uncovered
-            || transition.state().notified().stream().anyMatch(t -> t.startsWith("UNCOVERED")),
-        "uncovered, and nobody was told");
-    return new Gateway(
-        transition.state(),
-        false,
-        gateway.first,
-        gateway.cutFor == 0 ? 0 : Math.min(gateway.cutFor + 1, LEASE + 2),
-        gateway.revision);
+        !gateway.inContact() || !closes || isWarm(world, value) || isGivenUp(world, value),
+        "closed though not warm: " + proposal);
   }
 
-  /** Events of one moment are one event: the puts come of the tick at their end. */
-  private WindowCoordinator.State quiet(
-      WindowCoordinator.State state, WindowCoordinator.Event event, Duration now, boolean first) {
-    WindowCoordinator.State before =
-        new WindowCoordinator.State(
-            state.viewNumber(),
-            state.windows(),
-            state.leaseEnd(),
-            false,
-            state.proposedAt(),
-            state.phaseEntries(),
-            state.observations(),
-            state.requests(),
-            state.draining(),
-            state.notified());
-    WindowCoordinator.State next = machine.next(before, event, now, first, assessor).state();
-    return new WindowCoordinator.State(
-        next.viewNumber(),
-        next.windows(),
-        next.leaseEnd(),
-        true,
-        next.viewNumber() > state.viewNumber() ? null : state.proposedAt(),
-        next.phaseEntries(),
-        next.observations(),
-        next.requests(),
-        next.draining(),
-        state.notified());
+  private void checkNotified(ModelWorld world, Gateway gateway, CoordinatorState state) {
+    boolean uncovered =
+        gateway.inContact()
+            && world.servingCaches() == 0
+            && world.windows().values().stream()
+                .anyMatch(window -> window.phase().withholdsCaches());
+    check(
+        !uncovered || state.notified().stream().anyMatch(key -> key.notice() == Notice.UNCOVERED),
+        "uncovered, and nobody was notified");
   }
 
-  private static boolean warm(World w, MaintenanceWindow window) {
+  private static boolean isWarm(ModelWorld world, MaintenanceWindow window) {
     return window.caches().stream()
-        .map(c -> w.caches.get(NAMES.indexOf(c)))
-        .allMatch(c -> c.up && w.time >= c.warmAt);
+        .map(name -> world.caches().get(NAMES.indexOf(name)))
+        .allMatch(cache -> cache.inService(world.time()));
   }
 
-  private static boolean givenUp(World w, MaintenanceWindow window) {
-    return s(w.time).compareTo(window.end().plus(SETTINGS.returnTimeout())) >= 0;
+  private static boolean isGivenUp(ModelWorld world, MaintenanceWindow window) {
+    Duration givenUpAt = window.end().plus(SETTINGS.returnTimeout());
+    return seconds(world.time()).compareTo(givenUpAt) >= 0;
   }
 
-  private World take(World w, WindowCoordinator.Propose put) {
-    if (!machine.takes(w.number, put.expectedViewNumber())) {
-      return w;
+  /** The proposals are accepted or rejected in their order; then time goes on. */
+  private ModelWorld deliver(ModelWorld decided, List<WindowAction.Propose> proposals) {
+    ModelWorld world = decided;
+    for (WindowAction.Propose proposal : proposals) {
+      world = accept(world, proposal);
     }
-    SortedMap<String, MaintenanceWindow> entries = new TreeMap<>(w.entries);
-    String id = put.key().substring("window/".length());
-    MaintenanceWindow old = entries.get(id);
-    if (put.value() == null) {
-      entries.remove(id);
-    } else {
-      check(
-          old == null || put.value().phase().compareTo(old.phase()) > 0,
-          "a window that goes back: " + put);
-      entries.put(id, put.value());
+    return advanceCaches(world);
+  }
+
+  private ModelWorld accept(ModelWorld world, WindowAction.Propose proposal) {
+    if (!machine.accepts(world.viewNumber(), proposal.expectedViewNumber())) {
+      return world;
+    }
+    SortedMap<String, MaintenanceWindow> windows = new TreeMap<>(world.windows());
+    String id = proposal.key().substring("window/".length());
+    MaintenanceWindow before = windows.get(id);
+    MaintenanceWindow value = proposal.value();
+    if (value == null) {
+      windows.remove(id);
+      return world.withNextView(windows, false);
     }
-    boolean opens = put.value() != null && put.value().phase() == Phase.OPEN;
-    return new World(
-        w.time,
-        w.number + 1,
-        entries,
-        w.gateways,
-        w.late,
-        w.caches,
-        opens ? w.time : w.opened,
-        w.left);
+    check(
+        before == null || value.phase().compareTo(before.phase()) > 0,
+        "a window that goes back: " + proposal);
+    windows.put(id, value);
+    return world.withNextView(windows, value.phase() == Phase.OPEN);
   }
 
-  private World cachesGoOn(World w) {
-    List<Cache> caches = new ArrayList<>();
-    for (int c = 0; c < NAMES.size(); c++) {
-      Cache cache = w.caches.get(c);
-      String name = NAMES.get(c);
-      boolean open =
-          w.entries.values().stream()
-              .anyMatch(e -> e.phase() == Phase.OPEN && e.caches().contains(name));
-      boolean fresh = cache.birth > 1;
-      if (open && cache.up && !fresh && w.time > w.opened) {
-        cache = new Cache(cache.birth, false, 0, cache.failed, cache.lost);
-      } else if (!open && !cache.up && !cache.failed && !cache.lost) {
-        cache = new Cache(cache.birth + 1, true, w.time + 3, false, false);
-      }
-      caches.add(cache);
+  private ModelWorld advanceCaches(ModelWorld world) {
+    List<ModelCache> caches = new ArrayList<>();
+    for (int index = 0; index < NAMES.size(); index++) {
+      caches.add(advance(world, world.caches().get(index), NAMES.get(index)));
     }
-    World next =
-        new World(
-            w.time + 1,
-            w.number,
-            w.entries,
-            w.gateways,
-            w.late,
-            List.copyOf(caches),
-            w.opened,
-            w.left);
-    long failed = caches.stream().filter(Cache::failed).count();
+    ModelWorld next = world.atNextTime(caches);
+    long failed = caches.stream().filter(ModelCache::failed).count();
     check(
-        serving(next) >= 2 - failed || failed > 1,
-        "cover and reserve lost to windows: " + w.entries + caches);
+        next.servingCaches() >= 2 - failed || failed > 1,
+        "cover and reserve lost to windows: " + world.windows() + caches);
     return next;
   }
 
-  /** Caches that are up, warm and in no window. */
-  private static int serving(World w) {
-    int serving = 0;
-    for (int c = 0; c < NAMES.size(); c++) {
-      Cache cache = w.caches.get(c);
-      serving += cache.up && w.time >= cache.warmAt && !held(w, c) ? 1 : 0;
+  /** Operators take a cache out one step after its window opened, and bring it back at its end. */
+  private static ModelCache advance(ModelWorld world, ModelCache cache, String name) {
+    boolean open =
+        world.windows().values().stream()
+            .anyMatch(window -> window.phase() == Phase.OPEN && window.caches().contains(name));
+    boolean restarted = cache.incarnation() > 1;
+    if (open && cache.up() && !restarted && world.time() > world.openedAt()) {
+      return cache.down();
+    }
+    if (!open && !cache.up() && !cache.failed() && !cache.lost()) {
+      return cache.restarted(world.time() + RETURN_WARM_UP_SECONDS);
     }
-    return serving;
+    return cache;
   }
 
-  private void check(boolean right, String otherwise) {
-    gone = right || gone != null ? gone : otherwise;
+  private void check(boolean holds, String otherwise) {
+    if (!holds && breach == null) {
+      breach = otherwise;
+    }
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/CoordinatorModelTest.java
+++ b/windows/src/test/java/tamarindroute/windows/CoordinatorModelTest.java
@@ -4,201 +4,154 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
-import java.util.SortedSet;
+import java.util.NavigableSet;
+import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
+import tamarindroute.windows.CoordinatorState.NoticeKey;
 
 class CoordinatorModelTest {
-  private static final CoordinatorModel.Budget MANY =
-      new CoordinatorModel.Budget(1, 1, 1, 1, 1, 1, 1, 2);
+  private static final int HORIZON = 14;
+  private static final FaultBudget ANY_TWO_FAULTS = new FaultBudget(1, 1, 1, 1, 1, 1, 1, 2);
+  private static final FaultBudget TWO_CACHE_FAILURES = new FaultBudget(0, 0, 0, 0, 2, 0, 0, 2);
+  private static final FaultBudget TWO_KILLS = new FaultBudget(2, 0, 0, 0, 0, 0, 0, 2);
 
-  private static CoordinatorModel.Found explore(
-      CoordinatorModel.Machine machine, CoordinatorModel.Budget budget) {
-    return new CoordinatorModel(machine, 14).explore(budget);
+  private static CoordinatorModel.Result explore(
+      CoordinatorModel.Machine machine, FaultBudget budget) {
+    return new CoordinatorModel(machine, HORIZON).explore(budget);
   }
 
   @Test
-  void noRuleIsBrokenWhateverHappens() {
-    CoordinatorModel.Found found = explore(CoordinatorModel.SOUND, MANY);
-    assertThat(found.gone()).isNull();
-    assertThat(found.states()).isGreaterThan(20_000);
+  void noRuleIsBrokenByAnyTwoFaults() {
+    CoordinatorModel.Result result = explore(CoordinatorModel.SOUND, ANY_TWO_FAULTS);
+    assertThat(result.breach()).isNull();
+    assertThat(result.states()).isGreaterThan(20_000);
   }
 
   @Test
-  void whatUncoversIsToldAtOnce() {
-    assertThat(
-            explore(CoordinatorModel.SOUND, new CoordinatorModel.Budget(0, 0, 0, 0, 2, 0, 0, 2))
-                .gone())
-        .isNull();
+  void operatorsAreNotifiedAtOnceOfAnUncoveredRange() {
+    assertThat(explore(CoordinatorModel.SOUND, TWO_CACHE_FAILURES).breach()).isNull();
     CoordinatorModel.Machine silent =
         new CoordinatorModel.Machine() {
           @Override
           public WindowCoordinator.Transition next(
-              WindowCoordinator.State state,
-              WindowCoordinator.Event event,
+              CoordinatorState state,
+              WindowEvent event,
               Duration now,
-              boolean first,
-              WindowCoordinator.CoverageAssessor assessor) {
+              boolean original,
+              CoverageAssessor assessor) {
             WindowCoordinator.Transition transition =
-                CoordinatorModel.SOUND.next(state, event, now, first, assessor);
-            SortedSet<String> told = new TreeSet<>(transition.state().notified());
-            told.removeIf(t -> t.startsWith("UNCOVERED"));
+                CoordinatorModel.SOUND.next(state, event, now, original, assessor);
+            Set<NoticeKey> notified = new HashSet<>(transition.state().notified());
+            notified.removeIf(key -> key.notice() == Notice.UNCOVERED);
             return new WindowCoordinator.Transition(
-                with(transition.state(), transition.state().leaseEnd(), told),
-                transition.actions());
+                transition.state().withNotified(notified), transition.actions());
           }
         };
-    assertThat(explore(silent, new CoordinatorModel.Budget(0, 0, 0, 0, 2, 0, 0, 2)).gone())
-        .contains("nobody was told");
+    assertThat(explore(silent, TWO_CACHE_FAILURES).breach()).contains("nobody was notified");
   }
 
-  private static WindowCoordinator.State with(
-      WindowCoordinator.State s, Duration until, SortedSet<String> told) {
-    return new WindowCoordinator.State(
-        s.viewNumber(),
-        s.windows(),
-        until,
-        s.leader(),
-        s.proposedAt(),
-        s.phaseEntries(),
-        s.observations(),
-        s.requests(),
-        s.draining(),
-        told);
+  @Test
+  void findsAViewThatIgnoresTheExpectedNumber() {
+    CoordinatorModel.Machine defect =
+        new CoordinatorModel.Machine() {
+          @Override
+          public boolean accepts(long viewNumber, long expected) {
+            return true;
+          }
+        };
+    assertThat(explore(defect, ANY_TWO_FAULTS).breach()).isNotNull();
   }
 
   @Test
-  void putsThatIgnoreTheNumberAreFound() {
-    assertThat(
-            explore(
-                    new CoordinatorModel.Machine() {
-                      @Override
-                      public boolean takes(long number, long expected) {
-                        return true;
-                      }
-                    },
-                    MANY)
-                .gone())
-        .isNotNull();
+  void findsAnAssessorThatForgetsOtherWindows() {
+    CoordinatorModel.Machine defect =
+        new CoordinatorModel.Machine() {
+          @Override
+          public NavigableSet<String> counted(NavigableSet<String> out) {
+            return out.isEmpty() ? out : out.headSet(out.last(), false);
+          }
+        };
+    assertThat(explore(defect, ANY_TWO_FAULTS).breach()).contains("cover and reserve lost");
   }
 
   @Test
-  void aJudgeThatForgetsOtherWindowsIsFound() {
-    assertThat(
-            explore(
-                    new CoordinatorModel.Machine() {
-                      @Override
-                      public SortedSet<String> counts(SortedSet<String> out) {
-                        return out.isEmpty() ? out : out.headSet(out.last());
-                      }
-                    },
-                    MANY)
-                .gone())
-        .contains("cover and reserve lost");
+  void findsAViewThatIsUsedPastItsLease() {
+    CoordinatorModel.Machine defect =
+        new CoordinatorModel.Machine() {
+          @Override
+          public WindowCoordinator.Transition next(
+              CoordinatorState state,
+              WindowEvent event,
+              Duration now,
+              boolean original,
+              CoverageAssessor assessor) {
+            return CoordinatorModel.SOUND.next(
+                state.withLeaseEnd(Duration.ofDays(1)), event, now, original, assessor);
+          }
+        };
+    assertThat(explore(defect, ANY_TWO_FAULTS).breach()).contains("too old");
   }
 
   @Test
-  void aViewHeldPastItsLeaseIsFound() {
-    assertThat(
-            explore(
-                    new CoordinatorModel.Machine() {
-                      @Override
-                      public WindowCoordinator.Transition next(
-                          WindowCoordinator.State state,
-                          WindowCoordinator.Event event,
-                          Duration now,
-                          boolean first,
-                          WindowCoordinator.CoverageAssessor assessor) {
-                        return CoordinatorModel.SOUND.next(
-                            with(state, Duration.ofDays(1), state.notified()),
-                            event,
-                            now,
-                            first,
-                            assessor);
-                      }
-                    },
-                    MANY)
-                .gone())
-        .contains("too old");
+  void findsObservationsFromBeforeTheReturn() {
+    CoordinatorModel.Machine defect =
+        new CoordinatorModel.Machine() {
+          @Override
+          public WindowCoordinator.Transition next(
+              CoordinatorState state,
+              WindowEvent event,
+              Duration now,
+              boolean original,
+              CoverageAssessor assessor) {
+            // The first observations of caches are believed for ever.
+            boolean ignored =
+                event instanceof WindowEvent.CachesObserved && !state.observations().isEmpty();
+            TreeMap<String, CacheObservation> observations = new TreeMap<>();
+            state
+                .observations()
+                .forEach((cache, old) -> observations.put(cache, renewed(old, now)));
+            return CoordinatorModel.SOUND.next(
+                state.withObservations(observations),
+                ignored ? new WindowEvent.Tick() : event,
+                now,
+                original,
+                assessor);
+          }
+        };
+    assertThat(explore(defect, ANY_TWO_FAULTS).breach()).contains("closed though not warm");
   }
 
-  @Test
-  void wordsFromBeforeTheReturnAreFound() {
-    assertThat(
-            explore(
-                    new CoordinatorModel.Machine() {
-                      @Override
-                      public WindowCoordinator.Transition next(
-                          WindowCoordinator.State state,
-                          WindowCoordinator.Event event,
-                          Duration now,
-                          boolean first,
-                          WindowCoordinator.CoverageAssessor assessor) {
-                        // The first words of caches are believed for ever.
-                        boolean known =
-                            event instanceof WindowCoordinator.CachesObserved
-                                && !state.observations().isEmpty();
-                        TreeMap<String, WindowCoordinator.CacheObservation> words = new TreeMap<>();
-                        state
-                            .observations()
-                            .forEach(
-                                (c, w) ->
-                                    words.put(
-                                        c,
-                                        new WindowCoordinator.CacheObservation(
-                                            w.incarnation(), w.up(), w.warm(), true, now)));
-                        return CoordinatorModel.SOUND.next(
-                            new WindowCoordinator.State(
-                                state.viewNumber(),
-                                state.windows(),
-                                state.leaseEnd(),
-                                state.leader(),
-                                state.proposedAt(),
-                                state.phaseEntries(),
-                                words,
-                                state.requests(),
-                                state.draining(),
-                                state.notified()),
-                            known ? new WindowCoordinator.Tick() : event,
-                            now,
-                            first,
-                            assessor);
-                      }
-                    },
-                    MANY)
-                .gone())
-        .contains("closed though not warm");
+  private static CacheObservation renewed(CacheObservation old, Duration now) {
+    return new CacheObservation(old.incarnation(), old.up(), old.warm(), true, now);
   }
 
   @Test
-  void aStepThatNeedsWhatOnlyTheKilledOneKnewIsFound() {
-    assertThat(
-            explore(
-                    new CoordinatorModel.Machine() {
-                      @Override
-                      public WindowCoordinator.Transition next(
-                          WindowCoordinator.State state,
-                          WindowCoordinator.Event event,
-                          Duration now,
-                          boolean first,
-                          WindowCoordinator.CoverageAssessor assessor) {
-                        WindowCoordinator.Transition transition =
-                            CoordinatorModel.SOUND.next(state, event, now, first, assessor);
-                        List<WindowCoordinator.Action> actions =
-                            new ArrayList<>(transition.actions());
-                        actions.removeIf(
-                            a ->
-                                !first
-                                    && a instanceof WindowCoordinator.Propose put
-                                    && put.value() != null
-                                    && put.value().phase() == MaintenanceWindow.Phase.RETURNING);
-                        return new WindowCoordinator.Transition(transition.state(), actions);
-                      }
-                    },
-                    new CoordinatorModel.Budget(2, 0, 0, 0, 0, 0, 0, 2))
-                .gone())
-        .contains("half a window");
+  void findsAStepThatNeedsTheMemoryOfAKilledLeader() {
+    CoordinatorModel.Machine defect =
+        new CoordinatorModel.Machine() {
+          @Override
+          public WindowCoordinator.Transition next(
+              CoordinatorState state,
+              WindowEvent event,
+              Duration now,
+              boolean original,
+              CoverageAssessor assessor) {
+            WindowCoordinator.Transition transition =
+                CoordinatorModel.SOUND.next(state, event, now, original, assessor);
+            List<WindowAction> actions = new ArrayList<>(transition.actions());
+            actions.removeIf(action -> !original && isReturn(action));
+            return new WindowCoordinator.Transition(transition.state(), actions);
+          }
+        };
+    assertThat(explore(defect, TWO_KILLS).breach()).contains("unfinished window");
+  }
+
+  private static boolean isReturn(WindowAction action) {
+    return action instanceof WindowAction.Propose proposal
+        && proposal.value() != null
+        && proposal.value().phase() == MaintenanceWindow.Phase.RETURNING;
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
+++ b/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
@@ -19,7 +19,7 @@
     LoadCurve curve = LoadCurve.empty(4);
     for (int i = random.nextInt(4); i >= 0; i--) {
       // One process's words of one sequence are the same word, or it breaks its word: both occur.
-      LoadCurve.LoadSample sample = LoadCurve.LoadSample.empty(4);
+      LoadSample sample = LoadSample.empty(4);
       for (int more = random.nextInt(3); more >= 0; more--) {
         sample = sample.withLoad(random.nextInt(4), random.nextInt(3), NOW);
       }
@@ -54,11 +54,10 @@
 
   @Test
   void daysDecayMembersAddUpAndTheUnseenGrow() {
-    LoadCurve.LoadSample sample =
-        LoadCurve.LoadSample.empty(4).withLoad(1, 10, NOW).withLoad(1, 16, NOW);
+    LoadSample sample = LoadSample.empty(4).withLoad(1, 10, NOW).withLoad(1, 16, NOW);
     LoadCurve curve = LoadCurve.empty(4).withSample("m", sample);
     assertThat(curve.loadAt(1, NOW))
-        .isCloseTo((10 * LoadCurve.DAILY_DECAY + 16) / 1.5, within(1e-9));
+        .isCloseTo((10 * LoadSample.DAILY_DECAY + 16) / 1.5, within(1e-9));
     assertThat(curve.loadAt(0, NOW)).as("smoothed").isCloseTo(14.0 / 4, within(1e-9));
     assertThat(curve.withSample("n", sample).loadAt(1, NOW)).isCloseTo(28, within(1e-9));
     Duration later = NOW.plus(LoadCurve.FRESH_PERIOD).plusHours(5);
@@ -70,11 +69,11 @@
 
   @Test
   void wordsOutOfBoundsAreRefusedWhole() {
-    assertThatThrownBy(() -> LoadCurve.LoadSample.empty(4).withLoad(0, Double.NaN, NOW))
+    assertThatThrownBy(() -> LoadSample.empty(4).withLoad(0, Double.NaN, NOW))
         .hasMessageContaining("bin 0");
-    assertThatThrownBy(() -> LoadCurve.LoadSample.empty(4).withLoad(2, -1, NOW))
+    assertThatThrownBy(() -> LoadSample.empty(4).withLoad(2, -1, NOW))
         .hasMessageContaining("bin 2");
     LoadCurve curve = LoadCurve.empty(4);
-    assertThat(curve.withSample("m", LoadCurve.LoadSample.empty(5))).isEqualTo(curve);
+    assertThat(curve.withSample("m", LoadSample.empty(5))).isEqualTo(curve);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/NaiveChecker.java
+++ b/windows/src/test/java/tamarindroute/windows/NaiveChecker.java
@@ -19,10 +19,8 @@
 
   /** What a plan does harm to: what lacks with it and did not lack, or lacked less, without it. */
   static List<String> harm(
-      PlanningInput input,
-      List<PlanningInput.ScheduledOutage> before,
-      List<PlanningInput.ScheduledOutage> planned) {
-    List<PlanningInput.ScheduledOutage> all = new ArrayList<>(before);
+      PlanningInput input, List<ScheduledOutage> before, List<ScheduledOutage> planned) {
+    List<ScheduledOutage> all = new ArrayList<>(before);
     all.addAll(planned);
     Map<String, Double> old = breaches(input, before);
     return breaches(input, all).entrySet().stream()
@@ -31,17 +29,13 @@
         .toList();
   }
 
-  static List<PlanningInput.ScheduledOutage> held(Plan plan) {
+  static List<ScheduledOutage> held(Plan plan) {
     return plan.batches().stream()
-        .flatMap(
-            b ->
-                b.caches().stream()
-                    .map(c -> new PlanningInput.ScheduledOutage(c, b.start(), b.end())))
+        .flatMap(b -> b.caches().stream().map(c -> new ScheduledOutage(c, b.start(), b.end())))
         .toList();
   }
 
-  static Map<String, Double> breaches(
-      PlanningInput input, List<PlanningInput.ScheduledOutage> windows) {
+  static Map<String, Double> breaches(PlanningInput input, List<ScheduledOutage> windows) {
     Map<String, Double> found = new TreeMap<>();
     for (int bin = 0; bin < input.binCount(); bin++) {
       found.putAll(breaches(input, windows, bin));
@@ -49,8 +43,7 @@
     return found;
   }
 
-  static Map<String, Double> breaches(
-      PlanningInput input, List<PlanningInput.ScheduledOutage> windows, int bin) {
+  static Map<String, Double> breaches(PlanningInput input, List<ScheduledOutage> windows, int bin) {
     Map<String, Double> found = new TreeMap<>();
     String[] standing = standing(input, windows, bin);
     for (Set<String> failed : failures(input)) {
@@ -66,8 +59,7 @@
   }
 
   /** The most that each cache must ever bear. */
-  static Map<String, Double> loads(
-      PlanningInput input, List<PlanningInput.ScheduledOutage> windows) {
+  static Map<String, Double> loads(PlanningInput input, List<ScheduledOutage> windows) {
     Map<String, Double> most = new HashMap<>();
     for (int bin = 0; bin < input.binCount(); bin++) {
       String[] standing = standing(input, windows, bin);
@@ -83,15 +75,15 @@
     List<Set<String>> all = new ArrayList<>(List.of(Set.of()));
     List<Cache> fallible =
         input.caches().stream().filter(c -> c.tier() != Cache.Tier.ORIGIN).toList();
-    if (input.rules().toleratedFailures().contains(PlanningInput.Failure.CACHE)) {
+    if (input.rules().toleratedFailures().contains(CoverageRules.Failure.CACHE)) {
       fallible.forEach(c -> all.add(Set.of(c.name())));
     }
-    if (input.rules().toleratedFailures().contains(PlanningInput.Failure.PARENT)) {
+    if (input.rules().toleratedFailures().contains(CoverageRules.Failure.PARENT)) {
       fallible.stream()
           .filter(c -> c.tier() == Cache.Tier.PARENT)
           .forEach(c -> all.add(Set.of(c.name())));
     }
-    if (input.rules().toleratedFailures().contains(PlanningInput.Failure.HUB)) {
+    if (input.rules().toleratedFailures().contains(CoverageRules.Failure.HUB)) {
       fallible.stream()
           .map(Cache::hub)
           .filter(h -> !h.isEmpty())
@@ -143,18 +135,17 @@
         .toList();
   }
 
-  private static String[] standing(
-      PlanningInput input, List<PlanningInput.ScheduledOutage> windows, int bin) {
+  private static String[] standing(PlanningInput input, List<ScheduledOutage> windows, int bin) {
     return input.caches().stream()
         .map(c -> standing(input, windows, c, bin))
         .toArray(String[]::new);
   }
 
   private static String standing(
-      PlanningInput input, List<PlanningInput.ScheduledOutage> windows, Cache cache, int bin) {
+      PlanningInput input, List<ScheduledOutage> windows, Cache cache, int bin) {
     Duration from = input.start().plus(input.binLength().multipliedBy(bin));
     Duration to = from.plus(input.binLength());
-    List<PlanningInput.ScheduledOutage> own =
+    List<ScheduledOutage> own =
         windows.stream().filter(w -> Objects.equals(w.cache(), cache.name())).toList();
     if (own.stream().anyMatch(w -> w.start().compareTo(to) < 0 && w.end().compareTo(from) > 0)) {
       return "out";
--- a/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
@@ -36,8 +36,8 @@
     return SampleInputs.world(
         seed,
         new SampleInputs.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
-        new PlanningInput.CoverageRules(
-            Set.of(PlanningInput.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+        new CoverageRules(
+            Set.of(CoverageRules.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
   }
 
   /** Every edge of every location, from midnight on, within two days. */
@@ -45,7 +45,7 @@
     List<MaintenanceRequest> wishes = new ArrayList<>();
     for (int l = 0; l < 10; l++) {
       wishes.add(
-          MaintenanceRequest.share(
+          MaintenanceRequest.forShare(
               "all-" + l,
               "l" + l,
               1,
@@ -131,16 +131,16 @@
         SampleInputs.world(
             seed,
             new SampleInputs.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
-            new PlanningInput.CoverageRules(
-                Set.of(PlanningInput.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
+            new CoverageRules(
+                Set.of(CoverageRules.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
     List<String> edges = SampleInputs.edges(input, "l0");
     Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, 3)));
-    List<PlanningInput.ScheduledOutage> batches = NaiveChecker.held(plan);
+    List<ScheduledOutage> batches = NaiveChecker.held(plan);
     report("batches", seed, input, batches);
-    List<PlanningInput.ScheduledOutage> single = new ArrayList<>();
+    List<ScheduledOutage> single = new ArrayList<>();
     for (int i = 0; i < edges.size(); i++) {
       single.add(
-          new PlanningInput.ScheduledOutage(
+          new ScheduledOutage(
               edges.get(i),
               SampleInputs.BIN.multipliedBy(5L * i),
               SampleInputs.BIN.multipliedBy(5L * i + 3)));
@@ -152,11 +152,11 @@
     int size = (int) Math.ceil((double) edges.size() / rounds);
     List<String> shuffled = new ArrayList<>(edges);
     Collections.shuffle(shuffled, new Random(seed));
-    List<PlanningInput.ScheduledOutage> random = new ArrayList<>();
+    List<ScheduledOutage> random = new ArrayList<>();
     for (int i = 0; i < shuffled.size(); i++) {
       long start = 5L * (i / size);
       random.add(
-          new PlanningInput.ScheduledOutage(
+          new ScheduledOutage(
               shuffled.get(i),
               SampleInputs.BIN.multipliedBy(start),
               SampleInputs.BIN.multipliedBy(start + 3)));
@@ -165,7 +165,7 @@
   }
 
   private static void report(
-      String how, long seed, PlanningInput input, List<PlanningInput.ScheduledOutage> windows) {
+      String how, long seed, PlanningInput input, List<ScheduledOutage> windows) {
     int end =
         windows.stream().mapToInt(w -> (int) w.end().dividedBy(SampleInputs.BIN)).max().orElse(0);
     double room = 1;
--- a/windows/src/test/java/tamarindroute/windows/PlannerTest.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 class PlannerTest {
-  private static final Set<PlanningInput.Failure> ALL = Set.of(PlanningInput.Failure.values());
+  private static final Set<CoverageRules.Failure> ALL = Set.of(CoverageRules.Failure.values());
 
   /**
    * Some windows agreed before: each of these is harmless beside the others, as an earlier plan's
    * are.
    */
-  private static List<PlanningInput.ScheduledOutage> others(PlanningInput input, long seed) {
+  private static List<ScheduledOutage> others(PlanningInput input, long seed) {
     List<String> some = new ArrayList<>(SampleInputs.edges(input, "l0"));
     java.util.Collections.shuffle(some, new Random(seed));
     return NaiveChecker.held(
@@ -41,7 +41,7 @@
     List<String> edges = SampleInputs.edges(input, "l0");
     return List.of(
         SampleInputs.wish(input, edges.subList(2, 7), 1 + (int) (seed % 2)),
-        MaintenanceRequest.share(
+        MaintenanceRequest.forShare(
             "half",
             "l1",
             0.5,
@@ -59,8 +59,8 @@
   private static List<String> harm(
       PlanningInput input,
       PlanningInput told,
-      List<PlanningInput.ScheduledOutage> others,
-      List<PlanningInput.ScheduledOutage> toldOthers,
+      List<ScheduledOutage> others,
+      List<ScheduledOutage> toldOthers,
       long seed) {
     Plan plan = Planner.plan(told, toldOthers, wishes(input, seed));
     return NaiveChecker.harm(input, others, NaiveChecker.held(plan));
@@ -70,7 +70,7 @@
   void everyPlanKeepsCoverAndRoomWithOneFailureMore(
       @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
     PlanningInput input = SampleInputs.middle(seed, ALL);
-    List<PlanningInput.ScheduledOutage> others = others(input, seed);
+    List<ScheduledOutage> others = others(input, seed);
     assertThat(NaiveChecker.harm(input, List.of(), others)).isEmpty();
     assertThat(harm(input, input, others, others, seed)).isEmpty();
   }
@@ -85,19 +85,19 @@
     int placed = 0;
     for (long seed = 1; seed <= 4; seed++) {
       PlanningInput input = SampleInputs.middle(seed, ALL);
-      PlanningInput.CoverageRules rules = input.rules();
-      List<PlanningInput.ScheduledOutage> others = others(input, seed);
+      CoverageRules rules = input.rules();
+      List<ScheduledOutage> others = others(input, seed);
       placed += Planner.plan(input, others, wishes(input, seed)).batches().size();
       PlanningInput warm =
           with(
               input,
-              new PlanningInput.CoverageRules(
+              new CoverageRules(
                   ALL, rules.missRatio(), rules.coldShare(), Duration.ZERO, rules.siblingFill()),
               1);
       PlanningInput bold =
           with(
               input,
-              new PlanningInput.CoverageRules(
+              new CoverageRules(
                   Set.of(),
                   rules.missRatio(),
                   rules.coldShare(),
@@ -113,8 +113,7 @@
     assertThat(found).as("cold returns, reserve, load, other windows").doesNotContain(0);
   }
 
-  private static PlanningInput with(
-      PlanningInput input, PlanningInput.CoverageRules rules, double load) {
+  private static PlanningInput with(PlanningInput input, CoverageRules rules, double load) {
     Map<String, double[]> loads = new java.util.HashMap<>();
     input
         .load()
@@ -184,7 +183,7 @@
    * Three equal edges, any of which serves the one range; two bear the load of the day's first
    * hour, all of it is one's at 4.
    */
-  private static PlanningInput three(int bins, Set<PlanningInput.Failure> reserve) {
+  private static PlanningInput three(int bins, Set<CoverageRules.Failure> reserve) {
     List<Cache> caches = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       caches.add(new Cache("c" + i, "here", Cache.Tier.EDGE, 10, "", true, Duration.ZERO));
@@ -198,12 +197,12 @@
         Map.of("here", load),
         Duration.ZERO,
         SampleInputs.BIN,
-        new PlanningInput.CoverageRules(reserve, 0.1, 0.1, SampleInputs.BIN, false));
+        new CoverageRules(reserve, 0.1, 0.1, SampleInputs.BIN, false));
   }
 
   @Test
   void oneByOneWithTheReserveAndTheColdReturnKept() {
-    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -226,7 +225,7 @@
 
   @Test
   void aRefusalTellsRangeCacheNumberAndTheTimeThatWouldDo() {
-    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -243,7 +242,7 @@
         .singleElement()
         .satisfies(
             r -> {
-              assertThat(r.shortage().kind()).isEqualTo(Plan.ShortageKind.NO_EDGE);
+              assertThat(r.shortage().kind()).isEqualTo(Shortage.Kind.NO_EDGE);
               assertThat(r.shortage().range()).isZero();
               assertThat(r.shortage().required()).isEqualTo(1);
               assertThat(r.shortage().available()).isZero();
@@ -265,7 +264,7 @@
         .singleElement()
         .satisfies(
             r -> {
-              assertThat(r.shortage().kind()).isEqualTo(Plan.ShortageKind.CAPACITY);
+              assertThat(r.shortage().kind()).isEqualTo(Shortage.Kind.CAPACITY);
               assertThat(r.shortage().cache()).isIn("c1", "c2");
               assertThat(r.shortage().required())
                   .isCloseTo(10.8, org.assertj.core.data.Offset.offset(1e-9));
@@ -276,7 +275,7 @@
 
   @Test
   void timeAndUnknownCachesRefuseTooAndAShareTakesAsManyAsNeeded() {
-    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
+    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -294,7 +293,7 @@
                     SampleInputs.BIN,
                     Duration.ZERO,
                     SampleInputs.BIN.multipliedBy(12)),
-                MaintenanceRequest.share(
+                MaintenanceRequest.forShare(
                     "some",
                     "here",
                     0.6,
@@ -303,16 +302,17 @@
                     SampleInputs.BIN.multipliedBy(12))));
     assertThat(plan.rejections())
         .extracting(r -> r.shortage().kind())
-        .containsExactly(Plan.ShortageKind.TIME, Plan.ShortageKind.UNKNOWN_CACHE);
+        .containsExactly(Shortage.Kind.TIME, Shortage.Kind.UNKNOWN_CACHE);
     assertThat(plan.rejections().get(0).feasibleEnd()).isEqualTo(SampleInputs.BIN.multipliedBy(3));
     assertThat(plan.batches().stream().mapToInt(b -> b.caches().size()).sum()).isEqualTo(2);
   }
 
   @Test
   void whatLacksNowIsToldForAnyCachesOut() {
-    PlanningInput input = three(12, Set.of(PlanningInput.Failure.CACHE));
-    assertThat(Planner.shortage(input, List.of("c1"), Duration.ZERO)).isNull();
-    assertThat(Planner.shortage(input, List.of("c1", "c2"), Duration.ZERO).kind())
-        .isEqualTo(Plan.ShortageKind.NO_EDGE);
+    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
+    assertThat(Planner.shortage(input, List.of("c1"), Duration.ZERO)).isEmpty();
+    assertThat(Planner.shortage(input, List.of("c1", "c2"), Duration.ZERO))
+        .map(Shortage::kind)
+        .contains(Shortage.Kind.NO_EDGE);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/SampleInputs.java
+++ b/windows/src/test/java/tamarindroute/windows/SampleInputs.java
@@ -30,7 +30,7 @@
       int bins,
       double peak) {}
 
-  static PlanningInput world(long seed, Shape shape, PlanningInput.CoverageRules rules) {
+  static PlanningInput world(long seed, Shape shape, CoverageRules rules) {
     Random random = new Random(seed);
     List<Cache> caches = new ArrayList<>();
     for (int l = 0; l < shape.locations; l++) {
@@ -158,9 +158,9 @@
     Random random = new Random(seed * 7919);
     int edges = 4 + random.nextInt(2);
     boolean reserve = random.nextInt(3) > 0;
-    PlanningInput.CoverageRules rules =
-        new PlanningInput.CoverageRules(
-            reserve ? Set.of(PlanningInput.Failure.values()) : Set.of(),
+    CoverageRules rules =
+        new CoverageRules(
+            reserve ? Set.of(CoverageRules.Failure.values()) : Set.of(),
             0.2,
             0.1,
             BIN.multipliedBy(random.nextInt(3)),
@@ -173,11 +173,11 @@
   }
 
   /** Some worlds of middle size, with two locations. */
-  static PlanningInput middle(long seed, Set<PlanningInput.Failure> reserve) {
+  static PlanningInput middle(long seed, Set<CoverageRules.Failure> reserve) {
     return world(
         seed,
         new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
-        new PlanningInput.CoverageRules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
+        new CoverageRules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
   }
 
   static List<String> edges(PlanningInput input, String location) {
--- a/windows/src/test/java/tamarindroute/windows/WindowCoordinatorTest.java
+++ b/windows/src/test/java/tamarindroute/windows/WindowCoordinatorTest.java
@@ -7,33 +7,34 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
+import java.util.Optional;
 import java.util.Set;
-import java.util.SortedSet;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import tamarindroute.windows.MaintenanceWindow.Phase;
 
 class WindowCoordinatorTest {
-  private static final MaintenanceWindow ASKED =
+  private static final MaintenanceWindow REQUESTED =
       MaintenanceWindow.requested("w", 1, List.of("a"), s(10), s(0), s(100));
-  private static final Plan.Shortage LACK =
-      new Plan.Shortage(Plan.ShortageKind.CAPACITY, 7, "b", 3, 2, s(0));
+  private static final Shortage SHORTAGE = new Shortage(Shortage.Kind.CAPACITY, 7, "b", 3, 2, s(0));
+  private static final int LONG_LEASE = 900;
 
-  private Plan.Shortage shortage;
-  private final List<String> judged = new ArrayList<>();
-  private final WindowCoordinator.CoverageAssessor assessor =
-      new WindowCoordinator.CoverageAssessor() {
+  private Shortage shortage;
+  private final List<String> assessed = new ArrayList<>();
+  private final CoverageAssessor assessor =
+      new CoverageAssessor() {
         @Override
-        public WindowCoordinator.Slot findSlot(
-            MaintenanceWindow asked, Collection<MaintenanceWindow> others, Duration now) {
-          return shortage == null
-              ? new WindowCoordinator.Slot(now, null)
-              : new WindowCoordinator.Slot(null, shortage);
+        public Slot findSlot(
+            MaintenanceWindow requested, Collection<MaintenanceWindow> others, Duration now) {
+          return shortage == null ? new Slot.Found(now) : new Slot.Unavailable(shortage);
         }
 
         @Override
-        public Plan.Shortage shortage(SortedSet<String> out, boolean reserve, Duration now) {
-          judged.add(out + " " + reserve);
-          return reserve ? shortage : null;
+        public Optional<Shortage> shortage(
+            NavigableSet<String> out, boolean withReserve, Duration now) {
+          assessed.add(out + " " + withReserve);
+          return withReserve ? Optional.ofNullable(shortage) : Optional.empty();
         }
 
         @Override
@@ -46,183 +47,138 @@
     return Duration.ofSeconds(seconds);
   }
 
-  private WindowCoordinator.Transition next(
-      WindowCoordinator.State state, WindowCoordinator.Event event, int now) {
+  private WindowCoordinator.Transition next(CoordinatorState state, WindowEvent event, int now) {
     return WindowCoordinator.next(state, event, s(now), CoordinatorModel.SETTINGS, assessor);
   }
 
-  private WindowCoordinator.State leads() {
-    return next(WindowCoordinator.initial(), new WindowCoordinator.LeadershipChanged(true), 0)
-        .state();
+  private WindowCoordinator.Transition tick(CoordinatorState state, int now) {
+    return next(state, new WindowEvent.Tick(), now);
   }
 
-  private static WindowCoordinator.ViewUpdated agreed(
-      long number, MaintenanceWindow window, int until) {
-    TreeMap<String, MaintenanceWindow> entries = new TreeMap<>();
-    entries.put(window.id(), window);
-    return new WindowCoordinator.ViewUpdated(number, entries, s(until));
+  private CoordinatorState leader() {
+    return next(WindowCoordinator.initial(), new WindowEvent.LeadershipChanged(true), 0).state();
+  }
+
+  private CoordinatorState observed(
+      CoordinatorState state, String cache, CacheObservation observation, int now) {
+    return next(state, new WindowEvent.CachesObserved(Map.of(cache, observation)), now).state();
+  }
+
+  private static WindowEvent.ViewUpdated view(
+      long viewNumber, MaintenanceWindow window, int leaseEnd) {
+    TreeMap<String, MaintenanceWindow> windows = new TreeMap<>();
+    windows.put(window.id(), window);
+    return new WindowEvent.ViewUpdated(viewNumber, windows, s(leaseEnd));
+  }
+
+  private static WindowAction.Propose proposal(long viewNumber, MaintenanceWindow value) {
+    return new WindowAction.Propose("window/w", viewNumber, value);
+  }
+
+  private static WindowEvent.RequestsChanged noRequests(int revision) {
+    return new WindowEvent.RequestsChanged(new RequestedWindows(revision, Map.of()));
   }
 
   @Test
-  void aRefusalIsToldOnceWithRangeCacheAndNumber() {
-    shortage = LACK;
-    WindowCoordinator.Transition transition = next(leads(), agreed(3, ASKED, 9), 1);
+  void notifiesOnceOfAMissingSlotWithItsShortage() {
+    shortage = SHORTAGE;
+    WindowCoordinator.Transition transition = next(leader(), view(3, REQUESTED, 9), 1);
     assertThat(transition.actions())
-        .containsExactly(new WindowCoordinator.Notify(WindowCoordinator.Notice.NO_SLOT, "w", LACK));
-    assertThat(next(transition.state(), new WindowCoordinator.Tick(), 2).actions()).isEmpty();
+        .containsExactly(new WindowAction.Notify(Notice.NO_SLOT, "w", SHORTAGE));
+    assertThat(tick(transition.state(), 2).actions()).isEmpty();
     shortage = null;
-    assertThat(next(transition.state(), new WindowCoordinator.Tick(), 3).actions())
-        .containsExactly(
-            new WindowCoordinator.Propose(
-                "window/w", 3, ASKED.scheduled(MaintenanceWindow.Phase.SCHEDULED, s(3), s(13))));
+    assertThat(tick(transition.state(), 3).actions())
+        .containsExactly(proposal(3, REQUESTED.withPhase(Phase.SCHEDULED, s(3), s(13))));
   }
 
   @Test
-  void anUnansweredPutIsSentAnewWithItsNumberAndARefusedOneWaitsForTheView() {
-    WindowCoordinator.Transition transition = next(leads(), agreed(3, ASKED, 90), 1);
+  void repeatsAnUnansweredProposalAndAwaitsTheViewAfterARejectedOne() {
+    WindowCoordinator.Transition transition = next(leader(), view(3, REQUESTED, 90), 1);
     assertThat(transition.actions()).hasSize(1);
-    assertThat(next(transition.state(), new WindowCoordinator.Tick(), 2).actions()).isEmpty();
-    assertThat(next(transition.state(), new WindowCoordinator.Tick(), 3).actions()).hasSize(1);
-    assertThat(next(transition.state(), new WindowCoordinator.ProposalRejected(4), 2).actions())
-        .isEmpty();
-    assertThat(next(transition.state(), new WindowCoordinator.ContactLost(), 2).actions())
+    assertThat(tick(transition.state(), 2).actions()).isEmpty();
+    assertThat(tick(transition.state(), 3).actions()).hasSize(1);
+    assertThat(next(transition.state(), new WindowEvent.ProposalRejected(4), 2).actions())
         .isEmpty();
+    assertThat(next(transition.state(), new WindowEvent.ContactLost(), 2).actions()).isEmpty();
   }
 
   @Test
-  void whatDrainsFollowsTheViewAlsoAfterARestart() {
-    MaintenanceWindow open = ASKED.scheduled(MaintenanceWindow.Phase.OPEN, s(0), s(10));
+  void drainsFollowTheViewAlsoAfterARestart() {
+    MaintenanceWindow open = REQUESTED.withPhase(Phase.OPEN, s(0), s(10));
     WindowCoordinator.Transition transition =
-        next(WindowCoordinator.initial(), agreed(5, open, 9), 1);
-    assertThat(transition.actions()).contains(new WindowCoordinator.Drain("a"));
-    assertThat(
-            next(
-                    transition.state(),
-                    agreed(6, open.withPhase(MaintenanceWindow.Phase.RETURNING), 9),
-                    2)
-                .actions())
-        .contains(new WindowCoordinator.Release("a"));
-    assertThat(
-            next(
-                    transition.state(),
-                    agreed(4, open.withPhase(MaintenanceWindow.Phase.CLOSED), 9),
-                    2)
-                .actions())
+        next(WindowCoordinator.initial(), view(5, open, 9), 1);
+    assertThat(transition.actions()).contains(new WindowAction.Drain("a"));
+    assertThat(next(transition.state(), view(6, open.withPhase(Phase.RETURNING), 9), 2).actions())
+        .contains(new WindowAction.Release("a"));
+    assertThat(next(transition.state(), view(4, open.withPhase(Phase.CLOSED), 9), 2).actions())
         .as("an older view")
         .isEmpty();
   }
 
   @Test
-  void cachesNotHeardOfColdOrInAWindowCountAsOut() {
-    WindowCoordinator.State state =
-        next(
-                leads(),
-                new WindowCoordinator.CachesObserved(
-                    Map.of("a", new WindowCoordinator.CacheObservation(1, true, true, true, s(1)))),
-                1)
-            .state();
-    next(state, agreed(5, ASKED.scheduled(MaintenanceWindow.Phase.SCHEDULED, s(0), s(10)), 9), 1);
-    assertThat(judged).as("before a step").last().isEqualTo("[a, b] true");
-    next(state, agreed(5, ASKED.scheduled(MaintenanceWindow.Phase.OPEN, s(0), s(10)), 9), 1);
-    assertThat(judged)
-        .as("a leader that has just started calls nothing back")
+  void cachesThatAreUnobservedColdOrInAWindowCountAsOut() {
+    CoordinatorState state =
+        observed(leader(), "a", new CacheObservation(1, true, true, true, s(1)), 1);
+    MaintenanceWindow scheduled = REQUESTED.withPhase(Phase.SCHEDULED, s(0), s(10));
+    MaintenanceWindow open = REQUESTED.withPhase(Phase.OPEN, s(0), s(10));
+    next(state, view(5, scheduled, 9), 1);
+    assertThat(assessed).as("before a step").last().isEqualTo("[a, b] true");
+    next(state, view(5, open, 9), 1);
+    assertThat(assessed)
+        .as("a leader that has just started recalls nothing")
+        .last()
+        .isEqualTo("[a] true");
+    state = observed(state, "b", new CacheObservation(2, true, true, false, s(1)), 1);
+    state = observed(state, "b", new CacheObservation(1, false, false, false, s(2)), 2);
+    next(state, view(5, open, 9), 2);
+    assertThat(assessed)
+        .as("an observation of an earlier incarnation")
         .last()
         .isEqualTo("[a] true");
-    state =
-        next(
-                state,
-                new WindowCoordinator.CachesObserved(
-                    Map.of(
-                        "b", new WindowCoordinator.CacheObservation(2, true, true, false, s(1)))),
-                1)
-            .state();
-    state =
-        next(
-                state,
-                new WindowCoordinator.CachesObserved(
-                    Map.of(
-                        "b", new WindowCoordinator.CacheObservation(1, false, false, false, s(2)))),
-                2)
-            .state();
-    next(state, agreed(5, ASKED.scheduled(MaintenanceWindow.Phase.OPEN, s(0), s(10)), 9), 2);
-    assertThat(judged).as("a former self's word").last().isEqualTo("[a] true");
   }
 
   @Test
-  void calledBackWhileTheCacheIsUpElseOnlyTold() {
-    shortage = LACK;
-    MaintenanceWindow open = ASKED.scheduled(MaintenanceWindow.Phase.OPEN, s(0), s(10));
-    WindowCoordinator.State up =
-        next(
-                leads(),
-                new WindowCoordinator.CachesObserved(
-                    Map.of("a", new WindowCoordinator.CacheObservation(1, true, true, true, s(1)))),
-                1)
-            .state();
-    assertThat(next(up, agreed(5, open, 9), 1).actions())
+  void recallsACacheThatIsUpAndOnlyNotifiesOfOneThatIsDown() {
+    shortage = SHORTAGE;
+    MaintenanceWindow open = REQUESTED.withPhase(Phase.OPEN, s(0), s(10));
+    CoordinatorState up =
+        observed(leader(), "a", new CacheObservation(1, true, true, true, s(1)), 1);
+    assertThat(next(up, view(5, open, 9), 1).actions())
         .contains(
-            new WindowCoordinator.Notify(WindowCoordinator.Notice.RECALLED, "w", LACK),
-            new WindowCoordinator.Propose(
-                "window/w", 5, open.scheduled(MaintenanceWindow.Phase.RETURNING, s(0), s(1))));
-    WindowCoordinator.State down =
-        next(
-                up,
-                new WindowCoordinator.CachesObserved(
-                    Map.of(
-                        "a", new WindowCoordinator.CacheObservation(1, false, false, true, s(2)))),
-                2)
-            .state();
-    assertThat(next(down, agreed(5, open, 9), 2).actions())
-        .contains(new WindowCoordinator.Notify(WindowCoordinator.Notice.RECALLED, "w", LACK))
-        .noneMatch(a -> a instanceof WindowCoordinator.Propose);
+            new WindowAction.Notify(Notice.RECALLED, "w", SHORTAGE),
+            proposal(5, open.withPhase(Phase.RETURNING, s(0), s(1))));
+    CoordinatorState down = observed(up, "a", new CacheObservation(1, false, false, true, s(2)), 2);
+    assertThat(next(down, view(5, open, 9), 2).actions())
+        .contains(new WindowAction.Notify(Notice.RECALLED, "w", SHORTAGE))
+        .noneMatch(action -> action instanceof WindowAction.Propose);
   }
 
   @Test
-  void aCacheThatNeverComesBackIsLateThenLostAndAnEndedWindowIsForgotten() {
-    MaintenanceWindow returning = ASKED.scheduled(MaintenanceWindow.Phase.RETURNING, s(0), s(10));
-    WindowCoordinator.State state = next(leads(), agreed(5, returning, 900), 10).state();
-    WindowCoordinator.Transition late = next(state, new WindowCoordinator.Tick(), 12);
+  void aCacheThatNeverReturnsIsLateThenGivenUpAndAnEndedWindowIsRemoved() {
+    MaintenanceWindow returning = REQUESTED.withPhase(Phase.RETURNING, s(0), s(10));
+    MaintenanceWindow closed = returning.withPhase(Phase.CLOSED);
+    CoordinatorState state = next(leader(), view(5, returning, LONG_LEASE), 10).state();
+    WindowCoordinator.Transition late = tick(state, 12);
     assertThat(late.actions())
+        .containsExactly(new WindowAction.Notify(Notice.RETURN_LATE, "w", null));
+    assertThat(tick(late.state(), 14).actions())
         .containsExactly(
-            new WindowCoordinator.Notify(WindowCoordinator.Notice.RETURN_LATE, "w", null));
-    assertThat(next(late.state(), new WindowCoordinator.Tick(), 14).actions())
-        .containsExactly(
-            new WindowCoordinator.Notify(WindowCoordinator.Notice.RETURN_TIMED_OUT, "w", null),
-            new WindowCoordinator.Propose(
-                "window/w", 5, returning.withPhase(MaintenanceWindow.Phase.CLOSED)));
-    assertThat(
-            next(leads(), agreed(6, returning.withPhase(MaintenanceWindow.Phase.CLOSED), 900), 160)
-                .actions())
-        .containsExactly(new WindowCoordinator.Propose("window/w", 6, null));
+            new WindowAction.Notify(Notice.RETURN_TIMED_OUT, "w", null), proposal(5, closed));
+    assertThat(next(leader(), view(6, closed, LONG_LEASE), 160).actions())
+        .containsExactly(proposal(6, null));
   }
 
   @Test
-  void onlyALaterRevisionWithdraws() {
-    WindowCoordinator.State state = next(leads(), agreed(5, ASKED, 9), 1).state();
-    WindowCoordinator.Transition same =
-        next(
-            next(state, new WindowCoordinator.ProposalRejected(5), 1).state(),
-            new WindowCoordinator.RequestsChanged(
-                new WindowCoordinator.RequestedWindows(1, Map.of())),
-            1);
-    assertThat(same.actions())
+  void onlyALaterRevisionWithdrawsARequest() {
+    CoordinatorState state = next(leader(), view(5, REQUESTED, 9), 1).state();
+    CoordinatorState rejected = next(state, new WindowEvent.ProposalRejected(5), 1).state();
+    assertThat(next(rejected, noRequests(1), 1).actions())
         .noneMatch(
-            a ->
-                a instanceof WindowCoordinator.Propose put
-                    && put.value().phase() == MaintenanceWindow.Phase.CANCELLED);
-    WindowCoordinator.Transition later =
-        next(
-            next(
-                    state,
-                    new WindowCoordinator.RequestsChanged(
-                        new WindowCoordinator.RequestedWindows(2, Map.of())),
-                    1)
-                .state(),
-            new WindowCoordinator.Tick(),
-            4);
-    assertThat(later.actions())
-        .containsExactly(
-            new WindowCoordinator.Propose(
-                "window/w", 5, ASKED.withPhase(MaintenanceWindow.Phase.CANCELLED)));
+            action ->
+                action instanceof WindowAction.Propose propose
+                    && propose.value().phase() == Phase.CANCELLED);
+    CoordinatorState withdrawn = next(state, noRequests(2), 1).state();
+    assertThat(tick(withdrawn, 4).actions())
+        .containsExactly(proposal(5, REQUESTED.withPhase(Phase.CANCELLED)));
   }
 }
