--- a/members/src/test/java/tamarindroute/members/GrantHistory.java
+++ b/members/src/test/java/tamarindroute/members/GrantHistory.java
@@ -31,6 +31,20 @@
         .orElse(0.0);
   }
 
+  /** When a share above the given one was last in use; zero if never. */
+  synchronized Duration lastUseAbove(double share) {
+    Duration last = Duration.ZERO;
+    for (int i = 0; i < grants.size(); i++) {
+      Grant grant = grants.get(i);
+      if (grant.share > share) {
+        boolean isReplaced = i + 1 < grants.size();
+        Duration replacedAt = isReplaced ? grants.get(i + 1).appliedAt : grant.validUntil;
+        last = replacedAt.compareTo(grant.validUntil) < 0 ? replacedAt : grant.validUntil;
+      }
+    }
+    return last;
+  }
+
   /** Adds the moments at which the share in use may change. */
   synchronized void addMomentsTo(Collection<Duration> moments) {
     for (Grant grant : grants) {
--- a/members/src/test/java/tamarindroute/members/QuotaCluster.java
+++ b/members/src/test/java/tamarindroute/members/QuotaCluster.java
@@ -31,9 +31,12 @@
   static final int SIZE = 5;
   static final double EVEN_SHARE = 1.0 / SIZE;
 
-  /** Short leases, but long enough to be renewed in time on a busy machine. */
+  /** Short, but long enough to be renewed in time on a busy machine. */
+  static final Duration LEASE = Duration.ofSeconds(1);
+
+  static final Duration QUIET_PERIOD = Duration.ofSeconds(3);
   private static final SharedQuota QUOTA =
-      new SharedQuota(SIZE, SharedQuota.FULL_QUOTA, Duration.ofSeconds(1), Duration.ofSeconds(3));
+      new SharedQuota(SIZE, SharedQuota.FULL_QUOTA, LEASE, QUIET_PERIOD);
 
   private static final Duration LEADERSHIP = Duration.ofMillis(500);
   private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(100);
@@ -55,7 +58,7 @@
     final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final MembershipEndpoint endpoint;
     volatile boolean disconnected;
-    private final GrantHistory history = new GrantHistory(EVEN_SHARE);
+    final GrantHistory history = new GrantHistory(EVEN_SHARE);
     private volatile Duration endedAt;
 
     Gateway(int index, long incarnation, List<Address> seeds) {
--- a/members/src/test/java/tamarindroute/members/QuotaLeasesTest.java
+++ b/members/src/test/java/tamarindroute/members/QuotaLeasesTest.java
@@ -36,6 +36,7 @@
   void sharesOfKilledMembersAreReusedWithoutExceedingTheQuota() throws Exception {
     try (QuotaCluster cluster = new QuotaCluster(false)) {
       List<LedGateway> all = cluster.startLedGateways();
+      Duration startedBy = MonotonicClock.now();
       LedGateway allocator = all.get(0);
       LedGateway second = all.get(1);
       assertThat(allocator.shareInUse()).as("in the quiet period").isZero();
@@ -48,12 +49,19 @@
       }
       allocator.awaitShare(0.5);
       second.awaitShare(0.5);
+      // In its quiet period a gateway without a lease uses nothing, however long ago the lease
+      // ended.
+      Duration quietUntil = startedBy.plus(QuotaCluster.QUIET_PERIOD);
+      MemberCluster.awaitTrue(() -> MonotonicClock.now().compareTo(quietUntil) >= 0);
       allocator.kill();
       Duration killedAt = MonotonicClock.now();
       second.awaitShare(EVEN_SHARE);
       assertThat(MonotonicClock.now().minus(killedAt))
           .as("a lease and some time")
           .isLessThan(Duration.ofMillis(1_500));
+      assertThat(second.history.lastUseAbove(EVEN_SHARE).minus(killedAt))
+          .as("last use of the lease")
+          .isLessThanOrEqualTo(QuotaCluster.LEASE);
       LedGateway restarted = cluster.new LedGateway(2, 2_000);
       second.lead(2);
       second.awaitShare(0.5);
