--- a/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
+++ b/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
@@ -45,7 +45,9 @@
   private static void freeTwice(BufferPool bufferPool) {
     IoBuffer twice = bufferPool.acquire();
     Interleavings.runConcurrently(twice::free, twice::free);
-    require(bufferPool.acquire().buf() != bufferPool.acquire().buf(), "given out once");
+    ByteBuffer first = bufferPool.acquire().buf();
+    ByteBuffer second = bufferPool.acquire().buf();
+    require(first != second, "given out once");
   }
 
   /** Two threads free a buffer each, of which the pool keeps one. */
