--- a/bench/tamarindroute/bench/Convergence.java
+++ b/bench/tamarindroute/bench/ColdRestartSimulation.java
@@ -19,7 +19,7 @@
  * by steering, by plain round-robin and by weighted round-robin (the cache has twice the others'
  * weight there); and the error of the shares in the calm before.
  */
-public final class Convergence {
+public final class ColdRestartSimulation {
 
   private static final int EDGES = 6;
   private static final int RESOLVERS = 300;
@@ -27,11 +27,11 @@
   /** As such servers are commonly set up, and so short that a drain's clients are soon gone. */
   private static final double[] FIXED_TTLS = {30, 2};
 
-  private static final double GONE = 100;
-  private static final double BACK = 130;
-  private static final double END = 220;
+  private static final double REMOVED_AT = 100;
+  private static final double RESTARTED_AT = 130;
+  private static final double DURATION = 220;
 
-  private Convergence() {}
+  private ColdRestartSimulation() {}
 
   public static void main(String[] arguments) throws Exception {
     Path file = Path.of(arguments.length > 0 ? arguments[0] : "docs/plots/dns-cold-restart.png");
@@ -85,16 +85,20 @@
     return -1;
   }
 
-  private interface Choosing {
+  private interface CacheSelection {
     int cache(double now);
   }
 
-  private interface Keeping {
+  private interface TimeToLive {
     double seconds();
   }
 
   private static void run(
-      XYChart chart, String name, DnsFixture.Fleet fleet, Choosing choosing, Keeping keeping) {
+      XYChart chart,
+      String name,
+      DnsFixture.Fleet fleet,
+      CacheSelection choosing,
+      TimeToLive keeping) {
     Random random = new Random(6);
     int[] keeps = new int[RESOLVERS];
     double[] expires = new double[RESOLVERS];
@@ -110,11 +114,11 @@
     int samples = 0;
     int unserved = 0;
     double whole = -1;
-    for (double now = 0; now < END; now += 0.1) {
+    for (double now = 0; now < DURATION; now += 0.1) {
       fleet.heard(now);
-      if (Math.abs(now - GONE) < 0.05) {
+      if (Math.abs(now - REMOVED_AT) < 0.05) {
         fleet.gone(0, now);
-      } else if (Math.abs(now - BACK) < 0.05) {
+      } else if (Math.abs(now - RESTARTED_AT) < 0.05) {
         fleet.back(0, now);
       }
       int[] load = new int[EDGES];
@@ -133,20 +137,20 @@
           load[keeps[i]]++;
         }
       }
-      if (now > 60 && now < GONE - 1) {
+      if (now > 60 && now < REMOVED_AT - 1) {
         double all = Arrays.stream(load).sum();
         for (int i = 0; i < EDGES; i++) {
           error += Math.abs(load[i] / all - fleet.share(i));
         }
         samples += EDGES;
       }
-      if (now >= BACK) {
+      if (now >= RESTARTED_AT) {
         double part = load[0] / fleet.bound(0, now);
-        times.add(Math.round((now - BACK) * 10) / 10.0);
+        times.add(Math.round((now - RESTARTED_AT) * 10) / 10.0);
         parts.add(part);
         worst = Math.max(worst, part);
         double fair = fleet.share(0) * Arrays.stream(load).sum();
-        whole = whole < 0 && load[0] >= 0.9 * fair ? now - BACK : whole;
+        whole = whole < 0 && load[0] >= 0.9 * fair ? now - RESTARTED_AT : whole;
       }
     }
     chart.addSeries(name, times, parts).setMarker(SeriesMarkers.NONE);
--- a/bench/tamarindroute/bench/DnsBench.java
+++ b/bench/tamarindroute/bench/DnsBenchmark.java
@@ -23,14 +23,14 @@
 import tamarindroute.dns.DnsFixture;
 import tamarindroute.dns.Responder;
 import tamarindroute.example.ToyServer;
-import tamarindroute.nameserver.Program;
+import tamarindroute.nameserver.NameServerProcess;
 
 /**
  * Measures the name server: answers a second and their latency, bytes allocated a query, the time
  * from a drain's event to the last old answer, and the convergence after a cold restart against
  * baselines, with its plot.
  */
-public final class DnsBench {
+public final class DnsBenchmark {
 
   private static final String INSIDE =
       "<zone name=\"sheds.example.\" file=\"sheds.zone\"/>\n"
@@ -39,25 +39,26 @@
   private static final int PORT = 5050;
   private static final int EDGES = 16;
 
-  private DnsBench() {}
+  private DnsBenchmark() {}
 
   public static void main(String[] arguments) throws Exception {
     Path folder = Files.createTempDirectory("dns-bench");
     decisions();
     try (ToyServer.Feed feed = new ToyServer.Feed(0);
-        Program program = new Program(folder, feed.port(), EDGES, PORT, 1, "", INSIDE)) {
-      program.start();
-      answersPerSecond(program);
-      drains(program, feed);
+        NameServerProcess nameServer =
+            new NameServerProcess(folder, feed.port(), EDGES, PORT, 1, "", INSIDE)) {
+      nameServer.start();
+      answersPerSecond(nameServer);
+      drains(nameServer, feed);
     }
-    Convergence.main(arguments);
+    ColdRestartSimulation.main(arguments);
     // Threads of the stand-ins go on for good.
     System.exit(0);
   }
 
   private static byte[] query(Random random, int id) throws IOException {
     String name = random.nextInt(4) == 0 ? "shed-3" : "p" + random.nextInt(64) + ".shed-3";
-    return Program.query(name + ".sheds.example", Type.A, id);
+    return NameServerProcess.encodeQuery(name + ".sheds.example", Type.A, id);
   }
 
   /** The decision alone, in this process on one thread: time and bytes allocated a query. */
@@ -94,20 +95,20 @@
    * On sockets: the most that one core answers, then latency at half of that, from each intended
    * start.
    */
-  private static void answersPerSecond(Program program) throws Exception {
-    new ProcessBuilder("taskset", "-a", "-p", "-c", "0", String.valueOf(program.process.pid()))
+  private static void answersPerSecond(NameServerProcess nameServer) throws Exception {
+    new ProcessBuilder("taskset", "-a", "-p", "-c", "0", String.valueOf(nameServer.process.pid()))
         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
         .start()
         .waitFor();
     double most = 0;
     for (int pass = 0; pass < 3; pass++) {
-      most = Math.max(most, closed(program, 64, 5));
+      most = Math.max(most, closed(nameServer, 64, 5));
     }
     System.out.printf(
         "sockets, one core: %.0f answers a second at the most (64 questions open, 3 x 5 s)%n",
         most);
     for (double part : new double[] {0.25, 0.5}) {
-      Histogram histogram = open(program, most * part, 10);
+      Histogram histogram = open(nameServer, most * part, 10);
       System.out.printf(
           "sockets, one core, open loop at %.0f a second: p50 %.2f, p99 %.2f, p99.9 %.2f, "
               + "max %.2f ms, %d of them unanswered in 1 s%n",
@@ -120,7 +121,8 @@
     }
   }
 
-  private static double closed(Program program, int openAtOnce, int seconds) throws Exception {
+  private static double closed(NameServerProcess nameServer, int openAtOnce, int seconds)
+      throws Exception {
     AtomicLong answered = new AtomicLong();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     List<Thread> threads = new ArrayList<>();
@@ -138,7 +140,7 @@
                   while (System.nanoTime() < end) {
                     while (out < openAtOnce / 4) {
                       byte[] query = query(random, out);
-                      socket.send(new DatagramPacket(query, query.length, program.address));
+                      socket.send(new DatagramPacket(query, query.length, nameServer.address));
                       out++;
                     }
                     try {
@@ -169,7 +171,8 @@
    * Questions leave at their intended times, whatever became of those before; latency counts from
    * there.
    */
-  private static Histogram open(Program program, double perSecond, int seconds) throws Exception {
+  private static Histogram open(NameServerProcess nameServer, double perSecond, int seconds)
+      throws Exception {
     Histogram histogram = new Histogram(TimeUnit.SECONDS.toNanos(10), 3);
     int slots = 1 << 16;
     long[] intended = new long[slots];
@@ -207,7 +210,7 @@
         int id = (int) (sent++ % slots);
         intended[id] = due;
         byte[] query = query(random, id);
-        socket.send(new DatagramPacket(query, query.length, program.address));
+        socket.send(new DatagramPacket(query, query.length, nameServer.address));
       }
       reader.join();
       unanswered = sent - histogram.getTotalCount();
@@ -218,7 +221,7 @@
   /**
    * From the moment that the feed is told of a drain to the last answer that still names the cache.
    */
-  private static void drains(Program program, ToyServer.Feed feed) throws Exception {
+  private static void drains(NameServerProcess nameServer, ToyServer.Feed feed) throws Exception {
     Histogram histogram = new Histogram(TimeUnit.SECONDS.toNanos(10), 3);
     Random random = new Random(4);
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -228,21 +231,21 @@
         int cache = random.nextInt(EDGES);
         byte[] ours = InetAddress.getByName("127.0.1." + (cache + 1)).getAddress();
         long told = System.nanoTime();
-        feed.tell(Program.event(cache, PORT, "draining", 0));
+        feed.publish(NameServerProcess.endpointEvent(cache, PORT, "draining", 0));
         long last = told;
         while (System.nanoTime() - told < 60_000_000L) {
           byte[] query = query(random, drain);
-          socket.send(new DatagramPacket(query, query.length, program.address));
+          socket.send(new DatagramPacket(query, query.length, nameServer.address));
           DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
           socket.receive(packet);
           Message message = new Message(Arrays.copyOf(buffer, packet.getLength()));
-          if (Program.addresses(message)
+          if (NameServerProcess.addresses(message)
               .contains(InetAddress.getByAddress(ours).getHostAddress())) {
             last = System.nanoTime();
           }
         }
         histogram.recordValue(last - told);
-        feed.tell(Program.event(cache, PORT, "ready", 0));
+        feed.publish(NameServerProcess.endpointEvent(cache, PORT, "ready", 0));
         TimeUnit.MILLISECONDS.sleep(5);
       }
     }
--- a/bench/tamarindroute/bench/StandbyBench.java
+++ b/bench/tamarindroute/bench/StandbyBenchmark.java
@@ -25,11 +25,11 @@
  * address, by interval; in simulated time how often a living one is taken for dead under loss, and
  * for how long both act then.
  */
-public final class StandbyBench {
+public final class StandbyBenchmark {
 
   private static final InetAddress SHARED = InetAddress.getLoopbackAddress();
 
-  private StandbyBench() {}
+  private StandbyBenchmark() {}
 
   public static void main(String[] arguments) throws Exception {
     takeOver(Duration.ofMillis(10), 100);
--- a/cli/src/main/java/tamarindroute/Main.java
+++ b/cli/src/main/java/tamarindroute/Main.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tamarindroute.log.Log;
-import tamarindroute.start.Start;
+import tamarindroute.start.PlatformCommand;
 
 /**
  * Where the program starts. The two subcommands of the operators' platform, alone and without
@@ -20,7 +20,7 @@
  */
 public final class Main {
 
-  private static final String COMMANDS = "tamarindroute.cli.Commands";
+  private static final String COMMAND_LINE_CLASS = "tamarindroute.cli.Commands";
 
   private Main() {}
 
@@ -29,26 +29,26 @@
     switch (alone) {
       case "serve", "wirehost" -> {
         Log.useFormat(Log.Format.SMALL);
-        int code = Start.run(alone);
+        int code = PlatformCommand.run(alone);
         if (code != 0) {
           System.exit(code);
         }
       }
-      default -> more(arguments);
+      default -> runCommandLine(arguments);
     }
   }
 
   /**
    * Starts the command line with all libraries; each command ends the process with its own code.
    */
-  private static void more(String[] arguments) {
+  private static void runCommandLine(String[] arguments) {
     try {
-      Class.forName(COMMANDS, true, all())
+      Class.forName(COMMAND_LINE_CLASS, true, loaderWithAllLibraries())
           .getMethod("main", String[].class)
           .invoke(null, (Object) arguments);
     } catch (ReflectiveOperationException | IOException | URISyntaxException e) {
       System.err.println("the libraries in lib/more beside the jar can't be loaded: " + e);
-      System.exit(Start.FAILED);
+      System.exit(PlatformCommand.FAILED);
     }
   }
 
@@ -57,7 +57,7 @@
    * each jar there costs a gateway memory though nothing of it is used. So the program is loaded
    * anew with them.
    */
-  private static ClassLoader all() throws IOException, URISyntaxException {
+  private static ClassLoader loaderWithAllLibraries() throws IOException, URISyntaxException {
     try {
       return Class.forName("picocli.CommandLine").getClassLoader();
     } catch (ClassNotFoundException e) {
--- a/cli/src/main/java/tamarindroute/cli/Commands.java
+++ b/cli/src/main/java/tamarindroute/cli/Commands.java
@@ -17,7 +17,7 @@
 import tamarindroute.nameserver.NameServer;
 import tamarindroute.policy.RatioTestPolicy;
 import tamarindroute.settings.MalformedSettingsException;
-import tamarindroute.start.Start;
+import tamarindroute.start.PlatformCommand;
 
 /** The subcommands with their help; what each does stands elsewhere. */
 @Command(
@@ -29,7 +29,7 @@
       Commands.Serve.class,
       Commands.WireHost.class,
       Commands.Dns.class,
-      Ask.class,
+      QueryCommand.class,
       Commands.ConfigGroup.class,
       CommandLine.HelpCommand.class
     },
@@ -91,10 +91,10 @@
     public Integer call() throws IOException {
       logging.choose();
       int code =
-          Start.run(
+          PlatformCommand.run(
               "serve",
               members == null ? null : new MembershipService(MemberConfiguration.read(members)));
-      return code == 0 ? GOES_ON : code;
+      return code == 0 ? KEEPS_RUNNING : code;
     }
   }
 
@@ -106,7 +106,7 @@
   static final class WireHost implements Callable<Integer> {
     @Override
     public Integer call() {
-      return Start.run("wirehost");
+      return PlatformCommand.run("wirehost");
     }
   }
 
@@ -127,7 +127,7 @@
     public Integer call() throws IOException {
       logging.choose();
       NameServer.start(file, RatioTestPolicy::new);
-      return GOES_ON;
+      return KEEPS_RUNNING;
     }
   }
 
@@ -170,26 +170,26 @@
         return 0;
       } catch (UnusableException e) {
         e.faults().forEach(System.err::println);
-        return Start.MALFORMED;
+        return PlatformCommand.MALFORMED;
       }
     }
   }
 
   /** What a command returns that goes on in threads of its own. */
-  private static final int GOES_ON = -1;
+  private static final int KEEPS_RUNNING = -1;
 
   /**
    * Runs a command and ends the process with its code, unless it goes on; libraries may leave
    * threads behind.
    */
   public static void main(String[] arguments) {
-    int code = line().execute(arguments);
-    if (code != GOES_ON) {
+    int code = commandLine().execute(arguments);
+    if (code != KEEPS_RUNNING) {
       System.exit(code);
     }
   }
 
-  static CommandLine line() {
+  static CommandLine commandLine() {
     return new CommandLine(new Commands())
         .setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler(
@@ -197,8 +197,8 @@
               System.err.println(command.getCommandName() + ": " + failure.getMessage());
               return failure instanceof MalformedSettingsException
                       || failure instanceof UnusableException
-                  ? Start.MALFORMED
-                  : Start.FAILED;
+                  ? PlatformCommand.MALFORMED
+                  : PlatformCommand.FAILED;
             });
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/Ask.java
+++ b/cli/src/main/java/tamarindroute/cli/QueryCommand.java
@@ -40,14 +40,14 @@
 import tamarindroute.net.SocketTransport;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.resolver.Forwarder;
-import tamarindroute.start.Start;
+import tamarindroute.start.PlatformCommand;
 
 /** Asks one name server one question and prints all that it says. */
 @Command(
     name = "ask",
     mixinStandardHelpOptions = true,
     description = "Ask a name server and print its answer. The exit code is 1 where none came.")
-final class Ask implements Callable<Integer> {
+final class QueryCommand implements Callable<Integer> {
 
   /** Memory and descriptors for a single question. */
   private static final long MEMORY = 64 << 20;
@@ -167,7 +167,7 @@
       Message message = new Message(answer.get(within, TimeUnit.MILLISECONDS));
       if (message.getHeader().getID() != query.getHeader().getID()) {
         System.err.println("ask: an answer to another query");
-        return Start.FAILED;
+        return PlatformCommand.FAILED;
       }
       System.out.println(message);
       System.out.println(";; " + (System.nanoTime() - from) / 1000 + " us from " + server);
@@ -179,7 +179,7 @@
     } catch (InterruptedException | IOException e) {
       System.err.println("ask: " + e.getMessage());
     }
-    return Start.FAILED;
+    return PlatformCommand.FAILED;
   }
 
   private Message query() {
--- a/cli/src/main/java/tamarindroute/start/Start.java
+++ b/cli/src/main/java/tamarindroute/start/PlatformCommand.java
@@ -11,7 +11,7 @@
 /**
  * Runs the two subcommands of the operators' platform and tells with which code the process ends.
  */
-public final class Start {
+public final class PlatformCommand {
 
   /** Something a peer, a file or the machine did; the message says what. */
   public static final int FAILED = 1;
@@ -19,7 +19,7 @@
   /** A configuration or a frame that can't be used. */
   public static final int MALFORMED = 3;
 
-  private Start() {}
+  private PlatformCommand() {}
 
   /** Runs one of the two; 0 where it goes on in threads of its own or has ended in order. */
   public static int run(String subcommand) {
--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -22,27 +22,27 @@
   private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
 
   /** Each package a slice of its own, those above and below another among them. */
-  private static ArchRule noCircles(String root) {
+  private static ArchRule noCycles(String root) {
     return slices().matching("(" + root + "..)").should().beFreeOfCycles();
   }
 
   @Test
-  void noPackagesKnowEachOtherInACircle() {
-    noCircles("tamarindroute").check(PROGRAM);
+  void packagesAreFreeOfCycles() {
+    noCycles("tamarindroute").check(PROGRAM);
   }
 
   /**
    * The rule must see the first class's package too, and must be able to fail: a library shows it.
    */
   @Test
-  void aCircleWouldBeSeen() {
+  void cycleRuleDetectsACycle() {
     assertThat(PROGRAM.contain(Main.class)).isTrue();
     JavaClasses library = new ClassFileImporter().importPackages("ch.qos.logback.classic");
-    assertThat(noCircles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
+    assertThat(noCycles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
   }
 
   @Test
-  void theModuleAndItsInterfaceAreFreeOfIo() {
+  void decisionAndPolicyUseNoIoOrThreads() {
     noClasses()
         .that()
         .resideInAnyPackage("tamarindroute.decision", "tamarindroute.policy")
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void whatDecidesForNamesHasNoSocketsFilesThreadsOrClocks() {
+  void dnsUsesNoIoThreadsOrClocks() {
     noClasses()
         .that()
         .resideInAPackage("tamarindroute.dns")
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void electionsHaveNoSocketsFilesThreadsOrClocks() {
+  void vrrpUsesNoIoThreadsOrClocks() {
     noClasses()
         .that()
         .resideInAPackage("tamarindroute.vrrp")
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void onlyTheForwarderSendsQuestions() {
+  void onlyTheForwarderSendsQueries() {
     noClasses()
         .that()
         .resideInAPackage("tamarindroute.resolver")
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void frontsDoNotKnowEachOther() {
+  void frontsAreIndependent() {
     for (String front : FRONTS) {
       for (String other : FRONTS) {
         if (!front.equals(other)) {
@@ -172,7 +172,7 @@
    * path.
    */
   @Test
-  void theGatewayUsesNoneOfTheOtherCommandsLibraries() {
+  void gatewayUsesNoLibrariesOfOtherCommands() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -198,7 +198,7 @@
   }
 
   @Test
-  void onlyTheLogPackageKnowsWhoWritesLines() {
+  void onlyTheLogPackageUsesLoggingLibraries() {
     classes()
         .that()
         .resideOutsideOfPackage("tamarindroute.log")
@@ -213,7 +213,7 @@
    * library.
    */
   @Test
-  void membersAreKnownToTheCommandLineAlone() {
+  void onlyTheCommandLineUsesMembers() {
     noClasses()
         .that()
         .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.cli..")
--- a/cli/src/test/java/tamarindroute/cli/CommandsIT.java
+++ b/cli/src/test/java/tamarindroute/cli/CommandsIT.java
@@ -22,9 +22,9 @@
 
   private String output;
 
-  private int run(String... words) throws Exception {
+  private int run(String... arguments) throws Exception {
     List<String> command = new ArrayList<>(List.of("java", "-jar", "target/tamarindroute.jar"));
-    command.addAll(List.of(words));
+    command.addAll(List.of(arguments));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
@@ -56,9 +56,10 @@
         "ask 127.0.0.1:9 a. NOTYPE   | 2 | NOTYPE",
         "ask 127.0.0.1:9 a.example   | 1 | ask"
       })
-  void eachEndsWithItsCodeAndSaysWhy(String words, int code, String said) throws Exception {
-    assertThat(run(words == null ? new String[0] : words.split(" "))).isEqualTo(code);
-    assertThat(output).contains(said);
+  void eachCommandEndsWithItsExitCodeAndMessage(
+      String arguments, int exitCode, String expectedOutput) throws Exception {
+    assertThat(run(arguments == null ? new String[0] : arguments.split(" "))).isEqualTo(exitCode);
+    assertThat(output).contains(expectedOutput);
     assertThat(output).doesNotContain("\tat ").doesNotContain("SLF4J");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
+++ b/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
@@ -15,39 +15,39 @@
 /** What KNOWN-RED.txt may say, and when a listed test counts as red. */
 class KnownRedTest {
 
-  private static final String ONE =
-      "KnownRedTest#aLineTellsTheTestItsModuleAndItsKind | a cause | 7\n";
+  private static final String ONE_ENTRY =
+      "KnownRedTest#entryIsResolvedToTestModuleAndKind | a cause | 7\n";
 
   @TempDir Path folder;
 
-  private record Ended(int code, String told) {}
+  private record Result(int exitCode, String output) {}
 
-  private Ended run(String... words) throws IOException, InterruptedException {
+  private Result run(String... arguments) throws IOException, InterruptedException {
     Path out = folder.resolve("out");
-    String[] command = new String[words.length + 2];
+    String[] command = new String[arguments.length + 2];
     command[0] = "bash";
     command[1] = ".ci/known-red";
-    System.arraycopy(words, 0, command, 2, words.length);
+    System.arraycopy(arguments, 0, command, 2, arguments.length);
     Process process =
         new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(out.toFile()).start();
     assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
-    return new Ended(process.exitValue(), Files.readString(out));
+    return new Result(process.exitValue(), Files.readString(out));
   }
 
-  private Ended list(String text) throws IOException, InterruptedException {
+  private Result list(String text) throws IOException, InterruptedException {
     return run("list", Files.writeString(folder.resolve("KNOWN-RED.txt"), text).toString());
   }
 
   @Test
-  void aLineTellsTheTestItsModuleAndItsKind() throws Exception {
-    assertThat(run("list", folder.resolve("absent").toString())).isEqualTo(new Ended(0, ""));
-    assertThat(list("\n  \n")).isEqualTo(new Ended(0, ""));
-    assertThat(list(ONE + "GatewayIT#copyThatTheClientHoldsIsNotSentAgain | b | #8"))
+  void entryIsResolvedToTestModuleAndKind() throws Exception {
+    assertThat(run("list", folder.resolve("absent").toString())).isEqualTo(new Result(0, ""));
+    assertThat(list("\n  \n")).isEqualTo(new Result(0, ""));
+    assertThat(list(ONE_ENTRY + "GatewayIT#copyThatTheClientHoldsIsNotSentAgain | b | #8"))
         .isEqualTo(
-            new Ended(
+            new Result(
                 0,
                 """
-                KnownRedTest aLineTellsTheTestItsModuleAndItsKind cli unit tamarindroute.cli.KnownRedTest
+                KnownRedTest entryIsResolvedToTestModuleAndKind cli unit tamarindroute.cli.KnownRedTest
                 GatewayIT copyThatTheClientHoldsIsNotSentAgain cli it tamarindroute.gateway.GatewayIT
                 """));
   }
@@ -58,16 +58,16 @@
         "KnownRedTest#noSuchMethod | a | 1",
         "NoSuchTest#x | a | 1",
         "KnownRedTest#list | | 1",
-        "KnownRedTest#aLineTellsTheTestItsModuleAndItsKind | a",
+        "KnownRedTest#entryIsResolvedToTestModuleAndKind | a",
         "KnownRedTest | a | 1",
         "KnownRedTest#* | a | 1",
-        "KnownRedTest#aLineTellsTheTestItsModuleAndItsKind | a | 1 | more",
-        ONE + ONE + ONE + ONE
+        "KnownRedTest#entryIsResolvedToTestModuleAndKind | a | 1 | more",
+        ONE_ENTRY + ONE_ENTRY + ONE_ENTRY + ONE_ENTRY
       })
-  void aLineThatNamesNoTestOrNoCauseIsRefusedAndSoIsAFourth(String text) throws Exception {
-    Ended ended = list(text);
-    assertThat(ended.code()).isEqualTo(1);
-    assertThat(ended.told().lines().reduce((one, next) -> next).orElse(""))
+  void entryWithoutTestOrCauseAndFourthEntryAreRejected(String text) throws Exception {
+    Result result = list(text);
+    assertThat(result.exitCode()).isEqualTo(1);
+    assertThat(result.output().lines().reduce((one, next) -> next).orElse(""))
         .startsWith("KNOWN-RED.txt: ");
   }
 
@@ -80,10 +80,11 @@
     "<testcase name=\"xy\"><failure/>, 2",
     "'', 2"
   })
-  void onlyATestThatRanAndFailedIsRed(String report, int code) throws Exception {
+  void onlyATestThatRanAndFailedIsRed(String report, int exitCode) throws Exception {
     assertThat(
-            run("judge", Files.writeString(folder.resolve("r.xml"), report).toString(), "x").code())
-        .isEqualTo(code);
-    assertThat(run("judge", folder.resolve("none.xml").toString(), "x").code()).isEqualTo(2);
+            run("judge", Files.writeString(folder.resolve("r.xml"), report).toString(), "x")
+                .exitCode())
+        .isEqualTo(exitCode);
+    assertThat(run("judge", folder.resolve("none.xml").toString(), "x").exitCode()).isEqualTo(2);
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
+++ b/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
@@ -25,16 +25,16 @@
 
   private static final int KEY_BYTES = 32;
   private static final long LOG_WAIT_SECONDS = 50;
-  private static final long LOG_LOOK_MILLIS = 50;
+  private static final long LOG_POLL_MILLIS = 50;
 
   /** Listens for the gateways' feeds. */
   final ToyServer.Feed feed = new ToyServer.Feed(0);
 
   /** The members' addresses, by place. */
-  final List<String> names = new ArrayList<>();
+  final List<String> addresses = new ArrayList<>();
 
   /** All processes, in the order of their starts. */
-  final List<Process> started = new ArrayList<>();
+  final List<Process> processes = new ArrayList<>();
 
   private final Path folder;
 
@@ -47,12 +47,12 @@
     byte[] key = new byte[KEY_BYTES];
     new SecureRandom().nextBytes(key);
     Files.writeString(folder.resolve("members.key"), HexFormat.of().formatHex(key));
-    List<DatagramSocket> held = new ArrayList<>();
+    List<DatagramSocket> sockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      held.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-      names.add("127.0.0.1:" + held.get(i).getLocalPort());
+      sockets.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+      addresses.add("127.0.0.1:" + sockets.get(i).getLocalPort());
     }
-    held.forEach(DatagramSocket::close);
+    sockets.forEach(DatagramSocket::close);
     for (int i = 0; i < count; i++) {
       // The system chooses the port for clients: none come.
       Files.writeString(
@@ -64,9 +64,9 @@
   }
 
   /** Starts a member by its settings, PLACE.xml. */
-  Process member(int place, String log, String... options) throws IOException {
-    List<String> words = new ArrayList<>(List.of(options));
-    words.addAll(
+  Process startMember(int member, String log, String... options) throws IOException {
+    List<String> arguments = new ArrayList<>(List.of(options));
+    arguments.addAll(
         List.of(
             "-jar",
             "target/tamarindroute.jar",
@@ -74,55 +74,56 @@
             "--log",
             "small",
             "--members",
-            folder.resolve(place + ".xml").toString()));
-    return start(place, log, words);
+            folder.resolve(member + ".xml").toString()));
+    return start(member, log, arguments);
   }
 
   /** Starts the Java machine with these words after its own options. */
-  Process start(int place, String log, List<String> words) throws IOException {
+  Process start(int member, String log, List<String> arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx64m"));
-    command.addAll(words);
+    command.addAll(arguments);
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve(log).toFile());
-    builder.environment().put("EDGE_CONFIG", folder.resolve(place + ".json").toString());
+    builder.environment().put("EDGE_CONFIG", folder.resolve(member + ".json").toString());
     Process process = builder.start();
-    started.add(process);
+    processes.add(process);
     return process;
   }
 
-  String read(String log) throws IOException {
+  String readLog(String log) throws IOException {
     return Files.readString(folder.resolve(log));
   }
 
-  int length(String log) throws IOException {
-    return read(log).length();
+  int logLength(String log) throws IOException {
+    return readLog(log).length();
   }
 
   /** The line's first match in a log, once it is there. */
-  Matcher logged(String log, String line) throws IOException, InterruptedException {
-    return logged(log, 0, line);
+  Matcher awaitLogLine(String log, String regex) throws IOException, InterruptedException {
+    return awaitLogLine(log, 0, regex);
   }
 
   /** The line's first match in a log past this place, once it is there. */
-  Matcher logged(String log, int past, String line) throws IOException, InterruptedException {
-    Pattern pattern = Pattern.compile(line);
+  Matcher awaitLogLine(String log, int offset, String regex)
+      throws IOException, InterruptedException {
+    Pattern pattern = Pattern.compile(regex);
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOG_WAIT_SECONDS);
     while (true) {
-      String text = read(log);
+      String text = readLog(log);
       Matcher matcher = pattern.matcher(text);
-      if (matcher.find(Math.min(past, text.length()))) {
+      if (matcher.find(Math.min(offset, text.length()))) {
         return matcher;
       }
-      assertThat(System.nanoTime()).as(line + " in " + log + ":\n" + text).isLessThan(end);
-      TimeUnit.MILLISECONDS.sleep(LOG_LOOK_MILLIS);
+      assertThat(System.nanoTime()).as(regex + " in " + log + ":\n" + text).isLessThan(end);
+      TimeUnit.MILLISECONDS.sleep(LOG_POLL_MILLIS);
     }
   }
 
   @Override
   public void close() throws IOException {
-    for (Process process : started) {
+    for (Process process : processes) {
       process.destroyForcibly();
       process.onExit().join();
     }
--- a/cli/src/test/java/tamarindroute/cli/MembersIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembershipIT.java
@@ -18,16 +18,16 @@
  * order.
  */
 @Timeout(180)
-class MembersIT {
+class MembershipIT {
 
   @TempDir Path folder;
 
   private MemberProcesses processes;
 
   @BeforeEach
-  void files() throws Exception {
+  void writeSettings() throws Exception {
     processes = new MemberProcesses(folder, 3);
-    List<String> names = processes.names;
+    List<String> names = processes.addresses;
     for (int i = 0; i < names.size(); i++) {
       Files.writeString(
           folder.resolve(i + ".xml"),
@@ -43,50 +43,60 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void stopProcesses() throws Exception {
     processes.close();
   }
 
   @Test
-  void oneIsMissedWhenKilledTakenAgainAndNotMissedWhenItLeaves() throws Exception {
+  void killedMemberIsFaultyRejoinsAndLeavesInOrder() throws Exception {
     for (int i = 0; i < 3; i++) {
-      processes.member(i, i + ".log");
+      processes.startMember(i, i + ".log");
     }
     for (int i = 0; i < 3; i++) {
-      for (String name : processes.names) {
-        if (!name.equals(processes.names.get(i))) {
-          processes.logged(i + ".log", "member: " + name + "#\\d+ alive");
+      for (String name : processes.addresses) {
+        if (!name.equals(processes.addresses.get(i))) {
+          processes.awaitLogLine(i + ".log", "member: " + name + "#\\d+ alive");
         }
       }
-      processes.logged(i + ".log", "connectivity: connected");
+      processes.awaitLogLine(i + ".log", "connectivity: connected");
     }
-    long birth =
+    long incarnation =
         Long.parseLong(
-            processes.logged("2.log", "self " + processes.names.get(2) + "#(\\d+)").group(1));
-    processes.started.get(2).destroyForcibly().waitFor();
-    processes.logged("0.log", "member: " + processes.names.get(2) + "#" + birth + " faulty");
-    processes.logged("1.log", "member: " + processes.names.get(2) + "#" + birth + " faulty");
-    Process again = processes.member(2, "again.log");
+            processes
+                .awaitLogLine("2.log", "self " + processes.addresses.get(2) + "#(\\d+)")
+                .group(1));
+    processes.processes.get(2).destroyForcibly().waitFor();
+    processes.awaitLogLine(
+        "0.log", "member: " + processes.addresses.get(2) + "#" + incarnation + " faulty");
+    processes.awaitLogLine(
+        "1.log", "member: " + processes.addresses.get(2) + "#" + incarnation + " faulty");
+    Process restarted = processes.startMember(2, "again.log");
     for (String log : List.of("0.log", "1.log")) {
-      long later =
+      long laterIncarnation =
           Long.parseLong(
               processes
-                  .logged(
-                      log, "member: " + processes.names.get(2) + "#(?!" + birth + " )(\\d+) alive")
+                  .awaitLogLine(
+                      log,
+                      "member: "
+                          + processes.addresses.get(2)
+                          + "#(?!"
+                          + incarnation
+                          + " )(\\d+) alive")
                   .group(1));
-      assertThat(later).isGreaterThan(birth);
+      assertThat(laterIncarnation).isGreaterThan(incarnation);
     }
-    processes.logged("again.log", "connectivity: connected");
-    again.destroy();
-    processes.logged("0.log", "member: " + processes.names.get(2) + "#\\d+ left");
-    String first = processes.read("0.log");
-    assertThat(Pattern.compile(processes.names.get(1) + "#\\d+ faulty").matcher(first).find())
+    processes.awaitLogLine("again.log", "connectivity: connected");
+    restarted.destroy();
+    processes.awaitLogLine("0.log", "member: " + processes.addresses.get(2) + "#\\d+ left");
+    String firstLog = processes.readLog("0.log");
+    assertThat(
+            Pattern.compile(processes.addresses.get(1) + "#\\d+ faulty").matcher(firstLog).find())
         .as("a false word")
         .isFalse();
   }
 
   @Test
-  void aDrainThatOneFeedTellsAllKnow() throws Exception {
+  void drainFromOneMembersFeedReachesAllMembers() throws Exception {
     for (int i = 1; i < 3; i++) {
       Path config = folder.resolve(i + ".json");
       // Nobody listens at the discard port: this gateway has no feed.
@@ -95,31 +105,31 @@
           Files.readString(config).replace("127.0.0.1:" + processes.feed.port(), "127.0.0.1:9"));
     }
     for (int i = 0; i < 3; i++) {
-      processes.member(i, i + ".log");
+      processes.startMember(i, i + ".log");
     }
     for (int i = 0; i < 3; i++) {
-      processes.logged(i + ".log", "connectivity: connected");
+      processes.awaitLogLine(i + ".log", "connectivity: connected");
     }
-    processes.feed.tell(
+    processes.feed.publish(
         "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"s-0000000a\","
             + "\"state\":\"draining\"}]}}");
-    long told = System.currentTimeMillis();
+    long publishedAt = System.currentTimeMillis();
     for (String log : List.of("1.log", "2.log")) {
-      long known =
+      long receivedAt =
           Long.parseLong(
               processes
-                  .logged(log, "(?m)^(\\d+) feed-event: event 2 received from 127.0.0.1:")
+                  .awaitLogLine(log, "(?m)^(\\d+) feed-event: event 2 received from 127.0.0.1:")
                   .group(1));
       // 500 ms is what the rig asks of a quiet machine; here other tests run beside.
-      assertThat(known - told).isLessThan(3_000);
-      System.out.println("a drain was known after " + (known - told) + " ms");
+      assertThat(receivedAt - publishedAt).isLessThan(3_000);
+      System.out.println("a drain was known after " + (receivedAt - publishedAt) + " ms");
     }
-    assertThat(processes.read("0.log")).doesNotContain("feed-event: event");
+    assertThat(processes.readLog("0.log")).doesNotContain("feed-event: event");
   }
 
   /** The gateway alone has no room for any of it. */
   @Test
-  void withoutTheOptionNothingOfItIsLoaded() throws Exception {
+  void membershipClassesAreNotLoadedWithoutTheOption() throws Exception {
     processes.start(
         0,
         "alone.log",
@@ -128,20 +138,20 @@
             "-jar",
             "target/tamarindroute.jar",
             "serve"));
-    processes.logged("alone.log", "warm: ");
-    assertThat(processes.read("classes"))
+    processes.awaitLogLine("alone.log", "warm: ");
+    assertThat(processes.readLog("classes"))
         .contains("tamarindroute.gateway.GatewayServer")
         .doesNotContain("tamarindroute.member")
         .doesNotContain("com.google.protobuf");
   }
 
   @Test
-  void settingsThatCannotBeUsedEndTheStartWithTheirPlaces() throws Exception {
+  void invalidSettingsEndTheStartWithFileAndLine() throws Exception {
     Path file = folder.resolve("0.xml");
     Files.writeString(file, Files.readString(file).replace("PT1S\"", "soon\""));
-    Process process = processes.member(0, "bad.log");
+    Process process = processes.startMember(0, "bad.log");
     assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
     assertThat(process.exitValue()).isEqualTo(3);
-    assertThat(processes.read("bad.log")).contains(file + ":10:");
+    assertThat(processes.readLog("bad.log")).contains(file + ":10:");
   }
 }
--- a/cli/src/test/java/tamarindroute/gateway/CacheFailureIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/CacheFailureIT.java
@@ -1,7 +1,7 @@
 package tamarindroute.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** Caches that fail, fall silent or send too much, and clients that read too slowly. */
 @Timeout(60)
@@ -23,9 +23,9 @@
    * on.
    */
   @ParameterizedTest
-  @EnumSource(Mode.class)
-  void eachRequestGetsOneResponseWhateverTheCachesDo(Mode mode) throws Exception {
-    caches.forEach(cache -> cache.mode = mode);
+  @EnumSource(CacheBehavior.class)
+  void eachRequestGetsOneResponseWhateverTheCachesDo(CacheBehavior mode) throws Exception {
+    caches.forEach(cache -> cache.behavior = mode);
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 20; tag++) {
         client.call(
@@ -34,11 +34,11 @@
       List<String> open = new ArrayList<>();
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(700 + 300);
       for (int i = 0; i < 20; i++) {
-        List<byte[]> response = client.read();
+        List<byte[]> response = client.readResponse();
         assertThat(open).doesNotContain(tag(response));
         open.add(tag(response));
         assertThat(status(response)).isIn("ACK", "NAK", "FAIL");
-        if (mode == Mode.SERVE) {
+        if (mode == CacheBehavior.SERVE) {
           assertThat(status(response)).isEqualTo("ACK");
         }
       }
@@ -64,12 +64,12 @@
       for (int tag = 1; tag <= 8; tag++) {
         assertThat(status(call(client, String.valueOf(tag), "f" + tag))).isEqualTo("ACK");
       }
-      caches.forEach(ToyServer.Cache::muteOpen);
+      caches.forEach(ToyServer.Cache::silenceOpenConnections);
       for (int tag = 11; tag <= 18; tag++) {
         client.call(String.valueOf(tag), "clip", callFields("f" + tag, 200), "");
       }
       for (int i = 0; i < 8; i++) {
-        client.read();
+        client.readResponse();
       }
       List<String> words = new ArrayList<>();
       for (int tag = 21; tag <= 28; tag++) {
@@ -81,16 +81,19 @@
 
   @Test
   void nonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected() throws Exception {
-    caches.forEach(cache -> cache.mode = Mode.RESET);
+    caches.forEach(cache -> cache.behavior = CacheBehavior.RESET);
     try (ToyServer.Client client = client()) {
       client.call(
-          "1", "once", "rid=%s,budget=900,obj=%s,piece=0,lot=1".formatted(id("e1"), id("5")), "x");
-      assertThat(status(client.read())).isEqualTo("FAIL");
+          "1",
+          "once",
+          "rid=%s,budget=900,obj=%s,piece=0,lot=1".formatted(paddedHex("e1"), paddedHex("5")),
+          "x");
+      assertThat(status(client.readResponse())).isEqualTo("FAIL");
     }
     long asks =
         caches.stream()
-            .flatMap(cache -> cache.seen.stream())
-            .filter(c -> c.startsWith("ASK " + id("e1")))
+            .flatMap(cache -> cache.receivedCommands.stream())
+            .filter(c -> c.startsWith("ASK " + paddedHex("e1")))
             .count();
     assertThat(asks).isEqualTo(1);
   }
@@ -100,14 +103,16 @@
    */
   @Test
   void largeResponseThatBreaksCostsNeitherConnectionNorOtherRequests() throws Exception {
-    first.size = 200_000;
-    second.size = 200_000;
+    first.bodySize = 200_000;
+    second.bodySize = 200_000;
     try (ToyServer.Client client = client()) {
-      assertThat(call(client, "1", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
-      setMode(Mode.HALF);
+      assertThat(call(client, "1", "5").get(3))
+          .isEqualTo(ToyServer.contentOf(paddedHex("5"), 200_000));
+      setMode(CacheBehavior.TRUNCATE);
       assertThat(status(call(client, "2", "5"))).isIn("FAIL", "NAK");
-      setMode(Mode.SERVE);
-      assertThat(call(client, "3", "5").get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 200_000));
+      setMode(CacheBehavior.SERVE);
+      assertThat(call(client, "3", "5").get(3))
+          .isEqualTo(ToyServer.contentOf(paddedHex("5"), 200_000));
     }
   }
 
@@ -115,8 +120,8 @@
   @Test
   void manyLargeResponsesFitTheMinimumMemory() throws Exception {
     restartWithMinimumMemory();
-    first.size = 240_000;
-    second.size = 240_000;
+    first.bodySize = 240_000;
+    second.bodySize = 240_000;
     List<ToyServer.Client> clients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       clients.add(client());
@@ -127,7 +132,7 @@
     int served = 0;
     for (ToyServer.Client client : clients) {
       for (int tag = 1; tag <= 6; tag++) {
-        List<byte[]> response = client.read();
+        List<byte[]> response = client.readResponse();
         served += status(response).equals("ACK") ? 1 : 0;
         assertThat(status(response).equals("NAK") || response.get(3).length == 240_000).isTrue();
       }
@@ -141,12 +146,12 @@
   @Test
   void stalledResponseCostsItsConnectionAndNoRequest() throws Exception {
     try (ToyServer.Client client = client()) {
-      first.mode = Mode.STOP;
+      first.behavior = CacheBehavior.STALL_MIDWAY_ONCE;
       for (int tag = 1; tag <= 12; tag++) {
         client.call(String.valueOf(tag), "clip", callFields("5" + tag, 2500), "");
       }
       for (int tag = 1; tag <= 12; tag++) {
-        assertThat(status(client.read())).isEqualTo("ACK");
+        assertThat(status(client.readResponse())).isEqualTo("ACK");
       }
     }
     assertThat(awaitLogged("STALLED")).isNotEmpty();
@@ -155,8 +160,8 @@
   /** A client that reads nothing must not delay another one. */
   @Test
   void slowClientBlocksNoOther() throws Exception {
-    first.size = 240_000;
-    second.size = 240_000;
+    first.bodySize = 240_000;
+    second.bodySize = 240_000;
     try (ToyServer.Client slow = client();
         ToyServer.Client other = client()) {
       for (int tag = 1; tag <= 32; tag++) {
--- a/cli/src/test/java/tamarindroute/gateway/ControlFeedIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ControlFeedIT.java
@@ -1,7 +1,7 @@
 package tamarindroute.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** Lists and purges of the control feed, its failures and its move. */
 @Timeout(60)
@@ -19,42 +19,45 @@
 
   @Test
   void drainFromTheFeedIsKeptAndAReusedAddressIsAnotherCache() throws Exception {
-    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
-    nextCommand(feed.asked, "GET /v1/events?SUB=2");
+    feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.requests, "GET /v1/events?SUB=2");
     try (ToyServer.Client client = client()) {
-      first.seen.clear();
+      first.receivedCommands.clear();
       for (int tag = 1; tag <= 20; tag++) {
         assertThat(status(call(client, String.valueOf(tag), "c" + tag))).isEqualTo("ACK");
       }
-      assertThat(first.seen).isEmpty();
-      feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "gone"));
-      feed.tell(EDGE_EVENT.formatted("s-0000000e", first.port(), "ready"));
-      nextCommand(feed.asked, "GET /v1/events?SUB=4");
+      assertThat(first.receivedCommands).isEmpty();
+      feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "gone"));
+      feed.publish(EDGE_EVENT.formatted("s-0000000e", first.port(), "ready"));
+      nextCommand(feed.requests, "GET /v1/events?SUB=4");
       for (int tag = 21; tag <= 60; tag++) {
         assertThat(status(call(client, String.valueOf(tag), "d" + tag))).isEqualTo("ACK");
       }
-      assertThat(first.seen).isNotEmpty();
+      assertThat(first.receivedCommands).isNotEmpty();
     }
   }
 
   @Test
   void purgeFromTheFeedBoundsTheAgeOfCopies() throws Exception {
     long at = System.currentTimeMillis();
-    feed.tell("{\"n\":N,\"purge\":{\"key\":\"" + id("5") + "\",\"at\":" + at + "}}");
-    feed.tell("{\"n\":N,\"purge\":{\"group\":40,\"at\":" + at + "}}");
-    nextCommand(feed.asked, "GET /v1/events?SUB=3");
+    feed.publish("{\"n\":N,\"purge\":{\"key\":\"" + paddedHex("5") + "\",\"at\":" + at + "}}");
+    feed.publish("{\"n\":N,\"purge\":{\"group\":40,\"at\":" + at + "}}");
+    nextCommand(feed.requests, "GET /v1/events?SUB=3");
     try (ToyServer.Client client = client()) {
       call(client, "1", "5");
       client.call(
-          "2", "clip", "rid=%s,budget=900,obj=%s,piece=0,lot=40".formatted(id("99"), id("6")), "");
-      client.read();
+          "2",
+          "clip",
+          "rid=%s,budget=900,obj=%s,piece=0,lot=40".formatted(paddedHex("99"), paddedHex("6")),
+          "");
+      client.readResponse();
       call(client, "3", "7");
     }
     for (String object : List.of("5", "6", "7")) {
       String seen =
           caches.stream()
-              .flatMap(cache -> cache.seen.stream())
-              .filter(command -> command.contains("name=" + id(object) + ","))
+              .flatMap(cache -> cache.receivedCommands.stream())
+              .filter(command -> command.contains("name=" + paddedHex(object) + ","))
               .findFirst()
               .orElseThrow();
       Matcher age = Pattern.compile("accept=([0-9]+)").matcher(seen);
@@ -78,24 +81,24 @@
             "[]",
             "{\"n\":9,\"events\":[{\"n\":9,\"members\":{}}]}",
             "{\"n\":2,\"events\":[{\"n\":2,\"members\":{\"servers\":[{\"id\":\"s-0000000a\",\"state\":\"odd\"}]}}]}")) {
-      feed.asked.clear();
-      feed.nonsense = nonsense;
-      feed.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
-      nextCommand(feed.asked, "GET");
-      nextCommand(feed.asked, "GET");
+      feed.requests.clear();
+      feed.replacementBody = nonsense;
+      feed.publish(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+      nextCommand(feed.requests, "GET");
+      nextCommand(feed.requests, "GET");
       try (ToyServer.Client client = client()) {
         assertThat(status(call(client, "1", "5"))).as(nonsense).isEqualTo("ACK");
       }
     }
-    feed.nonsense = null;
-    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
-    nextCommand(feed.asked, "GET /v1/events?SUB=7");
+    feed.replacementBody = null;
+    feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.requests, "GET /v1/events?SUB=7");
     try (ToyServer.Client client = client()) {
-      first.seen.clear();
+      first.receivedCommands.clear();
       for (int tag = 1; tag <= 20; tag++) {
         assertThat(status(call(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
       }
-      assertThat(first.seen).isEmpty();
+      assertThat(first.receivedCommands).isEmpty();
     }
   }
 
@@ -105,31 +108,31 @@
    */
   @Test
   void onHangUpTheFeedMovesAndNoEventIsMissed() throws Exception {
-    feed.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
-    nextCommand(feed.asked, "GET /v1/events?SUB=2");
+    feed.publish(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+    nextCommand(feed.requests, "GET /v1/events?SUB=2");
     Path config = folder.resolve("config.json");
     String old = Files.readString(config);
-    setMode(Mode.LATE);
+    setMode(CacheBehavior.DELAY);
     try (ToyServer.Client client = client();
         ToyServer.Feed elsewhere = new ToyServer.Feed(0)) {
       client.call("1", "clip", callFields("5", 2000), "");
-      elsewhere.tell(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
-      elsewhere.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+      elsewhere.publish(EDGE_EVENT.formatted("s-0000000f", 1, "gone"));
+      elsewhere.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
       Files.writeString(
           config,
           old.replace("127.0.0.1:" + feed.port(), "127.0.0.1:" + elsewhere.port())
               .replace("\"sockets\"", "\"sockets\":512,\"former\""));
       sendHangUp();
       sendHangUp();
-      assertThat(nextCommand(elsewhere.asked, "GET")).startsWith("GET /v1/events?SUB=2");
-      nextCommand(elsewhere.asked, "GET /v1/events?SUB=3");
-      assertThat(status(client.read())).isEqualTo("ACK");
-      setMode(Mode.SERVE);
-      first.seen.clear();
+      assertThat(nextCommand(elsewhere.requests, "GET")).startsWith("GET /v1/events?SUB=2");
+      nextCommand(elsewhere.requests, "GET /v1/events?SUB=3");
+      assertThat(status(client.readResponse())).isEqualTo("ACK");
+      setMode(CacheBehavior.SERVE);
+      first.receivedCommands.clear();
       for (int tag = 2; tag <= 20; tag++) {
         assertThat(status(call(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
       }
-      assertThat(first.seen).isEmpty();
+      assertThat(first.receivedCommands).isEmpty();
       awaitLogged("not before the next start: limits");
       Files.writeString(config, old.substring(0, old.length() / 2));
       sendHangUp();
@@ -146,14 +149,14 @@
   @Test
   void oversizedFeedResponseLeavesTheOldList() throws Exception {
     restartWithMinimumMemory();
-    feed.nonsense = "{\"n\":9,\"events\":[" + "x".repeat(3_000_000) + "]}";
+    feed.replacementBody = "{\"n\":9,\"events\":[" + "x".repeat(3_000_000) + "]}";
     awaitLogged("a body of 3000019 bytes, allowed: ");
     assertServes("a");
-    feed.nonsense = null;
-    feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
-    nextCommand(feed.asked, "GET /v1/events?SUB=2");
-    first.seen.clear();
+    feed.replacementBody = null;
+    feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+    nextCommand(feed.requests, "GET /v1/events?SUB=2");
+    first.receivedCommands.clear();
     assertServes("b");
-    assertThat(first.seen).isEmpty();
+    assertThat(first.receivedCommands).isEmpty();
   }
 }
--- a/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
@@ -67,16 +67,16 @@
         }
       }
       feed = new ToyServer.Feed(port);
-      nextCommand(feed.asked, "GET /v1/events?SUB=");
-      feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
-      nextCommand(feed.asked, "GET /v1/events?SUB=2");
-      first.seen.clear();
+      nextCommand(feed.requests, "GET /v1/events?SUB=");
+      feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+      nextCommand(feed.requests, "GET /v1/events?SUB=2");
+      first.receivedCommands.clear();
       try (ToyServer.Client client = client()) {
         for (int tag = 1; tag <= 10; tag++) {
           assertThat(status(call(client, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
         }
       }
-      assertThat(first.seen).isEmpty();
+      assertThat(first.receivedCommands).isEmpty();
       assertThat(most).isLessThan(limit);
       assertThat(Files.readString(folder.resolve("out.log")))
           .doesNotContain("Too many open files", "defect");
--- a/cli/src/test/java/tamarindroute/gateway/FleetIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/FleetIT.java
@@ -1,7 +1,7 @@
 package tamarindroute.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** One gateway among many caches and many gateways: long lists, scarce descriptors, restarts. */
 @Timeout(60)
@@ -41,23 +41,23 @@
     restartWithMinimumMemory();
     assertServes("a");
     for (int i = 0; i < 1024; i++) {
-      feed.tell(
+      feed.publish(
           "{\"n\":N,\"purge\":{\"key\":\""
-              + id(Integer.toHexString(0x5000 + i))
+              + paddedHex(Integer.toHexString(0x5000 + i))
               + "\",\"at\":"
               + System.currentTimeMillis()
               + "}}");
     }
-    feed.tell(
+    feed.publish(
         "{\"n\":N,\"members\":{\"version\":3,\"full\":false,\"servers\":["
             + edgeEntries(1024, 2000)
             + "]}}");
-    feed.tell(
+    feed.publish(
         "{\"n\":N,\"members\":{\"version\":4,\"full\":true,\"servers\":["
             + edgeEntries(500, 2500)
             + ","
             + "{\"id\":\"s-0000000d\",\"state\":\"ready\"},{\"id\":\"s-0000000c\",\"state\":\"ready\"}]}}");
-    nextCommand(feed.asked, "GET /v1/events?SUB=1027");
+    nextCommand(feed.requests, "GET /v1/events?SUB=1027");
     assertServes("b");
     assertThat(Files.readString(folder.resolve("out.log")))
         .doesNotContain("defect", "unreadable", "malformed", "protocol-error");
@@ -87,7 +87,8 @@
             .isEqualTo("ACK");
       }
     }
-    assertThat(many.stream().filter(cache -> cache.seen.isEmpty()).count()).isLessThan(3);
+    assertThat(many.stream().filter(cache -> cache.receivedCommands.isEmpty()).count())
+        .isLessThan(3);
   }
 
   /**
@@ -116,7 +117,7 @@
         assertThat(status(call(stay.get(i), "1", "a"))).isEqualTo("ACK");
       }
       half.socket.getOutputStream().write(frame.substring(60).getBytes(StandardCharsets.US_ASCII));
-      assertThat(status(half.read())).isEqualTo("ACK");
+      assertThat(status(half.readResponse())).isEqualTo("ACK");
     }
     for (ToyServer.Client client : stay) {
       client.close();
@@ -138,14 +139,15 @@
     launch();
     try (ToyServer.Client client = client()) {
       int tag = 0;
-      for (Mode bad : List.of(Mode.SILENT, Mode.RESET, Mode.LATE)) {
-        second.mode = bad;
+      for (CacheBehavior bad :
+          List.of(CacheBehavior.SILENT, CacheBehavior.RESET, CacheBehavior.DELAY)) {
+        second.behavior = bad;
         for (int i = 0; i < 60; i++) {
           assertThat(status(call(client, String.valueOf(++tag), Integer.toHexString(0x9000 + tag))))
               .isIn("ACK", "NAK");
         }
       }
-      second.mode = Mode.SERVE;
+      second.behavior = CacheBehavior.SERVE;
       assertThat(status(call(client, String.valueOf(++tag), "c"))).isEqualTo("ACK");
     }
   }
@@ -167,7 +169,7 @@
           }
         }
         for (int i = 0; i < asked; i++) {
-          assertThat(status(client.read())).isEqualTo("ACK");
+          assertThat(status(client.readResponse())).isEqualTo("ACK");
         }
       }
       assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
@@ -232,11 +234,12 @@
       int served = 0;
       for (ToyServer.Client client : clients) {
         for (int tag = 1; tag <= 30; tag++) {
-          served += status(client.read()).equals("ACK") ? 1 : 0;
+          served += status(client.readResponse()).equals("ACK") ? 1 : 0;
         }
         client.close();
       }
-      long asks = first.seen.stream().filter(command -> command.startsWith("ASK")).count();
+      long asks =
+          first.receivedCommands.stream().filter(command -> command.startsWith("ASK")).count();
       // The settings' multiple of the capacity at the cache's age, in transfers of 0.1 s.
       double age = (System.currentTimeMillis() - started) / 1000.0;
       double asked = (System.currentTimeMillis() - from) / 1000.0;
--- a/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
@@ -1,7 +1,7 @@
 package tamarindroute.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /**
  * The program, started as the deployment file says, between toy caches, a toy feed and clients on
@@ -86,7 +86,7 @@
     try (ToyServer.Client front = awaitListener()) {
       for (int tag = 1; ; tag++) {
         front.send("RPC.HEALTH", tag, "");
-        if (status(front.read()).equals("GREEN")) {
+        if (status(front.readResponse()).equals("GREEN")) {
           return;
         }
         TimeUnit.MILLISECONDS.sleep(20);
@@ -137,11 +137,11 @@
 
   String callFields(String object, int budget) {
     return "rid="
-        + id(Integer.toHexString(0x1000 + ++requestCount))
+        + paddedHex(Integer.toHexString(0x1000 + ++requestCount))
         + ",budget="
         + budget
         + ",obj="
-        + id(object)
+        + paddedHex(object)
         + ",piece=0,lot=17,mem=1";
   }
 
@@ -155,7 +155,7 @@
 
   List<byte[]> call(ToyServer.Client client, String tag, String object) throws IOException {
     client.call(tag, "clip", callFields(object, 2000), "");
-    return client.read();
+    return client.readResponse();
   }
 
   /** The next command that starts with a text; others are skipped. */
@@ -169,9 +169,9 @@
     }
   }
 
-  void setMode(Mode mode) {
-    first.mode = mode;
-    second.mode = mode;
+  void setMode(CacheBehavior mode) {
+    first.behavior = mode;
+    second.behavior = mode;
   }
 
   void sendHangUp() throws Exception {
@@ -208,10 +208,10 @@
 
   /** Commands seen by the cache that was asked first. */
   BlockingQueue<String> seenAnywhere() throws InterruptedException {
-    while (first.seen.isEmpty() && second.seen.isEmpty()) {
+    while (first.receivedCommands.isEmpty() && second.receivedCommands.isEmpty()) {
       TimeUnit.MILLISECONDS.sleep(1);
     }
-    return first.seen.isEmpty() ? second.seen : first.seen;
+    return first.receivedCommands.isEmpty() ? second.receivedCommands : first.receivedCommands;
   }
 
   /** Entry of an edge in the list of caches. */
--- a/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/InvalidSettingsIT.java
@@ -68,7 +68,7 @@
     try (ToyServer.Client client = client()) {
       for (String requestClass : List.of("a clip", "rid")) {
         client.call("1", requestClass, callFields("5", 2000), "");
-        assertThat(status(client.read())).as(requestClass + "\n" + logs()).isEqualTo("ACK");
+        assertThat(status(client.readResponse())).as(requestClass + "\n" + logs()).isEqualTo("ACK");
       }
     }
     assertThat(logs())
--- a/cli/src/test/java/tamarindroute/gateway/LifecycleIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/LifecycleIT.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** Start, restart and end of a gateway, and its limits. */
 @Timeout(60)
@@ -24,14 +24,14 @@
 
   @Test
   void onTermAllAdmittedRequestsAreAnsweredBeforeTheEnd() throws Exception {
-    setMode(Mode.LATE);
+    setMode(CacheBehavior.DELAY);
     try (ToyServer.Client client = client()) {
       client.call("1", "clip", callFields("5", 2500), "");
       gateway.destroy();
       try (ToyServer.Client late = client()) {
         late.call("1", "clip", callFields("6", 2500), "");
-        assertThat(status(client.read())).isEqualTo("ACK");
-        assertThat(status(late.read())).isEqualTo("ACK");
+        assertThat(status(client.readResponse())).isEqualTo("ACK");
+        assertThat(status(late.readResponse())).isEqualTo("ACK");
       }
     }
     assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
@@ -39,13 +39,14 @@
 
   @Test
   void restartForgetsEverythingAndServes() throws Exception {
-    setMode(Mode.SILENT);
+    setMode(CacheBehavior.SILENT);
     try (ToyServer.Client client = client()) {
       client.call("1", "clip", callFields("5", 2500), "");
       gateway.destroyForcibly().waitFor();
-      assertThatThrownBy(client::read).isInstanceOfAny(EOFException.class, SocketException.class);
+      assertThatThrownBy(client::readResponse)
+          .isInstanceOfAny(EOFException.class, SocketException.class);
     }
-    setMode(Mode.SERVE);
+    setMode(CacheBehavior.SERVE);
     launch();
     try (ToyServer.Client client = client()) {
       assertThat(status(call(client, "1", "5"))).isEqualTo("ACK");
--- a/cli/src/test/java/tamarindroute/gateway/MalformedInputIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/MalformedInputIT.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.io.EOFException;
 import java.net.SocketException;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** Frames and fields of clients that are malformed, incomplete or too many. */
 @Timeout(60)
@@ -36,7 +36,8 @@
     try (ToyServer.Client bad = client();
         ToyServer.Client good = client()) {
       bad.socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
-      assertThatThrownBy(bad::read).isInstanceOfAny(EOFException.class, SocketException.class);
+      assertThatThrownBy(bad::readResponse)
+          .isInstanceOfAny(EOFException.class, SocketException.class);
       assertThat(status(call(good, "1", "5"))).isEqualTo("ACK");
     }
     assertThat(Files.readString(folder.resolve("out.log"))).contains("client-protocol-error");
@@ -67,16 +68,18 @@
       })
   void badFieldsCostOnlyTheirRequest(String fields) throws Exception {
     try (ToyServer.Client client = client()) {
-      client.call("1", "clip", fields.replace("ID", id("5")), "");
-      assertThat(status(client.read())).isEqualTo("NAK");
+      client.call("1", "clip", fields.replace("ID", paddedHex("5")), "");
+      assertThat(status(client.readResponse())).isEqualTo("NAK");
       client.call("2", "clip,x", callFields("5", 900), "");
-      assertThat(status(client.read())).isEqualTo("NAK");
+      assertThat(status(client.readResponse())).isEqualTo("NAK");
       client.call("3", "pick", callFields("5", 900), "");
-      assertThat(status(client.read())).isEqualTo("NAK");
+      assertThat(status(client.readResponse())).isEqualTo("NAK");
       assertThat(status(call(client, "4", "5"))).isEqualTo("ACK");
     }
     assertThat(
-            caches.stream().flatMap(cache -> cache.seen.stream()).filter(c -> c.startsWith("ASK")))
+            caches.stream()
+                .flatMap(cache -> cache.receivedCommands.stream())
+                .filter(c -> c.startsWith("ASK")))
         .hasSizeLessThan(4);
   }
 
@@ -86,20 +89,22 @@
    */
   @Test
   void anOpenIdIsNotTakenTwiceAndAFloodIsRefused() throws Exception {
-    setMode(Mode.LATE);
+    setMode(CacheBehavior.DELAY);
     try (ToyServer.Client client = client();
         ToyServer.Client other = client()) {
-      client.call("1", "clip", "rid=%s,budget=2000,obj=%s".formatted(id("77"), id("5")), "");
-      nextCommand(seenAnywhere(), "ASK " + id("77"));
-      other.call("1", "clip", "rid=%s,budget=2000,obj=%s".formatted(id("77"), id("6")), "");
-      assertThat(status(other.read())).isEqualTo("NAK");
-      assertThat(client.read().get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
-      setMode(Mode.SILENT);
+      client.call(
+          "1", "clip", "rid=%s,budget=2000,obj=%s".formatted(paddedHex("77"), paddedHex("5")), "");
+      nextCommand(seenAnywhere(), "ASK " + paddedHex("77"));
+      other.call(
+          "1", "clip", "rid=%s,budget=2000,obj=%s".formatted(paddedHex("77"), paddedHex("6")), "");
+      assertThat(status(other.readResponse())).isEqualTo("NAK");
+      assertThat(client.readResponse().get(3)).isEqualTo(ToyServer.contentOf(paddedHex("5"), 2000));
+      setMode(CacheBehavior.SILENT);
       for (int tag = 2; tag <= 60; tag++) {
         other.call(String.valueOf(tag), "clip", callFields("5", 400), "");
       }
       for (int tag = 34; tag <= 60; tag++) {
-        List<byte[]> response = other.read();
+        List<byte[]> response = other.readResponse();
         assertThat(tag(response)).isEqualTo(String.valueOf(tag));
         assertThat(status(response)).isEqualTo("NAK");
       }
@@ -111,7 +116,7 @@
       assertThatThrownBy(
               () -> {
                 for (int tag = 1; tag <= 200; tag++) {
-                  assertThat(status(client.read())).isEqualTo("NAK");
+                  assertThat(status(client.readResponse())).isEqualTo("NAK");
                 }
               })
           .isInstanceOfAny(EOFException.class, SocketException.class);
@@ -130,7 +135,8 @@
     try (ToyServer.Client client = client()) {
       long start = System.nanoTime();
       client.socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
-      assertThatThrownBy(client::read).isInstanceOfAny(EOFException.class, SocketException.class);
+      assertThatThrownBy(client::readResponse)
+          .isInstanceOfAny(EOFException.class, SocketException.class);
       assertThat(System.nanoTime() - start).isLessThan(TimeUnit.MILLISECONDS.toNanos(2900));
     }
   }
--- a/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.io.EOFException;
 import java.net.ConnectException;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /**
  * Ends of clients' connections and of the gateway: each request that was admitted still gets its
@@ -32,7 +32,7 @@
     try (ToyServer.Client client = client()) {
       for (int tag = 1; tag <= 2; tag++) {
         client.send("RPC.HEALTH", tag, "");
-        client.read();
+        client.readResponse();
       }
     }
   }
@@ -40,7 +40,7 @@
   private ToyServer.Cache awaitCacheAskedFor(String id) throws InterruptedException {
     while (true) {
       for (ToyServer.Cache cache : caches) {
-        if (cache.seen.stream().anyMatch(command -> command.startsWith("ASK " + id))) {
+        if (cache.receivedCommands.stream().anyMatch(command -> command.startsWith("ASK " + id))) {
           return cache;
         }
       }
@@ -50,7 +50,7 @@
 
   private long countAsks(String id) {
     return caches.stream()
-        .flatMap(cache -> cache.seen.stream())
+        .flatMap(cache -> cache.receivedCommands.stream())
         .filter(c -> c.startsWith("ASK " + id))
         .count();
   }
@@ -63,23 +63,24 @@
   /** A malformed frame ends further input, not the requests before it. */
   @Test
   void requestsOpenBesideAMalformedFrameAreAnswered() throws Exception {
-    setMode(Mode.LATE);
+    setMode(CacheBehavior.DELAY);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
-          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d1"), id("5")),
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1"
+              .formatted(paddedHex("d1"), paddedHex("5")),
           "");
-      awaitCacheAskedFor(id("d1"));
+      awaitCacheAskedFor(paddedHex("d1"));
       client
           .socket
           .getOutputStream()
           .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
       client.socket.getOutputStream().write(new byte[300_000]);
-      List<byte[]> response = client.read();
+      List<byte[]> response = client.readResponse();
       assertThat(tag(response)).isEqualTo("1");
-      assertThat(response.get(3)).isEqualTo(ToyServer.bytesOf(id("5"), 2000));
-      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+      assertThat(response.get(3)).isEqualTo(ToyServer.contentOf(paddedHex("5"), 2000));
+      assertThatThrownBy(client::readResponse).isInstanceOf(EOFException.class);
     }
     awaitLogged("client-protocol-error");
   }
@@ -92,51 +93,53 @@
         call(client, String.valueOf(tag), "a" + tag);
       }
     }
-    setMode(Mode.SILENT);
+    setMode(CacheBehavior.SILENT);
     ToyServer.Client client = client();
     client.call(
         "1",
         "clip",
-        "rid=%s,budget=5000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d2"), id("5")),
+        "rid=%s,budget=5000,obj=%s,piece=0,lot=1,mem=1".formatted(paddedHex("d2"), paddedHex("5")),
         "");
-    ToyServer.Cache at = awaitCacheAskedFor(id("d2"));
+    ToyServer.Cache at = awaitCacheAskedFor(paddedHex("d2"));
     client.close();
     awaitEventLoopCaughtUp();
     at.close();
     awaitLogged("cache-lost");
-    setMode(Mode.SERVE);
+    setMode(CacheBehavior.SERVE);
     try (ToyServer.Client other = client()) {
       for (int tag = 1; tag <= 8; tag++) {
         assertThat(status(call(other, String.valueOf(tag), "b" + tag))).isEqualTo("ACK");
       }
     }
-    assertThat(countAsks(id("d2"))).isEqualTo(1);
+    assertThat(countAsks(paddedHex("d2"))).isEqualTo(1);
   }
 
   /** At the last moment the policy would retry what has time left, but nobody would wait for it. */
   @Test
   void pendingRequestsAtShutdownAreNotRetriedAndRejectedWhereHarmless() throws Exception {
-    caches.forEach(cache -> cache.mode = Mode.SILENT);
+    caches.forEach(cache -> cache.behavior = CacheBehavior.SILENT);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
-          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d3"), id("5")),
+          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1"
+              .formatted(paddedHex("d3"), paddedHex("5")),
           "");
       client.call(
           "2",
           "once",
-          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1".formatted(id("d4"), id("6")),
+          "rid=%s,budget=9000,obj=%s,piece=0,lot=1,mem=1"
+              .formatted(paddedHex("d4"), paddedHex("6")),
           "");
-      awaitCacheAskedFor(id("d3"));
-      awaitCacheAskedFor(id("d4"));
+      awaitCacheAskedFor(paddedHex("d3"));
+      awaitCacheAskedFor(paddedHex("d4"));
       long from = System.nanoTime();
       gateway.destroy();
-      List<byte[]> one = client.read();
-      List<byte[]> two = client.read();
+      List<byte[]> one = client.readResponse();
+      List<byte[]> two = client.readResponse();
       assertThat(status(tag(one).equals("1") ? one : two)).isEqualTo("NAK");
       assertThat(status(tag(one).equals("2") ? one : two)).isEqualTo("FAIL");
-      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+      assertThatThrownBy(client::readResponse).isInstanceOf(EOFException.class);
       assertThat(millisTo(gateway, from)).isGreaterThan(3400);
     }
     // SIGKILL may come 0.7 s after the longest deadline of 3 s; the JVM's own end comes after this
@@ -146,7 +149,7 @@
     assertThat(stop.find()).as(log).isTrue();
     assertThat(Integer.parseInt(stop.group(1))).isBetween(3500, 3700);
     assertThat(Files.readString(folder.resolve("out.log"))).doesNotContain("defect");
-    assertThat(countAsks(id("d4"))).isEqualTo(1);
+    assertThat(countAsks(paddedHex("d4"))).isEqualTo(1);
   }
 
   /**
@@ -155,14 +158,15 @@
    */
   @Test
   void requestsAfterTheListenerClosesAreRejected() throws Exception {
-    setMode(Mode.SILENT);
+    setMode(CacheBehavior.SILENT);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
-          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d5"), id("5")),
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1"
+              .formatted(paddedHex("d5"), paddedHex("5")),
           "");
-      awaitCacheAskedFor(id("d5"));
+      awaitCacheAskedFor(paddedHex("d5"));
       gateway.destroy();
       awaitListenerClosed();
       String refused = null;
@@ -171,15 +175,15 @@
             String.valueOf(tag),
             "clip",
             "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1"
-                .formatted(id("e" + (100 + tag)), id("6")),
+                .formatted(paddedHex("e" + (100 + tag)), paddedHex("6")),
             "");
         client.send("RPC.HEALTH", 100 + tag, "");
-        List<byte[]> response = client.read();
+        List<byte[]> response = client.readResponse();
         refused = status(response).equals("NAK") ? tag(response) : null;
       }
       assertThat(refused).isNotNull();
-      assertThat(status(client.read())).isEqualTo("RED");
-      assertThat(countAsks(id("e" + (100 + Integer.parseInt(refused))))).isZero();
+      assertThat(status(client.readResponse())).isEqualTo("RED");
+      assertThat(countAsks(paddedHex("e" + (100 + Integer.parseInt(refused))))).isZero();
     }
     assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
   }
@@ -207,8 +211,8 @@
       call(resting, "1", "5");
       long from = System.nanoTime();
       gateway.destroy();
-      assertThatThrownBy(resting::read).isInstanceOf(EOFException.class);
-      assertThatThrownBy(silent::read).isInstanceOf(EOFException.class);
+      assertThatThrownBy(resting::readResponse).isInstanceOf(EOFException.class);
+      assertThatThrownBy(silent::readResponse).isInstanceOf(EOFException.class);
       resting.close();
       silent.close();
       assertThat(millisTo(gateway, from)).isBetween(700L, 1400L);
@@ -227,28 +231,29 @@
       long from = System.nanoTime();
       gateway.destroy();
       assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
-      assertThatThrownBy(resting::read).isInstanceOf(EOFException.class);
+      assertThatThrownBy(resting::readResponse).isInstanceOf(EOFException.class);
     }
   }
 
   @Test
   void furtherSignalsDuringShutdownChangeNothing() throws Exception {
-    setMode(Mode.LATE);
+    setMode(CacheBehavior.DELAY);
     try (ToyServer.Client client = client()) {
       client.call(
           "1",
           "clip",
-          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1".formatted(id("d6"), id("5")),
+          "rid=%s,budget=2500,obj=%s,piece=0,lot=1,mem=1"
+              .formatted(paddedHex("d6"), paddedHex("5")),
           "");
-      awaitCacheAskedFor(id("d6"));
+      awaitCacheAskedFor(paddedHex("d6"));
       long from = System.nanoTime();
       gateway.destroy();
       sendHangUp();
       gateway.destroy();
       sendHangUp();
-      assertThat(status(client.read())).isEqualTo("ACK");
+      assertThat(status(client.readResponse())).isEqualTo("ACK");
       assertThat(status(call(client, "2", "6"))).isEqualTo("ACK");
-      assertThatThrownBy(client::read).isInstanceOf(EOFException.class);
+      assertThatThrownBy(client::readResponse).isInstanceOf(EOFException.class);
       client.close();
       assertThat(millisTo(gateway, from)).isBetween(700L, 1600L);
     }
--- a/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
@@ -43,57 +43,56 @@
   private static final String STEER =
       "<steer zone=\"sheds.example.\" carries=\"CARRIES\"><location label=\"shed-3\""
           + " place=\"shed\"/><profile label=\"clip\" name=\"clip\"/></steer>\n";
-  private static final String FREE = "<limits answers-per-second=\"0\"/>\n";
+  private static final String UNLIMITED = "<limits answers-per-second=\"0\"/>\n";
   private static final int PORT = 5050;
 
   @TempDir Path folder;
   private ToyServer.Feed feed;
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
 
   @BeforeEach
-  void start() throws Exception {
+  void startFeed() throws Exception {
     feed = new ToyServer.Feed(0);
-    open.add(feed);
+    resources.add(feed);
   }
 
   @AfterEach
-  void stop() throws Exception {
-    for (int i = open.size() - 1; i >= 0; i--) {
-      open.get(i).close();
+  void closeAll() throws Exception {
+    for (int i = resources.size() - 1; i >= 0; i--) {
+      resources.get(i).close();
     }
   }
 
-  private Program program(int edges, int instances, String instance, String inside)
-      throws Exception {
-    Program program =
-        new Program(
-            folder.resolve("n" + open.size()),
+  private NameServerProcess startNameServer(
+      int edges, int instances, String instanceAttributes, String dnsElements) throws Exception {
+    NameServerProcess nameServer =
+        new NameServerProcess(
+            folder.resolve("n" + resources.size()),
             feed.port(),
             edges,
             PORT,
             instances,
-            instance,
-            inside);
-    program.start();
-    open.add(program);
-    return program;
+            instanceAttributes,
+            dnsElements);
+    nameServer.start();
+    resources.add(nameServer);
+    return nameServer;
   }
 
-  private static String steer(double carries) {
-    return STEER.replace("CARRIES", String.valueOf(carries));
+  private static String steering(double capacity) {
+    return STEER.replace("CARRIES", String.valueOf(capacity));
   }
 
   /** A span in which an address must not be answered, in nanoseconds. */
-  private record Barred(String address, long from, long until) {}
+  private record ForbiddenPeriod(String address, long from, long until) {}
 
-  private record Answered(String address, long at) {}
+  private record ObservedAnswer(String address, long at) {}
 
   @Test
-  void aCacheDrainedUnderLoadIsGoneFromEveryAnswerAfterHalfASecondTwoHundredTimes()
-      throws Exception {
+  void drainedCacheLeavesAllAnswersWithinHalfASecondUnderLoad() throws Exception {
     int edges = 32;
-    Program program = program(edges, 1, "", ZONE + steer(1) + FREE);
-    ConcurrentLinkedQueue<Answered> answers = new ConcurrentLinkedQueue<>();
+    NameServerProcess nameServer = startNameServer(edges, 1, "", ZONE + steering(1) + UNLIMITED);
+    ConcurrentLinkedQueue<ObservedAnswer> answers = new ConcurrentLinkedQueue<>();
     List<Thread> load = new ArrayList<>();
     long[] end = {Long.MAX_VALUE};
     for (int i = 0; i < 4; i++) {
@@ -115,10 +114,13 @@
                             }
                             + "shed-3.sheds.example";
                     Message message =
-                        program.ask(
-                            socket, Program.query(name, service ? Type.SRV : Type.A, 9), 500);
+                        nameServer.query(
+                            socket,
+                            NameServerProcess.encodeQuery(name, service ? Type.SRV : Type.A, 9),
+                            500);
                     long now = System.nanoTime();
-                    Program.addresses(message).forEach(one -> answers.add(new Answered(one, now)));
+                    NameServerProcess.addresses(message)
+                        .forEach(one -> answers.add(new ObservedAnswer(one, now)));
                     TimeUnit.MICROSECONDS.sleep(200);
                   }
                 } catch (IOException | InterruptedException e) {
@@ -128,22 +130,23 @@
       load.add(thread);
       thread.start();
     }
-    List<Barred> barred = new ArrayList<>();
+    List<ForbiddenPeriod> forbiddenPeriods = new ArrayList<>();
     Map<Integer, Long> drained = new HashMap<>();
     Random random = new Random(1);
-    while (barred.size() < 200) {
+    while (forbiddenPeriods.size() < 200) {
       long now = System.nanoTime();
       for (int i : List.copyOf(drained.keySet())) {
         if (now - drained.get(i) > TimeUnit.MILLISECONDS.toNanos(700)) {
-          barred.add(new Barred("127.0.1." + (i + 1), drained.get(i) + 500_000_000L, now));
+          forbiddenPeriods.add(
+              new ForbiddenPeriod("127.0.1." + (i + 1), drained.get(i) + 500_000_000L, now));
           drained.remove(i);
-          feed.tell(Program.event(i, PORT, "ready", 0));
+          feed.publish(NameServerProcess.endpointEvent(i, PORT, "ready", 0));
         }
       }
       int next = random.nextInt(edges);
       if (!drained.containsKey(next)) {
         drained.put(next, System.nanoTime());
-        feed.tell(Program.event(next, PORT, "draining", 0));
+        feed.publish(NameServerProcess.endpointEvent(next, PORT, "draining", 0));
       }
       TimeUnit.MILLISECONDS.sleep(35);
     }
@@ -153,9 +156,9 @@
     }
     assertThat(answers.size()).as("answers").isGreaterThan(5000);
     Set<String> seen = new HashSet<>();
-    for (Answered answer : answers) {
+    for (ObservedAnswer answer : answers) {
       seen.add(answer.address);
-      assertThat(barred)
+      assertThat(forbiddenPeriods)
           .noneMatch(
               one ->
                   one.address.equals(answer.address)
@@ -167,11 +170,10 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 4})
-  void aCacheRestartedColdGetsItsBoundAtTheMostThroughResolversThatKeepAnswers(int instances)
-      throws Exception {
-    List<Program> programs = new ArrayList<>();
+  void coldCacheStaysBelowItsSlowStartLimitBehindCachingResolvers(int instances) throws Exception {
+    List<NameServerProcess> nameServers = new ArrayList<>();
     for (int i = 0; i < instances; i++) {
-      programs.add(program(4, instances, "", ZONE + steer(4) + FREE));
+      nameServers.add(startNameServer(4, instances, "", ZONE + steering(4) + UNLIMITED));
     }
     double multiple = 3;
     double from = 0.22;
@@ -189,18 +191,19 @@
     for (double now = 0; now < 11; now = (System.nanoTime() - zero) * 1e-9) {
       if (!gone && now > 0.5) {
         gone = true;
-        feed.tell(Program.event(0, PORT, "gone", 0));
+        feed.publish(NameServerProcess.endpointEvent(0, PORT, "gone", 0));
       } else if (restarted == 0 && now > 3.5) {
         restarted = System.currentTimeMillis();
-        feed.tell(Program.event(0, PORT, "ready", restarted));
+        feed.publish(NameServerProcess.endpointEvent(0, PORT, "ready", restarted));
       }
       for (int i = 0; i < resolvers; i++) {
         if (until[i] <= now) {
           Message message =
-              programs.get(random.nextInt(instances)).ask("shed-3.sheds.example", 1000);
-          List<String> told = Program.addresses(message);
-          keeps[i] = told.isEmpty() ? null : told.get(0);
-          double ttl = told.isEmpty() ? 0.2 : message.getSection(Section.ANSWER).get(0).getTTL();
+              nameServers.get(random.nextInt(instances)).query("shed-3.sheds.example", 1000);
+          List<String> addresses = NameServerProcess.addresses(message);
+          keeps[i] = addresses.isEmpty() ? null : addresses.get(0);
+          double ttl =
+              addresses.isEmpty() ? 0.2 : message.getSection(Section.ANSWER).get(0).getTTL();
           // Kept for its TTL; the clients ask again when they next need it.
           expires[i] = (System.nanoTime() - zero) * 1e-9 + ttl;
           until[i] = expires[i] + 0.3 * random.nextDouble();
@@ -223,27 +226,28 @@
   }
 
   @Test
-  void aMassRestartGivesEachCacheItsBoundAndTheRestIsTurnedAwayAtOnce() throws Exception {
-    Program program = program(4, 1, "", ZONE + steer(1) + FREE);
-    program.ask("shed-3.sheds.example", 1000);
+  void massRestartLimitsEachCacheAndRejectsTheRestImmediately() throws Exception {
+    NameServerProcess nameServer = startNameServer(4, 1, "", ZONE + steering(1) + UNLIMITED);
+    nameServer.query("shed-3.sheds.example", 1000);
     TimeUnit.MILLISECONDS.sleep(1200);
     long started = System.currentTimeMillis();
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < 4; i++) {
-      all.append(i == 0 ? "" : ",").append(Program.server(i, PORT, "ready", started));
+      all.append(i == 0 ? "" : ",")
+          .append(NameServerProcess.endpointJson(i, PORT, "ready", started));
     }
-    feed.tell("{\"n\":N,\"members\":{\"version\":2,\"full\":true,\"servers\":[" + all + "]}}");
+    feed.publish("{\"n\":N,\"members\":{\"version\":2,\"full\":true,\"servers\":[" + all + "]}}");
     TimeUnit.MILLISECONDS.sleep(100);
     Map<String, Integer> given = new HashMap<>();
-    int turnedAway = 0;
+    int rejected = 0;
     long from = System.nanoTime();
     for (int i = 0; i < 300; i++) {
-      Message message = program.ask("shed-3.sheds.example", 1000);
+      Message message = nameServer.query("shed-3.sheds.example", 1000);
       if (message.getRcode() == Rcode.SERVFAIL) {
-        turnedAway++;
+        rejected++;
         assertThat(message.getOPT().getOptions(15)).isNotEmpty();
       }
-      Program.addresses(message).forEach(one -> given.merge(one, 1, Integer::sum));
+      NameServerProcess.addresses(message).forEach(one -> given.merge(one, 1, Integer::sum));
     }
     double seconds = (System.nanoTime() - from) * 1e-9 + 0.2;
     // Answers of a second ago may have run out and been given again meanwhile.
@@ -251,22 +255,26 @@
     assertThat(given)
         .hasSize(4)
         .allSatisfy((one, count) -> assertThat((double) count).isBetween(10.0, most));
-    assertThat(turnedAway).isPositive();
+    assertThat(rejected).isPositive();
   }
 
   @Test
-  void aFeedLostInTheMidstOfADrainBringsNothingBackAndEndsInARefusalThatSaysWhy() throws Exception {
-    Program program =
-        program(3, 1, "", ZONE + steer(1).replace("carries", "stale-for=\"PT8S\" carries") + FREE);
-    feed.tell(Program.event(1, PORT, "draining", 0));
-    await(() -> feed.asked.stream().anyMatch(one -> one.contains("SUB=2")));
+  void lostFeedKeepsADrainedCacheOutAndEndsInServfailWithReason() throws Exception {
+    NameServerProcess nameServer =
+        startNameServer(
+            3,
+            1,
+            "",
+            ZONE + steering(1).replace("carries", "stale-for=\"PT8S\" carries") + UNLIMITED);
+    feed.publish(NameServerProcess.endpointEvent(1, PORT, "draining", 0));
+    await(() -> feed.requests.stream().anyMatch(one -> one.contains("SUB=2")));
     feed.close();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
     boolean late = false;
     boolean refused = false;
     while (!refused && System.nanoTime() < end) {
-      Message message = program.ask("shed-3.sheds.example", 1000);
-      assertThat(Program.addresses(message)).doesNotContain("127.0.1.2");
+      Message message = nameServer.query("shed-3.sheds.example", 1000);
+      assertThat(NameServerProcess.addresses(message)).doesNotContain("127.0.1.2");
       refused = message.getRcode() == Rcode.SERVFAIL;
       late |= !refused && !message.getOPT().getOptions(15).isEmpty();
       TimeUnit.MILLISECONDS.sleep(20);
@@ -276,91 +284,98 @@
   }
 
   @Test
-  void changedSettingsAreTakenUpWholeOrNotAtAll() throws Exception {
-    Program program = program(4, 1, "", ZONE + steer(1) + FREE);
-    assertThat(program.ask("about.sheds.example", 1000).getRcode()).isZero();
-    String instance = "settings=\"config.json\"";
-    program.settings(instance, ZONE + steer(1).replace("shed-3", "shed-4") + FREE);
-    program.signal("HUP");
-    program.logged("read again");
-    assertThat(Program.addresses(program.ask("shed-4.sheds.example", 1000))).hasSize(1);
-    assertThat(program.ask("shed-3.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
+  void settingsAreReloadedCompletelyOrNotAtAll() throws Exception {
+    NameServerProcess nameServer = startNameServer(4, 1, "", ZONE + steering(1) + UNLIMITED);
+    assertThat(nameServer.query("about.sheds.example", 1000).getRcode()).isZero();
+    String instanceAttributes = "settings=\"config.json\"";
+    nameServer.writeSettings(
+        instanceAttributes, ZONE + steering(1).replace("shed-3", "shed-4") + UNLIMITED);
+    nameServer.signal("HUP");
+    nameServer.awaitLog("read again");
+    assertThat(NameServerProcess.addresses(nameServer.query("shed-4.sheds.example", 1000)))
+        .hasSize(1);
+    assertThat(nameServer.query("shed-3.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
     // The zone is sound, the locations are not: neither is taken.
     java.nio.file.Files.writeString(
-        program.folder.resolve("sheds.zone"),
+        nameServer.folder.resolve("sheds.zone"),
         "$TTL 5\n@ IN SOA ns1 h ( 2 1 1 1 1 )\n IN NS ns1\nnew IN A 192.0.2.3\n");
-    program.settings(instance, ZONE + steer(1).replace("place=\"shed\"", "place=\"moon\"") + FREE);
-    program.signal("HUP");
-    program.logged("the old one holds");
-    assertThat(program.log()).contains("moon");
-    assertThat(program.ask("new.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
-    assertThat(Program.addresses(program.ask("shed-4.sheds.example", 1000))).hasSize(1);
+    nameServer.writeSettings(
+        instanceAttributes,
+        ZONE + steering(1).replace("place=\"shed\"", "place=\"moon\"") + UNLIMITED);
+    nameServer.signal("HUP");
+    nameServer.awaitLog("the old one holds");
+    assertThat(nameServer.log()).contains("moon");
+    assertThat(nameServer.query("new.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
+    assertThat(NameServerProcess.addresses(nameServer.query("shed-4.sheds.example", 1000)))
+        .hasSize(1);
   }
 
-  private static String forward(Upstream... upstreams) {
+  private static String forward(UpstreamServer... upstreams) {
     StringBuilder text = new StringBuilder("<forward zone=\"north.example.\" within=\"PT2S\">");
-    for (Upstream one : upstreams) {
+    for (UpstreamServer one : upstreams) {
       text.append("<upstream address=\"127.0.0.1:").append(one.port()).append("\"/>");
     }
     return text.append("</forward>\n").toString();
   }
 
-  private Upstream upstream() throws IOException {
-    Upstream upstream = new Upstream();
-    open.add(upstream);
+  private UpstreamServer upstream() throws IOException {
+    UpstreamServer upstream = new UpstreamServer();
+    resources.add(upstream);
     return upstream;
   }
 
   @Test
-  void aDeadOrSlowUpstreamCostsOneWaitAndForgedAnswersNone() throws Exception {
-    Upstream first = upstream();
-    Upstream second = upstream();
+  void deadSlowAndForgingUpstreamsDoNotFailQueries() throws Exception {
+    UpstreamServer first = upstream();
+    UpstreamServer second = upstream();
     first.ttl = 0;
     second.ttl = 0;
-    first.mode = Upstream.Mode.SILENT;
+    first.behavior = UpstreamServer.Behavior.SILENT;
     second.address = "192.0.2.78";
-    Program program = program(2, 1, "", ZONE + steer(1) + FREE + forward(first, second));
+    NameServerProcess nameServer =
+        startNameServer(2, 1, "", ZONE + steering(1) + UNLIMITED + forward(first, second));
     for (int i = 0; i < 30; i++) {
-      assertThat(Program.addresses(program.ask("a" + i + ".north.example", 2000)))
+      assertThat(NameServerProcess.addresses(nameServer.query("a" + i + ".north.example", 2000)))
           .containsExactly("192.0.2.78");
     }
-    assertThat(first.asked.get()).as("of 30 questions, while it is dead").isLessThan(15);
-    second.mode = Upstream.Mode.FORGE;
+    assertThat(first.queries.get()).as("of 30 questions, while it is dead").isLessThan(15);
+    second.behavior = UpstreamServer.Behavior.FORGE;
     for (int i = 0; i < 10; i++) {
-      assertThat(Program.addresses(program.ask("b" + i + ".north.example", 2000)))
+      assertThat(NameServerProcess.addresses(nameServer.query("b" + i + ".north.example", 2000)))
           .containsExactly("192.0.2.78");
     }
-    second.mode = Upstream.Mode.CUT;
-    assertThat(Program.addresses(program.ask("c.north.example", 2000)))
+    second.behavior = UpstreamServer.Behavior.TRUNCATE;
+    assertThat(NameServerProcess.addresses(nameServer.query("c.north.example", 2000)))
         .containsExactly("192.0.2.78");
-    assertThat(second.overTcp.get()).isPositive();
-    second.mode = Upstream.Mode.REFUSE;
-    first.mode = Upstream.Mode.ANSWER;
+    assertThat(second.tcpQueries.get()).isPositive();
+    second.behavior = UpstreamServer.Behavior.REFUSE;
+    first.behavior = UpstreamServer.Behavior.ANSWER;
     first.delayMillis = 60;
     for (int i = 0; i < 5; i++) {
-      assertThat(Program.addresses(program.ask("d" + i + ".north.example", 2500)))
+      assertThat(NameServerProcess.addresses(nameServer.query("d" + i + ".north.example", 2500)))
           .containsExactly("192.0.2.77");
     }
   }
 
   @Test
-  void whileAllUpstreamsFailThereIsNoStormAndWhatWasKnownIsGivenOutStale() throws Exception {
-    Upstream only = upstream();
-    Program program = program(2, 1, "", ZONE + steer(1) + FREE + forward(only));
-    assertThat(Program.addresses(program.ask("known.north.example", 2000)))
+  void failedUpstreamsCauseNoRetryStormAndStaleAnswersAreServed() throws Exception {
+    UpstreamServer only = upstream();
+    NameServerProcess nameServer =
+        startNameServer(2, 1, "", ZONE + steering(1) + UNLIMITED + forward(only));
+    assertThat(NameServerProcess.addresses(nameServer.query("known.north.example", 2000)))
         .containsExactly("192.0.2.77");
-    only.mode = Upstream.Mode.SILENT;
+    only.behavior = UpstreamServer.Behavior.SILENT;
     TimeUnit.MILLISECONDS.sleep(1100);
-    int before = only.asked.get();
+    int before = only.queries.get();
     long from = System.nanoTime();
-    Message stale = program.ask("known.north.example", 2500);
-    assertThat(Program.addresses(stale)).containsExactly("192.0.2.77");
+    Message stale = nameServer.query("known.north.example", 2500);
+    assertThat(NameServerProcess.addresses(stale)).containsExactly("192.0.2.77");
     assertThat(stale.getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(30);
     assertThat(System.nanoTime() - from).isLessThan(TimeUnit.MILLISECONDS.toNanos(1800));
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 100; i++) {
-        byte[] query = Program.query("u" + i + ".north.example", Type.A, i);
-        socket.send(new DatagramPacket(query, query.length, program.address));
+        byte[] query = NameServerProcess.encodeQuery("u" + i + ".north.example", Type.A, i);
+        socket.send(new DatagramPacket(query, query.length, nameServer.address));
       }
       socket.setSoTimeout(5000);
       for (int i = 0; i < 100; i++) {
@@ -369,24 +384,25 @@
         assertThat(packet.getData()[3] & 0xF).isEqualTo(Rcode.SERVFAIL);
       }
     }
-    assertThat(only.asked.get() - before).as("attempts for 101 questions").isLessThan(130);
+    assertThat(only.queries.get() - before).as("attempts for 101 questions").isLessThan(130);
   }
 
   @Test
-  void equalQuestionsAreJoinedAndSigtermAnswersWhatIsInHand() throws Exception {
-    Upstream slow = upstream();
+  void equalQueriesAreCoalescedAndSigtermAnswersQueriesInFlight() throws Exception {
+    UpstreamServer slow = upstream();
     slow.delayMillis = 250;
-    Program program = program(2, 1, "", ZONE + steer(1) + FREE + forward(slow));
-    program.ask("warm.north.example", 2000);
-    int before = slow.asked.get();
+    NameServerProcess nameServer =
+        startNameServer(2, 1, "", ZONE + steering(1) + UNLIMITED + forward(slow));
+    nameServer.query("warm.north.example", 2000);
+    int before = slow.queries.get();
     slow.delayMillis = 90;
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 50; i++) {
-        byte[] query = Program.query("one.north.example", Type.A, i);
-        socket.send(new DatagramPacket(query, query.length, program.address));
+        byte[] query = NameServerProcess.encodeQuery("one.north.example", Type.A, i);
+        socket.send(new DatagramPacket(query, query.length, nameServer.address));
       }
       TimeUnit.MILLISECONDS.sleep(30);
-      program.signal("TERM");
+      nameServer.signal("TERM");
       socket.setSoTimeout(3000);
       Set<Integer> ids = new HashSet<>();
       for (int i = 0; i < 50; i++) {
@@ -397,24 +413,24 @@
       }
       assertThat(ids).hasSize(50);
     }
-    assertThat(slow.asked.get() - before).isLessThanOrEqualTo(2);
-    assertThat(program.process.waitFor(5, TimeUnit.SECONDS)).isTrue();
+    assertThat(slow.queries.get() - before).isLessThanOrEqualTo(2);
+    assertThat(nameServer.process.waitFor(5, TimeUnit.SECONDS)).isTrue();
   }
 
   @Test
-  void badInputCostsItselfAlone() throws Exception {
-    Program program =
-        program(
+  void malformedInputDoesNotAffectOtherQueries() throws Exception {
+    NameServerProcess nameServer =
+        startNameServer(
             4,
             1,
             "",
             ZONE
-                + steer(1)
+                + steering(1)
                 + "<limits answers-per-second=\"0\" connections=\"40\" idle=\"PT1S\"/>\n");
     Random random = new Random(9);
     List<Socket> sockets = new ArrayList<>();
     for (int i = 0; i < 120; i++) {
-      Socket socket = new Socket(program.address.getAddress(), program.address.getPort());
+      Socket socket = new Socket(nameServer.address.getAddress(), nameServer.address.getPort());
       sockets.add(socket);
       OutputStream out = socket.getOutputStream();
       try {
@@ -436,14 +452,18 @@
       for (int i = 0; i < 20_000; i++) {
         byte[] bytes = new byte[random.nextInt(700)];
         random.nextBytes(bytes);
-        socket.send(new DatagramPacket(bytes, bytes.length, program.address));
+        socket.send(new DatagramPacket(bytes, bytes.length, nameServer.address));
       }
     }
     // What the flood left in the kernel's queue may cost the first question; a resolver asks again.
-    await(() -> Program.addresses(program.ask("shed-3.sheds.example", 300)).size() == 1);
+    await(
+        () ->
+            NameServerProcess.addresses(nameServer.query("shed-3.sheds.example", 300)).size() == 1);
     for (int i = 0; i < 20; i++) {
-      Message message = program.ask("p" + i + ".shed-3.sheds.example", 2000);
-      assertThat(Program.addresses(message)).as("question %d after the flood", i).hasSize(1);
+      Message message = nameServer.query("p" + i + ".shed-3.sheds.example", 2000);
+      assertThat(NameServerProcess.addresses(message))
+          .as("question %d after the flood", i)
+          .hasSize(1);
     }
     // Each of those connections ends: with what it sent, or when its time is over.
     for (Socket socket : sockets) {
@@ -457,18 +477,21 @@
       }
       socket.close();
     }
-    assertThat(program.log()).doesNotContain("\"defect\"");
+    assertThat(nameServer.log()).doesNotContain("\"defect\"");
   }
 
   @Test
-  void theConnectionOfNoUseForLongestGoesForANewOne() throws Exception {
-    Program program =
-        program(
-            2, 1, "", ZONE + steer(1) + "<limits answers-per-second=\"0\" connections=\"5\"/>\n");
+  void longestIdleConnectionIsClosedForANewOne() throws Exception {
+    NameServerProcess nameServer =
+        startNameServer(
+            2,
+            1,
+            "",
+            ZONE + steering(1) + "<limits answers-per-second=\"0\" connections=\"5\"/>\n");
     List<Socket> sockets = new ArrayList<>();
-    byte[] query = Program.query("shed-3.sheds.example", Type.A, 1);
+    byte[] query = NameServerProcess.encodeQuery("shed-3.sheds.example", Type.A, 1);
     for (int i = 0; i < 8; i++) {
-      Socket socket = new Socket(program.address.getAddress(), program.address.getPort());
+      Socket socket = new Socket(nameServer.address.getAddress(), nameServer.address.getPort());
       socket.setSoTimeout(2000);
       socket.getOutputStream().write(new byte[] {0, (byte) query.length});
       socket.getOutputStream().write(query);
@@ -485,12 +508,14 @@
   }
 
   @Test
-  void queriesOnOneConnectionAreAnsweredAndWhatIsLeftUnreadIsNotKept() throws Exception {
-    Program program = program(4, 1, "", ZONE + steer(1) + FREE);
-    try (Socket socket = new Socket(program.address.getAddress(), program.address.getPort())) {
+  void pipelinedQueriesAreAnsweredAndAClientThatDoesNotReadIsClosed() throws Exception {
+    NameServerProcess nameServer = startNameServer(4, 1, "", ZONE + steering(1) + UNLIMITED);
+    try (Socket socket =
+        new Socket(nameServer.address.getAddress(), nameServer.address.getPort())) {
       java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
       for (int i = 0; i < 200; i++) {
-        byte[] query = Program.query("p" + i % 64 + ".shed-3.sheds.example", Type.A, i);
+        byte[] query =
+            NameServerProcess.encodeQuery("p" + i % 64 + ".shed-3.sheds.example", Type.A, i);
         all.write(query.length >> 8);
         all.write(query.length);
         all.write(query);
@@ -508,8 +533,8 @@
     }
     try (Socket socket = new Socket()) {
       socket.setReceiveBufferSize(2048);
-      socket.connect(program.address);
-      byte[] query = Program.query("shed-3.sheds.example", Type.A, 1);
+      socket.connect(nameServer.address);
+      byte[] query = NameServerProcess.encodeQuery("shed-3.sheds.example", Type.A, 1);
       byte[] frame = new byte[query.length + 2];
       frame[1] = (byte) query.length;
       System.arraycopy(query, 0, frame, 2, query.length);
@@ -527,37 +552,38 @@
       }
       assertThat(ended).as("a client that reads nothing is closed").isTrue();
     }
-    program.logged("query-unread");
-    assertThat(Program.addresses(program.ask("shed-3.sheds.example", 1000))).hasSize(1);
+    nameServer.awaitLog("query-unread");
+    assertThat(NameServerProcess.addresses(nameServer.query("shed-3.sheds.example", 1000)))
+        .hasSize(1);
   }
 
   @Test
-  void probesFindACacheThatIsDeadAndOneThatCameBack() throws Exception {
+  void probesDetectADeadCacheAndItsReturn() throws Exception {
     ToyServer.Cache alive = new ToyServer.Cache(0);
-    open.add(alive);
+    resources.add(alive);
     ToyServer.Cache dying = new ToyServer.Cache(0);
     int port = dying.port();
-    Program program =
-        program(
+    NameServerProcess nameServer =
+        startNameServer(
             0,
             1,
             "",
             ZONE
-                + steer(1)
-                + FREE
+                + steering(1)
+                + UNLIMITED
                 + "<probing every=\"PT0.1S\" within=\"PT0.2S\" most-per-second=\"100\"/>\n");
     // Both are at 127.0.0.1, told apart by their ports.
-    feed.tell(
+    feed.publish(
         "{\"n\":N,\"members\":{\"version\":2,\"full\":true,\"servers\":["
             + toy("s-a", alive.port())
             + ","
             + toy("s-b", port)
             + "]}}");
-    await(() -> ports(program).equals(Set.of(alive.port(), port)));
+    await(() -> ports(nameServer).equals(Set.of(alive.port(), port)));
     dying.close();
-    await(() -> ports(program).equals(Set.of(alive.port())));
-    open.add(new ToyServer.Cache(port));
-    await(() -> ports(program).equals(Set.of(alive.port(), port)));
+    await(() -> ports(nameServer).equals(Set.of(alive.port())));
+    resources.add(new ToyServer.Cache(port));
+    await(() -> ports(nameServer).equals(Set.of(alive.port(), port)));
   }
 
   private static String toy(String id, int port) {
@@ -582,13 +608,15 @@
   }
 
   /** The ports in twelve answers. */
-  private static Set<Integer> ports(Program program) throws IOException {
+  private static Set<Integer> ports(NameServerProcess nameServer) throws IOException {
     Set<Integer> ports = new HashSet<>();
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 12; i++) {
         Message message =
-            program.ask(
-                socket, Program.query("_cache._tcp.shed-3.sheds.example", Type.SRV, i), 1000);
+            nameServer.query(
+                socket,
+                NameServerProcess.encodeQuery("_cache._tcp.shed-3.sheds.example", Type.SRV, i),
+                1000);
         for (Record record : message.getSection(Section.ANSWER)) {
           ports.add(((org.xbill.DNS.SRVRecord) record).getPort());
         }
@@ -598,11 +626,11 @@
   }
 
   @Test
-  void aFeedToldByNameIsLookedUpAndFollowed() throws Exception {
-    Upstream resolver = upstream();
+  void feedConfiguredByNameIsResolvedAndFollowed() throws Exception {
+    UpstreamServer resolver = upstream();
     resolver.address = "127.0.0.1";
-    Program program =
-        program(
+    NameServerProcess nameServer =
+        startNameServer(
             1,
             1,
             "feed=\"feed.sheds.test:" + feed.port() + "\"",
@@ -610,13 +638,13 @@
                 + resolver.port()
                 + "\"/></resolvers>\n"
                 + ZONE
-                + steer(1)
-                + FREE);
-    feed.tell(Program.event(0, PORT, "gone", 0));
-    feed.tell(Program.event(1, PORT, "ready", 0));
+                + steering(1)
+                + UNLIMITED);
+    feed.publish(NameServerProcess.endpointEvent(0, PORT, "gone", 0));
+    feed.publish(NameServerProcess.endpointEvent(1, PORT, "ready", 0));
     await(
         () ->
-            Program.addresses(program.ask("shed-3.sheds.example", 1000))
+            NameServerProcess.addresses(nameServer.query("shed-3.sheds.example", 1000))
                 .equals(List.of("127.0.1.2")));
   }
 }
--- a/cli/src/test/java/tamarindroute/nameserver/Program.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerProcess.java
@@ -28,7 +28,7 @@
 /**
  * A name server, started as a user would from the jar, with its files in a folder of the test's.
  */
-public final class Program implements AutoCloseable {
+public final class NameServerProcess implements AutoCloseable {
 
   public final InetSocketAddress address;
   public final Path folder;
@@ -38,8 +38,14 @@
    * A list of edges s-0, s-1 … at 127.0.1.1, 127.0.1.2 … of one port, and what stands in the dns
    * element.
    */
-  public Program(
-      Path folder, int feed, int edges, int port, int instances, String instance, String inside)
+  public NameServerProcess(
+      Path folder,
+      int feedPort,
+      int edges,
+      int port,
+      int instances,
+      String instanceAttributes,
+      String dnsElements)
       throws IOException {
     this.folder = Files.createDirectories(folder);
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -47,42 +53,46 @@
     }
     String json =
         Files.readString(Path.of("example/config.json"))
-            .replace("127.0.0.1:7001", "127.0.0.1:" + feed);
+            .replace("127.0.0.1:7001", "127.0.0.1:" + feedPort);
     String list =
         IntStream.range(0, edges)
-            .mapToObj(i -> server(i, port, "ready", 0))
+            .mapToObj(index -> endpointJson(index, port, "ready", 0))
             .collect(Collectors.joining(","));
     int from = json.indexOf("\"servers\": [") + "\"servers\": [".length();
     json = json.substring(0, from) + list + json.substring(json.indexOf("]}}", from));
     Files.writeString(folder.resolve("config.json"), json);
     Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
-    settings("settings=\"config.json\" instances=\"" + instances + "\" " + instance, inside);
+    writeSettings(
+        "settings=\"config.json\" instances=\"" + instances + "\" " + instanceAttributes,
+        dnsElements);
   }
 
-  public static String server(int i, int port, String state, long started) {
+  public static String endpointJson(int index, int port, String state, long startedMillis) {
     return ("{\"id\":\"s-%d\",\"addr\":\"127.0.1.%d:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,"
             + "\"state\":\"%s\",\"weight\":40,\"started_ms\":%d}")
-        .formatted(i, i + 1, port, state, started);
+        .formatted(index, index + 1, port, state, startedMillis);
   }
 
-  public static String event(int i, int port, String state, long started) {
+  public static String endpointEvent(int index, int port, String state, long startedMillis) {
     return "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":["
-        + server(i, port, state, started)
+        + endpointJson(index, port, state, startedMillis)
         + "]}}";
   }
 
   /** Writes the settings file anew. */
-  public void settings(String instance, String inside) throws IOException {
+  public void writeSettings(String instanceAttributes, String dnsElements) throws IOException {
     Files.writeString(
         folder.resolve("dns.xml"),
         "<tamarindroute xmlns=\"urn:tamarindroute:settings:1\">\n<instance "
-            + instance
+            + instanceAttributes
             + "/>\n"
-            + (inside.contains("<resolvers") ? inside.substring(0, inside.indexOf("<zone")) : "")
+            + (dnsElements.contains("<resolvers")
+                ? dnsElements.substring(0, dnsElements.indexOf("<zone"))
+                : "")
             + "<dns listen=\"127.0.0.1:"
             + address.getPort()
             + "\">\n"
-            + inside.substring(Math.max(0, inside.indexOf("<zone")))
+            + dnsElements.substring(Math.max(0, dnsElements.indexOf("<zone")))
             + "</dns></tamarindroute>\n");
   }
 
@@ -117,7 +127,7 @@
   }
 
   /** Waits until the log holds this. */
-  public void logged(String part) throws Exception {
+  public void awaitLog(String part) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
     while (!log().contains(part)) {
       if (System.nanoTime() > end) {
@@ -136,7 +146,7 @@
     process.destroyForcibly().waitFor();
   }
 
-  public static byte[] query(String name, int type, int id) throws IOException {
+  public static byte[] encodeQuery(String name, int type, int id) throws IOException {
     Message message = new Message(id);
     message.addRecord(
         Record.newRecord(Name.fromString(name + "."), type, DClass.IN), Section.QUESTION);
@@ -145,14 +155,14 @@
   }
 
   /** One question by UDP; null where no answer came in time. */
-  public Message ask(String name, int millis) throws IOException {
+  public Message query(String name, int timeoutMillis) throws IOException {
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      return ask(socket, query(name, Type.A, 7), millis);
+      return query(socket, encodeQuery(name, Type.A, 7), timeoutMillis);
     }
   }
 
-  public Message ask(DatagramSocket socket, byte[] query, int millis) throws IOException {
-    socket.setSoTimeout(millis);
+  public Message query(DatagramSocket socket, byte[] query, int timeoutMillis) throws IOException {
+    socket.setSoTimeout(timeoutMillis);
     socket.send(new DatagramPacket(query, query.length, address));
     DatagramPacket packet = new DatagramPacket(new byte[4096], 4096);
     try {
--- a/cli/src/test/java/tamarindroute/nameserver/Upstream.java
+++ b/cli/src/test/java/tamarindroute/nameserver/UpstreamServer.java
@@ -21,27 +21,27 @@
  * A stand-in for another installation's router or a resolver: answers every A question with one
  * address.
  */
-final class Upstream implements AutoCloseable {
+final class UpstreamServer implements AutoCloseable {
 
-  enum Mode {
+  enum Behavior {
     ANSWER,
     SILENT,
     REFUSE,
-    CUT,
+    TRUNCATE,
     FORGE,
     LOWER_CASE
   }
 
-  final AtomicInteger asked = new AtomicInteger();
-  final AtomicInteger overTcp = new AtomicInteger();
-  volatile Mode mode = Mode.ANSWER;
+  final AtomicInteger queries = new AtomicInteger();
+  final AtomicInteger tcpQueries = new AtomicInteger();
+  volatile Behavior behavior = Behavior.ANSWER;
   volatile int delayMillis;
   volatile int ttl = 1;
   volatile String address = "192.0.2.77";
   private final DatagramSocket udp;
   private final ServerSocket tcp;
 
-  Upstream() throws IOException {
+  UpstreamServer() throws IOException {
     DatagramSocket datagrams = null;
     ServerSocket streams = null;
     for (int i = 0; streams == null; i++) {
@@ -87,31 +87,31 @@
     while (true) {
       DatagramPacket packet = new DatagramPacket(new byte[2000], 2000);
       udp.receive(packet);
-      asked.incrementAndGet();
+      queries.incrementAndGet();
       byte[] query = java.util.Arrays.copyOf(packet.getData(), packet.getLength());
       start(
           () -> {
             Thread.sleep(delayMillis);
-            switch (mode) {
+            switch (behavior) {
               case SILENT -> {}
               case FORGE -> {
                 // A forger knows the question, but not the id, nor the letters' case.
                 for (int i = 0; i < 5; i++) {
-                  byte[] forged = answer(query, "203.0.113.66", true);
+                  byte[] forged = response(query, "203.0.113.66", true);
                   forged[0] ^= (byte) (i + 1);
                   udp.send(new DatagramPacket(forged, forged.length, packet.getSocketAddress()));
                 }
-                byte[] lower = lowered(query);
+                byte[] lower = lowerCaseResponse(query);
                 udp.send(new DatagramPacket(lower, lower.length, packet.getSocketAddress()));
-                byte[] good = answer(query, address, true);
+                byte[] good = response(query, address, true);
                 udp.send(new DatagramPacket(good, good.length, packet.getSocketAddress()));
               }
               case LOWER_CASE -> {
-                byte[] lower = lowered(query);
+                byte[] lower = lowerCaseResponse(query);
                 udp.send(new DatagramPacket(lower, lower.length, packet.getSocketAddress()));
               }
               default -> {
-                byte[] good = answer(query, address, true);
+                byte[] good = response(query, address, true);
                 udp.send(new DatagramPacket(good, good.length, packet.getSocketAddress()));
               }
             }
@@ -119,12 +119,12 @@
     }
   }
 
-  private byte[] lowered(byte[] query) throws IOException {
+  private byte[] lowerCaseResponse(byte[] query) throws IOException {
     byte[] copy = query.clone();
     for (int i = 12; i < copy.length && copy[i] != 0; i++) {
       copy[i] = (byte) Character.toLowerCase(copy[i]);
     }
-    return answer(copy, "203.0.113.66", true);
+    return response(copy, "203.0.113.66", true);
   }
 
   private void serveStreams() throws IOException {
@@ -138,8 +138,8 @@
               while (true) {
                 byte[] query = new byte[in.readUnsignedShort()];
                 in.readFully(query);
-                overTcp.incrementAndGet();
-                byte[] good = answer(query, address, false);
+                tcpQueries.incrementAndGet();
+                byte[] good = response(query, address, false);
                 out.writeShort(good.length);
                 out.write(good);
               }
@@ -148,19 +148,21 @@
     }
   }
 
-  private byte[] answer(byte[] query, String told, boolean datagram) throws IOException {
-    Message asking = new Message(query);
-    Message message = new Message(asking.getHeader().getID());
+  private byte[] response(byte[] query, String responseAddress, boolean datagram)
+      throws IOException {
+    Message request = new Message(query);
+    Message message = new Message(request.getHeader().getID());
     message.getHeader().setFlag(Flags.QR);
-    message.addRecord(asking.getQuestion(), Section.QUESTION);
-    Name name = asking.getQuestion().getName();
-    if (mode == Mode.REFUSE) {
+    message.addRecord(request.getQuestion(), Section.QUESTION);
+    Name name = request.getQuestion().getName();
+    if (behavior == Behavior.REFUSE) {
       message.getHeader().setRcode(Rcode.REFUSED);
-    } else if (mode == Mode.CUT && datagram) {
+    } else if (behavior == Behavior.TRUNCATE && datagram) {
       message.getHeader().setFlag(Flags.TC);
     } else {
       message.addRecord(
-          new ARecord(name, DClass.IN, ttl, InetAddress.getByName(told)), Section.ANSWER);
+          new ARecord(name, DClass.IN, ttl, InetAddress.getByName(responseAddress)),
+          Section.ANSWER);
     }
     return message.toWire();
   }
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -29,18 +29,18 @@
 public final class ToyServer {
 
   /** What a toy cache does with a request. */
-  public enum Mode {
+  public enum CacheBehavior {
     SERVE,
     MISS,
-    FULL,
+    OVER_CAPACITY,
     ERROR,
     SILENT,
     RESET,
-    HALF,
-    STOP,
+    TRUNCATE,
+    STALL_MIDWAY_ONCE,
     GARBAGE,
-    LATE,
-    UNCHANGED
+    DELAY,
+    NOT_MODIFIED
   }
 
   private ToyServer() {}
@@ -48,19 +48,20 @@
   /** FEED_PORT CACHE_PORT..., or: call HOST:PORT PROFILE OBJECT. */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     if (arguments.length == 4 && arguments[0].equals("call")) {
-      String[] at = arguments[1].split(":");
-      try (Client client = new Client(new InetSocketAddress(at[0], Integer.parseInt(at[1])))) {
+      String[] hostAndPort = arguments[1].split(":");
+      try (Client client =
+          new Client(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])))) {
         client.call(
             "1",
             arguments[2],
             "rid="
-                + id(Long.toHexString(System.nanoTime()))
+                + paddedHex(Long.toHexString(System.nanoTime()))
                 + ",budget=2000,obj="
-                + id(arguments[3])
+                + paddedHex(arguments[3])
                 + ",piece=0,lot=1,mem=100,token="
-                + id("").repeat(2),
+                + paddedHex("").repeat(2),
             "");
-        List<byte[]> answer = client.read();
+        List<byte[]> answer = client.readResponse();
         System.out.println(
             text(answer.get(1))
                 + " "
@@ -85,7 +86,7 @@
               () -> {
                 while (true) {
                   try {
-                    System.out.println("port " + port + ": " + cache.seen.take());
+                    System.out.println("port " + port + ": " + cache.receivedCommands.take());
                   } catch (InterruptedException e) {
                     return;
                   }
@@ -96,7 +97,7 @@
   }
 
   /** 16 hexadecimal digits, of which those given are the last. */
-  public static String id(String digits) {
+  public static String paddedHex(String digits) {
     return "0".repeat(16 - digits.length()) + digits;
   }
 
@@ -146,7 +147,7 @@
   }
 
   /** The bytes that every toy cache and origin gives out for an object. */
-  public static byte[] bytesOf(String object, int length) {
+  public static byte[] contentOf(String object, int length) {
     byte[] bytes = new byte[length];
     new Random(object.hashCode()).nextBytes(bytes);
     return bytes;
@@ -216,13 +217,13 @@
   public static final class Cache extends Listener {
 
     /** Every command that came, with its words. */
-    public final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> receivedCommands = new LinkedBlockingQueue<>();
 
-    public volatile Mode mode = Mode.SERVE;
-    public volatile int size = 2000;
+    public volatile CacheBehavior behavior = CacheBehavior.SERVE;
+    public volatile int bodySize = 2000;
     private final AtomicInteger connections = new AtomicInteger();
-    private volatile int muteUpTo;
-    private final Map<String, Boolean> held = new ConcurrentHashMap<>();
+    private volatile int silencedConnections;
+    private final Map<String, Boolean> filledObjects = new ConcurrentHashMap<>();
 
     public Cache(int port) throws IOException {
       super(port);
@@ -232,8 +233,8 @@
      * As after its machine vanished and another took the address: open connections are silent for
      * good.
      */
-    public void muteOpen() {
-      muteUpTo = connections.get();
+    public void silenceOpenConnections() {
+      silencedConnections = connections.get();
     }
 
     @Override
@@ -245,14 +246,14 @@
       while (true) {
         List<byte[]> command = readFrame(in);
         List<String> words = command.stream().map(ToyServer::text).toList();
-        seen.add(String.join(" ", words).strip());
-        if (number <= muteUpTo) {
+        receivedCommands.add(String.join(" ", words).strip());
+        if (number <= silencedConnections) {
           continue;
         }
         if (words.get(0).equals("NOOP") || words.get(0).equals("INFO")) {
           out.write(frame(words.get(1), "READY", "-", ""));
         } else if (words.get(0).equals("ASK")) {
-          answer(socket, out, words.get(1), words.get(2));
+          respond(socket, out, words.get(1), words.get(2));
         }
       }
     }
@@ -266,10 +267,10 @@
       return null;
     }
 
-    private void answer(Socket socket, OutputStream out, String id, String fields)
+    private void respond(Socket socket, OutputStream out, String id, String fields)
         throws IOException, InterruptedException {
       String object = field(fields, "name");
-      byte[] body = bytesOf(object, size);
+      byte[] body = contentOf(object, bodySize);
       String digest = "d" + object.substring(1);
       byte[] whole =
           frame(
@@ -277,36 +278,36 @@
               "ACK",
               "why=hit,rep=util:0.2,dated=" + System.currentTimeMillis() + ",digest=" + digest,
               body);
-      switch (mode) {
+      switch (behavior) {
         case MISS -> out.write(frame(id, "NOENT", "-", ""));
-        case FULL -> out.write(frame(id, "AGAIN", "-", ""));
+        case OVER_CAPACITY -> out.write(frame(id, "AGAIN", "-", ""));
         case ERROR -> out.write(frame(id, "EIO", "-", ""));
         case GARBAGE -> out.write("HTTP/1.1 200 OK\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         case SILENT -> {}
         case RESET -> reset(socket);
-        case HALF -> {
-          out.write(whole, 0, whole.length - size / 2);
+        case TRUNCATE -> {
+          out.write(whole, 0, whole.length - bodySize / 2);
           out.flush();
           socket.close();
         }
-        case STOP -> {
-          mode = Mode.SERVE;
-          out.write(whole, 0, whole.length - size / 2);
+        case STALL_MIDWAY_ONCE -> {
+          behavior = CacheBehavior.SERVE;
+          out.write(whole, 0, whole.length - bodySize / 2);
           out.flush();
           // The connection stays open and of no use, as where an answer stopped short.
           while (socket.getInputStream().read() >= 0) {
             continue;
           }
         }
-        case UNCHANGED -> out.write(frame(id, "NOMOD", "why=hit,digest=" + id("0"), ""));
-        case LATE -> {
+        case NOT_MODIFIED -> out.write(frame(id, "NOMOD", "why=hit,digest=" + paddedHex("0"), ""));
+        case DELAY -> {
           Thread.sleep(300);
           out.write(whole);
         }
         default -> {
-          boolean filled = held.putIfAbsent(object, true) == null;
+          boolean filled = filledObjects.putIfAbsent(object, true) == null;
           if (filled && field(fields, "parent") == null && field(fields, "shelf") != null) {
-            held.remove(object);
+            filledObjects.remove(object);
             out.write(frame(id, "NOENT", "-", ""));
           } else if (digest.equals(field(fields, "got"))) {
             out.write(frame(id, "NOMOD", "why=hit,digest=" + digest, ""));
@@ -323,32 +324,33 @@
   /** The control feed: tells later events at once, and otherwise when the time to wait is over. */
   public static final class Feed extends Listener {
 
-    public final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
     /** What is answered in place of events; null for the events. */
-    public volatile String nonsense;
+    public volatile String replacementBody;
 
     private final List<String> events = new ArrayList<>();
-    private int first = 2;
+    private int firstNumber = 2;
 
     public Feed(int port) throws IOException {
       super(port);
     }
 
     /** Adds an event, its number in place of N; the configuration's own was the first. */
-    public synchronized void tell(String event) {
-      events.add(event.replace("N", String.valueOf(first + events.size())));
+    public synchronized void publish(String event) {
+      events.add(event.replace("N", String.valueOf(firstNumber + events.size())));
       notifyAll();
     }
 
-    private synchronized String after(int last, long wait) throws InterruptedException {
-      long end = System.currentTimeMillis() + wait;
-      while (first + events.size() <= last + 1 && System.currentTimeMillis() < end) {
+    private synchronized String awaitEventsAfter(int lastKnown, long waitMillis)
+        throws InterruptedException {
+      long end = System.currentTimeMillis() + waitMillis;
+      while (firstNumber + events.size() <= lastKnown + 1 && System.currentTimeMillis() < end) {
         wait(Math.max(1, end - System.currentTimeMillis()));
       }
-      int skip = Math.max(0, last + 1 - first);
+      int skip = Math.max(0, lastKnown + 1 - firstNumber);
       return "{\"n\":"
-          + (first + events.size() - 1)
+          + (firstNumber + events.size() - 1)
           + ",\"events\":["
           + String.join(",", events.subList(Math.min(skip, events.size()), events.size()))
           + "]}";
@@ -362,12 +364,12 @@
         while (!line(in).isEmpty()) {
           continue;
         }
-        asked.add(request);
+        requests.add(request);
         String[] numbers = request.replaceAll("[^0-9]+", " ").strip().split(" ");
         String body =
-            nonsense != null
-                ? nonsense
-                : after(Integer.parseInt(numbers[1]), Long.parseLong(numbers[2]));
+            replacementBody != null
+                ? replacementBody
+                : awaitEventsAfter(Integer.parseInt(numbers[1]), Long.parseLong(numbers[2]));
         socket
             .getOutputStream()
             .write(
@@ -394,16 +396,17 @@
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    public void send(Object... words) throws IOException {
-      socket.getOutputStream().write(frame(words));
+    public void send(Object... items) throws IOException {
+      socket.getOutputStream().write(frame(items));
     }
 
-    public void call(String tag, String profile, String fields, Object body) throws IOException {
-      send("RPC.CALL", tag, profile, fields, body);
+    public void call(String tag, String requestClass, String fields, Object body)
+        throws IOException {
+      send("RPC.CALL", tag, requestClass, fields, body);
     }
 
     /** The next answer: tag, word, fields, body. */
-    public List<byte[]> read() throws IOException {
+    public List<byte[]> readResponse() throws IOException {
       return readFrame(in);
     }
 
--- a/rig/src/test/java/tamarindroute/rig/check/Checkers.java
+++ b/rig/src/test/java/tamarindroute/rig/check/Checkers.java
@@ -70,18 +70,18 @@
               + " judged)";
       if (verdict.judged == 0) {
         failures.add(where + ": nothing was there to judge");
-      } else if (expected.breach() && verdict.breaches.isEmpty()) {
+      } else if (expected.breach() && verdict.violations.isEmpty()) {
         failures.add(where + ": the seeded defect was not found");
-      } else if (!expected.breach() && !verdict.breaches.isEmpty()) {
-        failures.add(where + ": " + told(verdict.breaches, journal));
+      } else if (!expected.breach() && !verdict.violations.isEmpty()) {
+        failures.add(where + ": " + told(verdict.violations, journal));
       }
     }
     return failures;
   }
 
-  private static String told(List<Breach> breaches, List<Line> journal) {
-    StringBuilder text = new StringBuilder(breaches.size() + " breaches\n");
-    breaches.stream()
+  private static String told(List<Breach> violations, List<Line> journal) {
+    StringBuilder text = new StringBuilder(violations.size() + " breaches\n");
+    violations.stream()
         .limit(TOLD)
         .forEach(
             breach ->
@@ -90,7 +90,7 @@
                     .append(" ms: ")
                     .append(breach.what())
                     .append('\n'));
-    return text.append(Journal.excerpt(journal, breaches.get(0).at(), AROUND)).toString();
+    return text.append(Journal.excerpt(journal, violations.get(0).at(), AROUND)).toString();
   }
 
   /** 1.5s or 200ms. */
--- a/rig/src/test/java/tamarindroute/rig/check/CheckersTest.java
+++ b/rig/src/test/java/tamarindroute/rig/check/CheckersTest.java
@@ -43,8 +43,8 @@
       List<String> file = Files.readAllLines(path);
       Verdict broken = verdict(file, "+", "!");
       Verdict sound = verdict(file, "!", "+");
-      assertThat(broken.breaches).as(path + ", broken").isNotEmpty();
-      assertThat(sound.breaches).as(path + ", sound").isEmpty();
+      assertThat(broken.violations).as(path + ", broken").isNotEmpty();
+      assertThat(sound.violations).as(path + ", sound").isEmpty();
       assertThat(sound.judged).as(path + ", sound").isPositive();
       shown.add(file.get(0).split(" ")[0]);
     }
--- a/rig/src/test/java/tamarindroute/rig/check/Verdict.java
+++ b/rig/src/test/java/tamarindroute/rig/check/Verdict.java
@@ -14,9 +14,9 @@
   public record Breach(Duration at, String what) {}
 
   public int judged;
-  public final List<Breach> breaches = new ArrayList<>();
+  public final List<Breach> violations = new ArrayList<>();
 
   void breach(Duration at, String what) {
-    breaches.add(new Breach(at, what));
+    violations.add(new Breach(at, what));
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/play/Clients.java
+++ b/rig/src/test/java/tamarindroute/rig/play/Clients.java
@@ -87,7 +87,7 @@
     void read(ToyServer.Client mine) {
       try {
         while (true) {
-          answer(mine.read());
+          answer(mine.readResponse());
         }
       } catch (SocketTimeoutException e) {
         journal.add("client", "unread gateway=" + gateway);
@@ -106,7 +106,7 @@
       String object = rid == null ? null : objects.remove(rid);
       boolean whole =
           !word.equals("ACK")
-              || object != null && Arrays.equals(answer.get(3), ToyServer.bytesOf(object, BYTES));
+              || object != null && Arrays.equals(answer.get(3), ToyServer.contentOf(object, BYTES));
       // An answer to nothing that is open is a second one, or astray.
       journal.add(
           "client",
@@ -137,12 +137,13 @@
     }
     List<Line> all = List.copyOf(lines.values());
     Line line = all.get(count++ % all.size());
-    String rid = ToyServer.id(Integer.toHexString(0x100000 + count));
+    String rid = ToyServer.paddedHex(Integer.toHexString(0x100000 + count));
     double of = chance.draw();
     String lane = of < 0.7 ? "clip" : of < 0.85 ? "pick" : "once";
     // Squared: some objects are asked for far more often than others.
     double place = chance.draw();
-    String object = ToyServer.id(Integer.toHexString(0x1000 + (int) (place * place * OBJECTS)));
+    String object =
+        ToyServer.paddedHex(Integer.toHexString(0x1000 + (int) (place * place * OBJECTS)));
     String fields =
         "rid="
             + rid
@@ -153,7 +154,7 @@
             + ",piece=0,lot=17,mem="
             + SIZE
             + (lane.equals("pick")
-                ? ",token=" + ToyServer.id(Integer.toHexString(count)).repeat(2)
+                ? ",token=" + ToyServer.paddedHex(Integer.toHexString(count)).repeat(2)
                 : "");
     line.send(rid, lane, fields);
   }
--- a/rig/src/test/java/tamarindroute/rig/play/Commands.java
+++ b/rig/src/test/java/tamarindroute/rig/play/Commands.java
@@ -227,7 +227,7 @@
       try (ToyServer.Client client =
           new ToyServer.Client(new InetSocketAddress("127.0.0.1", actor.port))) {
         client.send("RPC.HEALTH", 1, "");
-        if (new String(client.read().get(1), StandardCharsets.UTF_8).equals("GREEN")) {
+        if (new String(client.readResponse().get(1), StandardCharsets.UTF_8).equals("GREEN")) {
           return;
         }
       } catch (SocketException e) {
--- a/rig/src/test/java/tamarindroute/rig/play/Town.java
+++ b/rig/src/test/java/tamarindroute/rig/play/Town.java
@@ -25,8 +25,8 @@
   private static final String SERVERS = "\"servers\": [";
 
   /** Answers after which the request certainly did not run. */
-  private static final List<ToyServer.Mode> NOT_RUN =
-      List.of(ToyServer.Mode.MISS, ToyServer.Mode.FULL);
+  private static final List<ToyServer.CacheBehavior> NOT_RUN =
+      List.of(ToyServer.CacheBehavior.MISS, ToyServer.CacheBehavior.OVER_CAPACITY);
 
   private final Schedule schedule;
   private final Journal journal;
@@ -92,14 +92,14 @@
   private void read(String gateway, String cache, ToyServer.Cache door) {
     try {
       while (true) {
-        String[] words = door.seen.take().split(" ", 4);
+        String[] words = door.receivedCommands.take().split(" ", 4);
         String text = words[0] + " from=" + gateway;
         if (words[0].equals("ASK")) {
           text +=
               " rid="
                   + words[1]
                   + " ran="
-                  + !NOT_RUN.contains(door.mode)
+                  + !NOT_RUN.contains(door.behavior)
                   + " "
                   + words[2].replace(',', ' ');
           for (String source : schedule.caches) {
@@ -164,7 +164,8 @@
       entries.put(gateway + " " + cache, entry);
       feeds
           .get(gateway)
-          .tell("{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[" + entry + "]}}");
+          .publish(
+              "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":[" + entry + "]}}");
       journal.add(
           "feed", "told=" + gateway + " cache=" + cache + " state=" + state + " weight=" + weight);
     }
@@ -172,7 +173,7 @@
 
   void mode(String cache, String mode) {
     for (String gateway : schedule.numbers()) {
-      doors.get(gateway + " " + cache).mode = ToyServer.Mode.valueOf(mode);
+      doors.get(gateway + " " + cache).behavior = ToyServer.CacheBehavior.valueOf(mode);
     }
     journal.add(cache, "mode=" + mode);
   }
