--- a/cli/src/main/java/tamarindroute/Main.java
+++ b/cli/src/main/java/tamarindroute/Main.java
@@ -10,37 +10,41 @@
 import java.util.ArrayList;
 import java.util.List;
 import tamarindroute.log.Log;
+import tamarindroute.start.ExitCode;
 import tamarindroute.start.PlatformCommand;
 
 /**
- * Where the program starts. The two subcommands of the operators' platform, alone and without
- * options, start past the command line's and the log's libraries, for which 32 MB have no room
- * (docs/architecture.md has the figures); all else goes to the command line, which is known by its
- * name only.
+ * The program's entry point. The subcommands of the operators' platform, if given without options,
+ * run without the libraries of the command line and the log, which do not fit into a heap of 32 MB
+ * (figures: docs/architecture.md). All other arguments go to the command line, whose class is
+ * loaded by name together with its libraries.
  */
 public final class Main {
 
   private static final String COMMAND_LINE_CLASS = "tamarindroute.cli.Commands";
+  private static final String COMMAND_LINE_LIBRARY_CLASS = "picocli.CommandLine";
+  private static final List<String> LIBRARY_FOLDERS = List.of("lib", "lib/more");
 
   private Main() {}
 
+  /** Runs the subcommand that the arguments name. */
   public static void main(String[] arguments) {
-    String alone = arguments.length == 1 ? arguments[0] : "";
-    switch (alone) {
-      case "serve", "wirehost" -> {
-        Log.useFormat(Log.Format.SMALL);
-        int code = PlatformCommand.run(alone);
-        if (code != 0) {
-          System.exit(code);
-        }
-      }
+    String onlyArgument = arguments.length == 1 ? arguments[0] : "";
+    switch (onlyArgument) {
+      case PlatformCommand.SERVE, PlatformCommand.WIRE_HOST -> runPlatformCommand(onlyArgument);
       default -> runCommandLine(arguments);
     }
   }
 
-  /**
-   * Starts the command line with all libraries; each command ends the process with its own code.
-   */
+  private static void runPlatformCommand(String subcommand) {
+    Log.useFormat(Log.Format.SMALL);
+    int exitCode = PlatformCommand.run(subcommand);
+    if (exitCode != 0) {
+      System.exit(exitCode);
+    }
+  }
+
+  /** Runs the command line with all libraries; each command sets the exit code itself. */
   private static void runCommandLine(String[] arguments) {
     try {
       Class.forName(COMMAND_LINE_CLASS, true, loaderWithAllLibraries())
@@ -48,35 +52,39 @@
           .invoke(null, (Object) arguments);
     } catch (ReflectiveOperationException | IOException | URISyntaxException e) {
       System.err.println("the libraries in lib/more beside the jar can't be loaded: " + e);
-      System.exit(PlatformCommand.FAILED);
+      System.exit(ExitCode.FAILED);
     }
   }
 
   /**
-   * What loads the program with all libraries. Those in lib/more are off the jar's own class path:
-   * each jar there costs a gateway memory though nothing of it is used. So the program is loaded
-   * anew with them.
+   * Returns a class loader for the program and all libraries. The jars in lib/more are not on the
+   * class path of the program's jar, since each of them would cost a gateway memory even if unused.
+   * The returned loader therefore loads the program's classes again.
    */
   private static ClassLoader loaderWithAllLibraries() throws IOException, URISyntaxException {
     try {
-      return Class.forName("picocli.CommandLine").getClassLoader();
+      return Class.forName(COMMAND_LINE_LIBRARY_CLASS).getClassLoader();
     } catch (ClassNotFoundException e) {
-      // Started from the jar: go on below.
+      // The program was started from its jar.
     }
     Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-    List<URL> all = new ArrayList<>(List.of(jar.toUri().toURL()));
-    for (String folder : new String[] {"lib", "lib/more"}) {
-      try (DirectoryStream<Path> jars =
-          Files.newDirectoryStream(jar.resolveSibling(folder), "*.jar")) {
-        for (Path library : jars) {
-          all.add(library.toUri().toURL());
-        }
-      }
+    List<URL> classPath = new ArrayList<>();
+    classPath.add(jar.toUri().toURL());
+    for (String folder : LIBRARY_FOLDERS) {
+      addJars(jar.resolveSibling(folder), classPath);
     }
-    // Open as long as the process: the commands' threads load from it.
+    // It stays open as long as the process: the commands' threads load classes from it.
     ClassLoader loader =
-        new URLClassLoader(all.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
+        new URLClassLoader(classPath.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
     Thread.currentThread().setContextClassLoader(loader);
     return loader;
   }
+
+  private static void addJars(Path folder, List<URL> classPath) throws IOException {
+    try (DirectoryStream<Path> jars = Files.newDirectoryStream(folder, "*.jar")) {
+      for (Path jar : jars) {
+        classPath.add(jar.toUri().toURL());
+      }
+    }
+  }
 }
--- a/cli/src/main/java/tamarindroute/cli/package-info.java
+++ b/cli/src/main/java/tamarindroute/cli/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Owns the command line: its words, its help, its exit codes. It must never do a command's work
- * itself, nor be on the way of a gateway of the operators' platform.
+ * The command line: subcommands, options, help and exit codes, read by picocli. The subcommands
+ * delegate to {@code start}, {@code nameserver}, {@code members} and {@code config}. A gateway that
+ * is started by {@code serve} without options does not load this package (see {@code
+ * tamarindroute.Main}).
  */
 package tamarindroute.cli;
--- a/cli/src/main/java/tamarindroute/start/PlatformCommand.java
+++ b/cli/src/main/java/tamarindroute/start/PlatformCommand.java
@@ -8,51 +8,61 @@
 import tamarindroute.wirehost.MalformedFrameException;
 import tamarindroute.wirehost.WireHost;
 
-/**
- * Runs the two subcommands of the operators' platform and tells with which code the process ends.
- */
+/** Runs the subcommands of the operators' platform and maps their failures to exit codes. */
 public final class PlatformCommand {
 
-  /** Something a peer, a file or the machine did; the message says what. */
-  public static final int FAILED = 1;
+  /** The subcommand that runs a gateway. */
+  public static final String SERVE = "serve";
 
-  /** A configuration or a frame that can't be used. */
-  public static final int MALFORMED = 3;
+  /** The subcommand that answers the operators' simulator. */
+  public static final String WIRE_HOST = "wirehost";
+
+  private static final String CONFIGURATION_VARIABLE = "EDGE_CONFIG";
 
   private PlatformCommand() {}
 
-  /** Runs one of the two; 0 where it goes on in threads of its own or has ended in order. */
+  /** Runs a subcommand without a component beside it; see the other method. */
   public static int run(String subcommand) {
     return run(subcommand, null);
   }
 
-  /** The same with what lives beside a gateway, or null. */
+  /**
+   * Runs a subcommand. Failures are printed on standard error.
+   *
+   * @param subcommand {@link #SERVE} or {@link #WIRE_HOST}
+   * @param component started and stopped with a gateway; null for none
+   * @return an exit code; 0 if the subcommand ended in order or goes on in threads of its own
+   */
   public static int run(String subcommand, LifecycleComponent component) {
     try {
-      if (subcommand.equals("serve")) {
-        GatewayServer.start(System.getenv("EDGE_CONFIG"), RatioTestPolicy::new, component);
+      if (subcommand.equals(SERVE)) {
+        GatewayServer.start(System.getenv(CONFIGURATION_VARIABLE), RatioTestPolicy::new, component);
       } else {
         new WireHost(RatioTestPolicy::new).serve(System.in, System.out);
       }
       return 0;
     } catch (MalformedFrameException e) {
       System.err.println("wirehost: malformed frame: " + e.getMessage());
-      return MALFORMED;
+      return ExitCode.MALFORMED;
     } catch (MalformedSettingsException e) {
       System.err.println(subcommand + ": malformed settings: " + e.getMessage());
-      return MALFORMED;
+      return ExitCode.MALFORMED;
     } catch (IOException e) {
       System.err.println(subcommand + ": " + e.getMessage());
-      return FAILED;
+      return ExitCode.FAILED;
     } catch (RuntimeException e) {
-      // A defect: the threads that were started would else keep a process that nobody can use.
-      System.err.println(
-          subcommand
-              + ": a defect: "
-              + String.valueOf(e).lines().findFirst().orElse("")
-              + " at "
-              + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "no place"));
-      return FAILED;
+      // The exit code ends the process, which threads that were started would otherwise keep alive.
+      System.err.println(subcommand + ": a defect: " + firstLine(e) + " at " + origin(e));
+      return ExitCode.FAILED;
     }
   }
+
+  private static String firstLine(RuntimeException failure) {
+    return String.valueOf(failure).lines().findFirst().orElse("");
+  }
+
+  private static Object origin(RuntimeException failure) {
+    StackTraceElement[] trace = failure.getStackTrace();
+    return trace.length > 0 ? trace[0] : "no place";
+  }
 }
--- a/cli/src/main/java/tamarindroute/start/package-info.java
+++ b/cli/src/main/java/tamarindroute/start/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns what `Main` and the command line share: the exit codes and the run of the platform's two
- * commands. It must never use the libraries of the command line, nor know who starts it.
+ * The two subcommands of the operators' platform, {@code serve} and {@code wirehost}, and the
+ * program's exit codes. Shared by {@code Main}, which runs the subcommands without the command line
+ * libraries, and the package {@code cli}, which depends on this one.
  */
 package tamarindroute.start;
--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -11,7 +11,7 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the rules that each package's opening paragraph tells. */
+/** The permitted dependencies between packages, as each package-info describes them. */
 class ArchitectureTest {
 
   private static final JavaClasses PROGRAM =
@@ -21,7 +21,7 @@
           .importPackages("tamarindroute");
   private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
 
-  /** Each package a slice of its own, those above and below another among them. */
+  /** Each package is a slice of its own, subpackages included. */
   private static ArchRule noCycles(String root) {
     return slices().matching("(" + root + "..)").should().beFreeOfCycles();
   }
@@ -31,9 +31,7 @@
     noCycles("tamarindroute").check(PROGRAM);
   }
 
-  /**
-   * The rule must see the first class's package too, and must be able to fail: a library shows it.
-   */
+  /** The rule covers the root package and can fail, as shown by a library with cycles. */
   @Test
   void cycleRuleDetectsACycle() {
     assertThat(PROGRAM.contain(Main.class)).isTrue();
@@ -167,10 +165,7 @@
     }
   }
 
-  /**
-   * Each such library costs a gateway of 32 MB memory it does not have; they are off its class
-   * path.
-   */
+  /** These libraries would cost a gateway with a heap of 32 MB memory that it does not have. */
   @Test
   void gatewayUsesNoLibrariesOfOtherCommands() {
     noClasses()
@@ -190,7 +185,7 @@
         .or()
         .haveSimpleName("Log")
         .or()
-        .haveSimpleName("Small")
+        .haveSimpleName("MinimalLogProvider")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("picocli..", "ch.qos.logback..", "org.xbill..")
@@ -208,10 +203,7 @@
         .check(PROGRAM);
   }
 
-  /**
-   * Members live beside a gateway, which knows nothing of them; only their wire forms know their
-   * library.
-   */
+  /** Only the command line depends on members, and only wire formats on their libraries. */
   @Test
   void onlyTheCommandLineUsesMembers() {
     noClasses()
