--- a/cli/src/test/java/tamarindroute/nameserver/NameServerProcess.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerProcess.java
@@ -25,18 +25,34 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/**
- * A name server, started as a user would from the jar, with its files in a folder of the test's.
- */
+/** A name server, started from the jar as a user would, with its files in a folder of the test. */
 public final class NameServerProcess implements AutoCloseable {
 
+  private static final int MAX_DATAGRAM_BYTES = 1232;
+  private static final int RECEIVE_BUFFER_BYTES = 4096;
+  private static final int QUERY_ID = 7;
+  private static final long START_TIMEOUT_SECONDS = 20;
+  private static final long LOG_TIMEOUT_SECONDS = 10;
+  private static final long POLL_MS = 20;
+
+  /** The address of its UDP and TCP sockets. */
   public final InetSocketAddress address;
+
+  /** The folder of its files. */
   public final Path folder;
+
+  /** The process; null before {@link #start}. */
   public Process process;
 
   /**
-   * A list of edges s-0, s-1 … at 127.0.1.1, 127.0.1.2 … of one port, and what stands in the dns
-   * element.
+   * Writes the files: a list of caches s-0, s-1, ... at 127.0.1.1, 127.0.1.2, ..., and settings.
+   *
+   * @param feedPort port of the control feed
+   * @param edges number of caches
+   * @param port port of all caches
+   * @param instances number of name servers that share the caches
+   * @param instanceAttributes further attributes of the element instance
+   * @param dnsElements content of the element dns, after an optional element resolvers
    */
   public NameServerProcess(
       Path folder,
@@ -51,120 +67,145 @@
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
     }
-    String json =
+    Files.writeString(folder.resolve("config.json"), configuration(feedPort, edges, port));
+    Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
+    writeSettings(
+        "settings=\"config.json\" instances=\"" + instances + "\" " + instanceAttributes,
+        dnsElements);
+  }
+
+  private static String configuration(int feedPort, int edges, int port) throws IOException {
+    String example =
         Files.readString(Path.of("example/config.json"))
             .replace("127.0.0.1:7001", "127.0.0.1:" + feedPort);
-    String list =
+    String endpoints =
         IntStream.range(0, edges)
             .mapToObj(index -> endpointJson(index, port, "ready", 0))
             .collect(Collectors.joining(","));
-    int from = json.indexOf("\"servers\": [") + "\"servers\": [".length();
-    json = json.substring(0, from) + list + json.substring(json.indexOf("]}}", from));
-    Files.writeString(folder.resolve("config.json"), json);
-    Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
-    writeSettings(
-        "settings=\"config.json\" instances=\"" + instances + "\" " + instanceAttributes,
-        dnsElements);
+    String listStart = "\"servers\": [";
+    int from = example.indexOf(listStart) + listStart.length();
+    return example.substring(0, from) + endpoints + example.substring(example.indexOf("]}}", from));
   }
 
+  /** A cache as the control feed describes it. */
   public static String endpointJson(int index, int port, String state, long startedMillis) {
     return ("{\"id\":\"s-%d\",\"addr\":\"127.0.1.%d:%d\",\"zone\":\"shed\",\"kind\":\"edge\",\"cell\":0,"
             + "\"state\":\"%s\",\"weight\":40,\"started_ms\":%d}")
         .formatted(index, index + 1, port, state, startedMillis);
   }
 
+  /** A feed event that changes one cache. */
   public static String endpointEvent(int index, int port, String state, long startedMillis) {
-    return "{\"n\":N,\"members\":{\"version\":2,\"full\":false,\"servers\":["
-        + endpointJson(index, port, state, startedMillis)
+    return membersEvent(false, endpointJson(index, port, state, startedMillis));
+  }
+
+  /** A feed event that replaces the list of caches. */
+  public static String listEvent(String endpoints) {
+    return membersEvent(true, endpoints);
+  }
+
+  private static String membersEvent(boolean full, String endpoints) {
+    return "{\"n\":N,\"members\":{\"version\":2,\"full\":"
+        + full
+        + ",\"servers\":["
+        + endpoints
         + "]}}";
   }
 
-  /** Writes the settings file anew. */
+  /** Replaces the settings file. */
   public void writeSettings(String instanceAttributes, String dnsElements) throws IOException {
+    int dnsStart = Math.max(0, dnsElements.indexOf("<zone"));
+    String resolvers = dnsElements.contains("<resolvers") ? dnsElements.substring(0, dnsStart) : "";
     Files.writeString(
         folder.resolve("dns.xml"),
         "<tamarindroute xmlns=\"urn:tamarindroute:settings:1\">\n<instance "
             + instanceAttributes
             + "/>\n"
-            + (dnsElements.contains("<resolvers")
-                ? dnsElements.substring(0, dnsElements.indexOf("<zone"))
-                : "")
+            + resolvers
             + "<dns listen=\"127.0.0.1:"
             + address.getPort()
             + "\">\n"
-            + dnsElements.substring(Math.max(0, dnsElements.indexOf("<zone")))
+            + dnsElements.substring(dnsStart)
             + "</dns></tamarindroute>\n");
   }
 
-  public void start() throws Exception {
-    ProcessBuilder builder =
-        new ProcessBuilder(
-            "java",
-            "-Xmx256m",
-            "-jar",
-            "target/tamarindroute.jar",
-            "dns",
-            "--log",
-            "json",
-            folder.resolve("dns.xml").toString());
-    File log = folder.resolve("log").toFile();
+  /** Starts the process and waits until it answers. */
+  public void start() throws IOException, InterruptedException {
+    File logFile = logFile().toFile();
     process =
-        builder
+        new ProcessBuilder(
+                "java",
+                "-Xmx256m",
+                "-jar",
+                "target/tamarindroute.jar",
+                "dns",
+                "--log",
+                "json",
+                folder.resolve("dns.xml").toString())
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile))
             .start();
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
     while (!log().contains("\"answering\"")) {
-      if (System.nanoTime() > end || !process.isAlive()) {
+      if (System.nanoTime() > deadline || !process.isAlive()) {
         throw new IOException("the name server did not start: " + log());
       }
-      TimeUnit.MILLISECONDS.sleep(20);
+      TimeUnit.MILLISECONDS.sleep(POLL_MS);
     }
   }
 
+  private Path logFile() {
+    return folder.resolve("log");
+  }
+
+  /** All that the process has logged. */
   public String log() throws IOException {
-    return Files.exists(folder.resolve("log")) ? Files.readString(folder.resolve("log")) : "";
+    return Files.exists(logFile()) ? Files.readString(logFile()) : "";
   }
 
-  /** Waits until the log holds this. */
-  public void awaitLog(String part) throws Exception {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (!log().contains(part)) {
-      if (System.nanoTime() > end) {
-        throw new AssertionError("no \"" + part + "\" in " + log());
+  /** Waits until the log contains a text. */
+  public void awaitLog(String text) throws IOException, InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOG_TIMEOUT_SECONDS);
+    while (!log().contains(text)) {
+      if (System.nanoTime() > deadline) {
+        throw new AssertionError("no \"" + text + "\" in " + log());
       }
-      TimeUnit.MILLISECONDS.sleep(20);
+      TimeUnit.MILLISECONDS.sleep(POLL_MS);
     }
   }
 
-  public void signal(String name) throws Exception {
+  /** Sends a signal, named as by kill. */
+  public void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
   }
 
   @Override
-  public void close() throws Exception {
-    process.destroyForcibly().waitFor();
+  public void close() {
+    process.destroyForcibly().onExit().join();
   }
 
+  /** Encodes a query with EDNS. */
   public static byte[] encodeQuery(String name, int type, int id) throws IOException {
     Message message = new Message(id);
     message.addRecord(
         Record.newRecord(Name.fromString(name + "."), type, DClass.IN), Section.QUESTION);
-    message.addRecord(new OPTRecord(1232, 0, 0), Section.ADDITIONAL);
+    message.addRecord(new OPTRecord(MAX_DATAGRAM_BYTES, 0, 0), Section.ADDITIONAL);
     return message.toWire();
   }
 
-  /** One question by UDP; null where no answer came in time. */
+  /** Queries A records by UDP; null without a response in time. */
   public Message query(String name, int timeoutMillis) throws IOException {
     try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      return query(socket, encodeQuery(name, Type.A, 7), timeoutMillis);
+      return query(socket, encodeQuery(name, Type.A, QUERY_ID), timeoutMillis);
     }
   }
 
+  /** Sends a query on a socket; null without a response in time. */
   public Message query(DatagramSocket socket, byte[] query, int timeoutMillis) throws IOException {
     socket.setSoTimeout(timeoutMillis);
     socket.send(new DatagramPacket(query, query.length, address));
-    DatagramPacket packet = new DatagramPacket(new byte[4096], 4096);
+    DatagramPacket packet =
+        new DatagramPacket(new byte[RECEIVE_BUFFER_BYTES], RECEIVE_BUFFER_BYTES);
     try {
       socket.receive(packet);
       return new Message(Arrays.copyOf(packet.getData(), packet.getLength()));
@@ -173,7 +214,12 @@
     }
   }
 
-  /** The addresses in an answer. */
+  /** Queries A records by UDP; the addresses in the response, none without one in time. */
+  public List<String> queryAddresses(String name, int timeoutMillis) throws IOException {
+    return addresses(query(name, timeoutMillis));
+  }
+
+  /** The addresses in a response; none if it is null. */
   public static List<String> addresses(Message message) {
     List<String> addresses = new ArrayList<>();
     for (int section : new int[] {Section.ANSWER, Section.ADDITIONAL}) {
