--- a/bench/tamarindroute/bench/StandbyBenchmark.java
+++ b/bench/tamarindroute/bench/StandbyBenchmark.java
@@ -1,19 +1,17 @@
 package tamarindroute.bench;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.DatagramTransport;
@@ -21,60 +19,45 @@
 import tamarindroute.vrrp.Election;
 
 /**
- * Measures elections: on sockets the time from a gateway's death to the other's taking of the
- * address, by interval; in simulated time how often a living one is taken for dead under loss, and
- * for how long both act then.
+ * Measures the takeover of an address: on sockets the time from one gateway's end to the other's
+ * takeover, by advertisement interval; and {@link ElectionSimulation}.
  */
 public final class StandbyBenchmark {
 
-  private static final InetAddress SHARED = InetAddress.getLoopbackAddress();
+  private static final InetAddress SHARED_ADDRESS = InetAddress.getLoopbackAddress();
+  private static final int ACTIVE_PRIORITY = 200;
+  private static final int BACKUP_PRIORITY = 100;
+  private static final double[] LOSS_RATES = {0.01, 0.05, 0.2};
+  private static final int SIMULATED_INTERVALS = 1_000_000;
 
   private StandbyBenchmark() {}
 
+  /** Runs all measurements. */
   public static void main(String[] arguments) throws Exception {
-    takeOver(Duration.ofMillis(10), 100);
-    takeOver(Duration.ofMillis(100), 30);
-    takeOver(Duration.ofMillis(1000), 5);
-    for (double loss : new double[] {0.01, 0.05, 0.2}) {
-      underLoss(loss, 1_000_000);
+    measureTakeover(Duration.ofMillis(10), 100);
+    measureTakeover(Duration.ofMillis(100), 30);
+    measureTakeover(Duration.ofSeconds(1), 5);
+    for (double loss : LOSS_RATES) {
+      ElectionSimulation.run(loss, SIMULATED_INTERVALS);
     }
     System.exit(0);
   }
 
-  /** One gateway of a pair, on a thread of its own. */
+  /** One gateway of a pair, on an event loop of its own. */
   private static final class Gateway {
-    final EventLoop eventLoop = new EventLoop();
-    final DatagramTransport datagrams = new DatagramTransport(eventLoop);
-    final AtomicLong took = new AtomicLong();
-    final AtomicBoolean dead = new AtomicBoolean();
+
+    private final EventLoop eventLoop = new EventLoop();
+    private final DatagramTransport datagrams = new DatagramTransport(eventLoop);
+
+    /** When it took the address, by {@link System#nanoTime}; 0 while it does not hold it. */
+    private final AtomicLong takenAt = new AtomicLong();
 
     void start(InetSocketAddress own, InetSocketAddress peer, int priority, Duration interval)
         throws Exception {
       CountDownLatch started = new CountDownLatch(1);
       eventLoop.execute(
           () -> {
-            Endpoint endpoint = new Endpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
-            endpoint.add(
-                1,
-                priority,
-                List.of(SHARED),
-                new Election.Settings(Endpoint.order(own), interval, true, Duration.ZERO),
-                new Endpoint.Holder() {
-                  @Override
-                  public void take() {
-                    took.set(System.nanoTime());
-                  }
-
-                  @Override
-                  public void drop(Election.Why why) {
-                    took.set(0);
-                  }
-                });
-            try {
-              endpoint.start();
-            } catch (IOException e) {
-              throw new java.io.UncheckedIOException(e);
-            }
+            startEndpoint(own, peer, priority, interval);
             started.countDown();
           });
       if (!started.await(5, TimeUnit.SECONDS)) {
@@ -82,126 +65,87 @@
       }
     }
 
-    /** Its thread stands still for good and its socket is gone, as a killed process's. */
+    private void startEndpoint(
+        InetSocketAddress own, InetSocketAddress peer, int priority, Duration interval) {
+      Endpoint endpoint = new Endpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
+      endpoint.add(
+          1,
+          priority,
+          List.of(SHARED_ADDRESS),
+          new Election.Settings(Endpoint.order(own), interval, true, Duration.ZERO),
+          new AddressHolder());
+      try {
+        endpoint.start();
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+    }
+
+    private final class AddressHolder implements Endpoint.Holder {
+
+      @Override
+      public void take() {
+        takenAt.set(System.nanoTime());
+      }
+
+      @Override
+      public void drop(Election.Why why) {
+        takenAt.set(0);
+      }
+    }
+
+    /** Stops its thread for good and closes its socket, as if its process were killed. */
     void kill() {
       eventLoop.execute(
           () -> {
             while (true) {
-              java.util.concurrent.locks.LockSupport.park();
+              LockSupport.park();
             }
           });
       datagrams.shutDown();
     }
   }
 
-  private static InetSocketAddress free() throws IOException {
-    try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+  private static InetSocketAddress freeAddress() throws IOException {
+    try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       return new InetSocketAddress(socket.getLocalAddress(), socket.getLocalPort());
     }
   }
 
-  private static void takeOver(Duration interval, int rounds) throws Exception {
-    Histogram histogram = new Histogram(TimeUnit.SECONDS.toNanos(60), 3);
+  private static void measureTakeover(Duration interval, int rounds) throws Exception {
+    Histogram histogram = Histograms.upToSeconds(60);
     Random random = new Random(1);
     for (int round = 0; round < rounds; round++) {
-      InetSocketAddress one = free();
-      InetSocketAddress other = free();
-      Gateway first = new Gateway();
-      Gateway second = new Gateway();
-      first.start(one, other, 200, interval);
-      second.start(other, one, 100, interval);
-      while (first.took.get() == 0 || second.took.get() != 0) {
-        TimeUnit.MILLISECONDS.sleep(1);
-      }
-      TimeUnit.NANOSECONDS.sleep((long) (interval.toNanos() * (2 + random.nextDouble())));
-      long killed = System.nanoTime();
-      first.kill();
-      while (second.took.get() < killed) {
-        TimeUnit.MICROSECONDS.sleep(200);
-      }
-      histogram.recordValue(second.took.get() - killed);
-      second.kill();
+      histogram.recordValue(takeoverNanos(interval, random));
     }
     System.out.printf(
         "sockets, interval %d ms, %d kills: taken over after p50 %.1f, p99 %.1f, max %.1f ms%n",
         interval.toMillis(),
         rounds,
-        histogram.getValueAtPercentile(50) / 1e6,
-        histogram.getValueAtPercentile(99) / 1e6,
-        histogram.getMaxValue() / 1e6);
+        Histograms.millis(histogram, 50),
+        Histograms.millis(histogram, 99),
+        Histograms.maxMillis(histogram));
   }
 
-  private record Due(Duration at, int to, Election.Event event) {}
-
-  /**
-   * Two routers of priorities 200 and 100 whose advertisements are lost at random, each by itself.
-   */
-  private static void underLoss(double loss, int intervals) {
-    Duration interval = Duration.ofMillis(100);
-    Duration way = Duration.ofMillis(1);
-    Random random = new Random(7);
-    int[] priorities = {200, 100};
-    List<Election.Settings> settings =
-        List.of(
-            new Election.Settings(2, interval, true, Duration.ZERO),
-            new Election.Settings(1, interval, true, Duration.ZERO));
-    List<Election.State> states = new ArrayList<>();
-    PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparing(Due::at));
-    for (int i = 0; i < 2; i++) {
-      states.add(Election.initial(priorities[i], settings.get(i)));
-      queue.add(new Due(Duration.ZERO, i, new Election.Start()));
+  /** Kills the active gateway at a random time and waits for the other's takeover. */
+  private static long takeoverNanos(Duration interval, Random random) throws Exception {
+    InetSocketAddress activeAddress = freeAddress();
+    InetSocketAddress backupAddress = freeAddress();
+    Gateway active = new Gateway();
+    Gateway backup = new Gateway();
+    active.start(activeAddress, backupAddress, ACTIVE_PRIORITY, interval);
+    backup.start(backupAddress, activeAddress, BACKUP_PRIORITY, interval);
+    while (active.takenAt.get() == 0 || backup.takenAt.get() != 0) {
+      TimeUnit.MILLISECONDS.sleep(1);
     }
-    Duration end = interval.multipliedBy(intervals);
-    int falseTakeOvers = 0;
-    Duration both = Duration.ZERO;
-    Duration longest = Duration.ZERO;
-    Duration since = null;
-    while (!queue.isEmpty() && queue.peek().at.compareTo(end) < 0) {
-      Due next = queue.poll();
-      Election.State before = states.get(next.to);
-      if (next.event instanceof Election.Tick
-          && (Election.due(before) == null || Election.due(before).compareTo(next.at) > 0)) {
-        continue;
-      }
-      Election.Step step = Election.next(before, next.event, next.at, settings.get(next.to));
-      states.set(next.to, step.state());
-      if (next.to == 1
-          && before.role() == Election.Role.BACKUP
-          && step.state().role() == Election.Role.ACTIVE
-          && states.get(0).role() == Election.Role.ACTIVE) {
-        falseTakeOvers++;
-      }
-      for (Election.Action action : step.actions()) {
-        if (action instanceof Election.Advertise advertise && random.nextDouble() >= loss) {
-          queue.add(
-              new Due(
-                  next.at.plus(way),
-                  1 - next.to,
-                  new Election.Heard(advertise.priority(), settings.get(next.to).own(), interval)));
-        }
-      }
-      Duration due = Election.due(step.state());
-      if (due != null) {
-        queue.add(
-            new Due(
-                due.compareTo(next.at) > 0 ? due : next.at.plusNanos(1),
-                next.to,
-                new Election.Tick()));
-      }
-      boolean together =
-          Election.mayAct(states.get(0), next.at) && Election.mayAct(states.get(1), next.at);
-      if (together && since == null) {
-        since = next.at;
-      } else if (!together && since != null) {
-        Duration span = next.at.minus(since);
-        both = both.plus(span);
-        longest = span.compareTo(longest) > 0 ? span : longest;
-        since = null;
-      }
+    TimeUnit.NANOSECONDS.sleep((long) (interval.toNanos() * (2 + random.nextDouble())));
+    long killedAt = System.nanoTime();
+    active.kill();
+    while (backup.takenAt.get() < killedAt) {
+      TimeUnit.MICROSECONDS.sleep(200);
     }
-    System.out.printf(
-        "simulated, %.0f%% lost, interval 100 ms, %d intervals: %d false take-overs, both active for "
-            + "%.3f s in all, %.1f ms at the longest%n",
-        loss * 100, intervals, falseTakeOvers, both.toNanos() / 1e9, longest.toNanos() / 1e6);
+    long nanos = backup.takenAt.get() - killedAt;
+    backup.kill();
+    return nanos;
   }
 }
--- a/bench/tamarindroute/bench/package-info.java
+++ b/bench/tamarindroute/bench/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Owns the long measurements, which CI compiles and does not run: their runners, their baselines,
- * their plots. The README says how to start one. Each states what it was: simulated time, or
- * sockets on loopback.
+ * Benchmarks of the name server and of elections, in simulated time or on loopback sockets, as each
+ * printed line says. CI compiles and does not run them; the README says how to start one.
  */
 package tamarindroute.bench;
--- a/cli/src/test/java/tamarindroute/cli/AgreedViewIT.java
+++ b/cli/src/test/java/tamarindroute/cli/AgreedViewIT.java
@@ -16,10 +16,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/**
- * Five gateways of the program, three of which vote: one that leads is killed, one that leads is
- * stopped a while.
- */
+/** A group of five gateways, three of which vote, through the loss of its leader or its quorum. */
 @Execution(ExecutionMode.CONCURRENT)
 @Timeout(180)
 class AgreedViewIT {
@@ -64,7 +61,7 @@
     processes.close();
   }
 
-  /** All five up and in the view; the place of who leads. */
+  /** Starts all members, waits for a view of all, and returns the index of the leader. */
   private int startAll() throws Exception {
     for (int i = 0; i < MEMBERS; i++) {
       processes.startMember(i, i + ".log");
@@ -99,7 +96,7 @@
     Matcher next = processes.awaitLogLine(other + ".log", 0, newLeaderLine.formatted(4));
     processes.awaitLogLine("4.log", offset, newLeaderLine.formatted(4));
     System.out.println(
-        "without the leader's member after "
+        "view without the former leader after "
             + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - killedAt)
             + " ms: "
             + next.group());
@@ -110,7 +107,7 @@
     processes.awaitLogLine("4.log", offset, newLeaderLine.formatted(5));
     processes.awaitLogLine("again.log", 0, newLeaderLine.formatted(5));
     assertThat(processes.readLog("4.log"))
-        .as("the change of a leader goes unnoticed")
+        .as("the view stays valid while the leader changes")
         .doesNotContain("no valid view");
   }
 
@@ -126,7 +123,7 @@
             + ")(\\S+)#\\d+";
     String next = processes.awaitLogLine("3.log", 0, newLeaderLine).group(1);
     processes.awaitLogLine("4.log", 0, newLeaderLine);
-    // Past the longest lease.
+    // Longer than any lease.
     TimeUnit.SECONDS.sleep(4);
     int otherOffset = processes.logLength("3.log");
     signal(stopped, "CONT");
@@ -139,7 +136,7 @@
     String since = processes.readLog(log).substring(offset);
     assertThat(since).doesNotContain("leader " + processes.addresses.get(stopped));
     assertThat(since.indexOf("no valid view"))
-        .as("it knows before it holds a view again")
+        .as("it reports the loss before it has a view again")
         .isLessThan(since.indexOf("agreed-view: view"));
     assertThat(processes.readLog("3.log").substring(otherOffset))
         .doesNotContain("leader " + processes.addresses.get(stopped));
@@ -182,7 +179,6 @@
         .isZero();
   }
 
-  /** Who agrees nothing carries nothing for it. */
   @Test
   void consensusClassesAreNotLoadedWithoutVoters() throws Exception {
     for (int i = 0; i < 2; i++) {
--- a/cli/src/test/java/tamarindroute/cli/CommandsIT.java
+++ b/cli/src/test/java/tamarindroute/cli/CommandsIT.java
@@ -12,9 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * The command line as a user has it: from the jar, with its exit codes. Each must end by itself.
- */
+/** The command line, started from the jar as a user would, with its exit codes and messages. */
 @Timeout(60)
 class CommandsIT {
 
@@ -31,7 +29,7 @@
             .redirectOutput(folder.resolve("out").toFile());
     builder.environment().remove("EDGE_CONFIG");
     Process process = builder.start();
-    assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it ends by itself").isTrue();
+    assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("the command ends by itself").isTrue();
     output = Files.readString(folder.resolve("out"));
     return process.exitValue();
   }
--- a/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
+++ b/cli/src/test/java/tamarindroute/cli/KnownRedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What KNOWN-RED.txt may say, and when a listed test counts as red. */
+/** The format of KNOWN-RED.txt and the verdict on listed tests, by the script .ci/known-red. */
 class KnownRedTest {
 
   private static final String ONE_ENTRY =
--- a/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
+++ b/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
@@ -17,9 +17,8 @@
 import tamarindroute.example.ToyServer;
 
 /**
- * Gateways of the program that know each other, for one test: their addresses, configurations and
- * logs, and a key of their own, so that those of tests side by side never take each other's
- * datagrams.
+ * The gateways of one test's group: their addresses, files and processes. Each group has a key of
+ * its own, so that groups of concurrent tests discard each other's datagrams.
  */
 final class MemberProcesses implements AutoCloseable {
 
@@ -27,20 +26,20 @@
   private static final long LOG_WAIT_SECONDS = 50;
   private static final long LOG_POLL_MILLIS = 50;
 
-  /** Listens for the gateways' feeds. */
+  /** The control feed of all gateways. */
   final ToyServer.Feed feed = new ToyServer.Feed(0);
 
-  /** The members' addresses, by place. */
+  /** The members' addresses; the index identifies a member. */
   final List<String> addresses = new ArrayList<>();
 
-  /** All processes, in the order of their starts. */
+  /** All processes, in the order of their start. */
   final List<Process> processes = new ArrayList<>();
 
   private final Path folder;
 
   /**
-   * Writes the key and each gateway's configuration, PLACE.json; the members' settings are the
-   * test's.
+   * Reserves addresses and writes the key and each gateway's configuration, INDEX.json. The test
+   * writes the members' settings, INDEX.xml.
    */
   MemberProcesses(Path folder, int count) throws IOException {
     this.folder = folder;
@@ -54,7 +53,7 @@
     }
     sockets.forEach(DatagramSocket::close);
     for (int i = 0; i < count; i++) {
-      // The system chooses the port for clients: none come.
+      // Port 0: no clients connect.
       Files.writeString(
           folder.resolve(i + ".json"),
           Files.readString(Path.of("example/config.json"))
@@ -63,7 +62,7 @@
     }
   }
 
-  /** Starts a member by its settings, PLACE.xml. */
+  /** Starts a member with its settings. */
   Process startMember(int member, String log, String... options) throws IOException {
     List<String> arguments = new ArrayList<>(List.of(options));
     arguments.addAll(
@@ -78,7 +77,7 @@
     return start(member, log, arguments);
   }
 
-  /** Starts the Java machine with these words after its own options. */
+  /** Starts Java with these arguments and a member's configuration. */
   Process start(int member, String log, List<String> arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx64m"));
     command.addAll(arguments);
@@ -100,12 +99,12 @@
     return readLog(log).length();
   }
 
-  /** The line's first match in a log, once it is there. */
+  /** Waits until a log matches a regular expression and returns the match. */
   Matcher awaitLogLine(String log, String regex) throws IOException, InterruptedException {
     return awaitLogLine(log, 0, regex);
   }
 
-  /** The line's first match in a log past this place, once it is there. */
+  /** Waits until a log matches a regular expression after an offset and returns the match. */
   Matcher awaitLogLine(String log, int offset, String regex)
       throws IOException, InterruptedException {
     Pattern pattern = Pattern.compile(regex);
--- a/cli/src/test/java/tamarindroute/cli/MembershipIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembershipIT.java
@@ -13,10 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Three gateways of the program that know each other: one is killed and comes back, one goes in
- * order.
- */
+/** A group of three gateways: one is killed and restarted, one leaves in order. */
 @Timeout(180)
 class MembershipIT {
 
@@ -91,7 +88,7 @@
     String firstLog = processes.readLog("0.log");
     assertThat(
             Pattern.compile(processes.addresses.get(1) + "#\\d+ faulty").matcher(firstLog).find())
-        .as("a false word")
+        .as("a member that runs was reported as faulty")
         .isFalse();
   }
 
@@ -99,7 +96,7 @@
   void drainFromOneMembersFeedReachesAllMembers() throws Exception {
     for (int i = 1; i < 3; i++) {
       Path config = folder.resolve(i + ".json");
-      // Nobody listens at the discard port: this gateway has no feed.
+      // Nothing listens on the discard port, so this gateway has no feed.
       Files.writeString(
           config,
           Files.readString(config).replace("127.0.0.1:" + processes.feed.port(), "127.0.0.1:9"));
@@ -120,14 +117,14 @@
               processes
                   .awaitLogLine(log, "(?m)^(\\d+) feed-event: event 2 received from 127.0.0.1:")
                   .group(1));
-      // 500 ms is what the rig asks of a quiet machine; here other tests run beside.
+      // The rig requires 500 ms of an idle machine; here other tests run at the same time.
       assertThat(receivedAt - publishedAt).isLessThan(3_000);
-      System.out.println("a drain was known after " + (receivedAt - publishedAt) + " ms");
+      System.out.println("a drain was received after " + (receivedAt - publishedAt) + " ms");
     }
     assertThat(processes.readLog("0.log")).doesNotContain("feed-event: event");
   }
 
-  /** The gateway alone has no room for any of it. */
+  /** A gateway with a heap of 32 MB has no room for these classes. */
   @Test
   void membershipClassesAreNotLoadedWithoutTheOption() throws Exception {
     processes.start(
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -13,7 +13,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.BlockingQueue;
@@ -22,90 +21,119 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Toy caches, a toy control feed and a toy client to try a gateway with, on blocking sockets and
- * the JDK alone. The integration tests use the same, and make its caches fail in the ways named by
- * Mode.
+ * Simulated caches, a control feed and a client to try a gateway with, on blocking sockets and the
+ * JDK alone. {@code java ToyServer.java} runs it without compilation. The integration tests use the
+ * same classes and make the caches fail by {@link CacheBehavior}.
  */
 public final class ToyServer {
 
-  /** What a toy cache does with a request. */
+  private static final int ID_DIGITS = 16;
+
+  /** What a cache does with an attempt. */
   public enum CacheBehavior {
-    SERVE,
-    MISS,
-    OVER_CAPACITY,
-    ERROR,
-    SILENT,
-    RESET,
-    TRUNCATE,
-    STALL_MIDWAY_ONCE,
-    GARBAGE,
-    DELAY,
-    NOT_MODIFIED
+    SERVE("serve"),
+    MISS("miss"),
+    OVER_CAPACITY("full"),
+    ERROR("error"),
+    /** Reads attempts and does not respond. */
+    SILENT("silent"),
+    /** Resets the connection. */
+    RESET("reset"),
+    /** Closes the connection in the middle of a response. */
+    TRUNCATE("half"),
+    /** Stops in the middle of one response, and serves on other connections from then on. */
+    STALL_MIDWAY_ONCE("stop"),
+    /** Sends bytes that are no response. */
+    GARBAGE("garbage"),
+    /** Responds after a while. */
+    DELAY("late"),
+    /** Tells that a copy is current that nobody named. */
+    NOT_MODIFIED("unchanged");
+
+    private final String word;
+
+    CacheBehavior(String word) {
+      this.word = word;
+    }
+
+    /** Finds a behavior by its word in schedules, in any case. */
+    public static CacheBehavior ofWord(String word) {
+      for (CacheBehavior behavior : values()) {
+        if (behavior.word.equalsIgnoreCase(word)) {
+          return behavior;
+        }
+      }
+      throw new IllegalArgumentException("no behavior of a cache \"" + word + "\"");
+    }
   }
 
   private ToyServer() {}
 
-  /** FEED_PORT CACHE_PORT..., or: call HOST:PORT PROFILE OBJECT. */
+  /** Arguments: FEED_PORT CACHE_PORT..., or: call HOST:PORT CLASS OBJECT. */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     if (arguments.length == 4 && arguments[0].equals("call")) {
-      String[] hostAndPort = arguments[1].split(":");
-      try (Client client =
-          new Client(new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1])))) {
-        client.call(
-            "1",
-            arguments[2],
-            "rid="
-                + paddedHex(Long.toHexString(System.nanoTime()))
-                + ",budget=2000,obj="
-                + paddedHex(arguments[3])
-                + ",piece=0,lot=1,mem=100,token="
-                + paddedHex("").repeat(2),
-            "");
-        List<byte[]> answer = client.readResponse();
-        System.out.println(
-            text(answer.get(1))
-                + " "
-                + text(answer.get(2))
-                + " "
-                + answer.get(3).length
-                + " bytes");
-      }
-      return;
-    }
-    if (arguments.length < 2) {
+      call(arguments[1], arguments[2], arguments[3]);
+    } else if (arguments.length >= 2) {
+      serve(arguments[0], Arrays.asList(arguments).subList(1, arguments.length));
+    } else {
       System.err.println(
-          "usage: java ToyServer.java FEED_PORT CACHE_PORT... | call HOST:PORT PROFILE OBJECT");
+          "usage: java ToyServer.java FEED_PORT CACHE_PORT... | call HOST:PORT CLASS OBJECT");
       System.exit(2);
     }
-    new Feed(Integer.parseInt(arguments[0]));
-    for (String port : Arrays.asList(arguments).subList(1, arguments.length)) {
+  }
+
+  /** Sends one request and prints the response. */
+  private static void call(String gateway, String requestClass, String object) throws IOException {
+    int separator = gateway.lastIndexOf(':');
+    InetSocketAddress address =
+        new InetSocketAddress(
+            gateway.substring(0, separator), Integer.parseInt(gateway.substring(separator + 1)));
+    try (Client client = new Client(address)) {
+      String fields =
+          "rid="
+              + paddedHex(Long.toHexString(System.nanoTime()))
+              + ",budget=2000,obj="
+              + paddedHex(object)
+              + ",piece=0,lot=1,mem=100,token="
+              + paddedHex("").repeat(2);
+      client.call("1", requestClass, fields, "");
+      List<byte[]> response = client.readResponse();
+      int bodyBytes = response.get(3).length;
+      System.out.println(
+          text(response.get(1)) + " " + text(response.get(2)) + " " + bodyBytes + " bytes");
+    }
+  }
+
+  /** Runs a control feed and caches, and prints the commands that the caches receive. */
+  private static void serve(String feedPort, List<String> cachePorts) throws IOException {
+    new Feed(Integer.parseInt(feedPort));
+    for (String port : cachePorts) {
       Cache cache = new Cache(Integer.parseInt(port));
       System.out.println("a toy cache listens on port " + cache.port());
-      Thread printer =
-          new Thread(
-              () -> {
-                while (true) {
-                  try {
-                    System.out.println("port " + port + ": " + cache.receivedCommands.take());
-                  } catch (InterruptedException e) {
-                    return;
-                  }
-                }
-              });
-      printer.start();
+      new Thread(() -> printCommands(port, cache)).start();
+    }
+  }
+
+  private static void printCommands(String port, Cache cache) {
+    try {
+      while (true) {
+        System.out.println("port " + port + ": " + cache.receivedCommands.take());
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
   }
 
-  /** 16 hexadecimal digits, of which those given are the last. */
+  /** Pads an id of hexadecimal digits with zeros on the left. */
   public static String paddedHex(String digits) {
-    return "0".repeat(16 - digits.length()) + digits;
+    return "0".repeat(ID_DIGITS - digits.length()) + digits;
   }
 
   static String text(byte[] bytes) {
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  /** An array of bulk strings. */
+  /** Encodes a frame: an array of bulk strings. */
   public static byte[] frame(Object... items) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(("*" + items.length + "\r\n").getBytes(StandardCharsets.UTF_8));
@@ -119,7 +147,7 @@
     return out.toByteArray();
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int b = in.read(); b != '\n'; b = in.read()) {
       if (b < 0) {
@@ -130,31 +158,35 @@
     return line.toString().strip();
   }
 
-  /** Reads a frame; an EOFException says that the connection ended before it was whole. */
+  /**
+   * Reads a frame.
+   *
+   * @throws EOFException if the connection ends before the frame is complete
+   */
   static List<byte[]> readFrame(InputStream in) throws IOException {
     List<byte[]> items = new ArrayList<>();
-    int count = Integer.parseInt(line(in).substring(1));
+    int count = Integer.parseInt(readLine(in).substring(1));
     for (int i = 0; i < count; i++) {
-      int length = Integer.parseInt(line(in).substring(1));
+      int length = Integer.parseInt(readLine(in).substring(1));
       byte[] item = in.readNBytes(length);
       if (item.length < length) {
         throw new EOFException("the connection ended inside an item");
       }
-      line(in);
+      readLine(in);
       items.add(item);
     }
     return items;
   }
 
-  /** The bytes that every toy cache and origin gives out for an object. */
+  /** The content that every cache and origin has for an object. */
   public static byte[] contentOf(String object, int length) {
     byte[] bytes = new byte[length];
     new Random(object.hashCode()).nextBytes(bytes);
     return bytes;
   }
 
-  /** Listens, and gives each connection a thread of its own. */
-  private abstract static class Listener implements AutoCloseable {
+  /** A listener that serves each connection on a thread of its own. */
+  abstract static class Listener implements AutoCloseable {
 
     private final ServerSocket server = new ServerSocket();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
@@ -183,20 +215,22 @@
                 try {
                   work.run();
                 } catch (IOException | InterruptedException e) {
-                  // The connection, or the listener, is over: so is this thread.
+                  // The connection or the listener has ended, and the thread with it.
                 }
               });
       thread.setDaemon(false);
       thread.start();
     }
 
+    /** Serves one connection until it ends. */
     abstract void serve(Socket socket) throws IOException, InterruptedException;
 
+    /** The port that it listens on. */
     public int port() {
       return server.getLocalPort();
     }
 
-    /** Resets all connections and listens no more. */
+    /** Closes the listener and resets all connections. */
     @Override
     public void close() throws IOException {
       server.close();
@@ -213,25 +247,37 @@
     }
   }
 
-  /** A cache, a parent or an origin: holds what it once filled, fills where it is told a source. */
+  /**
+   * A cache, a parent or an origin: it stores what it has filled once, and fills where an attempt
+   * names a source.
+   */
   public static final class Cache extends Listener {
 
-    /** Every command that came, with its words. */
+    private static final long DELAY_MS = 300;
+
+    /** The received commands, with their items separated by spaces. */
     public final BlockingQueue<String> receivedCommands = new LinkedBlockingQueue<>();
 
+    /** What it does with attempts from now on. */
     public volatile CacheBehavior behavior = CacheBehavior.SERVE;
+
+
+    /** Length of the contents in bytes. */
     public volatile int bodySize = 2000;
+
+
     private final AtomicInteger connections = new AtomicInteger();
     private volatile int silencedConnections;
-    private final Map<String, Boolean> filledObjects = new ConcurrentHashMap<>();
+    private final Set<String> filledObjects = ConcurrentHashMap.newKeySet();
 
+    /** Starts a cache; port 0 means any free port. */
     public Cache(int port) throws IOException {
       super(port);
     }
 
     /**
-     * As after its machine vanished and another took the address: open connections are silent for
-     * good.
+     * Never responds on the connections that are open now, as if the machine had disappeared and
+     * another had taken its address.
      */
     public void silenceOpenConnections() {
       silencedConnections = connections.get();
@@ -259,7 +305,7 @@
     }
 
     private static String field(String fields, String name) {
-      for (String field : fields.split(",")) {
+      for (String field : fields.split(",", -1)) {
         if (field.startsWith(name + "=")) {
           return field.substring(name.length() + 1);
         }
@@ -272,12 +318,9 @@
       String object = field(fields, "name");
       byte[] body = contentOf(object, bodySize);
       String digest = "d" + object.substring(1);
-      byte[] whole =
-          frame(
-              id,
-              "ACK",
-              "why=hit,rep=util:0.2,dated=" + System.currentTimeMillis() + ",digest=" + digest,
-              body);
+      String hitFields =
+          "why=hit,rep=util:0.2,dated=" + System.currentTimeMillis() + ",digest=" + digest;
+      byte[] hit = frame(id, "ACK", hitFields, body);
       switch (behavior) {
         case MISS -> out.write(frame(id, "NOENT", "-", ""));
         case OVER_CAPACITY -> out.write(frame(id, "AGAIN", "-", ""));
@@ -286,71 +329,79 @@
         case SILENT -> {}
         case RESET -> reset(socket);
         case TRUNCATE -> {
-          out.write(whole, 0, whole.length - bodySize / 2);
-          out.flush();
+          writeHalfTheBody(out, hit);
           socket.close();
         }
         case STALL_MIDWAY_ONCE -> {
           behavior = CacheBehavior.SERVE;
-          out.write(whole, 0, whole.length - bodySize / 2);
-          out.flush();
-          // The connection stays open and of no use, as where an answer stopped short.
-          while (socket.getInputStream().read() >= 0) {
-            continue;
-          }
+          writeHalfTheBody(out, hit);
+          // The connection stays open and unusable, as where a response stopped short.
+          socket.getInputStream().transferTo(OutputStream.nullOutputStream());
         }
         case NOT_MODIFIED -> out.write(frame(id, "NOMOD", "why=hit,digest=" + paddedHex("0"), ""));
         case DELAY -> {
-          Thread.sleep(300);
-          out.write(whole);
-        }
-        default -> {
-          boolean filled = filledObjects.putIfAbsent(object, true) == null;
-          if (filled && field(fields, "parent") == null && field(fields, "shelf") != null) {
-            filledObjects.remove(object);
-            out.write(frame(id, "NOENT", "-", ""));
-          } else if (digest.equals(field(fields, "got"))) {
-            out.write(frame(id, "NOMOD", "why=hit,digest=" + digest, ""));
-          } else {
-            out.write(
-                filled ? frame(id, "ACK", "why=filled,first=3,digest=" + digest, body) : whole);
-          }
+          Thread.sleep(DELAY_MS);
+          out.write(hit);
         }
+        case SERVE -> out.write(serve(id, fields, digest, body, hit));
       }
       out.flush();
     }
+
+    private void writeHalfTheBody(OutputStream out, byte[] response) throws IOException {
+      out.write(response, 0, response.length - bodySize / 2);
+      out.flush();
+    }
+
+    private byte[] serve(String id, String fields, String digest, byte[] body, byte[] hit) {
+      String object = field(fields, "name");
+      boolean newlyFilled = filledObjects.add(object);
+      boolean mayFill = field(fields, "parent") != null || field(fields, "shelf") == null;
+      if (newlyFilled && !mayFill) {
+        filledObjects.remove(object);
+        return frame(id, "NOENT", "-", "");
+      }
+      if (digest.equals(field(fields, "got"))) {
+        return frame(id, "NOMOD", "why=hit,digest=" + digest, "");
+      }
+      return newlyFilled ? frame(id, "ACK", "why=filled,first=3,digest=" + digest, body) : hit;
+    }
   }
 
-  /** The control feed: tells later events at once, and otherwise when the time to wait is over. */
+  /** The control feed: responds at once with new events, or when the time to wait is over. */
   public static final class Feed extends Listener {
 
+    /** The received request lines. */
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-    /** What is answered in place of events; null for the events. */
+    /** The body that replaces the events; null for the events. */
     public volatile String replacementBody;
 
+    /** The number of the first event after those of the configuration. */
+    private static final int FIRST_NUMBER = 2;
+
     private final List<String> events = new ArrayList<>();
-    private int firstNumber = 2;
 
+    /** Starts a feed; port 0 means any free port. */
     public Feed(int port) throws IOException {
       super(port);
     }
 
-    /** Adds an event, its number in place of N; the configuration's own was the first. */
+    /** Adds an event, with its number in place of N. */
     public synchronized void publish(String event) {
-      events.add(event.replace("N", String.valueOf(firstNumber + events.size())));
+      events.add(event.replace("N", String.valueOf(FIRST_NUMBER + events.size())));
       notifyAll();
     }
 
     private synchronized String awaitEventsAfter(int lastKnown, long waitMillis)
         throws InterruptedException {
       long end = System.currentTimeMillis() + waitMillis;
-      while (firstNumber + events.size() <= lastKnown + 1 && System.currentTimeMillis() < end) {
+      while (FIRST_NUMBER + events.size() <= lastKnown + 1 && System.currentTimeMillis() < end) {
         wait(Math.max(1, end - System.currentTimeMillis()));
       }
-      int skip = Math.max(0, lastKnown + 1 - firstNumber);
+      int skip = Math.max(0, lastKnown + 1 - FIRST_NUMBER);
       return "{\"n\":"
-          + (firstNumber + events.size() - 1)
+          + (FIRST_NUMBER + events.size() - 1)
           + ",\"events\":["
           + String.join(",", events.subList(Math.min(skip, events.size()), events.size()))
           + "]}";
@@ -360,52 +411,67 @@
     void serve(Socket socket) throws IOException, InterruptedException {
       InputStream in = new BufferedInputStream(socket.getInputStream());
       while (true) {
-        String request = line(in);
-        while (!line(in).isEmpty()) {
-          continue;
-        }
-        requests.add(request);
-        String[] numbers = request.replaceAll("[^0-9]+", " ").strip().split(" ");
-        String body =
-            replacementBody != null
-                ? replacementBody
-                : awaitEventsAfter(Integer.parseInt(numbers[1]), Long.parseLong(numbers[2]));
-        socket
-            .getOutputStream()
-            .write(
-                ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                        + "Content-Length: "
-                        + body.length()
-                        + "\r\n\r\n"
-                        + body)
-                    .getBytes(StandardCharsets.UTF_8));
+        String requestLine = readLine(in);
+        skipHeaders(in);
+        requests.add(requestLine);
+        socket.getOutputStream().write(httpResponse(body(requestLine)));
+      }
+    }
+
+    private static void skipHeaders(InputStream in) throws IOException {
+      String line = readLine(in);
+      while (!line.isEmpty()) {
+        line = readLine(in);
       }
     }
+
+    private String body(String requestLine) throws InterruptedException {
+      String[] numbers = requestLine.replaceAll("[^0-9]+", " ").strip().split(" ", -1);
+      return replacementBody != null
+          ? replacementBody
+          : awaitEventsAfter(Integer.parseInt(numbers[1]), Long.parseLong(numbers[2]));
+    }
+
+    private static byte[] httpResponse(String body) {
+      String head =
+          "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+              + body.length()
+              + "\r\n\r\n";
+      return (head + body).getBytes(StandardCharsets.UTF_8);
+    }
   }
 
   /** A client of a gateway. */
   public static final class Client implements AutoCloseable {
 
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final int READ_TIMEOUT_MS = 10_000;
+
+    /** Its connection. */
     public final Socket socket = new Socket();
+
     private final InputStream in;
 
+    /** Connects to a gateway. */
     public Client(InetSocketAddress gateway) throws IOException {
-      socket.connect(gateway, 2000);
+      socket.connect(gateway, CONNECT_TIMEOUT_MS);
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(10_000);
+      socket.setSoTimeout(READ_TIMEOUT_MS);
       in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Sends a frame. */
     public void send(Object... items) throws IOException {
       socket.getOutputStream().write(frame(items));
     }
 
+    /** Sends a request. */
     public void call(String tag, String requestClass, String fields, Object body)
         throws IOException {
       send("RPC.CALL", tag, requestClass, fields, body);
     }
 
-    /** The next answer: tag, word, fields, body. */
+    /** Reads the next response: tag, status, fields, body. */
     public List<byte[]> readResponse() throws IOException {
       return readFrame(in);
     }
--- a/rig/src/test/java/tamarindroute/rig/play/Town.java
+++ b/rig/src/test/java/tamarindroute/rig/play/Town.java
@@ -173,7 +173,7 @@
 
   void mode(String cache, String mode) {
     for (String gateway : schedule.numbers()) {
-      doors.get(gateway + " " + cache).behavior = ToyServer.CacheBehavior.valueOf(mode);
+      doors.get(gateway + " " + cache).behavior = ToyServer.CacheBehavior.ofWord(mode);
     }
     journal.add(cache, "mode=" + mode);
   }
