--- a/cli/src/main/java/tamarindroute/Main.java
+++ b/cli/src/main/java/tamarindroute/Main.java
@@ -11,80 +11,88 @@
 import java.util.List;
 import tamarindroute.log.Log;
 import tamarindroute.start.ExitCode;
-import tamarindroute.start.PlatformCommand;
+import tamarindroute.start.ServiceLauncher;
 
 /**
- * The program's entry point. The subcommands of the operators' platform, if given without options,
- * run without the libraries of the command line and the log, which do not fit into a heap of 32 MB
- * (figures: docs/architecture.md). All other arguments go to the command line, whose class is
- * loaded by name together with its libraries.
+ * Entry point of the process. The two services of the operators' platform, named alone and without
+ * options, start without the libraries of the command line and of the log, for which 32 MB have no
+ * room (docs/architecture.md has the figures). Everything else goes to the command line, which is
+ * loaded by its name.
  */
 public final class Main {
 
   private static final String COMMAND_LINE_CLASS = "tamarindroute.cli.Commands";
+
+  /** A class of the command line's library, by which its presence is recognized. */
   private static final String COMMAND_LINE_LIBRARY_CLASS = "picocli.CommandLine";
+
+  /** The folders of libraries beside the jar. */
   private static final List<String> LIBRARY_FOLDERS = List.of("lib", "lib/more");
 
   private Main() {}
 
-  /** Runs the subcommand that the arguments name. */
+  /** Starts a service of the platform, or a command of the command line. */
   public static void main(String[] arguments) {
     String onlyArgument = arguments.length == 1 ? arguments[0] : "";
     switch (onlyArgument) {
-      case PlatformCommand.SERVE, PlatformCommand.WIRE_HOST -> runPlatformCommand(onlyArgument);
+      case ServiceLauncher.SERVE -> {
+        Log.useFormat(Log.Format.SMALL);
+        exitUnlessOk(ServiceLauncher.serve(null));
+      }
+      case ServiceLauncher.WIREHOST -> {
+        Log.useFormat(Log.Format.SMALL);
+        exitUnlessOk(ServiceLauncher.wireHost());
+      }
       default -> runCommandLine(arguments);
     }
   }
 
-  private static void runPlatformCommand(String subcommand) {
-    Log.useFormat(Log.Format.SMALL);
-    int exitCode = PlatformCommand.run(subcommand);
-    if (exitCode != 0) {
-      System.exit(exitCode);
+  private static void exitUnlessOk(int code) {
+    if (code != ExitCode.OK) {
+      System.exit(code);
     }
   }
 
-  /** Runs the command line with all libraries; each command sets the exit code itself. */
+  /** Runs the command line with all libraries; it ends the process with its own exit code. */
   private static void runCommandLine(String[] arguments) {
     try {
-      Class.forName(COMMAND_LINE_CLASS, true, loaderWithAllLibraries())
+      Class.forName(COMMAND_LINE_CLASS, true, libraryLoader())
           .getMethod("main", String[].class)
           .invoke(null, (Object) arguments);
     } catch (ReflectiveOperationException | IOException | URISyntaxException e) {
-      System.err.println("the libraries in lib/more beside the jar can't be loaded: " + e);
+      System.err.println("cannot load the libraries in lib/more beside the jar: " + e);
       System.exit(ExitCode.FAILED);
     }
   }
 
   /**
-   * Returns a class loader for the program and all libraries. The jars in lib/more are not on the
-   * class path of the program's jar, since each of them would cost a gateway memory even if unused.
-   * The returned loader therefore loads the program's classes again.
+   * A class loader of the program with all libraries. Those in lib/more are not on the jar's class
+   * path, since each jar there costs a gateway memory even if it is not used; so the program is
+   * loaded again together with them.
    */
-  private static ClassLoader loaderWithAllLibraries() throws IOException, URISyntaxException {
+  private static ClassLoader libraryLoader() throws IOException, URISyntaxException {
     try {
       return Class.forName(COMMAND_LINE_LIBRARY_CLASS).getClassLoader();
     } catch (ClassNotFoundException e) {
-      // The program was started from its jar.
+      return newLibraryLoader();
     }
+  }
+
+  private static ClassLoader newLibraryLoader() throws IOException, URISyntaxException {
     Path jar = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-    List<URL> classPath = new ArrayList<>();
-    classPath.add(jar.toUri().toURL());
+    List<URL> urls = new ArrayList<>(List.of(jar.toUri().toURL()));
     for (String folder : LIBRARY_FOLDERS) {
-      addJars(jar.resolveSibling(folder), classPath);
+      try (DirectoryStream<Path> libraries =
+          Files.newDirectoryStream(jar.resolveSibling(folder), "*.jar")) {
+        for (Path library : libraries) {
+          urls.add(library.toUri().toURL());
+        }
+      }
     }
-    // It stays open as long as the process: the commands' threads load classes from it.
+    // Never closed: the commands' threads load classes from it as long as the process runs.
     ClassLoader loader =
-        new URLClassLoader(classPath.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
+        new URLClassLoader(urls.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
     Thread.currentThread().setContextClassLoader(loader);
     return loader;
   }
-
-  private static void addJars(Path folder, List<URL> classPath) throws IOException {
-    try (DirectoryStream<Path> jars = Files.newDirectoryStream(folder, "*.jar")) {
-      for (Path jar : jars) {
-        classPath.add(jar.toUri().toURL());
-      }
-    }
-  }
 }
--- a/cli/src/main/java/tamarindroute/cli/Commands.java
+++ b/cli/src/main/java/tamarindroute/cli/Commands.java
@@ -8,53 +8,51 @@
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.start.ExitCode;
 
-/** The top-level command and the entry point of the command line. */
+/** The root command with its subcommands, and the entry point of the command line. */
 @Command(
     name = "tamarindroute",
     mixinStandardHelpOptions = true,
-    versionProvider = JarVersion.class,
-    description = "Decides where objects are served, stored and filled from.",
+    versionProvider = JarVersionProvider.class,
+    description = "Decides where objects are served, kept and filled from.",
     subcommands = {
       ServeCommand.class,
       WireHostCommand.class,
-      NameServerCommand.class,
-      QueryCommand.class,
+      DnsCommand.class,
+      AskCommand.class,
       ConfigCommand.class,
       CommandLine.HelpCommand.class
     },
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {
-      "0:success",
-      "1:a peer, a file or the machine failed; the message says how",
-      "2:the command line is invalid",
-      "3:a configuration file or a frame is invalid"
+      "0:done",
+      "1:another process, a file or the machine has failed; the message says how",
+      "2:the arguments are wrong",
+      "3:a configuration or a frame is malformed"
     })
 public final class Commands implements Runnable {
 
-  /** Returned by a command whose threads keep the process running. */
-  static final int KEEPS_RUNNING = -1;
-
-  static final String SUBCOMMAND_MISSING = "a subcommand is missing";
+  /** Returned by a command that continues in threads of its own. */
+  static final int CONTINUES = -1;
 
   @Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), SUBCOMMAND_MISSING);
+    throw new ParameterException(spec.commandLine(), "a subcommand is missing");
   }
 
   /**
-   * Runs a command and ends the process with its exit code, since libraries may leave threads
-   * behind; unless the command keeps running.
+   * Runs a command, and ends the process with its exit code unless it continues; libraries may
+   * leave threads running.
    */
   public static void main(String[] arguments) {
-    int exitCode = commandLine().execute(arguments);
-    if (exitCode != KEEPS_RUNNING) {
-      System.exit(exitCode);
+    int code = newCommandLine().execute(arguments);
+    if (code != CONTINUES) {
+      System.exit(code);
     }
   }
 
-  private static CommandLine commandLine() {
+  private static CommandLine newCommandLine() {
     return new CommandLine(new Commands())
         .setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler(
--- a/cli/src/main/java/tamarindroute/cli/ConfigCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/ConfigCommand.java
@@ -2,36 +2,37 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import tamarindroute.config.ServiceSettings;
 import tamarindroute.config.UnusableException;
+import tamarindroute.dns.DnsSettings;
 import tamarindroute.start.ExitCode;
 
-/** The subcommand {@code config} with its own subcommands. */
+/** Groups the commands on settings files. */
 @Command(
     name = "config",
     mixinStandardHelpOptions = true,
     description = "Work on settings files.",
-    subcommands = ConfigCommand.Check.class)
+    subcommands = ConfigCommand.CheckCommand.class)
 final class ConfigCommand implements Runnable {
 
-  @Spec private CommandSpec spec;
+  @Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
   public void run() {
-    throw new ParameterException(spec.commandLine(), Commands.SUBCOMMAND_MISSING);
+    throw new ParameterException(spec.commandLine(), "a subcommand is missing");
   }
 
-  /** The subcommand {@code config check}: validates a settings file. */
+  /** Checks a settings file. */
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
-      description = "Validate a settings file and the files that it names; print all errors.")
-  static final class Check implements Callable<Integer> {
+      description = "Read settings and the files that they name, and list all errors in them.")
+  static final class CheckCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "FILE", description = "settings in XML")
     private Path file;
@@ -39,19 +40,17 @@
     @Override
     public Integer call() {
       try {
-        System.out.println(file + ": " + summary(ServiceSettings.read(file)));
-        return 0;
+        System.out.println(file + ": sound, " + summary(ServiceSettings.read(file).dns()));
+        return ExitCode.OK;
       } catch (UnusableException e) {
         e.faults().forEach(System.err::println);
         return ExitCode.MALFORMED;
       }
     }
 
-    private static String summary(ServiceSettings settings) {
-      int zones = settings.dns().zones().size();
-      int locations =
-          settings.dns().steer() == null ? 0 : settings.dns().steer().locations().size();
-      return "sound, " + zones + " zones, " + locations + " locations";
+    private static String summary(DnsSettings dns) {
+      int locationCount = dns.steer() == null ? 0 : dns.steer().locations().size();
+      return dns.zones().size() + " zones, " + locationCount + " locations";
     }
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/NameServerCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/DnsCommand.java
@@ -9,12 +9,12 @@
 import tamarindroute.nameserver.NameServer;
 import tamarindroute.policy.RatioTestPolicy;
 
-/** The subcommand {@code dns}: runs a name server. */
+/** Starts a name server. */
 @Command(
     name = "dns",
     mixinStandardHelpOptions = true,
-    description = "Run a name server that steers clients by the routing policy.")
-final class NameServerCommand implements Callable<Integer> {
+    description = "Serve as a name server that steers clients to caches.")
+final class DnsCommand implements Callable<Integer> {
 
   @Mixin private LoggingOptions logging;
 
@@ -25,6 +25,6 @@
   public Integer call() throws IOException {
     logging.apply();
     NameServer.start(file, RatioTestPolicy::new);
-    return Commands.KEEPS_RUNNING;
+    return Commands.CONTINUES;
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/JarVersion.java
+++ b/cli/src/main/java/tamarindroute/cli/JarVersionProvider.java
@@ -2,12 +2,12 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version in the jar's manifest. */
-final class JarVersion implements IVersionProvider {
+/** Takes the version from the manifest of the program's jar. */
+final class JarVersionProvider implements IVersionProvider {
 
   @Override
   public String[] getVersion() {
-    String version = JarVersion.class.getPackage().getImplementationVersion();
+    String version = JarVersionProvider.class.getPackage().getImplementationVersion();
     return new String[] {"tamarindroute " + (version == null ? "(not from a jar)" : version)};
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/ServeCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/ServeCommand.java
@@ -6,16 +6,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import tamarindroute.host.LifecycleComponent;
 import tamarindroute.members.MemberConfiguration;
 import tamarindroute.members.MembershipService;
-import tamarindroute.start.PlatformCommand;
+import tamarindroute.start.ExitCode;
+import tamarindroute.start.ServiceLauncher;
 
-/** The subcommand {@code serve}: runs a gateway, as a member of a group if configured. */
+/** Starts a gateway, optionally as a member of a fleet. */
 @Command(
-    name = PlatformCommand.SERVE,
+    name = ServiceLauncher.SERVE,
     mixinStandardHelpOptions = true,
-    description = "Run a gateway; EDGE_CONFIG names its configuration file.")
+    description = "Serve as a gateway; EDGE_CONFIG names its configuration file.")
 final class ServeCommand implements Callable<Integer> {
 
   @Mixin private LoggingOptions logging;
@@ -23,19 +23,15 @@
   @Option(
       names = "--members",
       paramLabel = "FILE",
-      description = "exchange state with other gateways; settings in XML, see deploy/members.xml")
-  private Path membersFile;
+      description = "join other gateways: settings in XML, see deploy/members.xml")
+  private Path members;
 
   @Override
   public Integer call() throws IOException {
     logging.apply();
-    int exitCode = PlatformCommand.run(PlatformCommand.SERVE, membershipService());
-    return exitCode == 0 ? Commands.KEEPS_RUNNING : exitCode;
-  }
-
-  private LifecycleComponent membershipService() throws IOException {
-    return membersFile == null
-        ? null
-        : new MembershipService(MemberConfiguration.read(membersFile));
+    MembershipService membership =
+        members == null ? null : new MembershipService(MemberConfiguration.read(members));
+    int code = ServiceLauncher.serve(membership);
+    return code == ExitCode.OK ? Commands.CONTINUES : code;
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/WireHostCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/WireHostCommand.java
@@ -2,18 +2,17 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import tamarindroute.start.PlatformCommand;
+import tamarindroute.start.ServiceLauncher;
 
-/** The subcommand {@code wirehost}: answers the operators' simulator. */
+/** Runs the simulator's host. */
 @Command(
-    name = PlatformCommand.WIRE_HOST,
+    name = ServiceLauncher.WIREHOST,
     mixinStandardHelpOptions = true,
-    description =
-        "Decide for many gateways, over the simulator's protocol on standard input and output.")
+    description = "Decide for many gateways of the simulator on standard input and output.")
 final class WireHostCommand implements Callable<Integer> {
 
   @Override
   public Integer call() {
-    return PlatformCommand.run(PlatformCommand.WIRE_HOST);
+    return ServiceLauncher.wireHost();
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/package-info.java
+++ b/cli/src/main/java/tamarindroute/cli/package-info.java
@@ -1,7 +1,6 @@
 /**
- * The command line: subcommands, options, help and exit codes, read by picocli. The subcommands
- * delegate to {@code start}, {@code nameserver}, {@code members} and {@code config}. A gateway that
- * is started by {@code serve} without options does not load this package (see {@code
- * tamarindroute.Main}).
+ * The command line: subcommands with their options, help and exit codes, each a class of its own.
+ * The work is done by the gateway, the name server and the other services; a gateway that the
+ * platform starts does not load this package.
  */
 package tamarindroute.cli;
--- a/cli/src/main/java/tamarindroute/start/ExitCode.java
+++ b/cli/src/main/java/tamarindroute/start/ExitCode.java
@@ -1,12 +1,17 @@
 package tamarindroute.start;
 
-/** Exit codes of the program, beside 0 for success and picocli's 2 for an invalid command line. */
+/** The exit codes of the process. */
 public final class ExitCode {
 
-  /** A peer, a file or the machine failed; the message on standard error says how. */
+  /** The command has ended in order, or the service has started. */
+  public static final int OK = 0;
+
+  /** Another process, a file or the machine has failed; the message says how. */
   public static final int FAILED = 1;
 
-  /** A configuration file or a frame is invalid. */
+  /**
+   * A configuration file or a frame of the simulator is malformed. Code 2 is for wrong arguments.
+   */
   public static final int MALFORMED = 3;
 
   private ExitCode() {}
--- a/cli/src/main/java/tamarindroute/start/package-info.java
+++ b/cli/src/main/java/tamarindroute/start/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The two subcommands of the operators' platform, {@code serve} and {@code wirehost}, and the
- * program's exit codes. Shared by {@code Main}, which runs the subcommands without the command line
- * libraries, and the package {@code cli}, which depends on this one.
+ * What {@code Main} and the command line share: the exit codes and the launch of the platform's two
+ * services. Uses none of the command line's libraries, for which a small gateway has no memory.
  */
 package tamarindroute.start;
--- a/cli/src/test/java/tamarindroute/cli/MembershipIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembershipIT.java
@@ -135,7 +135,7 @@
             "-jar",
             "target/tamarindroute.jar",
             "serve"));
-    processes.awaitLogLine("alone.log", "warm: ");
+    processes.awaitLogLine("alone.log", "warmed-up: ");
     assertThat(processes.readLog("classes"))
         .contains("tamarindroute.gateway.GatewayServer")
         .doesNotContain("tamarindroute.member")
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -261,11 +261,9 @@
     /** What it does with attempts from now on. */
     public volatile CacheBehavior behavior = CacheBehavior.SERVE;
 
-
     /** Length of the contents in bytes. */
     public volatile int bodySize = 2000;
 
-
     private final AtomicInteger connections = new AtomicInteger();
     private volatile int silencedConnections;
     private final Set<String> filledObjects = ConcurrentHashMap.newKeySet();
--- a/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
+++ b/members/src/main/java/tamarindroute/members/agreed/ViewChangeBatcher.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import tamarindroute.agreement.Command;
 import tamarindroute.agreement.MembershipView;
-import tamarindroute.agreement.ViewTransitions;
+import tamarindroute.agreement.ViewLimits;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 import tamarindroute.membership.MemberState;
@@ -85,7 +85,8 @@
       }
     }
     boolean intervalOver = now.minus(lastProposedAt).compareTo(MIN_PROPOSAL_INTERVAL) >= 0;
-    if (due.isEmpty() || anotherPending && !overdue || !intervalOver) {
+    boolean waitsForOthers = anotherPending && !overdue;
+    if (due.isEmpty() || waitsForOthers || !intervalOver) {
       return new Step(new ViewChangeBatcher(since, lastProposedAt), Optional.empty());
     }
     return new Step(new ViewChangeBatcher(since, now), Optional.of(toMembershipChange(view, due)));
@@ -142,7 +143,7 @@
   private static Command.MembershipChange toMembershipChange(
       MembershipView view, List<Member> due) {
     List<Member> removed = due.stream().filter(view::contains).sorted(MEMBER_ORDER).toList();
-    int freeSlots = ViewTransitions.MAX_MEMBERS - view.members().size() + removed.size();
+    int freeSlots = ViewLimits.MAX_MEMBERS - view.members().size() + removed.size();
     List<Member> added =
         due.stream()
             .filter(member -> !view.contains(member))
--- a/windows/src/main/java/tamarindroute/windows/Planner.java
+++ b/windows/src/main/java/tamarindroute/windows/Planner.java
@@ -5,366 +5,176 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.TreeSet;
-import java.util.zip.CRC32;
 import tamarindroute.windows.Plan.Batch;
-import tamarindroute.windows.Plan.Lack;
-import tamarindroute.windows.Plan.Lacks;
-import tamarindroute.windows.Plan.Refusal;
+import tamarindroute.windows.Plan.Rejection;
 
 /**
- * Places wishes one after another. Within a wish each cache takes the earliest time at which it
- * fits beside all that is placed; this is tried in a few orders, and the one that ends first is
- * kept. What fits is never made unfit by a later step, as each step looks at all that it can make
- * worse: so every plan keeps cover, room and reserve.
+ * Places maintenance requests one after another, each whole or not at all. Every placement is
+ * checked against all that it can make worse, on top of everything placed before; so a plan keeps
+ * cover and capacity with any one tolerated failure.
  */
 public final class Planner {
-  /**
-   * Orders tried for a small wish: about half of all orders of five caches, milliseconds for
-   * twenty.
-   */
-  static final int TRIES = 64;
+  /** Orders of caches that are tried for a small request. */
+  static final int MAX_ORDERS = 64;
 
-  /**
-   * Caches placed over all orders of all wishes: 1,000 caches are tried in two orders, which stays
-   * under a second.
-   */
-  static final int PLACED = 2_000;
+  /** Caches placed over all orders of all requests; bounds the time of a large plan. */
+  static final int MAX_PLACEMENTS = 2_000;
 
-  /**
-   * Caches that may be placed as one where each alone would leave another of them without room,
-   * from the third order on. Eight made no plan of 300 small worlds better.
-   */
-  static final int TOGETHER = 3;
+  /** Sums of shares in any order differ by less. */
+  private static final double ROUNDING = 1e-9;
 
-  private record Placed(int cache, int start) {}
+  private static final Comparator<MaintenanceRequest> PLACEMENT_ORDER =
+      Comparator.comparingInt(MaintenanceRequest::placementOrder)
+          .thenComparing(MaintenanceRequest::latest)
+          .thenComparing(MaintenanceRequest::id);
 
-  private record Try(List<Placed> placed, List<Integer> unplaced, Lack lack) {
-    int end() {
-      return placed.stream().mapToInt(Placed::start).max().orElse(-1);
-    }
+  private final CoverageTimeline timeline;
+  private final PlanningInput input;
+  private final List<Batch> batches = new ArrayList<>();
+  private final List<Rejection> rejections = new ArrayList<>();
 
-    long starts() {
-      return placed.stream().mapToLong(Placed::start).sum();
-    }
+  private Planner(PlanningInput input, List<ScheduledOutage> outages) {
+    this.input = input;
+    timeline = new CoverageTimeline(input, outages);
   }
 
-  /**
-   * A wish in bins: out for {@code length}, then cold for {@code warm}, starting between two bins.
-   */
-  private record Job(List<Integer> caches, int need, int length, int warm, int first, int last) {}
-
-  private final Board board;
-  private Lack least;
-
-  private int tries;
-
-  private Planner(Board board) {
-    this.board = board;
-  }
-
-  public static Plan plan(World world, List<World.Held> held, List<Wish> wishes) {
-    return new Planner(new Board(world, held)).plan(wishes);
+  /** Places the requests beside the outages that other windows have scheduled. */
+  public static Plan plan(
+      PlanningInput input, List<ScheduledOutage> outages, List<MaintenanceRequest> requests) {
+    return new Planner(input, outages).plan(requests);
   }
 
   /**
-   * What lacks at a time with some caches out, all that the world tells of them aside; null if
-   * nothing does.
+   * The first shortage at a time while the named caches are out. Unknown names are ignored; a time
+   * outside the input's bins counts as in the nearest one.
    */
-  public static Lack lack(World world, List<String> out, Duration at) {
-    Board board = new Board(world, List.of());
-    int bin = Math.max(0, Math.min(world.floor(at), world.bins() - 1));
+  public static Optional<Shortage> shortage(PlanningInput input, List<String> out, Duration at) {
+    CoverageTimeline timeline = new CoverageTimeline(input, List.of());
+    int bin = Math.max(0, Math.min(input.binAt(at), input.binCount() - 1));
     for (String name : out) {
-      Integer c = board.places.get(name);
-      if (c != null) {
-        board.set(c, bin, Board.OUT);
+      Integer cache = timeline.topology().indexOf(name);
+      if (cache != null) {
+        timeline.set(cache, bin, Availability.OUT);
       }
     }
-    return board.lack(bin);
+    return timeline.anyShortage(bin);
   }
 
-  private Plan plan(List<Wish> wishes) {
-    List<Wish> sorted = new ArrayList<>(wishes);
-    sorted.sort(
-        Comparator.comparingInt(Wish::order).thenComparing(Wish::latest).thenComparing(Wish::id));
-    List<Batch> batches = new ArrayList<>();
-    List<Refusal> refusals = new ArrayList<>();
-    int caches = sorted.stream().mapToInt(wish -> caches(wish).size()).sum();
-    tries = Math.max(1, Math.min(TRIES, PLACED / Math.max(1, caches)));
-    for (Wish wish : sorted) {
-      Refusal refusal = place(wish, batches);
-      if (refusal != null) {
-        refusals.add(refusal);
-      }
-    }
-    batches.sort(Comparator.comparing(Batch::start).thenComparing(Batch::wish));
-    return new Plan(batches, refusals);
+  private Plan plan(List<MaintenanceRequest> requests) {
+    int caches = requests.stream().mapToInt(request -> cachesOf(request).size()).sum();
+    int orders = Math.max(1, Math.min(MAX_ORDERS, MAX_PLACEMENTS / Math.max(1, caches)));
+    requests.stream().sorted(PLACEMENT_ORDER).forEach(request -> place(request, orders));
+    batches.sort(Comparator.comparing(Batch::start).thenComparing(Batch::request));
+    return new Plan(batches, rejections);
   }
 
-  private Refusal place(Wish wish, List<Batch> batches) {
-    List<Integer> caches = caches(wish);
+  private void place(MaintenanceRequest request, int orders) {
+    List<Integer> caches = cachesOf(request);
     if (caches.contains(null)) {
-      String name = wish.caches().get(caches.indexOf(null));
-      return new Refusal(
-          wish.id(), name, new Lack(Lacks.UNKNOWN, -1, name, 1, 0, wish.earliest()), null);
-    }
-    World world = board.world;
-    int length = world.span(wish.length());
-    int warm = world.span(wish.length().plus(world.rules().warmUp())) - length;
-    int need =
-        wish.location() == null
-            ? caches.size()
-            : (int) Math.ceil(wish.share() * caches.size() - 1e-9);
-    int first = Math.max(0, world.ceil(wish.earliest()));
-    int latest = world.bins() - length - warm;
-    int last = Math.min(latest, world.floor(wish.latest()) - length);
-    least = null;
-    Try best = best(new Job(caches, need, length, warm, first, last));
-    if (best.placed.size() < need) {
-      return refusal(wish, best, new Job(caches, need, length, warm, first, latest));
-    }
-    put(best, length, warm);
-    batches.addAll(batches(wish, best, length));
-    return null;
-  }
-
-  private Refusal refusal(Wish wish, Try best, Job longer) {
-    World world = board.world;
-    String name = best.unplaced.isEmpty() ? "" : world.caches().get(best.unplaced.get(0)).name();
-    Lack lack =
-        best.lack != null
-            ? best.lack
-            : new Lack(
-                Lacks.TIME,
-                -1,
-                name,
-                wish.length().toSeconds(),
-                Math.max(0, wish.latest().minus(world.time(longer.first)).toSeconds()),
-                wish.earliest());
-    Try later = best(longer);
-    Duration would =
-        later.placed.size() < longer.need ? null : world.time(later.end() + longer.length);
-    return new Refusal(wish.id(), name, lack, would);
-  }
-
-  private List<Integer> caches(Wish wish) {
-    if (wish.location() == null) {
-      return wish.caches().stream().distinct().map(board.places::get).toList();
-    }
-    List<Integer> all = new ArrayList<>();
-    for (int c = 0; c < board.world.caches().size(); c++) {
-      Cache cache = board.world.caches().get(c);
-      if (cache.tier() == Cache.Tier.EDGE && cache.location().equals(wish.location())) {
-        all.add(c);
-      }
-    }
-    return all;
-  }
-
-  private Try best(Job job) {
-    Try best = null;
-    Try last = null;
-    for (int i = 0; i < tries; i++) {
-      last = attempt(job, order(job.caches, i, last), i < 2 ? 1 : TOGETHER);
-      best = best == null || better(last, best) ? last : best;
-      if (best.placed.size() >= job.need && best.end() <= job.first) {
-        break;
-      }
-    }
-    return best;
-  }
-
-  private static boolean better(Try one, Try other) {
-    int placed = Integer.compare(one.placed.size(), other.placed.size());
-    int end = Integer.compare(other.end(), one.end());
-    return placed != 0 ? placed > 0 : end != 0 ? end > 0 : one.starts() < other.starts();
-  }
-
-  /**
-   * The most constrained first; then by turns those first that came last in the try before, and by
-   * lot.
-   */
-  private List<Integer> order(List<Integer> caches, int number, Try before) {
-    Map<Long, Integer> sorted = new TreeMap<>();
-    for (int i = 0; i < caches.size(); i++) {
-      int cache = caches.get(i);
-      long rank = number == 0 ? -(long) (1e6 * board.weight(cache)) : lot(number, cache);
-      if (number % 2 == 1) {
-        rank = rank % (1 << 12) - ((long) late(before, cache) << 12);
+      rejections.add(unknownCache(request, request.caches().get(caches.indexOf(null))));
+      return;
+    }
+    BinnedRequest binned = toBins(request, caches);
+    PlacementSearch search = new PlacementSearch(timeline, orders);
+    Candidate best = search.best(binned);
+    if (best.placements().size() < binned.required()) {
+      rejections.add(rejection(request, binned, best, search));
+      return;
+    }
+    mark(best, binned);
+    batches.addAll(toBatches(request, best, binned.length()));
+  }
+
+  /** Indexes of the caches that a request concerns; null for an unknown one. */
+  private List<Integer> cachesOf(MaintenanceRequest request) {
+    if (request.location() == null) {
+      return request.caches().stream().distinct().map(timeline.topology()::indexOf).toList();
+    }
+    List<Integer> edges = new ArrayList<>();
+    for (int index = 0; index < input.caches().size(); index++) {
+      Cache cache = input.caches().get(index);
+      if (cache.tier() == Cache.Tier.EDGE && cache.location().equals(request.location())) {
+        edges.add(index);
       }
-      // Places make ranks different.
-      sorted.put((rank << 12) + i, cache);
     }
-    return new ArrayList<>(sorted.values());
+    return edges;
   }
 
-  private static int late(Try before, int cache) {
-    return before.placed.stream()
-        .filter(p -> p.cache == cache)
-        .mapToInt(Placed::start)
-        .findFirst()
-        .orElse(World.MOST_BINS);
-  }
-
-  private static long lot(int number, int cache) {
-    CRC32 crc = new CRC32();
-    for (int shift = 0; shift < 32; shift += 8) {
-      crc.update(cache >> shift);
-    }
-    crc.update(number);
-    return crc.getValue();
-  }
-
-  /**
-   * Places all that can be placed, keeps the needed ones that end first, and leaves the board as it
-   * was.
-   */
-  private Try attempt(Job job, List<Integer> order, int together) {
-    List<Placed> placed = new ArrayList<>();
-    List<Integer> unplaced = new ArrayList<>();
-    Map<Integer, byte[]> before = new TreeMap<>();
-    order.forEach(cache -> before.put(cache, column(cache)));
-    Set<Integer> open = new TreeSet<>(order);
-    for (int cache : order) {
-      if (open.contains(cache)) {
-        List<Integer> group = new ArrayList<>(List.of(cache));
-        int start = earliest(group, open, together, job);
-        if (start < 0) {
-          unplaced.add(cache);
-        } else {
-          group.forEach(c -> placed.add(new Placed(c, start)));
-          open.removeAll(group);
-        }
-      }
-    }
-    before.forEach(this::restore);
-    placed.sort(Comparator.comparingInt(Placed::start));
-    return new Try(
-        List.copyOf(placed.subList(0, Math.min(job.need, placed.size()))), unplaced, least);
-  }
-
-  private byte[] column(int cache) {
-    byte[] column = new byte[board.world.bins()];
-    for (int b = 0; b < column.length; b++) {
-      column[b] = board.get(cache, b);
-    }
-    return column;
-  }
-
-  private void restore(int cache, byte[] column) {
-    for (int b = 0; b < column.length; b++) {
-      board.set(cache, b, column[b]);
-    }
-  }
-
-  private void put(Try best, int length, int warm) {
-    for (Placed one : best.placed) {
-      for (int b = one.start; b < one.start + length + warm; b++) {
-        board.set(one.cache, b, b < one.start + length ? Board.OUT : Board.COLD);
-      }
-    }
-  }
-
-  /**
-   * The first start at which the group fits, which is then marked on the board; -1 if there is
-   * none.
-   */
-  private int earliest(List<Integer> group, Set<Integer> open, int together, Job job) {
-    int start = job.first;
-    while (start <= job.last) {
-      int refused = refused(group, start, open, together, job);
-      if (refused < 0) {
-        return start;
-      }
-      // A bin that can't spare the cache refuses all starts that reach it, unless others may go
-      // along.
-      start = refused < start + job.length && together == 1 ? refused + 1 : start + 1;
-    }
-    return -1;
-  }
-
-  /**
-   * The bin that refuses the group, or -1 when it is placed. Whoever lacks room and is itself still
-   * to be placed may go along, as its own load then goes to others: the group grows by it.
-   */
-  private int refused(List<Integer> group, int start, Set<Integer> open, int together, Job job) {
-    byte[][] before = new byte[group.size()][job.length + job.warm];
-    for (int i = 0; i < job.length + job.warm; i++) {
-      Lack lack = set(group, start, i, before, job);
-      if (lack != null) {
-        least = least == null || lack.shortage() < least.shortage() ? lack : least;
-        for (int back = i; back >= 0; back--) {
-          for (int g = 0; g < group.size(); g++) {
-            board.set(group.get(g), start + back, before[g][back]);
-          }
-        }
-        return along(group, lack, start, open, together, job) ? -1 : start + i;
+  private BinnedRequest toBins(MaintenanceRequest request, List<Integer> caches) {
+    int length = input.binsCovering(request.length());
+    int warmUp = input.binsCovering(request.length().plus(input.rules().warmUp())) - length;
+    int required =
+        request.location() == null
+            ? caches.size()
+            : (int) Math.ceil(request.share() * caches.size() - ROUNDING);
+    int firstStart = Math.max(0, input.firstBinFrom(request.earliest()));
+    int lastStart = Math.min(lastStart(length, warmUp), input.binAt(request.latest()) - length);
+    return new BinnedRequest(caches, required, length, warmUp, firstStart, lastStart);
+  }
+
+  /** The last start whose window and warm-up end within the input's bins. */
+  private int lastStart(int length, int warmUp) {
+    return input.binCount() - length - warmUp;
+  }
+
+  private static Rejection unknownCache(MaintenanceRequest request, String cache) {
+    Shortage shortage =
+        new Shortage(
+            Shortage.Kind.UNKNOWN_CACHE, Shortage.NO_RANGE, cache, 1, 0, request.earliest());
+    return new Rejection(request.id(), cache, shortage, null);
+  }
+
+  private Rejection rejection(
+      MaintenanceRequest request, BinnedRequest binned, Candidate best, PlacementSearch search) {
+    List<Integer> unplaced = best.unplaced();
+    String cache = unplaced.isEmpty() ? "" : timeline.topology().nameOf(unplaced.get(0));
+    Shortage shortage = best.leastSevere();
+    if (shortage == null) {
+      shortage = tooShort(request, binned, cache);
+    }
+    BinnedRequest unbounded = binned.withLastStart(lastStart(binned.length(), binned.warmUp()));
+    Candidate later = search.best(unbounded);
+    boolean feasible = later.placements().size() >= binned.required();
+    Duration feasibleEnd = feasible ? input.timeOf(later.lastStart() + binned.length()) : null;
+    return new Rejection(request.id(), cache, shortage, feasibleEnd);
+  }
+
+  private Shortage tooShort(MaintenanceRequest request, BinnedRequest binned, String cache) {
+    Duration available = request.latest().minus(input.timeOf(binned.firstStart()));
+    return new Shortage(
+        Shortage.Kind.TIME,
+        Shortage.NO_RANGE,
+        cache,
+        request.length().toSeconds(),
+        Math.max(0, available.toSeconds()),
+        request.earliest());
+  }
+
+  private void mark(Candidate candidate, BinnedRequest request) {
+    for (Candidate.Placement placement : candidate.placements()) {
+      int end = placement.start() + request.length();
+      for (int bin = placement.start(); bin < end + request.warmUp(); bin++) {
+        timeline.set(placement.cache(), bin, bin < end ? Availability.OUT : Availability.COLD);
       }
     }
-    return -1;
   }
 
-  private boolean along(
-      List<Integer> group, Lack lack, int start, Set<Integer> open, int together, Job job) {
-    int full = lack.what() == Lacks.ROOM ? board.places.get(lack.cache()) : -1;
-    if (group.size() >= together || !open.contains(full) || group.contains(full)) {
-      return false;
-    }
-    group.add(full);
-    if (refused(group, start, open, together, job) < 0) {
-      return true;
+  private List<Batch> toBatches(MaintenanceRequest request, Candidate candidate, int length) {
+    Map<Integer, List<String>> namesByStart = new TreeMap<>();
+    for (Candidate.Placement placement : candidate.placements()) {
+      namesByStart
+          .computeIfAbsent(placement.start(), start -> new ArrayList<>())
+          .add(timeline.topology().nameOf(placement.cache()));
     }
-    group.remove((Integer) full);
-    return false;
-  }
-
-  private Lack set(List<Integer> group, int start, int i, byte[][] before, Job job) {
-    Lack lack = null;
-    int bin = start + i;
-    for (int g = 0; g < group.size(); g++) {
-      int cache = group.get(g);
-      before[g][i] = board.get(cache, bin);
-      // A cache that is out or cold by an agreed window or by itself can't have its window there
-      // too.
-      lack =
-          before[g][i] == Board.IN
-              ? lack
-              : new Lack(
-                  Lacks.TIME,
-                  -1,
-                  board.world.caches().get(cache).name(),
-                  1,
-                  0,
-                  board.world.time(bin));
-      board.set(cache, bin, i < job.length ? Board.OUT : Board.COLD);
-    }
-    for (int g = 0; g < group.size() && lack == null; g++) {
-      lack = board.lack(group.get(g), bin);
-    }
-    return lack;
-  }
-
-  private List<Batch> batches(Wish wish, Try best, int length) {
-    Map<Integer, List<String>> byStart = new TreeMap<>();
-    best.placed.forEach(
-        p ->
-            byStart
-                .computeIfAbsent(p.start, s -> new ArrayList<>())
-                .add(board.world.caches().get(p.cache).name()));
-    List<Batch> batches = new ArrayList<>();
-    byStart.forEach(
+    List<Batch> result = new ArrayList<>();
+    namesByStart.forEach(
         (start, names) -> {
-          Duration end = board.world.time(start + length);
-          batches.add(
-              new Batch(
-                  wish.id(),
-                  List.copyOf(names),
-                  board.world.time(start),
-                  end,
-                  end.plus(board.world.rules().warmUp())));
+          Duration end = input.timeOf(start + length);
+          Duration warmAt = end.plus(input.rules().warmUp());
+          result.add(new Batch(request.id(), List.copyOf(names), input.timeOf(start), end, warmAt));
         });
-    return batches;
+    return result;
   }
 }
