--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -9,6 +9,7 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.ArchRule;
+import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
 /** The permitted dependencies between packages, as each package-info describes them. */
@@ -21,6 +22,56 @@
           .importPackages("tamarindroute");
   private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
 
+  /** Packages that no front may be used by. */
+  private static final String[] BELOW_FRONTS = {
+    "tamarindroute.host",
+    "tamarindroute.net",
+    "tamarindroute.protocol",
+    "tamarindroute.decision",
+    "tamarindroute.policy",
+    "tamarindroute.settings",
+    "tamarindroute.log",
+    "tamarindroute.dns",
+    "tamarindroute.resolver",
+    "tamarindroute.vrrp",
+    "tamarindroute.standby"
+  };
+
+  private static String[] packages(String... names) {
+    return names;
+  }
+
+  /** Fails if a class of the packages depends on one of the forbidden packages. */
+  private static void assertIndependent(String[] packages, String... forbidden) {
+    noClasses()
+        .that()
+        .resideInAnyPackage(packages)
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(forbidden)
+        .check(PROGRAM);
+  }
+
+  /** Fails if a class outside of the users depends on one of the packages. */
+  private static void assertUsedOnlyBy(String[] users, String... packages) {
+    noClasses()
+        .that()
+        .resideOutsideOfPackages(users)
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(packages)
+        .check(PROGRAM);
+  }
+
+  private static void assertNoCall(String packageName, Class<?> owner, String method) {
+    noClasses()
+        .that()
+        .resideInAPackage(packageName)
+        .should()
+        .callMethod(owner, method)
+        .check(PROGRAM);
+  }
+
   /** Each package is a slice of its own, subpackages included. */
   private static ArchRule noCycles(String root) {
     return slices().matching("(" + root + "..)").should().beFreeOfCycles();
@@ -41,78 +92,50 @@
 
   @Test
   void decisionAndPolicyUseNoIoOrThreads() {
-    noClasses()
-        .that()
-        .resideInAnyPackage("tamarindroute.decision", "tamarindroute.policy")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.io..",
-            "java.net..",
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org..",
-            "com..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.log..",
-            "tamarindroute.protocol..")
-        .check(PROGRAM);
+    assertIndependent(
+        packages("tamarindroute.decision", "tamarindroute.policy"),
+        "java.io..",
+        "java.net..",
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org..",
+        "com..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.log..",
+        "tamarindroute.protocol..");
   }
 
   @Test
   void dnsUsesNoIoThreadsOrClocks() {
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.dns")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.resolver..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.dns")
-        .should()
-        .callMethod(System.class, "nanoTime")
-        .orShould()
-        .callMethod(System.class, "currentTimeMillis")
-        .orShould()
-        .callMethod(java.time.Instant.class, "now")
-        .check(PROGRAM);
+    assertIndependent(
+        packages("tamarindroute.dns"),
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.resolver..");
+    assertNoCall("tamarindroute.dns", System.class, "nanoTime");
+    assertNoCall("tamarindroute.dns", System.class, "currentTimeMillis");
+    assertNoCall("tamarindroute.dns", Instant.class, "now");
   }
 
   @Test
   void vrrpUsesNoIoThreadsOrClocks() {
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.vrrp")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.log..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.vrrp")
-        .should()
-        .callMethod(System.class, "nanoTime")
-        .orShould()
-        .callMethod(System.class, "currentTimeMillis")
-        .check(PROGRAM);
+    assertIndependent(
+        packages("tamarindroute.vrrp"),
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.log..");
+    assertNoCall("tamarindroute.vrrp", System.class, "nanoTime");
+    assertNoCall("tamarindroute.vrrp", System.class, "currentTimeMillis");
   }
 
   @Test
@@ -135,33 +158,10 @@
     for (String front : FRONTS) {
       for (String other : FRONTS) {
         if (!front.equals(other)) {
-          noClasses()
-              .that()
-              .resideInAPackage("tamarindroute." + front)
-              .should()
-              .dependOnClassesThat()
-              .resideInAPackage("tamarindroute." + other)
-              .check(PROGRAM);
+          assertIndependent(packages("tamarindroute." + front), "tamarindroute." + other);
         }
       }
-      noClasses()
-          .that()
-          .resideInAnyPackage(
-              "tamarindroute.host",
-              "tamarindroute.net",
-              "tamarindroute.protocol",
-              "tamarindroute.decision",
-              "tamarindroute.policy",
-              "tamarindroute.settings",
-              "tamarindroute.log",
-              "tamarindroute.dns",
-              "tamarindroute.resolver",
-              "tamarindroute.vrrp",
-              "tamarindroute.standby")
-          .should()
-          .dependOnClassesThat()
-          .resideInAPackage("tamarindroute." + front)
-          .check(PROGRAM);
+      assertIndependent(BELOW_FRONTS, "tamarindroute." + front);
     }
   }
 
@@ -206,55 +206,31 @@
   /** Only the command line depends on members, and only wire formats on their libraries. */
   @Test
   void onlyTheCommandLineUsesMembers() {
-    noClasses()
-        .that()
-        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.cli..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAPackage("tamarindroute.members..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.agreement..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage("tamarindroute.agreement..", "com.google.protobuf..", "io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideOutsideOfPackage("tamarindroute.agreement.raft")
-        .should()
-        .dependOnClassesThat()
-        .resideInAPackage("io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.members.agreed")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "com.google.protobuf..", "tamarindroute.agreement.proto..", "io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.members")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage("com.google.protobuf..", "tamarindroute.members.wire.form..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAnyPackage("tamarindroute.membership..", "tamarindroute.members.wire..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.net..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.host..",
-            "tamarindroute.log..",
-            "tamarindroute.net..")
-        .check(PROGRAM);
+    assertUsedOnlyBy(
+        packages("tamarindroute.members..", "tamarindroute.cli.."), "tamarindroute.members..");
+    assertUsedOnlyBy(
+        packages("tamarindroute.members..", "tamarindroute.agreement.."),
+        "tamarindroute.agreement..",
+        "com.google.protobuf..",
+        "io.microraft..");
+    assertUsedOnlyBy(packages("tamarindroute.agreement.raft"), "io.microraft..");
+    assertIndependent(
+        packages("tamarindroute.members.agreed"),
+        "com.google.protobuf..",
+        "tamarindroute.agreement.proto..",
+        "io.microraft..");
+    assertIndependent(
+        packages("tamarindroute.members"),
+        "com.google.protobuf..",
+        "tamarindroute.members.wire.form..");
+    assertIndependent(
+        packages("tamarindroute.membership..", "tamarindroute.members.wire.."),
+        "java.net..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.host..",
+        "tamarindroute.log..",
+        "tamarindroute.net..");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/AgreedViewIT.java
+++ b/cli/src/test/java/tamarindroute/cli/AgreedViewIT.java
@@ -90,7 +90,7 @@
         processes
             .awaitLogLine(killed + ".log", 0, "agreed-view: voting as (\\S+), with an empty store")
             .group(1);
-    processes.processes.get(killed).destroyForcibly().waitFor();
+    processes.kill(killed);
     int offset = processes.logLength("4.log");
     long killedAt = System.nanoTime();
     Matcher next = processes.awaitLogLine(other + ".log", 0, newLeaderLine.formatted(4));
@@ -116,7 +116,7 @@
     int stopped = startAll();
     String log = stopped + ".log";
     int offset = processes.logLength(log);
-    signal(stopped, "STOP");
+    processes.signal(stopped, "STOP");
     String newLeaderLine =
         "agreed-view: view \\d+, 4 members, leader (?!"
             + processes.addresses.get(stopped)
@@ -126,7 +126,7 @@
     // Longer than any lease.
     TimeUnit.SECONDS.sleep(4);
     int otherOffset = processes.logLength("3.log");
-    signal(stopped, "CONT");
+    processes.signal(stopped, "CONT");
     processes.awaitLogLine(log, offset, "connectivity: paused \\d{4,} ms");
     processes.awaitLogLine(log, offset, "agreed-view: no valid view for \\d+ ms");
     processes.awaitLogLine(log, offset, "agreed-view: not leader any more");
@@ -154,15 +154,14 @@
     int survivor = processes.addresses.indexOf(leader);
     for (int i = 0; i < VOTERS; i++) {
       if (i != survivor) {
-        processes.processes.get(i).destroyForcibly().waitFor();
+        processes.kill(i);
       }
     }
     for (String log : List.of("3.log", survivor + ".log")) {
       processes.awaitLogLine(log, 0, "agreed-view: no valid view for \\d+ ms");
     }
     processes.awaitLogLine(survivor + ".log", 0, "agreed-view: no quorum for \\d+ ms");
-    assertThat(processes.processes.get(3).isAlive() && processes.processes.get(survivor).isAlive())
-        .isTrue();
+    assertThat(processes.isAlive(3) && processes.isAlive(survivor)).isTrue();
     int restarted = (survivor + 1) % VOTERS;
     int offset = processes.logLength("3.log");
     processes.startMember(restarted, "back.log");
@@ -170,15 +169,6 @@
     processes.awaitLogLine("3.log", offset, "agreed-view: view \\d+, 3 members, leader ");
   }
 
-  private void signal(int member, String name) throws Exception {
-    assertThat(
-            new ProcessBuilder(
-                    "kill", "-" + name, Long.toString(processes.processes.get(member).pid()))
-                .start()
-                .waitFor())
-        .isZero();
-  }
-
   @Test
   void consensusClassesAreNotLoadedWithoutVoters() throws Exception {
     for (int i = 0; i < 2; i++) {
--- a/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
+++ b/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
@@ -33,7 +33,7 @@
   final List<String> addresses = new ArrayList<>();
 
   /** All processes, in the order of their start. */
-  final List<Process> processes = new ArrayList<>();
+  private final List<Process> processes = new ArrayList<>();
 
   private final Path folder;
 
@@ -48,7 +48,7 @@
     Files.writeString(folder.resolve("members.key"), HexFormat.of().formatHex(key));
     List<DatagramSocket> sockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      sockets.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+      sockets.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
       addresses.add("127.0.0.1:" + sockets.get(i).getLocalPort());
     }
     sockets.forEach(DatagramSocket::close);
@@ -91,6 +91,21 @@
     return process;
   }
 
+  /** Kills a member and waits for its end; for a restarted member its first process. */
+  void kill(int member) throws InterruptedException {
+    processes.get(member).destroyForcibly().waitFor();
+  }
+
+  /** Sends a signal to a member, named as by kill. */
+  void signal(int member, String name) throws IOException, InterruptedException {
+    String pid = Long.toString(processes.get(member).pid());
+    assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor()).isZero();
+  }
+
+  boolean isAlive(int member) {
+    return processes.get(member).isAlive();
+  }
+
   String readLog(String log) throws IOException {
     return Files.readString(folder.resolve(log));
   }
--- a/cli/src/test/java/tamarindroute/cli/MembershipIT.java
+++ b/cli/src/test/java/tamarindroute/cli/MembershipIT.java
@@ -24,17 +24,17 @@
   @BeforeEach
   void writeSettings() throws Exception {
     processes = new MemberProcesses(folder, 3);
-    List<String> names = processes.addresses;
-    for (int i = 0; i < names.size(); i++) {
+    List<String> addresses = processes.addresses;
+    for (int i = 0; i < addresses.size(); i++) {
       Files.writeString(
           folder.resolve(i + ".xml"),
           Files.readString(Path.of("deploy/members.xml"))
               .replace(
                   "127.0.0.1:9001\" name=\"127.0.0.1:9001\" state=\"members.birth\"",
-                  names.get(i) + "\"")
-              .replace("127.0.0.1:9001", names.get(0))
-              .replace("127.0.0.1:9002", names.get(1))
-              .replace("127.0.0.1:9003", names.get(2))
+                  addresses.get(i) + "\"")
+              .replace("127.0.0.1:9001", addresses.get(0))
+              .replace("127.0.0.1:9002", addresses.get(1))
+              .replace("127.0.0.1:9003", addresses.get(2))
               .replace("PT3S", "PT1S"));
     }
   }
@@ -46,52 +46,46 @@
 
   @Test
   void killedMemberIsFaultyRejoinsAndLeavesInOrder() throws Exception {
-    for (int i = 0; i < 3; i++) {
-      processes.startMember(i, i + ".log");
-    }
-    for (int i = 0; i < 3; i++) {
-      for (String name : processes.addresses) {
-        if (!name.equals(processes.addresses.get(i))) {
-          processes.awaitLogLine(i + ".log", "member: " + name + "#\\d+ alive");
-        }
-      }
-      processes.awaitLogLine(i + ".log", "connectivity: connected");
+    startAllConnected();
+    String killed = processes.addresses.get(2);
+    long incarnation = awaitIncarnation("2.log", "self " + killed + "#(\\d+)");
+    processes.kill(2);
+    for (String log : List.of("0.log", "1.log")) {
+      processes.awaitLogLine(log, "member: " + killed + "#" + incarnation + " faulty");
     }
-    long incarnation =
-        Long.parseLong(
-            processes
-                .awaitLogLine("2.log", "self " + processes.addresses.get(2) + "#(\\d+)")
-                .group(1));
-    processes.processes.get(2).destroyForcibly().waitFor();
-    processes.awaitLogLine(
-        "0.log", "member: " + processes.addresses.get(2) + "#" + incarnation + " faulty");
-    processes.awaitLogLine(
-        "1.log", "member: " + processes.addresses.get(2) + "#" + incarnation + " faulty");
     Process restarted = processes.startMember(2, "again.log");
+    String otherIncarnationAlive = "member: " + killed + "#(?!" + incarnation + " )(\\d+) alive";
     for (String log : List.of("0.log", "1.log")) {
-      long laterIncarnation =
-          Long.parseLong(
-              processes
-                  .awaitLogLine(
-                      log,
-                      "member: "
-                          + processes.addresses.get(2)
-                          + "#(?!"
-                          + incarnation
-                          + " )(\\d+) alive")
-                  .group(1));
-      assertThat(laterIncarnation).isGreaterThan(incarnation);
+      assertThat(awaitIncarnation(log, otherIncarnationAlive)).isGreaterThan(incarnation);
     }
     processes.awaitLogLine("again.log", "connectivity: connected");
     restarted.destroy();
-    processes.awaitLogLine("0.log", "member: " + processes.addresses.get(2) + "#\\d+ left");
-    String firstLog = processes.readLog("0.log");
-    assertThat(
-            Pattern.compile(processes.addresses.get(1) + "#\\d+ faulty").matcher(firstLog).find())
+    processes.awaitLogLine("0.log", "member: " + killed + "#\\d+ left");
+    Pattern falseReport = Pattern.compile(processes.addresses.get(1) + "#\\d+ faulty");
+    assertThat(falseReport.matcher(processes.readLog("0.log")).find())
         .as("a member that runs was reported as faulty")
         .isFalse();
   }
 
+  /** Starts all members and waits until each knows the others. */
+  private void startAllConnected() throws Exception {
+    for (int i = 0; i < 3; i++) {
+      processes.startMember(i, i + ".log");
+    }
+    for (int i = 0; i < 3; i++) {
+      for (String address : processes.addresses) {
+        if (!address.equals(processes.addresses.get(i))) {
+          processes.awaitLogLine(i + ".log", "member: " + address + "#\\d+ alive");
+        }
+      }
+      processes.awaitLogLine(i + ".log", "connectivity: connected");
+    }
+  }
+
+  private long awaitIncarnation(String log, String regex) throws Exception {
+    return Long.parseLong(processes.awaitLogLine(log, regex).group(1));
+  }
+
   @Test
   void drainFromOneMembersFeedReachesAllMembers() throws Exception {
     for (int i = 1; i < 3; i++) {
--- a/cli/src/test/java/tamarindroute/faultinjection/CacheResponder.java
+++ b/cli/src/test/java/tamarindroute/faultinjection/CacheResponder.java
@@ -85,10 +85,8 @@
     byte[] complete = completeFrame(attempt);
     int partial = random.nextInt(1, complete.length);
     switch (fault) {
-      case MISS -> write(attempt, CacheResponse.ofStatus("NOENT"), false);
-      case OVER_CAPACITY -> write(attempt, CacheResponse.ofStatus("AGAIN"), false);
-      case ERROR -> write(attempt, CacheResponse.ofStatus("EIO"), false);
-      case STALE -> write(attempt, CacheResponse.ofStatus("STALE"), false);
+      case MISS, OVER_CAPACITY, ERROR, STALE ->
+          write(attempt, CacheResponse.ofStatus(status(fault)), false);
       case SILENT -> {}
       case LATE -> serve(attempt, false);
       case DUPLICATE_RESPONSE -> writeTwice(attempt, random);
@@ -96,15 +94,9 @@
         writeForUnknownId(random);
         serve(attempt, false);
       }
-      case PARTIAL_THEN_HANG -> connection.writeLast(complete, partial);
-      case PARTIAL_THEN_CLOSE -> {
+      case PARTIAL_THEN_HANG, PARTIAL_THEN_CLOSE, PARTIAL_THEN_RESET -> {
         connection.writeLast(complete, partial);
-        connection.close();
-      }
-      case PARTIAL_THEN_RESET -> {
-        connection.writeLast(complete, partial);
-        Threads.sleep(random.nextInt(3) * 5L);
-        connection.reset();
+        endAfterPartial(fault, random);
       }
       case RESET, RESET_LATER -> connection.reset();
       case CLOSE -> connection.close();
@@ -127,6 +119,25 @@
     }
   }
 
+  private static String status(Fault fault) {
+    return switch (fault) {
+      case MISS -> "NOENT";
+      case OVER_CAPACITY -> "AGAIN";
+      case ERROR -> "EIO";
+      case STALE -> "STALE";
+      default -> throw new IllegalArgumentException(fault + " has no status");
+    };
+  }
+
+  private void endAfterPartial(Fault fault, SplittableRandom random) {
+    if (fault == Fault.PARTIAL_THEN_CLOSE) {
+      connection.close();
+    } else if (fault == Fault.PARTIAL_THEN_RESET) {
+      Threads.sleep(random.nextInt(3) * 5L);
+      connection.reset();
+    }
+  }
+
   private byte[] completeFrame(ReceivedAttempt attempt) {
     return ToyServer.frame(
         attempt.requestId(),
@@ -208,8 +219,8 @@
     if (digest.equals(attempt.heldDigest())) {
       write(attempt, CacheResponse.notModified(fields, digest, dated), twice);
     } else {
-      byte[] body = TestObjects.content(digest, TestObjects.length(object, part));
-      write(attempt, new CacheResponse("ACK", fields, body, digest, dated), twice);
+      int bodyBytes = TestObjects.length(object, part);
+      write(attempt, new CacheResponse("ACK", fields, digest, bodyBytes, dated), twice);
     }
   }
 
--- a/cli/src/test/java/tamarindroute/faultinjection/ClientRequest.java
+++ b/cli/src/test/java/tamarindroute/faultinjection/ClientRequest.java
@@ -6,6 +6,7 @@
  * A request that a scripted client sends.
  *
  * @param budgetMillis time for which the client waits
+ * @param bodyBytes length of the body, which is all zeros
  * @param heldVersion digest of the copy that the client holds; null if it holds none
  */
 record ClientRequest(
@@ -15,12 +16,13 @@
     int part,
     int budgetMillis,
     String heldVersion,
-    byte[] body) {
+    int bodyBytes) {
 
   private static final int BYTES_PER_MEMORY_UNIT = 1000;
 
   byte[] toFrame(String tag) {
-    return ToyServer.frame("RPC.CALL", tag, requestClass.configuredName, fields(), body);
+    return ToyServer.frame(
+        "RPC.CALL", tag, requestClass.configuredName, fields(), new byte[bodyBytes]);
   }
 
   private String fields() {
--- a/cli/src/test/java/tamarindroute/faultinjection/RequestGenerator.java
+++ b/cli/src/test/java/tamarindroute/faultinjection/RequestGenerator.java
@@ -35,15 +35,15 @@
     String heldVersion = conditional ? copyVersions.get(object + part) : null;
     String id = randomId(random);
     int budgetMillis = random.nextInt(300, 2000);
-    byte[] body = new byte[cacheable ? 0 : random.nextInt(2000)];
-    return new ClientRequest(id, requestClass, object, part, budgetMillis, heldVersion, body);
+    int bodyBytes = cacheable ? 0 : random.nextInt(2000);
+    return new ClientRequest(id, requestClass, object, part, budgetMillis, heldVersion, bodyBytes);
   }
 
   /** A cacheable request with a large response. */
   ClientRequest nextLarge(SplittableRandom random) {
     String object = LARGE_OBJECTS.get(random.nextInt(LARGE_OBJECTS.size()));
     return new ClientRequest(
-        randomId(random), RequestClass.CACHEABLE, object, 0, LARGE_BUDGET_MS, null, new byte[0]);
+        randomId(random), RequestClass.CACHEABLE, object, 0, LARGE_BUDGET_MS, null, 0);
   }
 
   private static String randomId(SplittableRandom random) {
--- a/cli/src/test/java/tamarindroute/gateway/FleetIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/FleetIT.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static tamarindroute.example.ToyServer.paddedHex;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -188,7 +189,7 @@
     for (int i = 0; i < size; i++) {
       InetSocketAddress listener;
       try (ServerSocket free = new ServerSocket(0)) {
-        listener = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+        listener = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
       }
       Path config = folder.resolve("config" + i + ".json");
       Files.writeString(
--- a/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
+++ b/cli/src/test/java/tamarindroute/gateway/GatewayHarness.java
@@ -4,6 +4,7 @@
 import static tamarindroute.example.ToyServer.paddedHex;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.SocketException;
@@ -63,7 +64,7 @@
     second = caches.get(1);
     parent = caches.get(2);
     try (ServerSocket free = new ServerSocket(0)) {
-      address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+      address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
     }
     String config =
         Files.readString(Path.of("example/config.json"))
--- a/cli/src/test/java/tamarindroute/gateway/StartIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/StartIT.java
@@ -32,7 +32,7 @@
     // Page faults of children that were waited for, also by the shell before it: there was no
     // child.
     String[] stat =
-        Files.readString(process.resolve("stat")).replaceAll("\\(.*\\)", "x").split(" ");
+        Files.readString(process.resolve("stat")).replaceAll("\\(.*\\)", "x").split(" ", -1);
     assertThat(stat[10]).isEqualTo("0");
   }
 
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -193,7 +194,7 @@
 
     Listener(int port) throws IOException {
       server.setReuseAddress(true);
-      server.bind(new InetSocketAddress("127.0.0.1", port));
+      server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
       start(
           () -> {
             while (true) {
