--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -9,9 +9,10 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.ArchRule;
+import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: the rules that each package's opening paragraph tells. */
+/** The permitted dependencies between packages, as each package-info describes them. */
 class ArchitectureTest {
 
   private static final JavaClasses PROGRAM =
@@ -21,104 +22,124 @@
           .importPackages("tamarindroute");
   private static final String[] FRONTS = {"gateway", "wirehost", "nameserver"};
 
-  /** Each package a slice of its own, those above and below another among them. */
-  private static ArchRule noCircles(String root) {
-    return slices().matching("(" + root + "..)").should().beFreeOfCycles();
-  }
-
-  @Test
-  void noPackagesKnowEachOtherInACircle() {
-    noCircles("tamarindroute").check(PROGRAM);
-  }
+  /** Packages that no front may be used by. */
+  private static final String[] BELOW_FRONTS = {
+    "tamarindroute.host",
+    "tamarindroute.net",
+    "tamarindroute.protocol",
+    "tamarindroute.decision",
+    "tamarindroute.policy",
+    "tamarindroute.settings",
+    "tamarindroute.log",
+    "tamarindroute.dns",
+    "tamarindroute.resolver",
+    "tamarindroute.vrrp",
+    "tamarindroute.standby"
+  };
 
-  /**
-   * The rule must see the first class's package too, and must be able to fail: a library shows it.
-   */
-  @Test
-  void aCircleWouldBeSeen() {
-    assertThat(PROGRAM.contain(Main.class)).isTrue();
-    JavaClasses library = new ClassFileImporter().importPackages("ch.qos.logback.classic");
-    assertThat(noCircles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
+  private static String[] packages(String... names) {
+    return names;
   }
 
-  @Test
-  void theModuleAndItsInterfaceAreFreeOfIo() {
+  /** Fails if a class of the packages depends on one of the forbidden packages. */
+  private static void assertIndependent(String[] packages, String... forbidden) {
     noClasses()
         .that()
-        .resideInAnyPackage("tamarindroute.decision", "tamarindroute.policy")
+        .resideInAnyPackage(packages)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.io..",
-            "java.net..",
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org..",
-            "com..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.log..",
-            "tamarindroute.protocol..")
+        .resideInAnyPackage(forbidden)
         .check(PROGRAM);
   }
 
-  @Test
-  void whatDecidesForNamesHasNoSocketsFilesThreadsOrClocks() {
+  /** Fails if a class outside of the users depends on one of the packages. */
+  private static void assertUsedOnlyBy(String[] users, String... packages) {
     noClasses()
         .that()
-        .resideInAPackage("tamarindroute.dns")
+        .resideOutsideOfPackages(users)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.resolver..")
+        .resideInAnyPackage(packages)
         .check(PROGRAM);
+  }
+
+  private static void assertNoCall(String packageName, Class<?> owner, String method) {
     noClasses()
         .that()
-        .resideInAPackage("tamarindroute.dns")
+        .resideInAPackage(packageName)
         .should()
-        .callMethod(System.class, "nanoTime")
-        .orShould()
-        .callMethod(System.class, "currentTimeMillis")
-        .orShould()
-        .callMethod(java.time.Instant.class, "now")
+        .callMethod(owner, method)
         .check(PROGRAM);
   }
 
+  /** Each package is a slice of its own, subpackages included. */
+  private static ArchRule noCycles(String root) {
+    return slices().matching("(" + root + "..)").should().beFreeOfCycles();
+  }
+
   @Test
-  void electionsHaveNoSocketsFilesThreadsOrClocks() {
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.vrrp")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.nio.channels..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.net..",
-            "tamarindroute.host..",
-            "tamarindroute.log..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.vrrp")
-        .should()
-        .callMethod(System.class, "nanoTime")
-        .orShould()
-        .callMethod(System.class, "currentTimeMillis")
-        .check(PROGRAM);
+  void packagesAreFreeOfCycles() {
+    noCycles("tamarindroute").check(PROGRAM);
+  }
+
+  /** The rule covers the root package and can fail, as shown by a library with cycles. */
+  @Test
+  void cycleRuleDetectsACycle() {
+    assertThat(PROGRAM.contain(Main.class)).isTrue();
+    JavaClasses library = new ClassFileImporter().importPackages("ch.qos.logback.classic");
+    assertThat(noCycles("ch.qos.logback.classic").evaluate(library).hasViolation()).isTrue();
   }
 
   @Test
-  void onlyTheForwarderSendsQuestions() {
+  void decisionAndPolicyUseNoIoOrThreads() {
+    assertIndependent(
+        packages("tamarindroute.decision", "tamarindroute.policy"),
+        "java.io..",
+        "java.net..",
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org..",
+        "com..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.log..",
+        "tamarindroute.protocol..");
+  }
+
+  @Test
+  void dnsUsesNoIoThreadsOrClocks() {
+    assertIndependent(
+        packages("tamarindroute.dns"),
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.resolver..");
+    assertNoCall("tamarindroute.dns", System.class, "nanoTime");
+    assertNoCall("tamarindroute.dns", System.class, "currentTimeMillis");
+    assertNoCall("tamarindroute.dns", Instant.class, "now");
+  }
+
+  @Test
+  void vrrpUsesNoIoThreadsOrClocks() {
+    assertIndependent(
+        packages("tamarindroute.vrrp"),
+        "java.nio.channels..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.net..",
+        "tamarindroute.host..",
+        "tamarindroute.log..");
+    assertNoCall("tamarindroute.vrrp", System.class, "nanoTime");
+    assertNoCall("tamarindroute.vrrp", System.class, "currentTimeMillis");
+  }
+
+  @Test
+  void onlyTheForwarderSendsQueries() {
     noClasses()
         .that()
         .resideInAPackage("tamarindroute.resolver")
@@ -133,46 +154,20 @@
   }
 
   @Test
-  void frontsDoNotKnowEachOther() {
+  void frontsAreIndependent() {
     for (String front : FRONTS) {
       for (String other : FRONTS) {
         if (!front.equals(other)) {
-          noClasses()
-              .that()
-              .resideInAPackage("tamarindroute." + front)
-              .should()
-              .dependOnClassesThat()
-              .resideInAPackage("tamarindroute." + other)
-              .check(PROGRAM);
+          assertIndependent(packages("tamarindroute." + front), "tamarindroute." + other);
         }
       }
-      noClasses()
-          .that()
-          .resideInAnyPackage(
-              "tamarindroute.host",
-              "tamarindroute.net",
-              "tamarindroute.protocol",
-              "tamarindroute.decision",
-              "tamarindroute.policy",
-              "tamarindroute.settings",
-              "tamarindroute.log",
-              "tamarindroute.dns",
-              "tamarindroute.resolver",
-              "tamarindroute.vrrp",
-              "tamarindroute.standby")
-          .should()
-          .dependOnClassesThat()
-          .resideInAPackage("tamarindroute." + front)
-          .check(PROGRAM);
+      assertIndependent(BELOW_FRONTS, "tamarindroute." + front);
     }
   }
 
-  /**
-   * Each such library costs a gateway of 32 MB memory it does not have; they are off its class
-   * path.
-   */
+  /** These libraries would cost a gateway with a heap of 32 MB memory that it does not have. */
   @Test
-  void theGatewayUsesNoneOfTheOtherCommandsLibraries() {
+  void gatewayUsesNoLibrariesOfOtherCommands() {
     noClasses()
         .that()
         .resideInAnyPackage(
@@ -190,7 +185,7 @@
         .or()
         .haveSimpleName("Log")
         .or()
-        .haveSimpleName("Small")
+        .haveSimpleName("MinimalLogProvider")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage("picocli..", "ch.qos.logback..", "org.xbill..")
@@ -198,7 +193,7 @@
   }
 
   @Test
-  void onlyTheLogPackageKnowsWhoWritesLines() {
+  void onlyTheLogPackageUsesLoggingLibraries() {
     classes()
         .that()
         .resideOutsideOfPackage("tamarindroute.log")
@@ -208,61 +203,34 @@
         .check(PROGRAM);
   }
 
-  /**
-   * Members live beside a gateway, which knows nothing of them; only their wire forms know their
-   * library.
-   */
+  /** Only the command line depends on members, and only wire formats on their libraries. */
   @Test
-  void membersAreKnownToTheCommandLineAlone() {
-    noClasses()
-        .that()
-        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.cli..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAPackage("tamarindroute.members..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideOutsideOfPackages("tamarindroute.members..", "tamarindroute.agreement..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage("tamarindroute.agreement..", "com.google.protobuf..", "io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideOutsideOfPackage("tamarindroute.agreement.raft")
-        .should()
-        .dependOnClassesThat()
-        .resideInAPackage("io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.members.agreed")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "com.google.protobuf..", "tamarindroute.agreement.proto..", "io.microraft..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAPackage("tamarindroute.members")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage("com.google.protobuf..", "tamarindroute.members.wire.form..")
-        .check(PROGRAM);
-    noClasses()
-        .that()
-        .resideInAnyPackage("tamarindroute.membership..", "tamarindroute.members.wire..")
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "java.net..",
-            "java.nio.file..",
-            "java.util.concurrent..",
-            "org.apache.mina..",
-            "tamarindroute.host..",
-            "tamarindroute.log..",
-            "tamarindroute.net..")
-        .check(PROGRAM);
+  void onlyTheCommandLineUsesMembers() {
+    assertUsedOnlyBy(
+        packages("tamarindroute.members..", "tamarindroute.cli.."), "tamarindroute.members..");
+    assertUsedOnlyBy(
+        packages("tamarindroute.members..", "tamarindroute.agreement.."),
+        "tamarindroute.agreement..",
+        "com.google.protobuf..",
+        "io.microraft..");
+    assertUsedOnlyBy(packages("tamarindroute.agreement.raft"), "io.microraft..");
+    assertIndependent(
+        packages("tamarindroute.members.agreed"),
+        "com.google.protobuf..",
+        "tamarindroute.agreement.proto..",
+        "io.microraft..");
+    assertIndependent(
+        packages("tamarindroute.members"),
+        "com.google.protobuf..",
+        "tamarindroute.members.wire.form..");
+    assertIndependent(
+        packages("tamarindroute.membership..", "tamarindroute.members.wire.."),
+        "java.net..",
+        "java.nio.file..",
+        "java.util.concurrent..",
+        "org.apache.mina..",
+        "tamarindroute.host..",
+        "tamarindroute.log..",
+        "tamarindroute.net..");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/CommandsIT.java
+++ b/cli/src/test/java/tamarindroute/cli/CommandsIT.java
@@ -12,9 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * The command line as a user has it: from the jar, with its exit codes. Each must end by itself.
- */
+/** The command line, started from the jar as a user would, with its exit codes and messages. */
 @Timeout(60)
 class CommandsIT {
 
@@ -22,16 +20,16 @@
 
   private String output;
 
-  private int run(String... words) throws Exception {
+  private int run(String... arguments) throws Exception {
     List<String> command = new ArrayList<>(List.of("java", "-jar", "target/tamarindroute.jar"));
-    command.addAll(List.of(words));
+    command.addAll(List.of(arguments));
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("out").toFile());
     builder.environment().remove("EDGE_CONFIG");
     Process process = builder.start();
-    assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("it ends by itself").isTrue();
+    assertThat(process.waitFor(20, TimeUnit.SECONDS)).as("the command ends by itself").isTrue();
     output = Files.readString(folder.resolve("out"));
     return process.exitValue();
   }
@@ -56,9 +54,10 @@
         "ask 127.0.0.1:9 a. NOTYPE   | 2 | NOTYPE",
         "ask 127.0.0.1:9 a.example   | 1 | ask"
       })
-  void eachEndsWithItsCodeAndSaysWhy(String words, int code, String said) throws Exception {
-    assertThat(run(words == null ? new String[0] : words.split(" "))).isEqualTo(code);
-    assertThat(output).contains(said);
+  void eachCommandEndsWithItsExitCodeAndMessage(
+      String arguments, int exitCode, String expectedOutput) throws Exception {
+    assertThat(run(arguments == null ? new String[0] : arguments.split(" "))).isEqualTo(exitCode);
+    assertThat(output).contains(expectedOutput);
     assertThat(output).doesNotContain("\tat ").doesNotContain("SLF4J");
   }
 }
--- a/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
+++ b/cli/src/test/java/tamarindroute/cli/MemberProcesses.java
@@ -17,44 +17,43 @@
 import tamarindroute.example.ToyServer;
 
 /**
- * Gateways of the program that know each other, for one test: their addresses, configurations and
- * logs, and a key of their own, so that those of tests side by side never take each other's
- * datagrams.
+ * The gateways of one test's group: their addresses, files and processes. Each group has a key of
+ * its own, so that groups of concurrent tests discard each other's datagrams.
  */
 final class MemberProcesses implements AutoCloseable {
 
   private static final int KEY_BYTES = 32;
   private static final long LOG_WAIT_SECONDS = 50;
-  private static final long LOG_LOOK_MILLIS = 50;
+  private static final long LOG_POLL_MILLIS = 50;
 
-  /** Listens for the gateways' feeds. */
+  /** The control feed of all gateways. */
   final ToyServer.Feed feed = new ToyServer.Feed(0);
 
-  /** The members' addresses, by place. */
-  final List<String> names = new ArrayList<>();
+  /** The members' addresses; the index identifies a member. */
+  final List<String> addresses = new ArrayList<>();
 
-  /** All processes, in the order of their starts. */
-  final List<Process> started = new ArrayList<>();
+  /** All processes, in the order of their start. */
+  private final List<Process> processes = new ArrayList<>();
 
   private final Path folder;
 
   /**
-   * Writes the key and each gateway's configuration, PLACE.json; the members' settings are the
-   * test's.
+   * Reserves addresses and writes the key and each gateway's configuration, INDEX.json. The test
+   * writes the members' settings, INDEX.xml.
    */
   MemberProcesses(Path folder, int count) throws IOException {
     this.folder = folder;
     byte[] key = new byte[KEY_BYTES];
     new SecureRandom().nextBytes(key);
     Files.writeString(folder.resolve("members.key"), HexFormat.of().formatHex(key));
-    List<DatagramSocket> held = new ArrayList<>();
+    List<DatagramSocket> sockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      held.add(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
-      names.add("127.0.0.1:" + held.get(i).getLocalPort());
+      sockets.add(new DatagramSocket(0, InetAddress.getLoopbackAddress()));
+      addresses.add("127.0.0.1:" + sockets.get(i).getLocalPort());
     }
-    held.forEach(DatagramSocket::close);
+    sockets.forEach(DatagramSocket::close);
     for (int i = 0; i < count; i++) {
-      // The system chooses the port for clients: none come.
+      // Port 0: no clients connect.
       Files.writeString(
           folder.resolve(i + ".json"),
           Files.readString(Path.of("example/config.json"))
@@ -63,10 +62,10 @@
     }
   }
 
-  /** Starts a member by its settings, PLACE.xml. */
-  Process member(int place, String log, String... options) throws IOException {
-    List<String> words = new ArrayList<>(List.of(options));
-    words.addAll(
+  /** Starts a member with its settings. */
+  Process startMember(int member, String log, String... options) throws IOException {
+    List<String> arguments = new ArrayList<>(List.of(options));
+    arguments.addAll(
         List.of(
             "-jar",
             "target/tamarindroute.jar",
@@ -74,55 +73,71 @@
             "--log",
             "small",
             "--members",
-            folder.resolve(place + ".xml").toString()));
-    return start(place, log, words);
+            folder.resolve(member + ".xml").toString()));
+    return start(member, log, arguments);
   }
 
-  /** Starts the Java machine with these words after its own options. */
-  Process start(int place, String log, List<String> words) throws IOException {
+  /** Starts Java with these arguments and a member's configuration. */
+  Process start(int member, String log, List<String> arguments) throws IOException {
     List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx64m"));
-    command.addAll(words);
+    command.addAll(arguments);
     ProcessBuilder builder =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve(log).toFile());
-    builder.environment().put("EDGE_CONFIG", folder.resolve(place + ".json").toString());
+    builder.environment().put("EDGE_CONFIG", folder.resolve(member + ".json").toString());
     Process process = builder.start();
-    started.add(process);
+    processes.add(process);
     return process;
   }
 
-  String read(String log) throws IOException {
+  /** Kills a member and waits for its end; for a restarted member its first process. */
+  void kill(int member) throws InterruptedException {
+    processes.get(member).destroyForcibly().waitFor();
+  }
+
+  /** Sends a signal to a member, named as by kill. */
+  void signal(int member, String name) throws IOException, InterruptedException {
+    String pid = Long.toString(processes.get(member).pid());
+    assertThat(new ProcessBuilder("kill", "-" + name, pid).start().waitFor()).isZero();
+  }
+
+  boolean isAlive(int member) {
+    return processes.get(member).isAlive();
+  }
+
+  String readLog(String log) throws IOException {
     return Files.readString(folder.resolve(log));
   }
 
-  int length(String log) throws IOException {
-    return read(log).length();
+  int logLength(String log) throws IOException {
+    return readLog(log).length();
   }
 
-  /** The line's first match in a log, once it is there. */
-  Matcher logged(String log, String line) throws IOException, InterruptedException {
-    return logged(log, 0, line);
+  /** Waits until a log matches a regular expression and returns the match. */
+  Matcher awaitLogLine(String log, String regex) throws IOException, InterruptedException {
+    return awaitLogLine(log, 0, regex);
   }
 
-  /** The line's first match in a log past this place, once it is there. */
-  Matcher logged(String log, int past, String line) throws IOException, InterruptedException {
-    Pattern pattern = Pattern.compile(line);
+  /** Waits until a log matches a regular expression after an offset and returns the match. */
+  Matcher awaitLogLine(String log, int offset, String regex)
+      throws IOException, InterruptedException {
+    Pattern pattern = Pattern.compile(regex);
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOG_WAIT_SECONDS);
     while (true) {
-      String text = read(log);
+      String text = readLog(log);
       Matcher matcher = pattern.matcher(text);
-      if (matcher.find(Math.min(past, text.length()))) {
+      if (matcher.find(Math.min(offset, text.length()))) {
         return matcher;
       }
-      assertThat(System.nanoTime()).as(line + " in " + log + ":\n" + text).isLessThan(end);
-      TimeUnit.MILLISECONDS.sleep(LOG_LOOK_MILLIS);
+      assertThat(System.nanoTime()).as(regex + " in " + log + ":\n" + text).isLessThan(end);
+      TimeUnit.MILLISECONDS.sleep(LOG_POLL_MILLIS);
     }
   }
 
   @Override
   public void close() throws IOException {
-    for (Process process : started) {
+    for (Process process : processes) {
       process.destroyForcibly();
       process.onExit().join();
     }
--- a/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/DescriptorExhaustionIT.java
@@ -89,12 +89,12 @@
       assertThat(openDescriptors()).isBetween((long) side, atRest + side);
       assertTenServed("a");
       feed = new ToyServer.Feed(port);
-      nextCommand(feed.asked, "GET /v1/events?SUB=");
-      feed.tell(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
-      nextCommand(feed.asked, "GET /v1/events?SUB=2");
-      first.seen.clear();
+      nextCommand(feed.requests, "GET /v1/events?SUB=");
+      feed.publish(EDGE_EVENT.formatted("s-0000000a", first.port(), "draining"));
+      nextCommand(feed.requests, "GET /v1/events?SUB=2");
+      first.receivedCommands.clear();
       assertTenServed("b");
-      assertThat(first.seen).isEmpty();
+      assertThat(first.receivedCommands).isEmpty();
       assertThat(most).isLessThan(limit);
       assertThat(Files.readString(folder.resolve("out.log")))
           .doesNotContain("Too many open files", "defect");
--- a/cli/src/test/java/tamarindroute/gateway/FleetIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/FleetIT.java
@@ -1,8 +1,9 @@
 package tamarindroute.gateway;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static tamarindroute.example.ToyServer.id;
+import static tamarindroute.example.ToyServer.paddedHex;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.example.ToyServer;
-import tamarindroute.example.ToyServer.Mode;
+import tamarindroute.example.ToyServer.CacheBehavior;
 
 /** One gateway among many caches and many gateways: long lists, scarce descriptors, restarts. */
 @Timeout(60)
@@ -41,23 +42,23 @@
     restartWithMinimumMemory();
     assertServes("a");
     for (int i = 0; i < 1024; i++) {
-      feed.tell(
+      feed.publish(
           "{\"n\":N,\"purge\":{\"key\":\""
-              + id(Integer.toHexString(0x5000 + i))
+              + paddedHex(Integer.toHexString(0x5000 + i))
               + "\",\"at\":"
               + System.currentTimeMillis()
               + "}}");
     }
-    feed.tell(
+    feed.publish(
         "{\"n\":N,\"members\":{\"version\":3,\"full\":false,\"servers\":["
             + edgeEntries(1024, 2000)
             + "]}}");
-    feed.tell(
+    feed.publish(
         "{\"n\":N,\"members\":{\"version\":4,\"full\":true,\"servers\":["
             + edgeEntries(500, 2500)
             + ","
             + "{\"id\":\"s-0000000d\",\"state\":\"ready\"},{\"id\":\"s-0000000c\",\"state\":\"ready\"}]}}");
-    nextCommand(feed.asked, "GET /v1/events?SUB=1027");
+    nextCommand(feed.requests, "GET /v1/events?SUB=1027");
     assertServes("b");
     assertThat(Files.readString(folder.resolve("out.log")))
         .doesNotContain("defect", "unreadable", "malformed", "protocol-error");
@@ -87,7 +88,8 @@
             .isEqualTo("ACK");
       }
     }
-    assertThat(many.stream().filter(cache -> cache.seen.isEmpty()).count()).isLessThan(3);
+    assertThat(many.stream().filter(cache -> cache.receivedCommands.isEmpty()).count())
+        .isLessThan(3);
   }
 
   /**
@@ -116,7 +118,7 @@
         assertThat(status(call(stay.get(i), "1", "a"))).isEqualTo("ACK");
       }
       half.socket.getOutputStream().write(frame.substring(60).getBytes(StandardCharsets.US_ASCII));
-      assertThat(status(half.read())).isEqualTo("ACK");
+      assertThat(status(half.readResponse())).isEqualTo("ACK");
     }
     for (ToyServer.Client client : stay) {
       client.close();
@@ -138,14 +140,15 @@
     launch();
     try (ToyServer.Client client = client()) {
       int tag = 0;
-      for (Mode bad : List.of(Mode.SILENT, Mode.RESET, Mode.LATE)) {
-        second.mode = bad;
+      for (CacheBehavior bad :
+          List.of(CacheBehavior.SILENT, CacheBehavior.RESET, CacheBehavior.DELAY)) {
+        second.behavior = bad;
         for (int i = 0; i < 60; i++) {
           assertThat(status(call(client, String.valueOf(++tag), Integer.toHexString(0x9000 + tag))))
               .isIn("ACK", "NAK");
         }
       }
-      second.mode = Mode.SERVE;
+      second.behavior = CacheBehavior.SERVE;
       assertThat(status(call(client, String.valueOf(++tag), "c"))).isEqualTo("ACK");
     }
   }
@@ -167,7 +170,7 @@
           }
         }
         for (int i = 0; i < asked; i++) {
-          assertThat(status(client.read())).isEqualTo("ACK");
+          assertThat(status(client.readResponse())).isEqualTo("ACK");
         }
       }
       assertThat(gateway.waitFor(5, TimeUnit.SECONDS)).isTrue();
@@ -186,7 +189,7 @@
     for (int i = 0; i < size; i++) {
       InetSocketAddress listener;
       try (ServerSocket free = new ServerSocket(0)) {
-        listener = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+        listener = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
       }
       Path config = folder.resolve("config" + i + ".json");
       Files.writeString(
@@ -221,7 +224,7 @@
     int served = 0;
     for (ToyServer.Client client : clients) {
       for (int tag = 1; tag <= 30; tag++) {
-        served += status(client.read()).equals("ACK") ? 1 : 0;
+        served += status(client.readResponse()).equals("ACK") ? 1 : 0;
       }
       client.close();
     }
@@ -258,7 +261,8 @@
       List<ToyServer.Client> clients = clientsOf(members);
       long firstCallMillis = System.currentTimeMillis();
       int served = serveTransfers(clients);
-      long attempts = first.seen.stream().filter(command -> command.startsWith("ASK")).count();
+      long attempts =
+          first.receivedCommands.stream().filter(command -> command.startsWith("ASK")).count();
       // The settings' multiple of the capacity at the cache's age, in transfers of 0.1 s.
       double age = (System.currentTimeMillis() - startedMillis) / 1000.0;
       double duration = (System.currentTimeMillis() - firstCallMillis) / 1000.0;
