--- a/cli/src/main/java/tamarindroute/cli/AskCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/AskCommand.java
@@ -84,11 +84,11 @@
   @Override
   public Integer call() {
     Log.useFormat(Log.Format.SMALL);
-    if (!ServiceSettings.numeric(server)) {
+    if (!ServiceSettings.isNumericAddress(server)) {
       throw new ParameterException(
           spec.commandLine(), "SERVER is " + server + ", not of the form ADDRESS:PORT");
     }
-    InetSocketAddress address = ServiceSettings.address(server);
+    InetSocketAddress address = ServiceSettings.parseAddress(server);
     Message query = query();
     int code;
     try (DnsExchange exchange = new DnsExchange(address, query)) {
--- a/cli/src/main/java/tamarindroute/cli/Commands.java
+++ b/cli/src/main/java/tamarindroute/cli/Commands.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import tamarindroute.config.UnusableException;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.start.ExitCode;
 
@@ -64,7 +64,8 @@
 
   private static int exitCode(Exception failure) {
     boolean malformed =
-        failure instanceof MalformedSettingsException || failure instanceof UnusableException;
+        failure instanceof MalformedSettingsException
+            || failure instanceof InvalidSettingsException;
     return malformed ? ExitCode.MALFORMED : ExitCode.FAILED;
   }
 }
--- a/cli/src/main/java/tamarindroute/cli/ConfigCommand.java
+++ b/cli/src/main/java/tamarindroute/cli/ConfigCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.config.ServiceSettings;
-import tamarindroute.config.UnusableException;
 import tamarindroute.dns.DnsSettings;
 import tamarindroute.start.ExitCode;
 
@@ -42,14 +42,14 @@
       try {
         System.out.println(file + ": sound, " + summary(ServiceSettings.read(file).dns()));
         return ExitCode.OK;
-      } catch (UnusableException e) {
+      } catch (InvalidSettingsException e) {
         e.faults().forEach(System.err::println);
         return ExitCode.MALFORMED;
       }
     }
 
     private static String summary(DnsSettings dns) {
-      int locationCount = dns.steer() == null ? 0 : dns.steer().locations().size();
+      int locationCount = dns.steering() == null ? 0 : dns.steering().locations().size();
       return dns.zones().size() + " zones, " + locationCount + " locations";
     }
   }
--- a/cli/src/main/java/tamarindroute/cli/DnsExchange.java
+++ b/cli/src/main/java/tamarindroute/cli/DnsExchange.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.CompletableFuture;
 import org.xbill.DNS.Message;
-import tamarindroute.dns.Frames;
+import tamarindroute.dns.TcpMessageFramer;
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.BufferPool;
 import tamarindroute.net.CloseReason;
@@ -83,18 +83,18 @@
 
   private final class StreamAnswer implements ConnectionHandler {
 
-    private final Frames frames = new Frames(Message.MAXLENGTH);
+    private final TcpMessageFramer framer = new TcpMessageFramer(Message.MAXLENGTH);
     private Connection connection;
 
     @Override
     public void onOpened() {
-      connection.write(Frames.frame(query));
+      connection.write(TcpMessageFramer.frame(query));
     }
 
     @Override
     public void onReceived(ByteBuffer bytes) {
       try {
-        byte[] message = frames.next(bytes);
+        byte[] message = framer.nextMessage(bytes);
         if (message != null) {
           answer.complete(message);
         }
--- a/cli/src/main/java/tamarindroute/cli/DnsQueryBuilder.java
+++ b/cli/src/main/java/tamarindroute/cli/DnsQueryBuilder.java
@@ -84,7 +84,8 @@
   Message build() {
     Message message = new Message(random.nextInt(QUERY_IDS));
     message.getHeader().setFlag(Flags.RD);
-    message.addRecord(Record.newRecord(Forwarder.name(name), type, DClass.IN), Section.QUESTION);
+    message.addRecord(
+        Record.newRecord(Forwarder.absoluteName(name), type, DClass.IN), Section.QUESTION);
     if (edns) {
       message.addRecord(new OPTRecord(maxDatagramBytes, 0, 0, 0, options), Section.ADDITIONAL);
     }
--- a/members/src/main/java/tamarindroute/members/MemberConfiguration.java
+++ b/members/src/main/java/tamarindroute/members/MemberConfiguration.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import tamarindroute.config.UnusableException;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.MembershipSettings;
 import tamarindroute.protocol.MessageAuthenticator;
@@ -47,7 +47,7 @@
    *
    * @throws UnusableException with all faults of these files
    */
-  public static MemberConfiguration read(Path file) throws UnusableException {
+  public static MemberConfiguration read(Path file) throws InvalidSettingsException {
     return MemberConfigurationReader.read(file);
   }
 
--- a/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
+++ b/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tamarindroute.config.Element;
-import tamarindroute.config.Fault;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.config.ServiceSettings;
-import tamarindroute.config.UnusableException;
+import tamarindroute.config.SettingsFault;
+import tamarindroute.config.XmlElement;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.MembershipSettings;
 import tamarindroute.protocol.MessageAuthenticator;
@@ -40,37 +40,39 @@
   private static final InetSocketAddress PLACEHOLDER = new InetSocketAddress("127.0.0.1", 1);
 
   private final Path file;
-  private final List<Fault> faults;
+  private final List<SettingsFault> faults;
 
-  private MemberConfigurationReader(Path file, List<Fault> faults) {
+  private MemberConfigurationReader(Path file, List<SettingsFault> faults) {
     this.file = file;
     this.faults = faults;
   }
 
-  static MemberConfiguration read(Path file) throws UnusableException {
-    List<Fault> faults = new ArrayList<>();
-    Element root = Element.read(file, MemberConfigurationReader.class.getResource(SCHEMA), faults);
+  static MemberConfiguration read(Path file) throws InvalidSettingsException {
+    List<SettingsFault> faults = new ArrayList<>();
+    XmlElement root =
+        XmlElement.read(file, MemberConfigurationReader.class.getResource(SCHEMA), faults);
     if (root == null) {
-      throw new UnusableException(faults);
+      throw new InvalidSettingsException(faults);
     }
     MemberConfiguration configuration =
         new MemberConfigurationReader(file, faults).readConfiguration(root);
     if (!faults.isEmpty()) {
-      throw new UnusableException(faults);
+      throw new InvalidSettingsException(faults);
     }
     return configuration;
   }
 
-  private MemberConfiguration readConfiguration(Element root) {
+  private MemberConfiguration readConfiguration(XmlElement root) {
     InetSocketAddress listenAddress = readAddress(root, "listen");
     Address self = readAdvertisedAddress(root, listenAddress);
-    MessageAuthenticator authenticator = readKeys(root.all("key"));
+    MessageAuthenticator authenticator = readKeys(root.children("key"));
     List<Address> seeds = readAddresses(root, "seed");
     seeds.remove(self);
     List<Address> voters = readAddresses(root, "voter");
     Map<Address, InetSocketAddress> addressOverrides = readAddressOverrides(root);
     MembershipSettings membershipSettings = readMembershipSettings(root);
-    Path incarnationFile = root.text("state") == null ? null : resolve(root.text("state"));
+    Path incarnationFile =
+        root.attribute("state") == null ? null : resolve(root.attribute("state"));
     if (incarnationFile == null && voters.contains(self)) {
       addFault(root, "a voter needs a state file, as it stores the agreed view beside it");
     }
@@ -85,61 +87,61 @@
         membershipSettings);
   }
 
-  private Address readAdvertisedAddress(Element root, InetSocketAddress listenAddress) {
+  private Address readAdvertisedAddress(XmlElement root, InetSocketAddress listenAddress) {
     InetSocketAddress address =
-        root.text("name") == null ? listenAddress : readAddress(root, "name");
+        root.attribute("name") == null ? listenAddress : readAddress(root, "name");
     if (address.getAddress().isAnyLocalAddress()) {
       addFault(root, "others can't reach " + address + ": a name is needed");
     }
     return MemberConfiguration.toAddress(address);
   }
 
-  private Map<Address, InetSocketAddress> readAddressOverrides(Element root) {
+  private Map<Address, InetSocketAddress> readAddressOverrides(XmlElement root) {
     Map<Address, InetSocketAddress> overrides = new HashMap<>();
-    for (Element way : root.all("way")) {
+    for (XmlElement way : root.children("way")) {
       Address member = MemberConfiguration.toAddress(readAddress(way, "to"));
       if (overrides.put(member, readAddress(way, "by")) != null) {
-        addFault(way, "a second way to " + way.text("to"));
+        addFault(way, "a second way to " + way.attribute("to"));
       }
     }
     return overrides;
   }
 
-  private InetSocketAddress readAddress(Element element, String attribute) {
+  private InetSocketAddress readAddress(XmlElement element, String attribute) {
     try {
-      InetSocketAddress address = ServiceSettings.address(element.text(attribute));
+      InetSocketAddress address = ServiceSettings.parseAddress(element.attribute(attribute));
       if (address.isUnresolved() || address.getPort() == 0) {
         throw new IllegalArgumentException("a numeric address with a port is needed");
       }
       return address;
     } catch (RuntimeException e) {
-      addFault(element, attribute + " \"" + element.text(attribute) + "\": " + e.getMessage());
+      addFault(element, attribute + " \"" + element.attribute(attribute) + "\": " + e.getMessage());
       return PLACEHOLDER;
     }
   }
 
-  private List<Address> readAddresses(Element root, String kind) {
+  private List<Address> readAddresses(XmlElement root, String kind) {
     Set<Address> addresses = new LinkedHashSet<>();
-    for (Element element : root.all(kind)) {
+    for (XmlElement element : root.children(kind)) {
       if (!addresses.add(MemberConfiguration.toAddress(readAddress(element, "address")))) {
-        addFault(element, "the " + kind + " " + element.text("address") + " is there twice");
+        addFault(element, "the " + kind + " " + element.attribute("address") + " is there twice");
       }
     }
     return new ArrayList<>(addresses);
   }
 
-  private MessageAuthenticator readKeys(List<Element> keys) {
+  private MessageAuthenticator readKeys(List<XmlElement> keys) {
     Map<Integer, byte[]> keysById = new HashMap<>();
-    for (Element key : keys) {
-      if (keysById.put(key.whole("id"), readKey(key)) != null) {
-        addFault(key, "the key " + key.text("id") + " is there twice");
+    for (XmlElement key : keys) {
+      if (keysById.put(key.integer("id"), readKey(key)) != null) {
+        addFault(key, "the key " + key.attribute("id") + " is there twice");
       }
     }
-    return new MessageAuthenticator(keysById, keys.get(0).whole("id"));
+    return new MessageAuthenticator(keysById, keys.get(0).integer("id"));
   }
 
-  private byte[] readKey(Element key) {
-    Path keyFile = resolve(key.text("file"));
+  private byte[] readKey(XmlElement key) {
+    Path keyFile = resolve(key.attribute("file"));
     try {
       String text =
           Files.size(keyFile) > MAX_KEY_FILE_BYTES ? "" : Files.readString(keyFile).strip();
@@ -153,10 +155,10 @@
     return new byte[1];
   }
 
-  private MembershipSettings readMembershipSettings(Element root) {
+  private MembershipSettings readMembershipSettings(XmlElement root) {
     MembershipSettings defaults = MembershipSettings.DEFAULTS;
-    Element timing = root.one("timing");
-    Element limits = root.one("limits");
+    XmlElement timing = root.child("timing");
+    XmlElement limits = root.child("limits");
     Duration probePeriod = readDuration(timing, "probe", defaults.probePeriod());
     Duration probeTimeout = readDuration(timing, "timeout", defaultProbeTimeout(probePeriod));
     Duration toleratedPause = readDuration(timing, "pause", defaults.toleratedPause());
@@ -170,8 +172,8 @@
           defaults.lowWatermark(),
           defaults.highWatermark(),
           defaults.maxUpdatesPerMessage(),
-          limits == null ? defaults.maxBytesPerSecond() : limits.whole("bytes"),
-          limits == null ? defaults.maxMembers() : limits.whole("members"),
+          limits == null ? defaults.maxBytesPerSecond() : limits.integer("bytes"),
+          limits == null ? defaults.maxMembers() : limits.integer("members"),
           defaults.guards());
     } catch (IllegalArgumentException e) {
       addFault(timing == null ? root : timing, e.getMessage());
@@ -185,17 +187,18 @@
     return longest.compareTo(usual) < 0 ? longest : usual;
   }
 
-  private static Duration readDuration(Element element, String attribute, Duration defaultValue) {
-    return element == null || element.text(attribute) == null
+  private static Duration readDuration(
+      XmlElement element, String attribute, Duration defaultValue) {
+    return element == null || element.attribute(attribute) == null
         ? defaultValue
-        : Duration.parse(element.text(attribute));
+        : Duration.parse(element.attribute(attribute));
   }
 
   private Path resolve(String name) {
     return file.toAbsolutePath().resolveSibling(name);
   }
 
-  private void addFault(Element element, String description) {
-    faults.add(new Fault(file.toString(), element.line, element.column, description));
+  private void addFault(XmlElement element, String description) {
+    faults.add(new SettingsFault(file.toString(), element.line, element.column, description));
   }
 }
--- a/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
+++ b/members/src/test/java/tamarindroute/members/MemberConfigurationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tamarindroute.config.UnusableException;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.membership.Address;
 
 /** Valid and invalid settings files, and the incarnation file. */
@@ -34,8 +34,8 @@
 
   private List<String> faults(String text) throws IOException {
     Path file = write(text);
-    UnusableException e =
-        catchThrowableOfType(UnusableException.class, () -> MemberConfiguration.read(file));
+    InvalidSettingsException e =
+        catchThrowableOfType(InvalidSettingsException.class, () -> MemberConfiguration.read(file));
     assertThat(e).as("rejected").isNotNull();
     return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
   }
--- a/router/src/main/java/tamarindroute/config/UnusableException.java
+++ b/router/src/main/java/tamarindroute/config/InvalidSettingsException.java
@@ -5,23 +5,23 @@
 import java.util.stream.Collectors;
 
 /** Settings that can't be used, with all that is wrong in them. */
-public final class UnusableException extends IOException {
+public final class InvalidSettingsException extends IOException {
 
   private static final long serialVersionUID = 1L;
 
-  private final transient List<Fault> faults;
+  private final transient List<SettingsFault> faults;
 
-  public UnusableException(List<Fault> faults) {
-    super(faults.stream().map(Fault::toString).collect(Collectors.joining("\n")));
+  public InvalidSettingsException(List<SettingsFault> faults) {
+    super(faults.stream().map(SettingsFault::toString).collect(Collectors.joining("\n")));
     this.faults = List.copyOf(faults);
   }
 
-  public List<Fault> faults() {
+  public List<SettingsFault> faults() {
     return faults;
   }
 
   /** The first fault, and how many more there are, on one line. */
-  public String inOneLine() {
+  public String summary() {
     return faults.get(0) + (faults.size() > 1 ? " (and " + (faults.size() - 1) + " more)" : "");
   }
 }
--- a/router/src/main/java/tamarindroute/config/ServiceSettings.java
+++ b/router/src/main/java/tamarindroute/config/ServiceSettings.java
@@ -42,7 +42,7 @@
     String feed,
     int instances,
     List<InetSocketAddress> resolvers,
-    Duration resolveWithin,
+    Duration resolveTimeout,
     DnsSettings dns) {
 
   /** No zone of ours is as large; a file of more is a mistake. */
@@ -51,12 +51,12 @@
   private static final Duration LEAST_WITHIN = Duration.ofMillis(10);
 
   /** Reads a file; throws with all that is wrong in it and in the files that it names. */
-  public static ServiceSettings read(Path file) throws UnusableException {
-    List<Fault> faults = new ArrayList<>();
-    Element root = Element.read(file, faults);
+  public static ServiceSettings read(Path file) throws InvalidSettingsException {
+    List<SettingsFault> faults = new ArrayList<>();
+    XmlElement root = XmlElement.read(file, faults);
     ServiceSettings settings = root == null ? null : new Binder(file, faults).bind(root);
     if (!faults.isEmpty() || settings == null) {
-      throw new UnusableException(faults);
+      throw new InvalidSettingsException(faults);
     }
     return settings;
   }
@@ -65,20 +65,20 @@
   private static final class Binder {
 
     private final Path file;
-    private final List<Fault> faults;
+    private final List<SettingsFault> faults;
 
-    Binder(Path file, List<Fault> faults) {
+    Binder(Path file, List<SettingsFault> faults) {
       this.file = file;
       this.faults = faults;
     }
 
-    private void fault(Element at, String what) {
-      faults.add(new Fault(file.toString(), at.line, at.column, what));
+    private void fault(XmlElement at, String what) {
+      faults.add(new SettingsFault(file.toString(), at.line, at.column, what));
     }
 
     /** The value, or the one given and a fault, where it makes no sense. */
-    private <T> T value(Element at, String attribute, T otherwise, Function<String, T> read) {
-      String text = at.text(attribute);
+    private <T> T value(XmlElement at, String attribute, T otherwise, Function<String, T> read) {
+      String text = at.attribute(attribute);
       if (text == null) {
         return otherwise;
       }
@@ -90,11 +90,11 @@
       }
     }
 
-    private Duration span(Element at, String attribute) {
+    private Duration span(XmlElement at, String attribute) {
       return value(at, attribute, Duration.ofSeconds(1), Duration::parse);
     }
 
-    private Name name(Element at, String attribute) {
+    private Name name(XmlElement at, String attribute) {
       return value(
           at,
           attribute,
@@ -108,7 +108,7 @@
           });
     }
 
-    private InetSocketAddress address(Element at, String attribute) {
+    private InetSocketAddress address(XmlElement at, String attribute) {
       return value(at, attribute, null, Binder::parse);
     }
 
@@ -119,41 +119,45 @@
           Subnet.parse(host).address(), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    ServiceSettings bind(Element root) {
-      Element instance = root.one("instance");
+    ServiceSettings bind(XmlElement root) {
+      XmlElement instance = root.child("instance");
       PlatformConfiguration platform = null;
-      Path json = file.toAbsolutePath().resolveSibling(instance.text("settings"));
+      Path json = file.toAbsolutePath().resolveSibling(instance.attribute("settings"));
       try {
         platform = PlatformConfiguration.read(json.toString());
       } catch (MalformedSettingsException e) {
         fault(instance, e.getMessage());
       }
-      Element resolvers = root.one("resolvers");
+      XmlElement resolvers = root.child("resolvers");
       List<InetSocketAddress> servers =
           resolvers == null
               ? List.of()
-              : resolvers.all("upstream").stream().map(one -> address(one, "address")).toList();
-      if (instance.text("feed") != null && !numeric(instance.text("feed")) && servers.isEmpty()) {
+              : resolvers.children("upstream").stream()
+                  .map(one -> address(one, "address"))
+                  .toList();
+      if (instance.attribute("feed") != null
+          && !isNumericAddress(instance.attribute("feed"))
+          && servers.isEmpty()) {
         fault(
             instance,
-            "feed \"" + instance.text("feed") + "\" is a name, and no resolvers are told");
+            "feed \"" + instance.attribute("feed") + "\" is a name, and no resolvers are told");
       }
-      DnsSettings dns = dns(root.one("dns"), platform, instance.whole("instances"));
+      DnsSettings dns = dns(root.child("dns"), platform, instance.integer("instances"));
       return faults.isEmpty()
           ? new ServiceSettings(
               platform,
-              instance.text("feed"),
-              instance.whole("instances"),
+              instance.attribute("feed"),
+              instance.integer("instances"),
               servers,
               resolvers == null ? Duration.ofSeconds(3) : span(resolvers, "within"),
               dns)
           : null;
     }
 
-    private DnsSettings dns(Element dns, PlatformConfiguration platform, int instances) {
+    private DnsSettings dns(XmlElement dns, PlatformConfiguration platform, int instances) {
       List<ZoneData> zones = new ArrayList<>();
       Set<Name> origins = new HashSet<>();
-      for (Element zone : dns.all("zone")) {
+      for (XmlElement zone : dns.children("zone")) {
         Name origin = name(zone, "name");
         if (!origins.add(origin)) {
           fault(zone, "the zone " + origin + " is there twice");
@@ -163,22 +167,24 @@
           zones.add(data);
         }
       }
-      DnsSettings.Steer steer =
-          dns.one("steer") == null
+      DnsSettings.SteeringSettings steer =
+          dns.child("steer") == null
               ? null
-              : steer(dns.one("steer"), platform, instances, zones, origins);
-      List<DnsSettings.Forwarded> forwarded = new ArrayList<>();
+              : steer(dns.child("steer"), platform, instances, zones, origins);
+      List<DnsSettings.ForwardedZone> forwarded = new ArrayList<>();
       Set<Name> handed = new HashSet<>();
-      for (Element one : dns.all("forward")) {
+      for (XmlElement one : dns.children("forward")) {
         Name zone = name(one, "zone");
         if (!handed.add(zone) || origins.contains(zone)) {
           fault(one, "the zone " + zone + " is there twice, or one of this server's own");
         }
         within(one);
         forwarded.add(
-            new DnsSettings.Forwarded(
+            new DnsSettings.ForwardedZone(
                 zone,
-                one.all("upstream").stream().map(upstream -> address(upstream, "address")).toList(),
+                one.children("upstream").stream()
+                    .map(upstream -> address(upstream, "address"))
+                    .toList(),
                 span(one, "within"),
                 span(one, "stale-for")));
       }
@@ -186,20 +192,20 @@
           address(dns, "listen"),
           zones,
           steer,
-          limits(dns.one("limits")),
-          cookies(dns.one("cookies")),
-          probing(dns.one("probing")),
+          limits(dns.child("limits")),
+          cookies(dns.child("cookies")),
+          probing(dns.child("probing")),
           forwarded,
-          dns.text("identity"));
+          dns.attribute("identity"));
     }
 
-    private void within(Element at) {
+    private void within(XmlElement at) {
       if (span(at, "within").compareTo(LEAST_WITHIN) < 0) {
         fault(at, "within is under 10 ms");
       }
     }
 
-    private DnsSettings.Limits limits(Element limits) {
+    private DnsSettings.Limits limits(XmlElement limits) {
       if (limits == null) {
         return new DnsSettings.Limits(1232, 100, 2, 128, Duration.ofSeconds(10), 32);
       }
@@ -207,26 +213,26 @@
         fault(limits, "idle is no time at all");
       }
       return new DnsSettings.Limits(
-          limits.whole("datagram"),
-          limits.whole("answers-per-second"),
-          limits.whole("slip"),
-          limits.whole("connections"),
+          limits.integer("datagram"),
+          limits.integer("answers-per-second"),
+          limits.integer("slip"),
+          limits.integer("connections"),
           span(limits, "idle"),
-          limits.whole("pipelined"));
+          limits.integer("pipelined"));
     }
 
     /** Untold, each start has a secret of its own; null stands for that. */
-    private DnsSettings.CookieKeys cookies(Element cookies) {
+    private DnsSettings.CookieKeys cookies(XmlElement cookies) {
       return cookies == null
           ? null
           : new DnsSettings.CookieKeys(
-              HexFormat.of().parseHex(cookies.text("secret")),
-              cookies.text("previous") == null
+              HexFormat.of().parseHex(cookies.attribute("secret")),
+              cookies.attribute("previous") == null
                   ? null
-                  : HexFormat.of().parseHex(cookies.text("previous")));
+                  : HexFormat.of().parseHex(cookies.attribute("previous")));
     }
 
-    private DnsSettings.Probing probing(Element probing) {
+    private DnsSettings.HealthCheckSettings probing(XmlElement probing) {
       if (probing == null) {
         return null;
       }
@@ -234,13 +240,13 @@
       if (span(probing, "every").compareTo(LEAST_WITHIN) < 0) {
         fault(probing, "every is under 10 ms");
       }
-      return new DnsSettings.Probing(
-          span(probing, "every"), probing.whole("most-per-second"), span(probing, "within"));
+      return new DnsSettings.HealthCheckSettings(
+          span(probing, "every"), probing.integer("most-per-second"), span(probing, "within"));
     }
 
     /** A zone file in the master format, without includes. */
-    private ZoneData zone(Element at, Name origin) {
-      Path path = file.toAbsolutePath().resolveSibling(at.text("file"));
+    private ZoneData zone(XmlElement at, Name origin) {
+      Path path = file.toAbsolutePath().resolveSibling(at.attribute("file"));
       try {
         if (Files.size(path) > LARGEST_ZONE) {
           fault(at, path + " is larger than " + LARGEST_ZONE + " bytes");
@@ -262,8 +268,8 @@
       }
     }
 
-    private DnsSettings.Steer steer(
-        Element steer,
+    private DnsSettings.SteeringSettings steer(
+        XmlElement steer,
         PlatformConfiguration platform,
         int instances,
         List<ZoneData> zones,
@@ -283,78 +289,81 @@
       }
       List<String> places = platform == null ? List.of() : platform.settings().zones();
       Set<String> labels =
-          steer.all("location").stream().map(one -> one.text("label")).collect(Collectors.toSet());
+          steer.children("location").stream()
+              .map(one -> one.attribute("label"))
+              .collect(Collectors.toSet());
       List<Location> locations = new ArrayList<>();
-      for (Element one : steer.all("location")) {
-        int place = places.indexOf(SettingsReader.normalizeName(one.text("place")));
+      for (XmlElement one : steer.children("location")) {
+        int place = places.indexOf(SettingsReader.normalizeName(one.attribute("place")));
         if (place < 0 && platform != null) {
           fault(
               one,
               "place \""
-                  + one.text("place")
+                  + one.attribute("place")
                   + "\" is none of the instance's settings: "
                   + String.join(", ", places));
         }
         List<String> neighbours =
-            Stream.of(one.text("neighbours").strip().split("\\s+"))
+            Stream.of(one.attribute("neighbours").strip().split("\\s+"))
                 .filter(label -> !label.isEmpty())
                 .toList();
         neighbours.stream()
-            .filter(label -> !labels.contains(label) || label.equals(one.text("label")))
+            .filter(label -> !labels.contains(label) || label.equals(one.attribute("label")))
             .forEach(label -> fault(one, "neighbour \"" + label + "\" is no other location"));
-        List<Location.Clients> clients = new ArrayList<>();
-        for (Element network : one.all("clients")) {
+        List<Location.ClientNetwork> clients = new ArrayList<>();
+        for (XmlElement network : one.children("clients")) {
           Subnet subnet = value(network, "subnet", null, Subnet::parse);
           clients.add(
-              new Location.Clients(
+              new Location.ClientNetwork(
                   subnet,
                   Double.parseDouble(
-                      network.text("carries") == null
-                          ? steer.text("carries")
-                          : network.text("carries"))));
+                      network.attribute("carries") == null
+                          ? steer.attribute("carries")
+                          : network.attribute("carries"))));
         }
-        locations.add(new Location(one.text("label"), place, neighbours, clients));
+        locations.add(new Location(one.attribute("label"), place, neighbours, clients));
       }
       Map<String, RequestClass> profiles = profiles(steer, platform);
-      for (String label : Stream.of(steer.text("nearest"), steer.text("caches")).toList()) {
+      for (String label :
+          Stream.of(steer.attribute("nearest"), steer.attribute("caches")).toList()) {
         if (labels.contains(label)) {
           fault(steer, "the label \"" + label + "\" is a location's and has another use too");
         }
       }
       taken(steer, origin, labels, zones);
-      return new DnsSettings.Steer(
+      return new DnsSettings.SteeringSettings(
           origin,
           locations,
-          steer.text("nearest"),
-          steer.text("caches"),
+          steer.attribute("nearest"),
+          steer.attribute("caches"),
           profiles,
-          steer.text("part"),
-          steer.whole("parts"),
+          steer.attribute("part"),
+          steer.integer("parts"),
           instances,
-          Double.parseDouble(steer.text("carries")),
+          Double.parseDouble(steer.attribute("carries")),
           least,
           most,
           span(steer, "kept-at-least"),
-          steer.whole("records"),
+          steer.integer("records"),
           span(steer, "stale-for"),
           direct(platform));
     }
 
-    private Map<String, RequestClass> profiles(Element steer, PlatformConfiguration platform) {
+    private Map<String, RequestClass> profiles(XmlElement steer, PlatformConfiguration platform) {
       Map<String, RequestClass> profiles = new HashMap<>();
       try {
         List<String> names = platform == null ? List.of() : platform.settings().requestClassNames();
-        for (Element one : steer.all("profile")) {
-          int place = names.indexOf(SettingsReader.normalizeName(one.text("name")));
+        for (XmlElement one : steer.children("profile")) {
+          int place = names.indexOf(SettingsReader.normalizeName(one.attribute("name")));
           if (place < 0 && platform != null) {
             fault(
                 one,
                 "profile \""
-                    + one.text("name")
+                    + one.attribute("name")
                     + "\" is none of the instance's settings: "
                     + String.join(", ", names));
           } else if (platform != null) {
-            profiles.put(one.text("label"), platform.settings().requestClasses().get(place));
+            profiles.put(one.attribute("label"), platform.settings().requestClasses().get(place));
           }
         }
       } catch (MalformedSettingsException e) {
@@ -368,20 +377,20 @@
         return platform != null
             && platform.settings().settings(platform.seed()).edgeBypassAllowed();
       } catch (MalformedSettingsException e) {
-        faults.add(new Fault(file.toString(), 0, 0, e.getMessage()));
+        faults.add(new SettingsFault(file.toString(), 0, 0, e.getMessage()));
         return false;
       }
     }
 
     /** Records as written that stand where steered names are would never be answered. */
-    private void taken(Element steer, Name origin, Set<String> labels, List<ZoneData> zones) {
+    private void taken(XmlElement steer, Name origin, Set<String> labels, List<ZoneData> zones) {
       List<String> all = new ArrayList<>(labels);
-      all.add(steer.text("nearest"));
-      all.add(steer.text("caches"));
+      all.add(steer.attribute("nearest"));
+      all.add(steer.attribute("caches"));
       for (ZoneData zone : zones) {
         for (String label : zone.origin().equals(origin) ? all : List.<String>of()) {
           try {
-            if (zone.has(new Name(label, origin))) {
+            if (zone.hasRecordsAt(new Name(label, origin))) {
               fault(
                   steer,
                   "the zone's file has records under "
@@ -399,12 +408,12 @@
   }
 
   /** Whether HOST:PORT names the host by its address. */
-  public static boolean numeric(String address) {
+  public static boolean isNumericAddress(String address) {
     return address.matches("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]+\\]):\\d{1,5}");
   }
 
   /** An address with its port, as numeric says it. */
-  public static InetSocketAddress address(String text) {
+  public static InetSocketAddress parseAddress(String text) {
     return Binder.parse(text);
   }
 }
--- a/router/src/main/java/tamarindroute/config/Element.java
+++ b/router/src/main/java/tamarindroute/config/XmlElement.java
@@ -29,7 +29,7 @@
  * One element of a file that keeps to the schema, with the schema's defaults filled in, and where
  * it stands.
  */
-public final class Element {
+public final class XmlElement {
 
   private static final String SCHEMA = "tamarindroute.xsd";
 
@@ -42,44 +42,44 @@
   public final int line;
   public final int column;
   private final Map<String, String> attributes = new HashMap<>();
-  private final List<Element> children = new ArrayList<>();
+  private final List<XmlElement> children = new ArrayList<>();
 
-  private Element(String name, int line, int column) {
+  private XmlElement(String name, int line, int column) {
     this.name = name;
     this.line = line;
     this.column = column;
   }
 
   /** The attribute; null where it is absent and has no default. */
-  public String text(String attribute) {
+  public String attribute(String attribute) {
     return attributes.get(attribute);
   }
 
-  public int whole(String attribute) {
+  public int integer(String attribute) {
     return Integer.parseInt(attributes.get(attribute).strip());
   }
 
-  public List<Element> all(String child) {
+  public List<XmlElement> children(String child) {
     return children.stream().filter(one -> one.name.equals(child)).toList();
   }
 
   /** The one child of this name; null where it is absent. */
-  public Element one(String child) {
-    return all(child).stream().findFirst().orElse(null);
+  public XmlElement child(String child) {
+    return children(child).stream().findFirst().orElse(null);
   }
 
-  static Element read(Path file, List<Fault> faults) {
-    return read(file, Element.class.getResource(SCHEMA), faults);
+  static XmlElement read(Path file, List<SettingsFault> faults) {
+    return read(file, XmlElement.class.getResource(SCHEMA), faults);
   }
 
   /**
    * Reads a file; what keeps it from being one of the schema goes to the faults, and null comes
    * back.
    */
-  public static Element read(Path file, URL schema, List<Fault> faults) {
+  public static XmlElement read(Path file, URL schema, List<SettingsFault> faults) {
     try {
       if (Files.size(file) > LARGEST) {
-        faults.add(new Fault(file.toString(), 0, 0, "larger than " + LARGEST + " bytes"));
+        faults.add(new SettingsFault(file.toString(), 0, 0, "larger than " + LARGEST + " bytes"));
         return null;
       }
       SAXParserFactory parsers = SAXParserFactory.newInstance();
@@ -102,10 +102,10 @@
       // Told by the handler already.
       return null;
     } catch (IOException e) {
-      faults.add(new Fault(file.toString(), 0, 0, "can't be read: " + e));
+      faults.add(new SettingsFault(file.toString(), 0, 0, "can't be read: " + e));
       return null;
     } catch (SAXException | ParserConfigurationException e) {
-      faults.add(new Fault(file.toString(), 0, 0, e.getMessage()));
+      faults.add(new SettingsFault(file.toString(), 0, 0, e.getMessage()));
       return null;
     }
   }
@@ -127,13 +127,13 @@
   private static final class Tree extends DefaultHandler {
 
     private final String file;
-    private final List<Fault> faults;
-    private final ArrayDeque<Element> open = new ArrayDeque<>();
+    private final List<SettingsFault> faults;
+    private final ArrayDeque<XmlElement> open = new ArrayDeque<>();
     private Locator locator;
-    private Element root;
+    private XmlElement root;
     private boolean broken;
 
-    Tree(String file, List<Fault> faults) {
+    Tree(String file, List<SettingsFault> faults) {
       this.file = file;
       this.faults = faults;
     }
@@ -145,8 +145,8 @@
 
     @Override
     public void startElement(String uri, String name, String qualified, Attributes told) {
-      Element element =
-          new Element(
+      XmlElement element =
+          new XmlElement(
               name,
               locator == null ? 0 : locator.getLineNumber(),
               locator == null ? 0 : locator.getColumnNumber());
@@ -175,7 +175,8 @@
     public void error(SAXParseException e) {
       broken = true;
       if (faults.size() < MOST_FAULTS) {
-        faults.add(new Fault(file, e.getLineNumber(), e.getColumnNumber(), plain(e.getMessage())));
+        faults.add(
+            new SettingsFault(file, e.getLineNumber(), e.getColumnNumber(), plain(e.getMessage())));
       }
     }
 
--- a/router/src/main/java/tamarindroute/dns/DnsSettings.java
+++ b/router/src/main/java/tamarindroute/dns/DnsSettings.java
@@ -12,16 +12,16 @@
 public record DnsSettings(
     InetSocketAddress listen,
     List<ZoneData> zones,
-    Steer steer,
+    SteeringSettings steering,
     Limits limits,
     CookieKeys cookies,
-    Probing probing,
-    List<Forwarded> forwarded,
+    HealthCheckSettings healthChecks,
+    List<ForwardedZone> forwardedZones,
     String identity) {
 
   public DnsSettings {
     zones = List.copyOf(zones);
-    forwarded = List.copyOf(forwarded);
+    forwardedZones = List.copyOf(forwardedZones);
   }
 
   /**
@@ -29,46 +29,51 @@
    *
    * @param instances all instances that steer or send work to the same caches; they share what a
    *     cold one bears
-   * @param carries the load, in transfers under way, that one answer brings at the most where no
-   *     network tells
-   * @param keptAtLeast how long resolvers keep an answer though its TTL is shorter
-   * @param records caches named in one answer, where none of them is cold
-   * @param staleFor how long the last list is answered from after the feed fell silent
-   * @param direct whether what is not kept may go to the origin past the edges
+   * @param loadPerAnswer the load, in transfers under way, that one answer brings at the most where
+   *     no network tells
+   * @param minResolverCacheTime how long resolvers keep an answer though its TTL is shorter
+   * @param maxAddresses caches named in one answer, where none of them is cold
+   * @param maxListAge how long the last list is answered from after the feed fell silent
+   * @param edgeBypassAllowed whether what is not kept may go to the origin past the edges
    */
-  public record Steer(
+  public record SteeringSettings(
       Name origin,
       List<Location> locations,
-      String nearest,
-      String caches,
-      Map<String, RequestClass> profiles,
-      String part,
-      int parts,
+      String nearestLabel,
+      String cachesLabel,
+      Map<String, RequestClass> requestClasses,
+      String partitionPrefix,
+      int partitionCount,
       int instances,
-      double carries,
-      Duration leastTtl,
-      Duration mostTtl,
-      Duration keptAtLeast,
-      int records,
-      Duration staleFor,
-      boolean direct) {
+      double loadPerAnswer,
+      Duration minTtl,
+      Duration maxTtl,
+      Duration minResolverCacheTime,
+      int maxAddresses,
+      Duration maxListAge,
+      boolean edgeBypassAllowed) {
 
-    public Steer {
+    public SteeringSettings {
       locations = List.copyOf(locations);
-      profiles = Map.copyOf(profiles);
+      requestClasses = Map.copyOf(requestClasses);
     }
   }
 
   /**
-   * @param datagram the largest answer in one datagram, so that none comes in fragments
-   * @param perSecond answers a second to one network before some are held back
+   * @param maxDatagramBytes the largest answer in one datagram, so that none comes in fragments
+   * @param answersPerSecond answers a second to one network before some are held back
    * @param slip of those held back, each so many is answered with an invitation to TCP; 0 for none
-   * @param connections TCP connections at once
-   * @param idle after which a TCP connection is closed
-   * @param pipelined queries of one TCP connection that are worked on at once
+   * @param maxConnections TCP connections at once
+   * @param idleTimeout after which a TCP connection is closed
+   * @param maxPipelinedQueries queries of one TCP connection that are worked on at once
    */
   public record Limits(
-      int datagram, double perSecond, int slip, int connections, Duration idle, int pipelined) {}
+      int maxDatagramBytes,
+      double answersPerSecond,
+      int slip,
+      int maxConnections,
+      Duration idleTimeout,
+      int maxPipelinedQueries) {}
 
   /**
    * The secret that answers' cookies are made with, the same at all instances, and the one before
@@ -77,21 +82,21 @@
   public record CookieKeys(byte[] secret, byte[] previous) {}
 
   /** Each cache is probed every so often, but no more than so many probes go out a second. */
-  public record Probing(Duration every, double mostPerSecond, Duration within) {}
+  public record HealthCheckSettings(Duration interval, double maxPerSecond, Duration timeout) {}
 
   /** A zone that another installation's router answers for. */
-  public record Forwarded(
-      Name zone, List<InetSocketAddress> upstreams, Duration within, Duration staleFor) {
-    public Forwarded {
+  public record ForwardedZone(
+      Name zone, List<InetSocketAddress> upstreams, Duration timeout, Duration maxStaleness) {
+    public ForwardedZone {
       upstreams = List.copyOf(upstreams);
     }
   }
 
   /** Where clients reach a cache. */
-  public record Place(String id, InetAddress host, int port) {
+  public record CacheAddress(String id, InetAddress host, int port) {
 
     /** What resolvers keep of it: another cache may have the address later, under another id. */
-    InetSocketAddress address() {
+    InetSocketAddress socketAddress() {
       return new InetSocketAddress(host, port);
     }
   }
--- a/router/src/main/java/tamarindroute/dns/Ledger.java
+++ b/router/src/main/java/tamarindroute/dns/HandedOutLoad.java
@@ -11,7 +11,7 @@
  * rounded up to whole slots, never down. It must never forget load early, also not when its cache
  * goes: resolvers go on sending clients to the address.
  */
-final class Ledger {
+final class HandedOutLoad {
 
   /**
    * A life is told to this part of the longest, which overstates the load by less than that. With
@@ -24,81 +24,84 @@
    * More addresses than a list names, of 2 KB each; past it new ones are refused, which steers
    * nobody there.
    */
-  private static final int MOST = 10_000;
+  private static final int MAX_ADDRESSES = 10_000;
 
-  private final long slot;
+  private final long slotNanos;
   private final Map<Object, Account> accounts = new HashMap<>();
 
   private static final class Account {
-    final double[] ending = new double[SLOTS + 2];
-    double sum;
-    long at;
+    final double[] expiringLoad = new double[SLOTS + 2];
+    double totalLoad;
+    long currentSlot;
   }
 
-  Ledger(Duration longest) {
-    slot = Math.max(1, longest.toNanos() / SLOTS + 1);
+  HandedOutLoad(Duration longest) {
+    slotNanos = Math.max(1, longest.toNanos() / SLOTS + 1);
   }
 
   /** The load at an address that answers given so far still bring. */
-  double out(Object address, Duration now) {
+  double load(Object address, Duration now) {
     Account account = accounts.get(address);
-    return account == null ? 0 : forward(account, now);
+    return account == null ? 0 : advance(account, now);
   }
 
   /**
    * An answer given now is kept for so long; false where there is no room to note it, and it must
    * not be given.
    */
-  boolean give(Object address, double load, Duration life, Duration now) {
+  boolean add(Object address, double load, Duration life, Duration now) {
     Account account = accounts.get(address);
     if (account == null) {
-      if (accounts.size() >= MOST) {
-        sweep(now);
+      if (accounts.size() >= MAX_ADDRESSES) {
+        removeExpired(now);
       }
-      if (accounts.size() >= MOST) {
+      if (accounts.size() >= MAX_ADDRESSES) {
         return false;
       }
       account = new Account();
-      account.at = now.toNanos() / slot;
+      account.currentSlot = now.toNanos() / slotNanos;
       accounts.put(address, account);
     }
-    forward(account, now);
+    advance(account, now);
     // The end is reckoned from now itself, not from the slot's begin, and the slot in which it
     // falls is whole.
-    long ends = (now.toNanos() + life.toNanos()) / slot + 1;
-    int ahead = (int) Math.min(SLOTS + 1, Math.max(1, ends - account.at));
-    account.ending[(int) ((account.at + ahead) % account.ending.length)] += load;
-    account.sum += load;
+    long ends = (now.toNanos() + life.toNanos()) / slotNanos + 1;
+    int ahead = (int) Math.min(SLOTS + 1, Math.max(1, ends - account.currentSlot));
+    account.expiringLoad[(int) ((account.currentSlot + ahead) % account.expiringLoad.length)] +=
+        load;
+    account.totalLoad += load;
     return true;
   }
 
-  private double forward(Account account, Duration now) {
-    long current = now.toNanos() / slot;
+  private double advance(Account account, Duration now) {
+    long current = now.toNanos() / slotNanos;
     // Time that was set back brings nothing back; what was counted stays until time has caught up.
-    for (long steps = Math.min(current - account.at, account.ending.length); steps > 0; steps--) {
-      account.at++;
-      int place = (int) (account.at % account.ending.length);
-      account.sum -= account.ending[place];
-      account.ending[place] = 0;
+    for (long steps = Math.min(current - account.currentSlot, account.expiringLoad.length);
+        steps > 0;
+        steps--) {
+      account.currentSlot++;
+      int place = (int) (account.currentSlot % account.expiringLoad.length);
+      account.totalLoad -= account.expiringLoad[place];
+      account.expiringLoad[place] = 0;
     }
-    if (current > account.at) {
+    if (current > account.currentSlot) {
       // Longer ago than any life: all was cleared above.
-      account.at = current;
-      account.sum = 0;
+      account.currentSlot = current;
+      account.totalLoad = 0;
     }
-    account.sum = account.sum < 1e-9 ? 0 : account.sum;
-    return account.sum;
+    account.totalLoad = account.totalLoad < 1e-9 ? 0 : account.totalLoad;
+    return account.totalLoad;
   }
 
   /** Whether no answer noted here is kept any more. */
   boolean isEmpty(Duration now) {
-    sweep(now);
+    removeExpired(now);
     return accounts.isEmpty();
   }
 
-  private void sweep(Duration now) {
+  private void removeExpired(Duration now) {
     for (Iterator<Account> all = accounts.values().iterator(); all.hasNext(); ) {
-      if (forward(all.next(), now) == 0) {
+      if (advance(all.next(), now) == 0) {
         all.remove();
       }
     }
--- a/router/src/main/java/tamarindroute/dns/Location.java
+++ b/router/src/main/java/tamarindroute/dns/Location.java
@@ -7,24 +7,25 @@
  * A location that has names: its label, its place among the settings' zones, who stands in when it
  * has nobody, and the networks whose clients are its own.
  */
-public record Location(String label, int place, List<String> neighbours, List<Clients> clients) {
+public record Location(
+    String label, int zoneIndex, List<String> neighbours, List<ClientNetwork> clientNetworks) {
 
   /**
    * A network and the load, in transfers under way, that one answer to a resolver there brings at
    * the most.
    */
-  public record Clients(Subnet subnet, double carries) {}
+  public record ClientNetwork(Subnet subnet, double loadPerAnswer) {}
 
   public Location {
     neighbours = List.copyOf(neighbours);
-    clients = List.copyOf(clients);
+    clientNetworks = List.copyOf(clientNetworks);
   }
 
   /** The narrowest of its networks that holds this address; null for none. */
-  public Clients clientsOf(InetAddress client) {
-    Clients best = null;
-    for (Clients one : clients) {
-      if (one.subnet().holds(client)
+  public ClientNetwork narrowestNetworkOf(InetAddress client) {
+    ClientNetwork best = null;
+    for (ClientNetwork one : clientNetworks) {
+      if (one.subnet().contains(client)
           && (best == null || one.subnet().bits() > best.subnet().bits())) {
         best = one;
       }
--- a/router/src/main/java/tamarindroute/dns/Query.java
+++ b/router/src/main/java/tamarindroute/dns/Query.java
@@ -32,60 +32,60 @@
     CookieOption cookie) {
 
   /** A query holds one name, some options and no more; what is longer is no query. */
-  private static final int LONGEST = 1024;
+  private static final int MAX_LENGTH = 1024;
 
-  private static final int HEADER = 12;
+  private static final int HEADER_LENGTH = 12;
 
   /** An OPT and a TSIG; nobody needs more. */
-  private static final int MOST_ADDITIONAL = 2;
+  private static final int MAX_ADDITIONAL_RECORDS = 2;
 
   /** Why a query can't be taken: the code to answer with; no answer at all where it is negative. */
-  static final class Unusable extends Exception {
+  static final class InvalidQueryException extends Exception {
 
     private static final long serialVersionUID = 1L;
-    static final int SILENCE = -1;
+    static final int NO_REPLY = -1;
 
-    final int code;
+    final int rcode;
 
-    Unusable(int code, String why) {
+    InvalidQueryException(int code, String why) {
       super(why, null, false, false);
-      this.code = code;
+      this.rcode = code;
     }
   }
 
-  static Query read(byte[] bytes) throws Unusable {
-    if (bytes.length < HEADER) {
-      throw new Unusable(Unusable.SILENCE, "shorter than a header");
+  static Query read(byte[] bytes) throws InvalidQueryException {
+    if (bytes.length < HEADER_LENGTH) {
+      throw new InvalidQueryException(InvalidQueryException.NO_REPLY, "shorter than a header");
     }
     if ((bytes[2] & 0x80) != 0) {
       // Answering answers is how two servers talk to each other for ever.
-      throw new Unusable(Unusable.SILENCE, "an answer to no query");
+      throw new InvalidQueryException(InvalidQueryException.NO_REPLY, "an answer to no query");
     }
     if (((bytes[2] >> 3) & 0xF) != Opcode.QUERY) {
-      throw new Unusable(Rcode.NOTIMP, "opcode " + ((bytes[2] >> 3) & 0xF));
+      throw new InvalidQueryException(Rcode.NOTIMP, "opcode " + ((bytes[2] >> 3) & 0xF));
     }
-    if (bytes.length > LONGEST
-        || count(bytes, 4) != 1
-        || count(bytes, 6) != 0
-        || count(bytes, 8) != 0
-        || count(bytes, 10) > MOST_ADDITIONAL) {
-      throw new Unusable(Rcode.FORMERR, "counts or length of no query");
+    if (bytes.length > MAX_LENGTH
+        || countAt(bytes, 4) != 1
+        || countAt(bytes, 6) != 0
+        || countAt(bytes, 8) != 0
+        || countAt(bytes, 10) > MAX_ADDITIONAL_RECORDS) {
+      throw new InvalidQueryException(Rcode.FORMERR, "counts or length of no query");
     }
     Message message;
     try {
       message = new Message(bytes);
     } catch (IOException | RuntimeException e) {
-      throw new Unusable(Rcode.FORMERR, String.valueOf(e.getMessage()));
+      throw new InvalidQueryException(Rcode.FORMERR, String.valueOf(e.getMessage()));
     }
     Record question = message.getQuestion();
     if (question == null || message.getHeader().getFlag(Flags.TC)) {
-      throw new Unusable(Rcode.FORMERR, "no question");
+      throw new InvalidQueryException(Rcode.FORMERR, "no question");
     }
     OPTRecord edns = null;
     for (Record record : message.getSection(Section.ADDITIONAL)) {
       if (record.getType() == Type.OPT) {
         if (edns != null || !record.getName().equals(org.xbill.DNS.Name.root)) {
-          throw new Unusable(Rcode.FORMERR, "two OPT records, or one under a name");
+          throw new InvalidQueryException(Rcode.FORMERR, "two OPT records, or one under a name");
         }
         edns = (OPTRecord) record;
       }
@@ -93,11 +93,11 @@
     return new Query(message, question, edns, subnet(edns), cookie(edns));
   }
 
-  private static int count(byte[] bytes, int at) {
+  private static int countAt(byte[] bytes, int at) {
     return (bytes[at] & 0xFF) << 8 | bytes[at + 1] & 0xFF;
   }
 
-  private static ClientSubnetOption subnet(OPTRecord edns) throws Unusable {
+  private static ClientSubnetOption subnet(OPTRecord edns) throws InvalidQueryException {
     List<EDNSOption> told =
         edns == null ? List.of() : edns.getOptions(EDNSOption.Code.CLIENT_SUBNET);
     if (told.isEmpty()) {
@@ -107,7 +107,7 @@
     if (told.size() > 1
         || !(told.get(0) instanceof ClientSubnetOption subnet)
         || subnet.getScopePrefixLength() != 0) {
-      throw new Unusable(Rcode.FORMERR, "a client subnet that is none");
+      throw new InvalidQueryException(Rcode.FORMERR, "a client subnet that is none");
     }
     return subnet;
   }
@@ -118,12 +118,12 @@
   }
 
   /** Whom the answer is for: the client that the resolver tells of, else whoever asked. */
-  InetAddress client(InetAddress asker) {
+  InetAddress clientAddress(InetAddress asker) {
     return subnet == null || subnet.getSourcePrefixLength() == 0 ? asker : subnet.getAddress();
   }
 
   /** How many bits of that are known. */
-  int known(InetAddress asker) {
+  int knownClientBits(InetAddress asker) {
     return subnet == null || subnet.getSourcePrefixLength() == 0
         ? asker.getAddress().length * 8
         : subnet.getSourcePrefixLength();
--- a/router/src/main/java/tamarindroute/dns/Tally.java
+++ b/router/src/main/java/tamarindroute/dns/QueryCounters.java
@@ -7,52 +7,52 @@
 import java.util.Map;
 
 /** Counts what became of queries since the start and since it was last read out. */
-public final class Tally {
+public final class QueryCounters {
 
   /** Every end that a query can have, and what is counted beside it. */
   public enum Event {
     QUERY,
-    UNREADABLE,
+    MALFORMED,
     ANSWERED,
-    NAME_UNKNOWN,
+    NXDOMAIN,
     NO_DATA,
     REFUSED,
     FAILED,
     FORWARDED,
     STALE,
-    CUT,
-    HELD_BACK,
+    TRUNCATED,
+    RATE_LIMITED,
     SLIPPED,
     LAST_RESORT,
-    COOKIE_GOOD,
-    COOKIE_BAD
+    COOKIE_VALID,
+    COOKIE_INVALID
   }
 
   private final Map<Event, Long> counts = new EnumMap<>(Event.class);
-  private final Map<Event, Long> read = new EnumMap<>(Event.class);
+  private final Map<Event, Long> lastReported = new EnumMap<>(Event.class);
 
-  void count(Event event) {
+  void increment(Event event) {
     counts.merge(event, 1L, Long::sum);
   }
 
-  public long of(Event event) {
+  public long total(Event event) {
     return counts.getOrDefault(event, 0L);
   }
 
   /**
    * Names and counts since this was last asked, as a log line takes them; of those that have moved.
    */
-  public Object[] sinceLast() {
+  public Object[] changesSinceLastReport() {
     List<Object> named = new ArrayList<>();
     counts.forEach(
         (event, count) -> {
-          long more = count - read.getOrDefault(event, 0L);
+          long more = count - lastReported.getOrDefault(event, 0L);
           if (more > 0) {
             named.add(event.name().toLowerCase(Locale.ROOT));
             named.add(more);
           }
         });
-    read.putAll(counts);
+    lastReported.putAll(counts);
     return named.toArray();
   }
 }
--- a/router/src/main/java/tamarindroute/dns/Responder.java
+++ b/router/src/main/java/tamarindroute/dns/Responder.java
@@ -34,8 +34,8 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
-import tamarindroute.dns.DnsSettings.Forwarded;
-import tamarindroute.dns.DnsSettings.Place;
+import tamarindroute.dns.DnsSettings.CacheAddress;
+import tamarindroute.dns.DnsSettings.ForwardedZone;
 
 /**
  * Owns what is answered to a query's bytes: from the zones as written, from steering, or by handing
@@ -53,15 +53,16 @@
   public record Silence() implements Reply {}
 
   /** Another installation's router is asked; what it says goes through handedBack. */
-  public record HandOn(Forwarded zone, Record question, Pending pending) implements Reply {}
+  public record Forward(ForwardedZone zone, Record question, PendingQuery pending)
+      implements Reply {}
 
   /** A query that waits for another's answer. */
-  public static final class Pending {
+  public static final class PendingQuery {
     private final Query query;
     private final InetAddress asker;
     private final boolean datagram;
 
-    private Pending(Query query, InetAddress asker, boolean datagram) {
+    private PendingQuery(Query query, InetAddress asker, boolean datagram) {
       this.query = query;
       this.asker = asker;
       this.datagram = datagram;
@@ -89,28 +90,33 @@
 
   private final DnsSettings settings;
   private final Steering steering;
-  private final Names names;
-  private final Tally tally;
-  private final Cookies cookies;
-  private final RateLimit limit;
-  private final Map<Choice.Reason, Long> reasons = new EnumMap<>(Choice.Reason.class);
+  private final SteeredNames names;
+  private final QueryCounters counters;
+  private final ServerCookies cookies;
+  private final ResponseRateLimiter limit;
+  private final Map<SteeringDecision.Reason, Long> reasons =
+      new EnumMap<>(SteeringDecision.Reason.class);
 
   /**
    * The cookies, limit and tally outlast a change of the settings where those of them have not
    * changed.
    */
   public Responder(
-      DnsSettings settings, Steering steering, Cookies cookies, RateLimit limit, Tally tally) {
+      DnsSettings settings,
+      Steering steering,
+      ServerCookies cookies,
+      ResponseRateLimiter limit,
+      QueryCounters counters) {
     this.settings = settings;
     this.steering = steering;
-    this.names = settings.steer() == null ? null : new Names(settings.steer());
+    this.names = settings.steering() == null ? null : new SteeredNames(settings.steering());
     this.cookies = cookies;
     this.limit = limit;
-    this.tally = tally;
+    this.counters = counters;
   }
 
   /** How often each reason decided so far. */
-  public Map<Choice.Reason, Long> reasons() {
+  public Map<SteeringDecision.Reason, Long> reasons() {
     return Map.copyOf(reasons);
   }
 
@@ -123,7 +129,7 @@
     int code = Rcode.NOERROR;
     int scope;
     ExtendedErrorCodeOption told;
-    Forwarded handOn;
+    ForwardedZone handOn;
 
     Draft(Query query, InetAddress asker, Duration now) {
       this.query = query;
@@ -150,15 +156,22 @@
 
   public Reply answer(
       byte[] bytes, InetAddress asker, boolean datagram, Duration now, Instant wall) {
-    tally.count(Tally.Event.QUERY);
+    counters.increment(QueryCounters.Event.QUERY);
     Query query;
     try {
       query = Query.read(bytes);
-    } catch (Query.Unusable e) {
-      tally.count(Tally.Event.UNREADABLE);
-      return e.code == Query.Unusable.SILENCE
+    } catch (Query.InvalidQueryException e) {
+      counters.increment(QueryCounters.Event.MALFORMED);
+      return e.rcode == Query.InvalidQueryException.NO_REPLY
           ? SILENCE
-          : limited(header(bytes, e.code), null, asker, datagram, RateLimit.Sort.ERROR, now, wall);
+          : limited(
+              header(bytes, e.rcode),
+              null,
+              asker,
+              datagram,
+              ResponseRateLimiter.ResponseKind.ERROR,
+              now,
+              wall);
     }
     Draft draft = new Draft(query, asker, now);
     try {
@@ -172,12 +185,13 @@
       tamarindroute.log.Log.defect(e);
     }
     if (draft.handOn != null) {
-      RateLimit.Verdict verdict = verdict(query, asker, datagram, RateLimit.Sort.ANSWER, now, wall);
-      if (verdict != RateLimit.Verdict.SEND) {
+      ResponseRateLimiter.Verdict verdict =
+          verdict(query, asker, datagram, ResponseRateLimiter.ResponseKind.ANSWER, now, wall);
+      if (verdict != ResponseRateLimiter.Verdict.SEND) {
         return held(verdict, query, asker, wall);
       }
-      tally.count(Tally.Event.FORWARDED);
-      return new HandOn(draft.handOn, query.question(), new Pending(query, asker, datagram));
+      counters.increment(QueryCounters.Event.FORWARDED);
+      return new Forward(draft.handOn, query.question(), new PendingQuery(query, asker, datagram));
     }
     return finish(draft, datagram, now, wall);
   }
@@ -186,8 +200,8 @@
    * What another's router said to a query that was handed on; null where nothing could be had in
    * time.
    */
-  public Reply handedBack(
-      Pending pending, Message said, boolean stale, Duration now, Instant wall) {
+  public Reply onForwardedAnswer(
+      PendingQuery pending, Message said, boolean stale, Duration now, Instant wall) {
     Draft draft = new Draft(pending.query, pending.asker, now);
     if (said == null) {
       draft.fail(Rcode.SERVFAIL, EDE_NO_AUTHORITY, "the zone's own router does not answer");
@@ -203,7 +217,7 @@
       if (stale) {
         draft.told =
             new ExtendedErrorCodeOption(EDE_STALE, "the zone's own router does not answer");
-        tally.count(Tally.Event.STALE);
+        counters.increment(QueryCounters.Event.STALE);
       }
     }
     draft.message.getHeader().setFlag(Flags.RA);
@@ -239,7 +253,7 @@
       return;
     }
     Name name = question.getName();
-    for (Forwarded zone : settings.forwarded()) {
+    for (ForwardedZone zone : settings.forwardedZones()) {
       if (name.subdomain(zone.zone())) {
         draft.handOn = zone;
         return;
@@ -283,11 +297,14 @@
     }
     draft.message.getHeader().setFlag(Flags.AA);
     int type = draft.query.question().getType();
-    Names.Found found =
-        names == null || !settings.steer().origin().equals(zone.origin())
-            ? new Names.None()
-            : names.find(name, draft.query.client(draft.asker), draft.query.known(draft.asker));
-    if (found instanceof Names.Steered steered) {
+    SteeredNames.Match found =
+        names == null || !settings.steering().origin().equals(zone.origin())
+            ? new SteeredNames.NoMatch()
+            : names.match(
+                name,
+                draft.query.clientAddress(draft.asker),
+                draft.query.knownClientBits(draft.asker));
+    if (found instanceof SteeredNames.SteeredName steered) {
       draft.scope = steered.scope();
       if (type == Type.ANY) {
         minimal(draft, name);
@@ -296,7 +313,7 @@
       }
       return;
     }
-    if (found instanceof Names.Empty) {
+    if (found instanceof SteeredNames.EmptyNonTerminal) {
       negative(draft, zone, null);
       return;
     }
@@ -345,7 +362,7 @@
 
   private static void glue(Draft draft, ZoneData zone, Name host) {
     for (int type : new int[] {Type.A, Type.AAAA}) {
-      RRset set = host.subdomain(zone.origin()) ? zone.exact(host, type) : null;
+      RRset set = host.subdomain(zone.origin()) ? zone.exactMatch(host, type) : null;
       if (set != null) {
         set.rrs().forEach(record -> draft.message.addRecord(record, Section.ADDITIONAL));
       }
@@ -372,87 +389,93 @@
         Section.AUTHORITY);
   }
 
-  private void steer(Draft draft, Name name, Names.Steered steered, ZoneData zone) {
+  private void steer(Draft draft, Name name, SteeredNames.SteeredName steered, ZoneData zone) {
     int type = draft.query.question().getType();
-    Predicate<Place> fits =
+    Predicate<CacheAddress> fits =
         switch (type) {
-          case Type.A -> place -> place.host().getAddress().length == 4 && !steered.service();
-          case Type.AAAA -> place -> place.host().getAddress().length == 16 && !steered.service();
-          case Type.SRV -> place -> steered.service();
-          case Type.HTTPS -> place -> !steered.service() && !(steered.wish() instanceof Wish.ById);
-          default -> place -> false;
+          case Type.A -> address -> address.host().getAddress().length == 4 && !steered.service();
+          case Type.AAAA ->
+              address -> address.host().getAddress().length == 16 && !steered.service();
+          case Type.SRV -> address -> steered.service();
+          case Type.HTTPS ->
+              address -> !steered.service() && !(steered.target() instanceof SteeringTarget.ById);
+          default -> address -> false;
         };
-    Choice choice = steering.choose(steered.wish(), steered.carries(), fits, draft.now);
+    SteeringDecision choice =
+        steering.choose(steered.target(), steered.loadPerAnswer(), fits, draft.now);
     reasons.merge(choice.reason(), 1L, Long::sum);
-    if (choice.reason().nobody()) {
+    if (choice.reason().isUnanswered()) {
       draft.fail(
           Rcode.SERVFAIL,
-          choice.reason() == Choice.Reason.NO_LIST ? EDE_NOT_READY : EDE_NO_AUTHORITY,
+          choice.reason() == SteeringDecision.Reason.NO_LIST ? EDE_NOT_READY : EDE_NO_AUTHORITY,
           choice.reason().text());
       draft.message.getHeader().unsetFlag(Flags.AA);
       return;
     }
-    if (choice.places().isEmpty()) {
-      if (choice.reason() == Choice.Reason.NO_SUCH_CACHE) {
+    if (choice.addresses().isEmpty()) {
+      if (choice.reason() == SteeringDecision.Reason.NO_SUCH_CACHE) {
         draft.code = Rcode.NXDOMAIN;
       }
       negative(draft, zone, choice.ttl());
       return;
     }
-    if (choice.reason().lastResort()) {
-      tally.count(Tally.Event.LAST_RESORT);
+    if (choice.reason().isLastResort()) {
+      counters.increment(QueryCounters.Event.LAST_RESORT);
       draft.told =
           new ExtendedErrorCodeOption(
-              choice.reason() == Choice.Reason.LAST_KNOWN ? EDE_STALE : EDE_OTHER,
+              choice.reason() == SteeringDecision.Reason.LAST_KNOWN ? EDE_STALE : EDE_OTHER,
               choice.reason().text());
     }
     long ttl = choice.ttl().toSeconds();
-    for (Place place : choice.places()) {
-      records(draft, name, type, place, ttl);
+    for (CacheAddress address : choice.addresses()) {
+      records(draft, name, type, address, ttl);
     }
   }
 
-  private void records(Draft draft, Name name, int type, Place place, long ttl) {
+  private void records(Draft draft, Name name, int type, CacheAddress address, long ttl) {
     switch (type) {
-      case Type.A -> draft.answer(new ARecord(name, DClass.IN, ttl, place.host()));
-      case Type.AAAA -> draft.answer(new AAAARecord(name, DClass.IN, ttl, place.host()));
+      case Type.A -> draft.answer(new ARecord(name, DClass.IN, ttl, address.host()));
+      case Type.AAAA -> draft.answer(new AAAARecord(name, DClass.IN, ttl, address.host()));
       case Type.SRV -> {
-        Name target = nameOf(place);
-        draft.answer(new SRVRecord(name, DClass.IN, ttl, 0, 1, place.port(), target));
+        Name target = nameOf(address);
+        draft.answer(new SRVRecord(name, DClass.IN, ttl, 0, 1, address.port(), target));
         draft.message.addRecord(
-            place.host().getAddress().length == 4
-                ? new ARecord(target, DClass.IN, ttl, place.host())
-                : new AAAARecord(target, DClass.IN, ttl, place.host()),
+            address.host().getAddress().length == 4
+                ? new ARecord(target, DClass.IN, ttl, address.host())
+                : new AAAARecord(target, DClass.IN, ttl, address.host()),
             Section.ADDITIONAL);
       }
       default -> {
         List<SVCBBase.ParameterBase> parameters = new ArrayList<>();
-        parameters.add(new SVCBBase.ParameterPort(place.port()));
+        parameters.add(new SVCBBase.ParameterPort(address.port()));
         parameters.add(
-            place.host() instanceof java.net.Inet4Address four
+            address.host() instanceof java.net.Inet4Address four
                 ? new SVCBBase.ParameterIpv4Hint(List.of(four))
-                : new SVCBBase.ParameterIpv6Hint(List.of((java.net.Inet6Address) place.host())));
+                : new SVCBBase.ParameterIpv6Hint(List.of((java.net.Inet6Address) address.host())));
         draft.answer(new HTTPSRecord(name, DClass.IN, ttl, 1, Name.root, parameters));
       }
     }
   }
 
-  private Name nameOf(Place place) {
+  private Name nameOf(CacheAddress address) {
     try {
       return Name.concatenate(
-          Name.fromString(place.id() + "." + settings.steer().caches()), settings.steer().origin());
+          Name.fromString(address.id() + "." + settings.steering().cachesLabel()),
+          settings.steering().origin());
     } catch (TextParseException | NameTooLongException e) {
-      throw new IllegalStateException("an id that makes no name: " + place.id(), e);
+      throw new IllegalStateException("an id that makes no name: " + address.id(), e);
     }
   }
 
   /** Writes the answer and holds it to its network's limit. */
   private Reply finish(Draft draft, boolean datagram, Duration now, Instant wall) {
     byte[] bytes = written(draft, datagram, wall);
-    RateLimit.Sort sort =
+    ResponseRateLimiter.ResponseKind sort =
         draft.code == Rcode.NOERROR
-            ? RateLimit.Sort.ANSWER
-            : draft.code == Rcode.NXDOMAIN ? RateLimit.Sort.NOTHING : RateLimit.Sort.ERROR;
+            ? ResponseRateLimiter.ResponseKind.ANSWER
+            : draft.code == Rcode.NXDOMAIN
+                ? ResponseRateLimiter.ResponseKind.NXDOMAIN
+                : ResponseRateLimiter.ResponseKind.ERROR;
     return limited(bytes, draft.query, draft.asker, datagram, sort, now, wall);
   }
 
@@ -460,17 +483,17 @@
   private byte[] written(Draft draft, boolean datagram, Instant wall) {
     Message message = draft.message;
     message.getHeader().setRcode(draft.code & 0xF);
-    tally.count(
+    counters.increment(
         switch (draft.code) {
           case Rcode.NOERROR ->
               message.getSection(Section.ANSWER).isEmpty()
                       && message.getSection(Section.AUTHORITY).stream()
                           .anyMatch(r -> r.getType() == Type.SOA)
-                  ? Tally.Event.NO_DATA
-                  : Tally.Event.ANSWERED;
-          case Rcode.NXDOMAIN -> Tally.Event.NAME_UNKNOWN;
-          case Rcode.REFUSED -> Tally.Event.REFUSED;
-          default -> Tally.Event.FAILED;
+                  ? QueryCounters.Event.NO_DATA
+                  : QueryCounters.Event.ANSWERED;
+          case Rcode.NXDOMAIN -> QueryCounters.Event.NXDOMAIN;
+          case Rcode.REFUSED -> QueryCounters.Event.REFUSED;
+          default -> QueryCounters.Event.FAILED;
         });
     OPTRecord edns = edns(draft, wall);
     if (edns != null) {
@@ -483,10 +506,11 @@
                 ? PLAIN
                 : Math.max(
                     PLAIN,
-                    Math.min(draft.query.edns().getPayloadSize(), settings.limits().datagram()));
+                    Math.min(
+                        draft.query.edns().getPayloadSize(), settings.limits().maxDatagramBytes()));
     byte[] bytes = message.toWire(most);
     if ((bytes[2] & 0x02) != 0) {
-      tally.count(Tally.Event.CUT);
+      counters.increment(QueryCounters.Event.TRUNCATED);
     }
     return bytes;
   }
@@ -510,32 +534,33 @@
       options.add(draft.told);
     }
     return new OPTRecord(
-        settings.limits().datagram(),
+        settings.limits().maxDatagramBytes(),
         draft.code >> 4,
         0,
         draft.query.edns().getFlags() & 0x8000,
         options);
   }
 
-  private RateLimit.Verdict verdict(
+  private ResponseRateLimiter.Verdict verdict(
       Query query,
       InetAddress asker,
       boolean datagram,
-      RateLimit.Sort sort,
+      ResponseRateLimiter.ResponseKind sort,
       Duration now,
       Instant wall) {
     // A connection, as a cookie of ours, proves the address: nobody else is hit by what is sent
     // there.
     if (!datagram) {
-      return RateLimit.Verdict.SEND;
+      return ResponseRateLimiter.Verdict.SEND;
     }
     CookieOption cookie = query == null ? null : query.cookie();
     if (cookie != null && cookie.getServerCookie().isPresent()) {
       boolean good =
-          cookies.holds(cookie.getClientCookie(), cookie.getServerCookie().get(), asker, wall);
-      tally.count(good ? Tally.Event.COOKIE_GOOD : Tally.Event.COOKIE_BAD);
+          cookies.isValid(cookie.getClientCookie(), cookie.getServerCookie().get(), asker, wall);
+      counters.increment(
+          good ? QueryCounters.Event.COOKIE_VALID : QueryCounters.Event.COOKIE_INVALID);
       if (good) {
-        return RateLimit.Verdict.SEND;
+        return ResponseRateLimiter.Verdict.SEND;
       }
     }
     return limit.check(asker, sort, now);
@@ -546,20 +571,26 @@
       Query query,
       InetAddress asker,
       boolean datagram,
-      RateLimit.Sort sort,
+      ResponseRateLimiter.ResponseKind sort,
       Duration now,
       Instant wall) {
-    RateLimit.Verdict verdict = verdict(query, asker, datagram, sort, now, wall);
-    return verdict == RateLimit.Verdict.SEND ? new Send(bytes) : held(verdict, query, asker, wall);
+    ResponseRateLimiter.Verdict verdict = verdict(query, asker, datagram, sort, now, wall);
+    return verdict == ResponseRateLimiter.Verdict.SEND
+        ? new Send(bytes)
+        : held(verdict, query, asker, wall);
   }
 
   /**
    * Held back: nothing, or now and then a short invitation to TCP, or the cookie that lets a client
    * through.
    */
-  private Reply held(RateLimit.Verdict verdict, Query query, InetAddress asker, Instant wall) {
-    tally.count(verdict == RateLimit.Verdict.SLIP ? Tally.Event.SLIPPED : Tally.Event.HELD_BACK);
-    if (verdict == RateLimit.Verdict.DROP || query == null) {
+  private Reply held(
+      ResponseRateLimiter.Verdict verdict, Query query, InetAddress asker, Instant wall) {
+    counters.increment(
+        verdict == ResponseRateLimiter.Verdict.SLIP
+            ? QueryCounters.Event.SLIPPED
+            : QueryCounters.Event.RATE_LIMITED);
+    if (verdict == ResponseRateLimiter.Verdict.DROP || query == null) {
       return SILENCE;
     }
     Draft draft = new Draft(query, asker, Duration.ZERO);
--- a/router/src/main/java/tamarindroute/dns/Cookies.java
+++ b/router/src/main/java/tamarindroute/dns/ServerCookies.java
@@ -15,10 +15,10 @@
  * proof that a client's address is its own, without keeping anything of it. Instances of one secret
  * know each other's.
  */
-public final class Cookies {
+public final class ServerCookies {
 
   /** Version, three bytes of nothing, the time, and the proof. */
-  private static final int LENGTH = 16;
+  private static final int COOKIE_LENGTH = 16;
 
   private static final byte VERSION = 1;
 
@@ -26,14 +26,14 @@
    * RFC 9018: an hour old is too old, five minutes ahead too new, and after half an hour a new one
    * is due.
    */
-  private static final Duration OLDEST = Duration.ofHours(1);
+  private static final Duration MAX_AGE = Duration.ofHours(1);
 
-  private static final Duration NEWEST = Duration.ofMinutes(5);
+  private static final Duration MAX_TIME_AHEAD = Duration.ofMinutes(5);
 
   private final byte[] secret;
   private final byte[] previous;
 
-  public Cookies(DnsSettings.CookieKeys keys) {
+  public ServerCookies(DnsSettings.CookieKeys keys) {
     this.secret = keys.secret().clone();
     this.previous = keys.previous() == null ? null : keys.previous().clone();
   }
@@ -44,14 +44,14 @@
   }
 
   /** Whether this is a cookie of ours, made for this client at this address, and not too old. */
-  public boolean holds(byte[] client, byte[] server, InetAddress address, Instant now) {
-    if (server.length != LENGTH || server[0] != VERSION) {
+  public boolean isValid(byte[] client, byte[] server, InetAddress address, Instant now) {
+    if (server.length != COOKIE_LENGTH || server[0] != VERSION) {
       return false;
     }
     int made = ByteBuffer.wrap(server).getInt(4);
     // Seconds wrap round; their difference as a number of 32 bits does not.
     int age = (int) now.getEpochSecond() - made;
-    if (age > OLDEST.toSeconds() || age < -NEWEST.toSeconds()) {
+    if (age > MAX_AGE.toSeconds() || age < -MAX_TIME_AHEAD.toSeconds()) {
       return false;
     }
     return MessageDigest.isEqual(server, make(secret, client, address, made))
@@ -66,9 +66,9 @@
       mac.update(client);
       mac.update(head);
       byte[] proof = mac.doFinal(address.getAddress());
-      return ByteBuffer.allocate(LENGTH)
+      return ByteBuffer.allocate(COOKIE_LENGTH)
           .put(head)
-          .put(Arrays.copyOf(proof, LENGTH - head.length))
+          .put(Arrays.copyOf(proof, COOKIE_LENGTH - head.length))
           .array();
     } catch (GeneralSecurityException e) {
       throw new IllegalStateException("every Java machine has HmacSHA256", e);
--- a/router/src/main/java/tamarindroute/dns/Choice.java
+++ b/router/src/main/java/tamarindroute/dns/SteeringDecision.java
@@ -7,7 +7,8 @@
  * Who is answered, for how long, and why; nobody where the places are empty, and the reason says
  * whose fault it is.
  */
-public record Choice(List<DnsSettings.Place> places, Duration ttl, Reason reason) {
+public record SteeringDecision(
+    List<DnsSettings.CacheAddress> addresses, Duration ttl, Reason reason) {
 
   /**
    * Every way in which an answer comes about; the last resorts and refusals are told in answer and
@@ -17,12 +18,12 @@
     /**
      * By the design's ordinary path: the hashed home, or the least busy of those that serve alike.
      */
-    ORDINARY(Kind.PLAIN, "ordinary"),
+    ORDINARY(Kind.NORMAL, "ordinary"),
     /**
      * The hashed home can't be used, is not warm enough or is crowded: the next one by the same
      * hashing.
      */
-    NEXT_HOME(Kind.PLAIN, "the hashed home can't take more"),
+    NEXT_HOME(Kind.NORMAL, "the hashed home can't take more"),
     /** Nobody of the location can take more; a neighbour stands in. */
     NEIGHBOUR(Kind.LAST_RESORT, "no cache of the location can take more, a neighbour stands in"),
     /** All that are left are judged bad: the one least so is better than none. */
@@ -30,23 +31,23 @@
     /** The feed is silent: the last known list, with what probes prove. */
     LAST_KNOWN(Kind.LAST_RESORT, "the feed is silent, the last known list holds"),
     /** No list has come yet. */
-    NO_LIST(Kind.NOBODY, "no list of caches yet"),
+    NO_LIST(Kind.UNANSWERED, "no list of caches yet"),
     /** The list has no cache there that may be sent work. */
-    NONE_READY(Kind.NOBODY, "no cache there is ready"),
+    NONE_READY(Kind.UNANSWERED, "no cache there is ready"),
     /** Those that are ready are cold and have all that they bear. */
-    COLD(Kind.NOBODY, "the caches there are cold and bear no more"),
+    COLD(Kind.UNANSWERED, "the caches there are cold and bear no more"),
     /** The feed is silent for too long and no probe proves a cache. */
-    FEED_LOST(Kind.NOBODY, "the feed is silent too long"),
+    FEED_LOST(Kind.UNANSWERED, "the feed is silent too long"),
     /** No cache has an address of the family asked for; the name is there all the same. */
-    NO_SUCH_FAMILY(Kind.PLAIN, "no cache has such an address"),
+    NO_SUCH_FAMILY(Kind.NORMAL, "no cache has such an address"),
     /** The cache of this id is not on the list, or draining. */
-    NO_SUCH_CACHE(Kind.PLAIN, "no such cache, or it takes no more work");
+    NO_SUCH_CACHE(Kind.NORMAL, "no such cache, or it takes no more work");
 
     /** How an answer is marked. */
     enum Kind {
-      PLAIN,
+      NORMAL,
       LAST_RESORT,
-      NOBODY
+      UNANSWERED
     }
 
     final Kind kind;
@@ -57,12 +58,12 @@
       this.text = text;
     }
 
-    public boolean lastResort() {
+    public boolean isLastResort() {
       return kind == Kind.LAST_RESORT;
     }
 
-    public boolean nobody() {
-      return kind == Kind.NOBODY;
+    public boolean isUnanswered() {
+      return kind == Kind.UNANSWERED;
     }
 
     public String text() {
@@ -70,11 +71,11 @@
     }
   }
 
-  public Choice {
-    places = List.copyOf(places);
+  public SteeringDecision {
+    addresses = List.copyOf(addresses);
   }
 
-  static Choice nobody(Reason reason, Duration ttl) {
-    return new Choice(List.of(), ttl, reason);
+  static SteeringDecision unanswered(Reason reason, Duration ttl) {
+    return new SteeringDecision(List.of(), ttl, reason);
   }
 }
--- a/router/src/main/java/tamarindroute/dns/Subnet.java
+++ b/router/src/main/java/tamarindroute/dns/Subnet.java
@@ -38,7 +38,7 @@
     return new Subnet(address, address.getAddress().length == 4 ? bitsOf4 : bitsOf6);
   }
 
-  public boolean holds(InetAddress other) {
+  public boolean contains(InetAddress other) {
     return other.getAddress().length == address.getAddress().length
         && Arrays.equals(Address.truncate(other, bits).getAddress(), address.getAddress());
   }
--- a/router/src/main/java/tamarindroute/dns/Frames.java
+++ b/router/src/main/java/tamarindroute/dns/TcpMessageFramer.java
@@ -8,31 +8,31 @@
  * 4.2.2). It must never take more than it was told is the longest, nor hold room for bytes before
  * they come.
  */
-public final class Frames {
+public final class TcpMessageFramer {
 
   /** Room grows by this as bytes come: a message that is announced and not sent costs no more. */
-  private static final int STEP = 512;
+  private static final int GROWTH_BYTES = 512;
 
-  private final int longest;
+  private final int maxLength;
   private int length = -1;
-  private int first = -1;
+  private int firstLengthByte = -1;
   private byte[] bytes = new byte[0];
   private int filled;
 
-  public Frames(int longest) {
-    this.longest = longest;
+  public TcpMessageFramer(int longest) {
+    this.maxLength = longest;
   }
 
   /** The next whole message; null where more bytes are wanted. */
-  public byte[] next(ByteBuffer in) throws MalformedMessageException {
+  public byte[] nextMessage(ByteBuffer in) throws MalformedMessageException {
     while (length < 0 && in.hasRemaining()) {
       int b = in.get() & 0xFF;
-      if (first < 0) {
-        first = b;
+      if (firstLengthByte < 0) {
+        firstLengthByte = b;
       } else {
-        length = first << 8 | b;
-        first = -1;
-        if (length > longest || length == 0) {
+        length = firstLengthByte << 8 | b;
+        firstLengthByte = -1;
+        if (length > maxLength || length == 0) {
           throw new MalformedMessageException("a message of " + length + " bytes");
         }
       }
@@ -44,7 +44,7 @@
     if (filled + some > bytes.length) {
       bytes =
           java.util.Arrays.copyOf(
-              bytes, Math.min(length, Math.max(filled + some, bytes.length + STEP)));
+              bytes, Math.min(length, Math.max(filled + some, bytes.length + GROWTH_BYTES)));
     }
     in.get(bytes, filled, some);
     filled += some;
@@ -59,8 +59,8 @@
   }
 
   /** Whether no message is under way. */
-  public boolean atRest() {
-    return length < 0 && first < 0;
+  public boolean isBetweenMessages() {
+    return length < 0 && firstLengthByte < 0;
   }
 
   /** A message behind its length. */
--- a/router/src/main/java/tamarindroute/dns/Calm.java
+++ b/router/src/main/java/tamarindroute/dns/TtlPolicy.java
@@ -7,23 +7,23 @@
  * warms up or is judged bad, and longer the longer nothing has changed. It must never let a TTL
  * pass its bounds.
  */
-final class Calm {
+final class TtlPolicy {
 
   /**
    * An answer is kept for a quarter of the time that nothing has changed. A location that changes
    * at random times then has a stale answer out for a fifth of the time at the most, and after a
    * change at t the TTLs are back at their longest after four times that.
    */
-  private static final double PART = 0.25;
+  private static final double TTL_PER_UNCHANGED_TIME = 0.25;
 
-  private final Duration least;
-  private final Duration most;
+  private final Duration minTtl;
+  private final Duration maxTtl;
   private Object state;
-  private Duration since;
+  private Duration unchangedSince;
 
-  Calm(Duration least, Duration most) {
-    this.least = least;
-    this.most = most;
+  TtlPolicy(Duration least, Duration most) {
+    this.minTtl = least;
+    this.maxTtl = most;
   }
 
   /**
@@ -31,13 +31,13 @@
    * still does.
    */
   Duration ttl(Object now, boolean unsettled, Duration at) {
-    if (unsettled || since == null || !now.equals(state)) {
+    if (unsettled || unchangedSince == null || !now.equals(state)) {
       state = now;
-      since = at;
-      return least;
+      unchangedSince = at;
+      return minTtl;
     }
-    long calm = (long) (at.minus(since).toNanos() * PART);
+    long calm = (long) (at.minus(unchangedSince).toNanos() * TTL_PER_UNCHANGED_TIME);
     Duration ttl = Duration.ofSeconds(Math.max(0, calm) / 1_000_000_000L);
-    return ttl.compareTo(least) < 0 ? least : ttl.compareTo(most) > 0 ? most : ttl;
+    return ttl.compareTo(minTtl) < 0 ? minTtl : ttl.compareTo(maxTtl) > 0 ? maxTtl : ttl;
   }
 }
--- a/router/src/main/java/tamarindroute/dns/ZoneData.java
+++ b/router/src/main/java/tamarindroute/dns/ZoneData.java
@@ -24,7 +24,7 @@
    * Names without records of their own, but with others below: they are there, which dnsjava's Zone
    * denies.
    */
-  private final Set<Name> between = new HashSet<>();
+  private final Set<Name> existingNames = new HashSet<>();
 
   /**
    * Throws where the records make no zone: no SOA or NS at the origin, or records outside of it.
@@ -43,7 +43,7 @@
       for (Name above = record.getName();
           above.labels() > origin.labels();
           above = new Name(above, 1)) {
-        between.add(above);
+        existingNames.add(above);
       }
     }
   }
@@ -63,11 +63,11 @@
 
   /** Whether this name is there, if only for names below it. */
   public boolean exists(Name name) {
-    return between.contains(name);
+    return existingNames.contains(name);
   }
 
   /** Whether records stand at this very name, not by a wildcard. */
-  public boolean has(Name name) {
+  public boolean hasRecordsAt(Name name) {
     for (Iterator<RRset> sets = zone.iterator(); sets.hasNext(); ) {
       if (sets.next().getName().equals(name)) {
         return true;
@@ -77,7 +77,7 @@
   }
 
   /** The records under this name of this type; null for none. */
-  public RRset exact(Name name, int type) {
+  public RRset exactMatch(Name name, int type) {
     return zone.findExactMatch(name, type);
   }
 }
--- a/router/src/main/java/tamarindroute/nameserver/Members.java
+++ b/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
@@ -7,33 +7,33 @@
 import java.util.Locale;
 import java.util.Map;
 import tamarindroute.decision.Cache;
-import tamarindroute.dns.DnsSettings.Place;
-import tamarindroute.dns.Probes;
+import tamarindroute.dns.DnsSettings.CacheAddress;
+import tamarindroute.dns.HealthCheckScheduler;
 import tamarindroute.dns.Steering;
 import tamarindroute.host.EndpointRegistry;
 
 /**
  * The list as steering sees it: ids as labels, addresses, the feed's silence, what probes prove.
  */
-final class Members implements Steering.Fleet {
+final class EndpointDirectory implements Steering.CacheDirectory {
 
   /** A label of a name is no longer. */
   private static final int LONGEST_LABEL = 63;
 
   private final EndpointRegistry endpoints;
-  private final Probes probes;
-  private final Map<Cache, Place> places = new HashMap<>();
+  private final HealthCheckScheduler healthChecks;
+  private final Map<Cache, CacheAddress> places = new HashMap<>();
 
-  Members(EndpointRegistry endpoints, Probes probes) {
+  EndpointDirectory(EndpointRegistry endpoints, HealthCheckScheduler healthChecks) {
     this.endpoints = endpoints;
-    this.probes = probes;
+    this.healthChecks = healthChecks;
   }
 
   /** The list has changed: an address may have, too. */
   void changed() {
     places.clear();
-    if (probes != null) {
-      probes.listed(endpoints.caches());
+    if (healthChecks != null) {
+      healthChecks.onCacheList(endpoints.caches());
     }
   }
 
@@ -43,12 +43,12 @@
   }
 
   @Override
-  public Place place(Cache cache) {
+  public CacheAddress address(Cache cache) {
     return places.computeIfAbsent(
         cache,
         c -> {
           InetSocketAddress address = endpoints.address(c);
-          return new Place(label(endpoints.id(c)), address.getAddress(), address.getPort());
+          return new CacheAddress(label(endpoints.id(c)), address.getAddress(), address.getPort());
         });
   }
 
@@ -59,17 +59,17 @@
   }
 
   @Override
-  public boolean listed() {
+  public boolean listReceived() {
     return endpoints.listReceived();
   }
 
   @Override
-  public Duration silent(Duration now) {
+  public Duration feedSilence(Duration now) {
     return endpoints.lastFeedReadAt() == null ? now : now.minus(endpoints.lastFeedReadAt());
   }
 
   @Override
-  public boolean proven(Cache cache, Duration now) {
-    return probes != null && probes.proven(cache, now);
+  public boolean isRecentlyReady(Cache cache, Duration now) {
+    return healthChecks != null && healthChecks.isRecentlyReady(cache, now);
   }
 }
--- a/router/src/main/java/tamarindroute/nameserver/Prober.java
+++ b/router/src/main/java/tamarindroute/nameserver/HealthChecker.java
@@ -6,8 +6,8 @@
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.RoutingPolicy;
-import tamarindroute.dns.Probes;
-import tamarindroute.dns.Probes.Came;
+import tamarindroute.dns.HealthCheckScheduler;
+import tamarindroute.dns.HealthCheckScheduler.HealthCheckResult;
 import tamarindroute.host.EndpointRegistry;
 import tamarindroute.log.Log;
 import tamarindroute.net.CloseReason;
@@ -21,33 +21,33 @@
  * Sends the probes that are due and tells the modules what they speak for. It must never choose
  * whom to probe, nor tell of a probe that did not leave.
  */
-final class Prober {
+final class HealthChecker {
 
   /** Probes that are due go out this often; their spread over time is the budget's. */
   private static final Duration TICK = Duration.ofMillis(20);
 
   private final Scheduler scheduler;
   private final EndpointRegistry endpoints;
-  private final Probes probes;
+  private final HealthCheckScheduler healthChecks;
   private final List<RoutingPolicy> modules;
   private final Duration within;
   private long tags;
 
-  Prober(
+  HealthChecker(
       Scheduler scheduler,
       EndpointRegistry endpoints,
-      Probes probes,
+      HealthCheckScheduler healthChecks,
       List<RoutingPolicy> modules,
       Duration within) {
     this.scheduler = scheduler;
     this.endpoints = endpoints;
-    this.probes = probes;
+    this.healthChecks = healthChecks;
     this.modules = modules;
     this.within = within;
   }
 
   void tick() {
-    probes.due(scheduler.now()).forEach(cache -> new Probe(cache).go());
+    healthChecks.takeDue(scheduler.now()).forEach(cache -> new Probe(cache).go());
     scheduler.schedule(TICK, this::tick);
   }
 
@@ -70,7 +70,7 @@
           scheduler.schedule(
               within,
               () -> {
-                end(Came.SILENT);
+                end(HealthCheckResult.TIMED_OUT);
                 quit.run();
               });
     }
@@ -93,27 +93,27 @@
       } catch (MalformedMessageException e) {
         Log.info("cache-protocol-error", e.getMessage());
       }
-      end(response.isHealthy() ? Came.READY : Came.AILING);
+      end(response.isHealthy() ? HealthCheckResult.READY : HealthCheckResult.UNHEALTHY);
     }
 
     @Override
     public void onFailure(CloseReason closeReason, boolean written) {
       end(
           switch (closeReason) {
-            case REFUSED, UNREACHABLE -> Came.REFUSED;
-            case TIMED_OUT -> Came.SILENT;
-            case NO_DESCRIPTOR, CLOSED_LOCALLY -> Came.NOT_SENT;
-            default -> written ? Came.BROKEN : Came.NOT_SENT;
+            case REFUSED, UNREACHABLE -> HealthCheckResult.REFUSED;
+            case TIMED_OUT -> HealthCheckResult.TIMED_OUT;
+            case NO_DESCRIPTOR, CLOSED_LOCALLY -> HealthCheckResult.NOT_SENT;
+            default -> written ? HealthCheckResult.CONNECTION_LOST : HealthCheckResult.NOT_SENT;
           });
     }
 
-    private void end(Came came) {
+    private void end(HealthCheckResult came) {
       if (over) {
         return;
       }
       over = true;
       timer.run();
-      for (Probes.Told told : probes.came(cache, came, scheduler.now())) {
+      for (HealthCheckScheduler.Report told : healthChecks.onResult(cache, came, scheduler.now())) {
         modules.forEach(
             module -> module.onHealthCheck(told.cache(), told.result(), scheduler.now()));
       }
--- a/router/src/main/java/tamarindroute/nameserver/NameServer.java
+++ b/router/src/main/java/tamarindroute/nameserver/NameServer.java
@@ -21,26 +21,26 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 import sun.misc.Signal;
+import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.config.ServiceSettings;
-import tamarindroute.config.UnusableException;
 import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.RoutingPolicy;
-import tamarindroute.dns.Choice;
-import tamarindroute.dns.Cookies;
 import tamarindroute.dns.DnsSettings;
+import tamarindroute.dns.HealthCheckScheduler;
 import tamarindroute.dns.Location;
-import tamarindroute.dns.Probes;
-import tamarindroute.dns.RateLimit;
+import tamarindroute.dns.QueryCounters;
 import tamarindroute.dns.Responder;
+import tamarindroute.dns.ResponseRateLimiter;
+import tamarindroute.dns.ServerCookies;
 import tamarindroute.dns.Steering;
-import tamarindroute.dns.Tally;
+import tamarindroute.dns.SteeringDecision;
 import tamarindroute.host.EventLoop;
 import tamarindroute.host.PlatformConfiguration;
 import tamarindroute.host.RouterInstance;
 import tamarindroute.log.Log;
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.resolver.Forwarder;
-import tamarindroute.resolver.Upstreams;
+import tamarindroute.resolver.UpstreamSelector;
 
 /**
  * Owns one name server's life: its start from the settings, the wiring, the change of settings on
@@ -49,39 +49,39 @@
 public final class NameServer {
 
   /** Descriptors beside clients' connections: probes, questions of ours, the program's own. */
-  private static final int OWN_DESCRIPTORS = 64;
+  private static final int RESERVED_DESCRIPTORS = 64;
 
-  private static final int LEAST_CONNECTED = 512;
+  private static final int MIN_CONNECTIONS = 512;
 
   /** Counters go to the log this often. */
-  private static final Duration COUNTED = Duration.ofSeconds(60);
+  private static final Duration COUNTER_LOG_INTERVAL = Duration.ofSeconds(60);
 
   /** A feed told by name is looked up again this often, and sooner while that fails. */
-  private static final Duration LOOKED_UP = Duration.ofSeconds(60);
+  private static final Duration FEED_LOOKUP_INTERVAL = Duration.ofSeconds(60);
 
-  private static final Duration LOOK_UP_SOON = Duration.ofSeconds(2);
-  private static final int SECRET = 32;
+  private static final Duration FEED_LOOKUP_RETRY = Duration.ofSeconds(2);
+  private static final int SECRET_BYTES = 32;
 
   private final EventLoop eventLoop = new EventLoop();
   private final DatagramTransport datagrams = new DatagramTransport(eventLoop);
-  private final Tally tally = new Tally();
-  private final Map<Integer, RoutingPolicy> modules = new HashMap<>();
+  private final QueryCounters counters = new QueryCounters();
+  private final Map<Integer, RoutingPolicy> policies = new HashMap<>();
   private final RouterInstance instance;
-  private final Members members;
-  private final Probes probes;
+  private final EndpointDirectory directory;
+  private final HealthCheckScheduler healthChecks;
   private final Forwarder forwarder;
   private final long seed;
   private ServiceSettings settings;
-  private Cookies cookies;
-  private RateLimit limit;
+  private ServerCookies cookies;
+  private ResponseRateLimiter limit;
   private Steering steering;
   private Responder responder;
-  private Map<DnsSettings.Forwarded, Forwarder.Route> routes = Map.of();
+  private Map<DnsSettings.ForwardedZone, Forwarder.Route> routes = Map.of();
   private Forwarder.Route lookUps;
   private Runnable nextLookUp = () -> {};
   private boolean following;
-  private int handedOn;
-  private int dropped;
+  private int forwardedInFlight;
+  private int reportedDrops;
   private boolean stopping;
 
   private NameServer(ServiceSettings settings, Function<PolicySettings, RoutingPolicy> module)
@@ -92,25 +92,25 @@
     List<String> places = platform.settings().zones();
     PolicySettings told = platform.settings().settings(seed);
     for (int place = 0; place < Math.max(1, places.size()); place++) {
-      modules.put(place, module.apply(at(told, place, settings.instances())));
+      policies.put(place, module.apply(at(told, place, settings.instances())));
     }
-    int connected = Math.max(LEAST_CONNECTED, settings.dns().limits().connections());
+    int connected = Math.max(MIN_CONNECTIONS, settings.dns().limits().maxConnections());
     PlatformConfiguration own =
         new PlatformConfiguration(
             platform.listen(),
             platform.feed(),
             seed,
             platform.memoryBytes(),
-            OWN_DESCRIPTORS + 2 * connected,
+            RESERVED_DESCRIPTORS + 2 * connected,
             platform.bootstrapEvents(),
             platform.settings());
-    instance = new RouterInstance(own, eventLoop, List.copyOf(modules.values()));
-    DnsSettings.Probing probing = settings.dns().probing();
-    probes = probing == null ? null : new Probes(probing);
-    members = new Members(instance.endpoints(), probes);
-    instance.endpoints().onChange(members::changed);
+    instance = new RouterInstance(own, eventLoop, List.copyOf(policies.values()));
+    DnsSettings.HealthCheckSettings probing = settings.dns().healthChecks();
+    healthChecks = probing == null ? null : new HealthCheckScheduler(probing);
+    directory = new EndpointDirectory(instance.endpoints(), healthChecks);
+    instance.endpoints().onChange(directory::changed);
     forwarder = new Forwarder(eventLoop, datagrams, instance.transport());
-    take(settings);
+    apply(settings);
   }
 
   /**
@@ -149,27 +149,28 @@
    * stays on the account, and what is known of upstreams outlasts a change that leaves their zone
    * as it was.
    */
-  private void take(ServiceSettings told) {
+  private void apply(ServiceSettings told) {
     DnsSettings dns = told.dns();
-    Cookies newCookies =
-        cookies != null && dns.cookies() == null ? cookies : new Cookies(keys(dns.cookies()));
+    ServerCookies newCookies =
+        cookies != null && dns.cookies() == null ? cookies : new ServerCookies(keys(dns.cookies()));
     DnsSettings.Limits limits = dns.limits();
     boolean sameLimit =
         limit != null
-            && settings.dns().limits().perSecond() == limits.perSecond()
+            && settings.dns().limits().answersPerSecond() == limits.answersPerSecond()
             && settings.dns().limits().slip() == limits.slip();
-    RateLimit newLimit = sameLimit ? limit : new RateLimit(limits.perSecond(), limits.slip());
+    ResponseRateLimiter newLimit =
+        sameLimit ? limit : new ResponseRateLimiter(limits.answersPerSecond(), limits.slip());
     Steering newSteering = steering;
-    if (dns.steer() != null) {
+    if (dns.steering() != null) {
       Map<String, RoutingPolicy> byLabel = new HashMap<>();
-      for (Location location : dns.steer().locations()) {
-        byLabel.put(location.label(), modules.get(location.place()));
+      for (Location location : dns.steering().locations()) {
+        byLabel.put(location.label(), policies.get(location.zoneIndex()));
       }
-      newSteering = new Steering(dns.steer(), members, byLabel, steering, eventLoop.now());
+      newSteering = new Steering(dns.steering(), directory, byLabel, steering, eventLoop.now());
     }
-    Responder newResponder = new Responder(dns, newSteering, newCookies, newLimit, tally);
-    Map<DnsSettings.Forwarded, Forwarder.Route> newRoutes = new HashMap<>();
-    for (DnsSettings.Forwarded one : dns.forwarded()) {
+    Responder newResponder = new Responder(dns, newSteering, newCookies, newLimit, counters);
+    Map<DnsSettings.ForwardedZone, Forwarder.Route> newRoutes = new HashMap<>();
+    for (DnsSettings.ForwardedZone one : dns.forwardedZones()) {
       Forwarder.Route known = routes.get(one);
       newRoutes.put(
           one,
@@ -177,22 +178,22 @@
               ? known
               : new Forwarder.Route(
                   one.zone(),
-                  new Upstreams(one.upstreams(), Forwarder.MOST_IN_FLIGHT, seed),
-                  one.within(),
-                  one.staleFor(),
+                  new UpstreamSelector(one.upstreams(), Forwarder.MAX_IN_FLIGHT, seed),
+                  one.timeout(),
+                  one.maxStaleness(),
                   false));
     }
     lookUps =
         told.resolvers().isEmpty()
             ? null
-            : Forwarder.resolvers(told.resolvers(), told.resolveWithin(), seed);
+            : Forwarder.routeToResolvers(told.resolvers(), told.resolveTimeout(), seed);
     cookies = newCookies;
     limit = newLimit;
     steering = newSteering;
     responder = newResponder;
     routes = newRoutes;
     settings = told;
-    instance.transport().limitClients(limits.connections());
+    instance.transport().limitClients(limits.maxConnections());
   }
 
   /** The secrets told, or one of this start's own. */
@@ -200,7 +201,7 @@
     if (told != null) {
       return told;
     }
-    byte[] secret = new byte[SECRET];
+    byte[] secret = new byte[SECRET_BYTES];
     new SecureRandom().nextBytes(secret);
     return new DnsSettings.CookieKeys(secret, null);
   }
@@ -209,7 +210,7 @@
   public static void start(Path file, Function<PolicySettings, RoutingPolicy> module)
       throws IOException {
     AtomicReference<NameServer> started = new AtomicReference<>();
-    Signal.handle(new Signal("HUP"), signal -> reread(file, started));
+    Signal.handle(new Signal("HUP"), signal -> reload(file, started));
     NameServer server = new NameServer(ServiceSettings.read(file), module);
     CountDownLatch opened = new CountDownLatch(1);
     AtomicReference<IOException> failed = new AtomicReference<>();
@@ -250,7 +251,7 @@
   }
 
   /** On a signal's thread: reads all again, and takes it up where all of it can be used. */
-  private static synchronized void reread(Path file, AtomicReference<NameServer> started) {
+  private static synchronized void reload(Path file, AtomicReference<NameServer> started) {
     NameServer server = started.get();
     if (server == null) {
       return;
@@ -267,7 +268,7 @@
       List<String> later = server.differsIn(told);
       server.eventLoop.execute(
           () -> {
-            server.take(told);
+            server.apply(told);
             server.move();
             Log.info(
                 "config",
@@ -276,8 +277,8 @@
                         ? ""
                         : "; not before the next start: " + String.join(", ", later)));
           });
-    } catch (UnusableException e) {
-      Log.info("config-unusable", "the old one holds: " + e.inOneLine());
+    } catch (InvalidSettingsException e) {
+      Log.info("config-unusable", "the old one holds: " + e.summary());
     }
   }
 
@@ -290,7 +291,7 @@
     if (told.instances() != settings.instances()) {
       later.add("instances");
     }
-    if (!java.util.Objects.equals(told.dns().probing(), settings.dns().probing())) {
+    if (!java.util.Objects.equals(told.dns().healthChecks(), settings.dns().healthChecks())) {
       later.add("probing");
     }
     return later;
@@ -306,23 +307,23 @@
         .listen(
             address,
             connection ->
-                new Stream(
+                new TcpQueryConnection(
                     eventLoop,
                     connection,
-                    settings.dns().limits().idle(),
-                    settings.dns().limits().pipelined(),
+                    settings.dns().limits().idleTimeout(),
+                    settings.dns().limits().maxPipelinedQueries(),
                     (bytes, from, answer) -> query(bytes, from, false, answer)));
     move();
-    if (probes != null) {
-      new Prober(
+    if (healthChecks != null) {
+      new HealthChecker(
               eventLoop,
               instance.endpoints(),
-              probes,
-              List.copyOf(modules.values()),
-              settings.dns().probing().within())
+              healthChecks,
+              List.copyOf(policies.values()),
+              settings.dns().healthChecks().timeout())
           .tick();
     }
-    eventLoop.schedule(COUNTED, this::count);
+    eventLoop.schedule(COUNTER_LOG_INTERVAL, this::logCounters);
   }
 
   /**
@@ -333,8 +334,8 @@
     String feed = settings.feed();
     if (feed == null) {
       follow(settings.platform().feed());
-    } else if (ServiceSettings.numeric(feed)) {
-      follow(ServiceSettings.address(feed));
+    } else if (ServiceSettings.isNumericAddress(feed)) {
+      follow(ServiceSettings.parseAddress(feed));
     } else {
       lookUp(feed);
     }
@@ -351,9 +352,9 @@
   private void lookUp(String feed) {
     int colon = feed.lastIndexOf(':');
     int port = Integer.parseInt(feed.substring(colon + 1));
-    forwarder.ask(
+    forwarder.query(
         lookUps,
-        Forwarder.name(feed.substring(0, colon)),
+        Forwarder.absoluteName(feed.substring(0, colon)),
         Type.A,
         result -> {
           InetAddress found = null;
@@ -372,7 +373,7 @@
           nextLookUp.run();
           nextLookUp =
               eventLoop.schedule(
-                  found == null ? LOOK_UP_SOON : LOOKED_UP,
+                  found == null ? FEED_LOOKUP_RETRY : FEED_LOOKUP_INTERVAL,
                   () -> {
                     if (feed.equals(settings.feed())) {
                       lookUp(feed);
@@ -387,17 +388,17 @@
       return;
     }
     Responder.Reply reply = responder.answer(bytes, from, datagram, eventLoop.now(), Instant.now());
-    if (reply instanceof Responder.HandOn handOn) {
-      handedOn++;
+    if (reply instanceof Responder.Forward handOn) {
+      forwardedInFlight++;
       Responder asker = responder;
-      forwarder.ask(
+      forwarder.query(
           routes.get(handOn.zone()),
           handOn.question().getName(),
           handOn.question().getType(),
           result -> {
-            handedOn--;
+            forwardedInFlight--;
             send(
-                asker.handedBack(
+                asker.onForwardedAnswer(
                     handOn.pending(),
                     result.message(),
                     result.stale(),
@@ -420,21 +421,25 @@
     }
   }
 
-  private void count() {
-    Object[] named = tally.sinceLast();
-    if (datagrams.dropped() > dropped) {
+  private void logCounters() {
+    Object[] named = counters.changesSinceLastReport();
+    if (datagrams.dropped() > reportedDrops) {
       Log.infoWithFields(
-          "dns-flooded", "datagrams dropped unread", "dropped", datagrams.dropped() - dropped);
-      dropped = datagrams.dropped();
+          "dns-flooded",
+          "datagrams dropped unread",
+          "dropped",
+          datagrams.dropped() - reportedDrops);
+      reportedDrops = datagrams.dropped();
     }
     if (named.length > 0) {
-      Log.infoWithFields("dns-counts", "in the last " + COUNTED.toSeconds() + " s", named);
+      Log.infoWithFields(
+          "dns-counts", "in the last " + COUNTER_LOG_INTERVAL.toSeconds() + " s", named);
     }
-    Map<Choice.Reason, Long> reasons = responder.reasons();
+    Map<SteeringDecision.Reason, Long> reasons = responder.reasons();
     if (!reasons.isEmpty()) {
       Log.infoWithFields("dns-reasons", reasons);
     }
-    eventLoop.schedule(COUNTED, this::count);
+    eventLoop.schedule(COUNTER_LOG_INTERVAL, this::logCounters);
   }
 
   /**
@@ -445,8 +450,8 @@
     try {
       eventLoop.execute(() -> stopping = true);
       Duration longest =
-          settings.dns().forwarded().stream()
-              .map(DnsSettings.Forwarded::within)
+          settings.dns().forwardedZones().stream()
+              .map(DnsSettings.ForwardedZone::timeout)
               .max(Duration::compareTo)
               .orElse(Duration.ZERO);
       Duration end = eventLoop.now().plus(longest);
@@ -455,7 +460,7 @@
         CountDownLatch looked = new CountDownLatch(1);
         eventLoop.execute(
             () -> {
-              left.set(handedOn);
+              left.set(forwardedInFlight);
               looked.countDown();
             });
         looked.await(1, TimeUnit.SECONDS);
--- a/router/src/main/java/tamarindroute/nameserver/Stream.java
+++ b/router/src/main/java/tamarindroute/nameserver/TcpQueryConnection.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.function.Consumer;
-import tamarindroute.dns.Frames;
+import tamarindroute.dns.TcpMessageFramer;
 import tamarindroute.log.Log;
 import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
@@ -18,7 +18,7 @@
  * It must never hold an answer back in a queue: what a client leaves unread would be out of date
  * when it reads it.
  */
-final class Stream implements ConnectionHandler {
+final class TcpQueryConnection implements ConnectionHandler {
 
   /** What takes a query; the answer comes once, null for none. */
   interface Taker {
@@ -45,7 +45,7 @@
   private final Duration idle;
   private final int most;
   private final Taker taker;
-  private final Frames frames = new Frames(LONGEST);
+  private final TcpMessageFramer framer = new TcpMessageFramer(LONGEST);
   private Duration usedAt;
   private Runnable patience;
   private Runnable unread;
@@ -53,7 +53,8 @@
   private boolean last;
   private boolean over;
 
-  Stream(Scheduler scheduler, Connection connection, Duration idle, int most, Taker taker) {
+  TcpQueryConnection(
+      Scheduler scheduler, Connection connection, Duration idle, int most, Taker taker) {
     this.scheduler = scheduler;
     this.connection = connection;
     this.idle = idle;
@@ -86,7 +87,7 @@
   public void onReceived(ByteBuffer bytes) {
     try {
       while (!connection.paused()) {
-        byte[] query = last ? null : frames.next(bytes);
+        byte[] query = last ? null : framer.nextMessage(bytes);
         if (query == null) {
           break;
         }
@@ -106,7 +107,7 @@
     }
     if (!over) {
       patience.run();
-      patience = scheduler.schedule(frames.atRest() ? idle : WHOLE, this::waited);
+      patience = scheduler.schedule(framer.isBetweenMessages() ? idle : WHOLE, this::waited);
     }
   }
 
@@ -117,7 +118,7 @@
       return;
     }
     if (bytes != null) {
-      connection.write(Frames.frame(bytes));
+      connection.write(TcpMessageFramer.frame(bytes));
       if (unread == null) {
         look();
       }
--- a/router/src/main/java/tamarindroute/resolver/Check.java
+++ b/router/src/main/java/tamarindroute/resolver/AnswerValidator.java
@@ -20,45 +20,45 @@
  * (0x20), and only records of the question's name, and of aliases from there, inside the zone that
  * was asked for are taken.
  */
-public final class Check {
+public final class AnswerValidator {
 
   /** What an answer turned out to be. */
-  public sealed interface Said {}
+  public sealed interface Verdict {}
 
   /** Usable: only what is believed is left in it. */
-  public record Good(Message message) implements Said {}
+  public record Accepted(Message message) implements Verdict {}
 
   /** Cut: to be asked again by TCP. */
-  public record Cut() implements Said {}
+  public record Truncated() implements Verdict {}
 
   /** The upstream's own word that it can't or won't. */
-  public record Unwilling(String why) implements Said {}
+  public record Unusable(String reason) implements Verdict {}
 
   /** Not an answer to this question: a forger's or a late one; the true one may still come. */
-  public record NotOurs(String why) implements Said {}
+  public record Mismatch(String reason) implements Verdict {}
 
   /** Aliases in one answer; a longer chain is followed by nobody. */
-  private static final int MOST_ALIASES = 8;
+  private static final int MAX_ALIASES = 8;
 
   /** More records than any answer of ours has. */
-  private static final int MOST_RECORDS = 200;
+  private static final int MAX_RECORDS = 200;
 
-  private static final int HEADER = 12;
+  private static final int HEADER_LENGTH = 12;
 
-  private Check() {}
+  private AnswerValidator() {}
 
   /** Reads an answer to a query of this id and question, sent to a server of this zone. */
-  public static Said read(byte[] bytes, int id, Name asked, int type, Name zone) {
-    if (bytes.length < HEADER
+  public static Verdict validate(byte[] bytes, int id, Name asked, int type, Name zone) {
+    if (bytes.length < HEADER_LENGTH
         || (bytes[2] & 0x80) == 0
         || ((bytes[0] & 0xFF) << 8 | bytes[1] & 0xFF) != id) {
-      return new NotOurs("no answer, or to another id");
+      return new Mismatch("no answer, or to another id");
     }
     Message message;
     try {
       message = new Message(bytes);
     } catch (IOException | RuntimeException e) {
-      return new NotOurs("unreadable: " + e.getMessage());
+      return new Mismatch("unreadable: " + e.getMessage());
     }
     Record question = message.getQuestion();
     if (question == null
@@ -66,29 +66,29 @@
         || question.getType() != type
         || question.getDClass() != DClass.IN
         || !Arrays.equals(question.getName().toWire(), asked.toWire())) {
-      return new NotOurs("another question");
+      return new Mismatch("another question");
     }
     if (message.getHeader().getFlag(Flags.TC)) {
-      return new Cut();
+      return new Truncated();
     }
     int rcode = message.getRcode();
     if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
-      return new Unwilling(Rcode.string(rcode));
+      return new Unusable(Rcode.string(rcode));
     }
     return believed(message, rcode, asked, type, zone);
   }
 
-  private static Said believed(Message message, int rcode, Name asked, int type, Name zone) {
+  private static Verdict believed(Message message, int rcode, Name asked, int type, Name zone) {
     List<Record> answer = message.getSection(Section.ANSWER);
-    if (answer.size() > MOST_RECORDS) {
-      return new Unwilling("more records than an answer has");
+    if (answer.size() > MAX_RECORDS) {
+      return new Unusable("more records than an answer has");
     }
     Message kept = new Message();
     kept.getHeader().setRcode(rcode);
     kept.addRecord(Record.newRecord(asked, type, DClass.IN), Section.QUESTION);
     Name name = asked;
     boolean found = false;
-    for (int i = 0; i <= MOST_ALIASES && name != null; i++) {
+    for (int i = 0; i <= MAX_ALIASES && name != null; i++) {
       Name alias = null;
       for (Record record : records(answer, name)) {
         if (record.getType() == type || record.getType() == Type.CNAME || type == Type.ANY) {
@@ -111,9 +111,9 @@
       }
     }
     if (!found && !soa && rcode == Rcode.NOERROR) {
-      return new Unwilling("neither records nor an SOA: a referral, or lame");
+      return new Unusable("neither records nor an SOA: a referral, or lame");
     }
-    return new Good(kept);
+    return new Accepted(kept);
   }
 
   private static List<Record> records(List<Record> all, Name name) {
--- a/router/src/main/java/tamarindroute/resolver/Forwarder.java
+++ b/router/src/main/java/tamarindroute/resolver/Forwarder.java
@@ -20,7 +20,7 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.WireParseException;
-import tamarindroute.dns.Frames;
+import tamarindroute.dns.TcpMessageFramer;
 import tamarindroute.log.Log;
 import tamarindroute.net.CloseReason;
 import tamarindroute.net.Connection;
@@ -48,38 +48,42 @@
   public static final class Route {
 
     private final Name zone;
-    private final Upstreams upstreams;
-    private final Duration within;
-    private final Duration staleFor;
+    private final UpstreamSelector upstreams;
+    private final Duration timeout;
+    private final Duration maxStaleness;
     private final boolean recursive;
 
     /** Recursive where the upstreams are resolvers, not the zone's own servers. */
     public Route(
-        Name zone, Upstreams upstreams, Duration within, Duration staleFor, boolean recursive) {
+        Name zone,
+        UpstreamSelector upstreams,
+        Duration within,
+        Duration staleFor,
+        boolean recursive) {
       this.zone = zone;
       this.upstreams = upstreams;
-      this.within = within;
-      this.staleFor = staleFor;
+      this.timeout = within;
+      this.maxStaleness = staleFor;
       this.recursive = recursive;
     }
   }
 
   /** What is told of ourselves in EDNS: no fragments on any way. */
-  private static final int DATAGRAM = 1232;
+  private static final int EDNS_PAYLOAD_BYTES = 1232;
 
-  private static final int LONGEST = Message.MAXLENGTH;
+  private static final int MAX_MESSAGE_BYTES = Message.MAXLENGTH;
 
   /** First and further attempts of one question. */
-  private static final int MOST_ATTEMPTS = 3;
+  private static final int MAX_ATTEMPTS = 3;
 
   /** Questions under way at once; past it they fail at once. */
-  private static final int MOST_JOBS = 1000;
+  private static final int MAX_PENDING_QUESTIONS = 1000;
 
   /** Askers that wait for the same question. */
-  private static final int MOST_JOINED = 200;
+  private static final int MAX_WAITING_CALLERS = 200;
 
   /** Wrong answers to one attempt before its port is left: a forger is guessing ids there. */
-  private static final int MOST_FORGED = 20;
+  private static final int MAX_MISMATCHES = 20;
 
   /**
    * While all fail, the stale answer is given after this, for clients wait no longer (RFC 8767 has
@@ -90,9 +94,9 @@
   private final Scheduler scheduler;
   private final DatagramTransport datagrams;
   private final SocketTransport transport;
-  private final Kept kept = new Kept();
+  private final AnswerCache cache = new AnswerCache();
   private final RetryBudget budget = new RetryBudget();
-  private final Map<Kept.Asked, Job> jobs = new HashMap<>();
+  private final Map<AnswerCache.Question, PendingQuestion> pending = new HashMap<>();
   private final SecureRandom random = new SecureRandom();
 
   public Forwarder(Scheduler scheduler, DatagramTransport datagrams, SocketTransport transport) {
@@ -102,8 +106,8 @@
   }
 
   /** What was known of a question, while nobody answers it; without a message where nothing was. */
-  private Result known(Route route, Kept.Asked asked) {
-    Kept.Found found = kept.stale(asked, route.staleFor, scheduler.now());
+  private Result staleAnswer(Route route, AnswerCache.Question question) {
+    AnswerCache.CachedAnswer found = cache.stale(question, route.maxStaleness, scheduler.now());
     return found == null ? new Result(null, false) : new Result(found.message(), found.stale());
   }
 
@@ -111,61 +115,61 @@
    * Asks; the result comes once, on the owner's thread, at the latest when the route's time is
    * over.
    */
-  public void ask(Route route, Name name, int type, Consumer<Result> then) {
-    Kept.Asked asked = new Kept.Asked(name, type);
-    Kept.Found found = kept.fresh(asked, scheduler.now());
+  public void query(Route route, Name name, int type, Consumer<Result> then) {
+    AnswerCache.Question question = new AnswerCache.Question(name, type);
+    AnswerCache.CachedAnswer found = cache.fresh(question, scheduler.now());
     if (found != null) {
       then.accept(new Result(found.message(), false));
       return;
     }
-    Job job = jobs.get(asked);
-    if (job != null && job.staleTold) {
+    PendingQuestion pendingQuestion = pending.get(question);
+    if (pendingQuestion != null && pendingQuestion.staleTold) {
       // Nobody has answered for a while: whoever asks now need not wait as long as the first did.
-      then.accept(known(route, asked));
+      then.accept(staleAnswer(route, question));
       return;
     }
-    if (job != null && job.waiting.size() < MOST_JOINED) {
-      job.waiting.add(then);
+    if (pendingQuestion != null && pendingQuestion.waiting.size() < MAX_WAITING_CALLERS) {
+      pendingQuestion.waiting.add(then);
       return;
     }
-    if (job != null || jobs.size() >= MOST_JOBS) {
-      then.accept(known(route, asked));
+    if (pendingQuestion != null || pending.size() >= MAX_PENDING_QUESTIONS) {
+      then.accept(staleAnswer(route, question));
       return;
     }
-    job = new Job(route, asked);
-    jobs.put(asked, job);
-    job.waiting.add(then);
-    budget.first(scheduler.now());
-    job.attempt();
+    pendingQuestion = new PendingQuestion(route, question);
+    pending.put(question, pendingQuestion);
+    pendingQuestion.waiting.add(then);
+    budget.onFirstAttempt(scheduler.now());
+    pendingQuestion.attempt();
   }
 
   /** One question under way, for all who asked it. */
-  private final class Job {
+  private final class PendingQuestion {
 
     private final Route route;
-    private final Kept.Asked asked;
+    private final AnswerCache.Question question;
     private final List<Consumer<Result>> waiting = new ArrayList<>(1);
-    private final Set<Upstreams.Upstream> tried = new HashSet<>();
+    private final Set<UpstreamSelector.Upstream> tried = new HashSet<>();
     private final Runnable deadline;
     private final Runnable staleTimer;
     private Attempt out;
     private int sent;
     private boolean staleTold;
 
-    Job(Route route, Kept.Asked asked) {
+    PendingQuestion(Route route, AnswerCache.Question question) {
       this.route = route;
-      this.asked = asked;
-      this.deadline = scheduler.schedule(route.within, () -> giveUp("time is over"));
+      this.question = question;
+      this.deadline = scheduler.schedule(route.timeout, () -> giveUp("time is over"));
       this.staleTimer = scheduler.schedule(STALE_AFTER, this::stale);
     }
 
     void attempt() {
-      Upstreams.Upstream upstream = route.upstreams.next(tried, scheduler.now());
+      UpstreamSelector.Upstream upstream = route.upstreams.next(tried, scheduler.now());
       if (upstream == null && tried.size() == route.upstreams.all().size()) {
         // All were asked once: the better of them once more, where the budget allows it.
         upstream = route.upstreams.next(Set.of(), scheduler.now());
       }
-      boolean allowed = sent == 0 || sent < MOST_ATTEMPTS && budget.further(scheduler.now());
+      boolean allowed = sent == 0 || sent < MAX_ATTEMPTS && budget.tryRetry(scheduler.now());
       if (upstream == null || !allowed) {
         giveUp(
             upstream == null
@@ -184,7 +188,7 @@
      * behind.
      */
     private void stale() {
-      Result known = known(route, asked);
+      Result known = staleAnswer(route, question);
       if (known.message() != null && !waiting.isEmpty()) {
         staleTold = true;
         tell(known);
@@ -195,10 +199,10 @@
       if (out != null) {
         out.quit();
       }
-      Result known = known(route, asked);
+      Result known = staleAnswer(route, question);
       Log.infoWithFields(
           "upstream-none",
-          asked.name() + ": " + why,
+          question.name() + ": " + why,
           "attempts",
           sent,
           "stale",
@@ -207,12 +211,12 @@
     }
 
     void good(Message message) {
-      kept.keep(asked, message, scheduler.now());
+      cache.put(question, message, scheduler.now());
       end(new Result(message, false));
     }
 
     private void end(Result result) {
-      jobs.remove(asked, this);
+      pending.remove(question, this);
       deadline.run();
       staleTimer.run();
       tell(result);
@@ -228,37 +232,38 @@
   /** One sending of a question to one upstream. */
   private final class Attempt implements DatagramTransport.ReplyHandler, ConnectionHandler {
 
-    private final Job job;
-    private final Upstreams.Upstream upstream;
+    private final PendingQuestion pendingQuestion;
+    private final UpstreamSelector.Upstream upstream;
     private final int id = random.nextInt(1 << 16);
     private final Name name;
     private final Duration from = scheduler.now();
     private Runnable timer = () -> {};
     private Runnable quit = () -> {};
     private Connection connection;
-    private final Frames frames = new Frames(LONGEST);
+    private final TcpMessageFramer framer = new TcpMessageFramer(MAX_MESSAGE_BYTES);
     private int wrong;
     private boolean over;
 
-    Attempt(Job job, Upstreams.Upstream upstream) {
-      this.job = job;
+    Attempt(PendingQuestion pendingQuestion, UpstreamSelector.Upstream upstream) {
+      this.pendingQuestion = pendingQuestion;
       this.upstream = upstream;
-      this.name = anyCase(job.asked.name());
+      this.name = randomizeCase(pendingQuestion.question.name());
     }
 
     void go() {
-      Duration wait = job.route.upstreams.sent(upstream, from);
+      Duration wait = pendingQuestion.route.upstreams.sent(upstream, from);
       timer = scheduler.schedule(wait, () -> failed("silent", true));
       quit = datagrams.query(upstream.address, query(), this);
     }
 
     private byte[] query() {
       Message message = new Message(id);
-      if (job.route.recursive) {
+      if (pendingQuestion.route.recursive) {
         message.getHeader().setFlag(Flags.RD);
       }
-      message.addRecord(Record.newRecord(name, job.asked.type(), DClass.IN), Section.QUESTION);
-      message.addRecord(new OPTRecord(DATAGRAM, 0, 0), Section.ADDITIONAL);
+      message.addRecord(
+          Record.newRecord(name, pendingQuestion.question.type(), DClass.IN), Section.QUESTION);
+      message.addRecord(new OPTRecord(EDNS_PAYLOAD_BYTES, 0, 0), Section.ADDITIONAL);
       return message.toWire();
     }
 
@@ -268,20 +273,23 @@
       if (over) {
         return;
       }
-      Check.Said said = Check.read(bytes, id, name, job.asked.type(), job.route.zone);
-      if (said instanceof Check.Good good) {
+      AnswerValidator.Verdict said =
+          AnswerValidator.validate(
+              bytes, id, name, pendingQuestion.question.type(), pendingQuestion.route.zone);
+      if (said instanceof AnswerValidator.Accepted good) {
         end();
-        job.route.upstreams.answered(upstream, scheduler.now().minus(from), scheduler.now());
-        job.good(good.message());
-      } else if (said instanceof Check.Cut && connection == null) {
+        pendingQuestion.route.upstreams.answered(
+            upstream, scheduler.now().minus(from), scheduler.now());
+        pendingQuestion.good(good.message());
+      } else if (said instanceof AnswerValidator.Truncated && connection == null) {
         quit.run();
         connection = transport.connect(upstream.address, this);
         quit = () -> connection.close(CloseReason.CLOSED_LOCALLY, false);
-      } else if (said instanceof Check.Unwilling unwilling) {
-        failed(unwilling.why(), false);
+      } else if (said instanceof AnswerValidator.Unusable unwilling) {
+        failed(unwilling.reason(), false);
       } else {
         Log.infoWithFields("answer-forged", said, "upstream", upstream.address);
-        if (++wrong >= MOST_FORGED) {
+        if (++wrong >= MAX_MISMATCHES) {
           failed("flooded with wrong answers", true);
         }
       }
@@ -289,13 +297,15 @@
 
     @Override
     public void onOpened() {
-      connection.write(Frames.frame(query()));
+      connection.write(TcpMessageFramer.frame(query()));
     }
 
     @Override
     public void onReceived(ByteBuffer bytes) {
       try {
-        for (byte[] whole = frames.next(bytes); whole != null; whole = frames.next(bytes)) {
+        for (byte[] whole = framer.nextMessage(bytes);
+            whole != null;
+            whole = framer.nextMessage(bytes)) {
           onReply(whole);
         }
       } catch (MalformedMessageException e) {
@@ -314,11 +324,16 @@
         return;
       }
       end();
-      job.route.upstreams.failed(upstream, silent, scheduler.now());
+      pendingQuestion.route.upstreams.failed(upstream, silent, scheduler.now());
       Log.infoWithFields(
-          "upstream-failed", why, "upstream", upstream.address, "name", job.asked.name());
-      job.out = null;
-      job.attempt();
+          "upstream-failed",
+          why,
+          "upstream",
+          upstream.address,
+          "name",
+          pendingQuestion.question.name());
+      pendingQuestion.out = null;
+      pendingQuestion.attempt();
     }
 
     private void end() {
@@ -330,13 +345,13 @@
     void quit() {
       if (!over) {
         end();
-        job.route.upstreams.quit(upstream);
+        pendingQuestion.route.upstreams.abandoned(upstream);
       }
     }
   }
 
   /** The same name in letters of random case: an answer must bring it back to the letter. */
-  private Name anyCase(Name name) {
+  private Name randomizeCase(Name name) {
     byte[] wire = name.toWire();
     for (int i = 0; i < wire.length; ) {
       int length = wire[i++];
@@ -353,20 +368,21 @@
   }
 
   /** A route to resolvers for any name. */
-  public static Route resolvers(List<InetSocketAddress> addresses, Duration within, long seed) {
+  public static Route routeToResolvers(
+      List<InetSocketAddress> addresses, Duration within, long seed) {
     return new Route(
         Name.root,
-        new Upstreams(addresses, MOST_IN_FLIGHT, seed),
+        new UpstreamSelector(addresses, MAX_IN_FLIGHT, seed),
         within,
         Duration.ofDays(1),
         true);
   }
 
   /** Questions of ours that one upstream has at once; more would only wait there. */
-  public static final int MOST_IN_FLIGHT = 32;
+  public static final int MAX_IN_FLIGHT = 32;
 
   /** A name as settings spell it, always from the root. */
-  public static Name name(String text) {
+  public static Name absoluteName(String text) {
     try {
       return Name.fromString(text.endsWith(".") ? text : text + ".");
     } catch (TextParseException e) {
--- a/router/src/main/java/tamarindroute/resolver/RetryBudget.java
+++ b/router/src/main/java/tamarindroute/resolver/RetryBudget.java
@@ -12,38 +12,38 @@
    * One further attempt for five first ones is what calm days need, with a loss of some in a
    * hundred, tenfold.
    */
-  private static final double PART = 0.2;
+  private static final double RETRIES_PER_FIRST_ATTEMPT = 0.2;
 
   /** A quiet server may still try again some times. */
-  private static final double ALWAYS = 3;
+  private static final double MIN_RETRIES = 3;
 
-  private static final double MEMORY = 10;
+  private static final double DECAY_SECONDS = 10;
 
-  private double first;
-  private double further;
-  private double at;
+  private double onFirstAttempt;
+  private double tryRetry;
+  private double decayedAtSeconds;
 
-  private void fade(Duration now) {
+  private void decay(Duration now) {
     double seconds = now.toNanos() * 1e-9;
-    double kept = Math.exp(Math.min(0, at - seconds) / MEMORY);
-    first *= kept;
-    further *= kept;
-    at = seconds;
+    double kept = Math.exp(Math.min(0, decayedAtSeconds - seconds) / DECAY_SECONDS);
+    onFirstAttempt *= kept;
+    tryRetry *= kept;
+    decayedAtSeconds = seconds;
   }
 
   /** A first attempt goes out. */
-  public void first(Duration now) {
-    fade(now);
-    first++;
+  public void onFirstAttempt(Duration now) {
+    decay(now);
+    onFirstAttempt++;
   }
 
   /** Whether a further attempt may go out; where it may, it is counted. */
-  public boolean further(Duration now) {
-    fade(now);
-    if (further + 1 > ALWAYS + PART * first) {
+  public boolean tryRetry(Duration now) {
+    decay(now);
+    if (tryRetry + 1 > MIN_RETRIES + RETRIES_PER_FIRST_ATTEMPT * onFirstAttempt) {
       return false;
     }
-    further++;
+    tryRetry++;
     return true;
   }
 }
--- a/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
+++ b/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
@@ -34,8 +34,8 @@
 
   private List<String> faults(String text) throws IOException {
     Path file = file(text);
-    UnusableException e =
-        catchThrowableOfType(UnusableException.class, () -> ServiceSettings.read(file));
+    InvalidSettingsException e =
+        catchThrowableOfType(InvalidSettingsException.class, () -> ServiceSettings.read(file));
     assertThat(e).as("refused").isNotNull();
     return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
   }
@@ -49,10 +49,10 @@
   @Test
   void theExampleIsSoundAndItsDefaultsAreTheSchemas() throws IOException {
     ServiceSettings settings = ServiceSettings.read(Path.of("deploy/dns.xml"));
-    assertThat(settings.dns().steer().mostTtl()).isEqualTo(Duration.ofSeconds(30));
-    assertThat(settings.dns().steer().nearest()).isEqualTo("near");
-    assertThat(settings.dns().steer().locations().get(0).clients())
-        .extracting(c -> c.carries())
+    assertThat(settings.dns().steering().maxTtl()).isEqualTo(Duration.ofSeconds(30));
+    assertThat(settings.dns().steering().nearestLabel()).isEqualTo("near");
+    assertThat(settings.dns().steering().locations().get(0).clientNetworks())
+        .extracting(c -> c.loadPerAnswer())
         .containsExactly(2.0, 8.0);
     assertThat(settings.dns().zones().get(0).soa().getMinimum()).isEqualTo(5);
   }
--- a/router/src/test/java/tamarindroute/dns/DnsFixture.java
+++ b/router/src/test/java/tamarindroute/dns/DnsFixture.java
@@ -26,9 +26,9 @@
 
   /** Answers for one location of so many warm edges. */
   public static Responder responder(int edges) throws IOException {
-    Shed shed = new Shed(edges);
-    shed.heardAt = Duration.ofDays(1);
-    DnsSettings.Steer steer = shed.steer(1, 0.001, Duration.ZERO, 1);
+    TwoLocationDirectory directory = new TwoLocationDirectory(edges);
+    directory.feedReadAt = Duration.ofDays(1);
+    DnsSettings.SteeringSettings steer = directory.steer(1, 0.001, Duration.ZERO, 1);
     Name origin = steer.origin();
     ZoneData zone =
         new ZoneData(
@@ -48,10 +48,10 @@
             null);
     return new Responder(
         settings,
-        shed.steering(steer),
-        new Cookies(new DnsSettings.CookieKeys(new byte[16], null)),
-        new RateLimit(0, 0),
-        new Tally());
+        directory.steering(steer),
+        new ServerCookies(new DnsSettings.CookieKeys(new byte[16], null)),
+        new ResponseRateLimiter(0, 0),
+        new QueryCounters());
   }
 
   /** A question as resolvers send it. */
@@ -69,16 +69,16 @@
    */
   public static final class Fleet {
 
-    private final Shed shed;
+    private final TwoLocationDirectory directory;
     private final List<Cache> edges;
     private final List<Steering> instances = new ArrayList<>();
     private double ttl;
 
     public Fleet(int count, int instances) {
-      shed = new Shed(count);
-      edges = shed.edges(0);
+      directory = new TwoLocationDirectory(count);
+      edges = directory.edges(0);
       for (int i = 0; i < instances; i++) {
-        this.instances.add(shed.steering(shed.steer(instances, 1, Duration.ZERO, 1)));
+        this.instances.add(directory.steering(directory.steer(instances, 1, Duration.ZERO, 1)));
       }
     }
 
@@ -87,11 +87,11 @@
     }
 
     public void heard(double now) {
-      shed.heardAt = at(now);
+      directory.feedReadAt = at(now);
     }
 
     public void weigh(int cache, double times) {
-      edges.get(cache).weight = times * Shed.WEIGHT;
+      edges.get(cache).weight = times * TwoLocationDirectory.WEIGHT;
     }
 
     public boolean ready(int cache) {
@@ -100,16 +100,16 @@
 
     public void gone(int cache, double now) {
       edges.get(cache).availability = Cache.Availability.GONE;
-      shed.tell(at(now));
+      directory.publishList(at(now));
     }
 
     public void back(int cache, double now) {
-      shed.restart(edges.get(cache), at(now));
+      directory.restart(edges.get(cache), at(now));
     }
 
     /** The load that pushes it over. */
     public double bound(int cache, double now) {
-      return Shed.bound(edges.get(cache), at(now));
+      return TwoLocationDirectory.bound(edges.get(cache), at(now));
     }
 
     /** Its fair share of the location's load. */
@@ -119,10 +119,14 @@
 
     /** Whom this instance answers with; below 0 for nobody of this location. */
     public int choose(int instance, double now) {
-      Choice choice =
-          instances.get(instance).choose(new Wish.AnyOf(shed.first), 1, place -> true, at(now));
+      SteeringDecision choice =
+          instances
+              .get(instance)
+              .choose(new SteeringTarget.AnyCache(directory.first), 1, address -> true, at(now));
       ttl = choice.ttl().toMillis() / 1000.0;
-      return choice.places().isEmpty() ? -1 : edges.indexOf(shed.cacheOf(choice.places().get(0)));
+      return choice.addresses().isEmpty()
+          ? -1
+          : edges.indexOf(directory.cacheOf(choice.addresses().get(0)));
     }
 
     /** How long the last answer may be kept. */
--- a/router/src/test/java/tamarindroute/dns/LedgerTest.java
+++ b/router/src/test/java/tamarindroute/dns/HandedOutLoadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The account of what answers bring, against a list of all of them. */
-class LedgerTest {
+class HandedOutLoadTest {
 
   private record Given(Object address, double load, Duration until) {}
 
@@ -22,7 +22,7 @@
       @ForAll @LongRange(max = 1_000_000) long seed,
       @ForAll @IntRange(min = 1, max = 3600) int longest) {
     Random random = new Random(seed);
-    Ledger ledger = new Ledger(Duration.ofSeconds(longest));
+    HandedOutLoad handedOutLoad = new HandedOutLoad(Duration.ofSeconds(longest));
     List<Given> all = new ArrayList<>();
     Duration now = Duration.ofMillis(random.nextInt(100_000));
     Duration slack = Duration.ofSeconds(longest).dividedBy(128).plusNanos(100);
@@ -31,7 +31,7 @@
       Object address = "a" + random.nextInt(3);
       Duration life = Duration.ofMillis((long) (random.nextDouble() * longest * 1000));
       double load = 1 + random.nextInt(3);
-      assertThat(ledger.give(address, load, life, now)).isTrue();
+      assertThat(handedOutLoad.add(address, load, life, now)).isTrue();
       all.add(new Given(address, load, now.plus(life)));
       Duration at = now;
       double kept =
@@ -44,33 +44,34 @@
               .filter(g -> g.address.equals(address) && g.until.plus(slack).compareTo(at) > 0)
               .mapToDouble(Given::load)
               .sum();
-      assertThat(ledger.out(address, now)).isBetween(kept - 1e-6, most + 1e-6);
+      assertThat(handedOutLoad.load(address, now)).isBetween(kept - 1e-6, most + 1e-6);
     }
     Duration end = now.plusSeconds(longest).plus(slack).plus(slack);
     for (int i = 0; i < 3; i++) {
-      assertThat(ledger.out("a" + i, end)).as("all forgotten in the end").isZero();
+      assertThat(handedOutLoad.load("a" + i, end)).as("all forgotten in the end").isZero();
     }
-    assertThat(ledger.isEmpty(end)).isTrue();
+    assertThat(handedOutLoad.isEmpty(end)).isTrue();
   }
 
   @Test
   void timeSetBackForgetsNothing() {
-    Ledger ledger = new Ledger(Duration.ofSeconds(10));
-    ledger.give("a", 5, Duration.ofSeconds(10), Duration.ofSeconds(100));
-    assertThat(ledger.out("a", Duration.ofSeconds(50))).isEqualTo(5);
-    assertThat(ledger.out("a", Duration.ofSeconds(105))).isEqualTo(5);
-    assertThat(ledger.out("a", Duration.ofSeconds(111))).isZero();
+    HandedOutLoad handedOutLoad = new HandedOutLoad(Duration.ofSeconds(10));
+    handedOutLoad.add("a", 5, Duration.ofSeconds(10), Duration.ofSeconds(100));
+    assertThat(handedOutLoad.load("a", Duration.ofSeconds(50))).isEqualTo(5);
+    assertThat(handedOutLoad.load("a", Duration.ofSeconds(105))).isEqualTo(5);
+    assertThat(handedOutLoad.load("a", Duration.ofSeconds(111))).isZero();
   }
 
   @Test
   void itsRoomIsBoundedAndComesBack() {
-    Ledger ledger = new Ledger(Duration.ofSeconds(10));
+    HandedOutLoad handedOutLoad = new HandedOutLoad(Duration.ofSeconds(10));
     for (int i = 0; i < 10_000; i++) {
-      assertThat(ledger.give(i, 1, Duration.ofSeconds(1), Duration.ZERO)).isTrue();
+      assertThat(handedOutLoad.add(i, 1, Duration.ofSeconds(1), Duration.ZERO)).isTrue();
     }
-    assertThat(ledger.give("one more", 1, Duration.ofSeconds(1), Duration.ZERO)).isFalse();
-    assertThat(ledger.size()).isEqualTo(10_000);
-    assertThat(ledger.give("one more", 1, Duration.ofSeconds(1), Duration.ofSeconds(5))).isTrue();
-    assertThat(ledger.size()).isEqualTo(1);
+    assertThat(handedOutLoad.add("one more", 1, Duration.ofSeconds(1), Duration.ZERO)).isFalse();
+    assertThat(handedOutLoad.size()).isEqualTo(10_000);
+    assertThat(handedOutLoad.add("one more", 1, Duration.ofSeconds(1), Duration.ofSeconds(5)))
+        .isTrue();
+    assertThat(handedOutLoad.size()).isEqualTo(1);
   }
 }
--- a/router/src/test/java/tamarindroute/dns/ResponderTest.java
+++ b/router/src/test/java/tamarindroute/dns/ResponderTest.java
@@ -55,12 +55,12 @@
           .formatted(
               "\"0123456789012345678901234567890123456789012345678901234567890123456789\" "
                   .repeat(12));
-  private static final InetAddress ASKER = Shed.address("10.9.0.1");
+  private static final InetAddress ASKER = TwoLocationDirectory.address("10.9.0.1");
   private static final Duration NOW = Duration.ofSeconds(5);
   private static final Instant WALL = Instant.ofEpochSecond(1_790_000_000);
 
-  private final Shed shed = new Shed(6);
-  private final Tally tally = new Tally();
+  private final TwoLocationDirectory directory = new TwoLocationDirectory(6);
+  private final QueryCounters counters = new QueryCounters();
   private final Responder responder = responder(0, 2);
 
   private Responder responder(double perSecond, int slip) {
@@ -71,7 +71,7 @@
       for (Record record = master.nextRecord(); record != null; record = master.nextRecord()) {
         records.add(record);
       }
-      DnsSettings.Steer steer = shed.steer(1, 1, Duration.ZERO, 1);
+      DnsSettings.SteeringSettings steer = directory.steer(1, 1, Duration.ZERO, 1);
       DnsSettings settings =
           new DnsSettings(
               null,
@@ -81,7 +81,7 @@
               null,
               null,
               List.of(
-                  new DnsSettings.Forwarded(
+                  new DnsSettings.ForwardedZone(
                       Name.fromString("north.example."),
                       List.of(),
                       Duration.ofSeconds(1),
@@ -89,10 +89,10 @@
               null);
       return new Responder(
           settings,
-          shed.steering(steer),
-          new Cookies(new DnsSettings.CookieKeys(new byte[16], null)),
-          new RateLimit(perSecond, slip),
-          tally);
+          directory.steering(steer),
+          new ServerCookies(new DnsSettings.CookieKeys(new byte[16], null)),
+          new ResponseRateLimiter(perSecond, slip),
+          counters);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -193,7 +193,8 @@
           ask(
               "near.sheds.example",
               Type.A,
-              new ClientSubnetOption(24, Shed.address("10." + shedNumber + ".7.0")));
+              new ClientSubnetOption(
+                  24, TwoLocationDirectory.address("10." + shedNumber + ".7.0")));
       assertThat(
               ((ARecord) message.getSection(Section.ANSWER).get(0)).getAddress().getHostAddress())
           .startsWith("10.0." + shedNumber + ".");
@@ -203,7 +204,10 @@
       assertThat(told.getSourcePrefixLength()).isEqualTo(24);
     }
     Message fixed =
-        ask("shed-1.sheds.example", Type.A, new ClientSubnetOption(24, Shed.address("10.2.7.0")));
+        ask(
+            "shed-1.sheds.example",
+            Type.A,
+            new ClientSubnetOption(24, TwoLocationDirectory.address("10.2.7.0")));
     assertThat(
             ((ClientSubnetOption) fixed.getOPT().getOptions(EDNSOption.Code.CLIENT_SUBNET).get(0))
                 .getScopePrefixLength())
@@ -246,7 +250,7 @@
     int slipped = 0;
     byte[] bytes = query("ns1.sheds.example", Type.A).toWire();
     for (int i = 0; i < 1000; i++) {
-      InetAddress one = Shed.address("203.0.113." + i % 250);
+      InetAddress one = TwoLocationDirectory.address("203.0.113." + i % 250);
       if (limited.answer(bytes, one, true, NOW, WALL) instanceof Responder.Send send) {
         boolean cut = new Message(send.bytes()).getHeader().getFlag(Flags.TC);
         slipped += cut ? 1 : 0;
@@ -256,12 +260,12 @@
     assertThat(sent).isEqualTo(20);
     assertThat(slipped).isEqualTo(490);
     assertThat(limited.answer(bytes, ASKER, true, NOW, WALL)).isInstanceOf(Responder.Send.class);
-    assertThat(limited.answer(bytes, Shed.address("203.0.113.4"), false, NOW, WALL))
+    assertThat(limited.answer(bytes, TwoLocationDirectory.address("203.0.113.4"), false, NOW, WALL))
         .as("by TCP")
         .isInstanceOf(Responder.Send.class);
     // A true client learns its cookie from a slipped answer, or any, and is let through with it.
     byte[] client = {1, 2, 3, 4, 5, 6, 7, 8};
-    InetAddress flooded = Shed.address("203.0.113.4");
+    InetAddress flooded = TwoLocationDirectory.address("203.0.113.4");
     byte[] server = null;
     for (int i = 0; i < 2 && server == null; i++) {
       if (limited.answer(
@@ -286,32 +290,34 @@
       assertThat(answer.getHeader().getFlag(Flags.TC)).isFalse();
     }
     Message forged = query("ns1.sheds.example", Type.A, new CookieOption(client, server));
-    long held = tally.of(Tally.Event.COOKIE_BAD);
-    limited.answer(forged.toWire(), Shed.address("203.0.113.5"), true, NOW, WALL);
-    assertThat(tally.of(Tally.Event.COOKIE_BAD)).as("another address's cookie").isEqualTo(held + 1);
+    long held = counters.total(QueryCounters.Event.COOKIE_INVALID);
+    limited.answer(forged.toWire(), TwoLocationDirectory.address("203.0.113.5"), true, NOW, WALL);
+    assertThat(counters.total(QueryCounters.Event.COOKIE_INVALID))
+        .as("another address's cookie")
+        .isEqualTo(held + 1);
   }
 
   @Test
   void aCookieHoldsForAnHourAndThroughAChangeOfSecret() {
     byte[] client = new byte[8];
     byte[] old = {9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9, 9};
-    Cookies before = new Cookies(new DnsSettings.CookieKeys(old, null));
-    Cookies after = new Cookies(new DnsSettings.CookieKeys(new byte[16], old));
+    ServerCookies before = new ServerCookies(new DnsSettings.CookieKeys(old, null));
+    ServerCookies after = new ServerCookies(new DnsSettings.CookieKeys(new byte[16], old));
     byte[] cookie = before.make(client, ASKER, WALL);
-    assertThat(after.holds(client, cookie, ASKER, WALL.plusSeconds(3599))).isTrue();
-    assertThat(after.holds(client, cookie, ASKER, WALL.plusSeconds(3700))).isFalse();
-    assertThat(after.holds(client, cookie, ASKER, WALL.minusSeconds(400))).isFalse();
-    assertThat(after.holds(new byte[] {1, 0, 0, 0, 0, 0, 0, 0}, cookie, ASKER, WALL)).isFalse();
+    assertThat(after.isValid(client, cookie, ASKER, WALL.plusSeconds(3599))).isTrue();
+    assertThat(after.isValid(client, cookie, ASKER, WALL.plusSeconds(3700))).isFalse();
+    assertThat(after.isValid(client, cookie, ASKER, WALL.minusSeconds(400))).isFalse();
+    assertThat(after.isValid(new byte[] {1, 0, 0, 0, 0, 0, 0, 0}, cookie, ASKER, WALL)).isFalse();
     cookie[10] ^= 1;
-    assertThat(after.holds(client, cookie, ASKER, WALL)).isFalse();
+    assertThat(after.isValid(client, cookie, ASKER, WALL)).isFalse();
   }
 
   @Test
   void lastResortsAreMarkedInTheAnswer() throws IOException {
-    shed.heardAt = NOW.minusSeconds(20);
+    directory.feedReadAt = NOW.minusSeconds(20);
     assertThat(ede(ask("shed-1.sheds.example", Type.A))).isEqualTo(3);
-    shed.caches.forEach(c -> c.availability = Cache.Availability.DRAINING);
-    shed.tell(NOW);
+    directory.caches.forEach(c -> c.availability = Cache.Availability.DRAINING);
+    directory.publishList(NOW);
     Message none = ask("shed-1.sheds.example", Type.A);
     assertThat(none.getRcode()).isEqualTo(Rcode.SERVFAIL);
     assertThat(ede(none)).isEqualTo(22);
@@ -320,8 +326,8 @@
   @Test
   void anothersZoneIsHandedOnAndItsAnswerComesBackInTheAskersSpelling() throws IOException {
     Message query = query("A.North.example", Type.A);
-    Responder.HandOn handOn =
-        (Responder.HandOn) responder.answer(query.toWire(), ASKER, true, NOW, WALL);
+    Responder.Forward handOn =
+        (Responder.Forward) responder.answer(query.toWire(), ASKER, true, NOW, WALL);
     Message said = new Message();
     said.addRecord(
         Record.fromString(
@@ -329,7 +335,7 @@
         Section.ANSWER);
     Message back =
         new Message(
-            ((Responder.Send) responder.handedBack(handOn.pending(), said, true, NOW, WALL))
+            ((Responder.Send) responder.onForwardedAnswer(handOn.pending(), said, true, NOW, WALL))
                 .bytes());
     assertThat(back.getHeader().getID()).isEqualTo(query.getHeader().getID());
     assertThat(back.getSection(Section.ANSWER).get(0).getName()).hasToString("A.North.example.");
@@ -337,7 +343,7 @@
     assertThat(
             new Message(
                     ((Responder.Send)
-                            responder.handedBack(handOn.pending(), null, false, NOW, WALL))
+                            responder.onForwardedAnswer(handOn.pending(), null, false, NOW, WALL))
                         .bytes())
                 .getRcode())
         .isEqualTo(Rcode.SERVFAIL);
@@ -355,7 +361,7 @@
         query(
                 "p" + random.nextInt(20) + ".shed-1.sheds.example",
                 1 + random.nextInt(70),
-                new ClientSubnetOption(24, Shed.address("10.1.7.0")),
+                new ClientSubnetOption(24, TwoLocationDirectory.address("10.1.7.0")),
                 new CookieOption(new byte[8]))
             .toWire();
     for (int i = random.nextInt(6); i >= 0; i--) {
@@ -379,9 +385,9 @@
   }
 
   private void bounded(byte[] bytes) {
-    long before = tally.of(Tally.Event.QUERY);
+    long before = counters.total(QueryCounters.Event.QUERY);
     Responder.Reply reply = responder.answer(bytes, ASKER, true, NOW, WALL);
-    assertThat(tally.of(Tally.Event.QUERY)).isEqualTo(before + 1);
+    assertThat(counters.total(QueryCounters.Event.QUERY)).isEqualTo(before + 1);
     if (reply instanceof Responder.Send send) {
       assertThat(send.bytes().length).isBetween(12, 1232);
       assertThat(send.bytes()[2] & 0x80).as("an answer").isNotZero();
--- a/router/src/test/java/tamarindroute/dns/Shed.java
+++ b/router/src/test/java/tamarindroute/dns/TwoLocationDirectory.java
@@ -17,7 +17,7 @@
 import tamarindroute.policy.RatioTestPolicy;
 
 /** Two locations with edges, an origin, and the real module, in time that the test tells. */
-final class Shed implements Steering.Fleet {
+final class TwoLocationDirectory implements Steering.CacheDirectory {
 
   static final Duration LEAST = Duration.ofSeconds(1);
   static final Duration MOST = Duration.ofSeconds(30);
@@ -27,7 +27,7 @@
       new PolicySettings.ColdStart(0.2, Duration.ofSeconds(20), 3, Duration.ofSeconds(2));
 
   static final double WEIGHT = 40;
-  static final RequestClass KEPT =
+  static final RequestClass CACHEABLE =
       new RequestClass(
           RequestClass.Idempotency.IDEMPOTENT,
           RequestClass.DeduplicationScope.ALL,
@@ -36,7 +36,7 @@
           1,
           true,
           Duration.ZERO);
-  static final RequestClass PASSED =
+  static final RequestClass UNCACHEABLE =
       new RequestClass(
           RequestClass.Idempotency.KEYED,
           RequestClass.DeduplicationScope.ALL,
@@ -47,22 +47,25 @@
           Duration.ZERO);
 
   final List<Cache> caches = new ArrayList<>();
-  final Map<Cache, DnsSettings.Place> places = new HashMap<>();
+  final Map<Cache, DnsSettings.CacheAddress> places = new HashMap<>();
   final Map<Cache, Duration> proven = new HashMap<>();
   final Set<RoutingPolicy> modules = new HashSet<>();
   boolean listed = true;
-  Duration heardAt = Duration.ZERO;
+  Duration feedReadAt = Duration.ZERO;
   final Location first =
       new Location(
           "shed-1",
           0,
           List.of("shed-2"),
-          List.of(new Location.Clients(Subnet.parse("10.1.0.0/16"), 4)));
+          List.of(new Location.ClientNetwork(Subnet.parse("10.1.0.0/16"), 4)));
   final Location second =
       new Location(
-          "shed-2", 1, List.of(), List.of(new Location.Clients(Subnet.parse("10.2.0.0/16"), 4)));
+          "shed-2",
+          1,
+          List.of(),
+          List.of(new Location.ClientNetwork(Subnet.parse("10.2.0.0/16"), 4)));
 
-  Shed(int edges) {
+  TwoLocationDirectory(int edges) {
     for (int i = 0; i < edges; i++) {
       add(Cache.Tier.EDGE, 0, "10.0.1." + (i + 1));
     }
@@ -79,7 +82,8 @@
     cache.weight = WEIGHT;
     caches.add(cache);
     places.put(
-        cache, new DnsSettings.Place("c-" + address.replace('.', '-'), address(address), 5050));
+        cache,
+        new DnsSettings.CacheAddress("c-" + address.replace('.', '-'), address(address), 5050));
   }
 
   static InetAddress address(String text) {
@@ -90,14 +94,15 @@
     }
   }
 
-  DnsSettings.Steer steer(int instances, double carries, Duration keptAtLeast, int records) {
+  DnsSettings.SteeringSettings steer(
+      int instances, double carries, Duration keptAtLeast, int records) {
     try {
-      return new DnsSettings.Steer(
+      return new DnsSettings.SteeringSettings(
           Name.fromString("sheds.example."),
           List.of(first, second),
           "near",
           "cache",
-          Map.of("clip", KEPT, "pick", PASSED),
+          Map.of("clip", CACHEABLE, "pick", UNCACHEABLE),
           "p",
           16,
           instances,
@@ -114,14 +119,14 @@
   }
 
   /** One instance's steering, with modules of its own. */
-  Steering steering(DnsSettings.Steer settings) {
+  Steering steering(DnsSettings.SteeringSettings settings) {
     Map<String, RoutingPolicy> own = new HashMap<>();
     for (Location location : settings.locations()) {
       RatioTestPolicy policy =
           new RatioTestPolicy(
               new PolicySettings(
                   7,
-                  location.place(),
+                  location.zoneIndex(),
                   settings.instances(),
                   settings.instances(),
                   List.of(0, 0),
@@ -141,7 +146,7 @@
       own.put(location.label(), policy);
       modules.add(policy);
     }
-    tell(Duration.ZERO);
+    publishList(Duration.ZERO);
     return new Steering(settings, this, own, null, Duration.ZERO);
   }
 
@@ -150,8 +155,8 @@
   }
 
   /** The list as it is now goes to all modules, as the feed brings it. */
-  void tell(Duration now) {
-    heardAt = now;
+  void publishList(Duration now) {
+    feedReadAt = now;
     modules.forEach(module -> module.onEndpoints(caches, now));
   }
 
@@ -159,7 +164,7 @@
   void restart(Cache cache, Duration now) {
     cache.startedAt = now;
     cache.availability = Cache.Availability.READY;
-    tell(now);
+    publishList(now);
   }
 
   /** The work that pushes a cache of this age over, by the rule's own words. */
@@ -177,9 +182,9 @@
     return caches.stream().filter(c -> c.tier == Cache.Tier.EDGE && c.zone == zone).toList();
   }
 
-  Cache cacheOf(DnsSettings.Place place) {
+  Cache cacheOf(DnsSettings.CacheAddress address) {
     return places.entrySet().stream()
-        .filter(e -> e.getValue().equals(place))
+        .filter(e -> e.getValue().equals(address))
         .findFirst()
         .orElseThrow()
         .getKey();
@@ -191,22 +196,22 @@
   }
 
   @Override
-  public DnsSettings.Place place(Cache cache) {
+  public DnsSettings.CacheAddress address(Cache cache) {
     return places.get(cache);
   }
 
   @Override
-  public boolean listed() {
+  public boolean listReceived() {
     return listed;
   }
 
   @Override
-  public Duration silent(Duration now) {
-    return now.minus(heardAt);
+  public Duration feedSilence(Duration now) {
+    return now.minus(feedReadAt);
   }
 
   @Override
-  public boolean proven(Cache cache, Duration now) {
+  public boolean isRecentlyReady(Cache cache, Duration now) {
     return proven.containsKey(cache)
         && now.minus(proven.get(cache)).compareTo(Duration.ofSeconds(3)) <= 0;
   }
--- a/router/src/test/java/tamarindroute/resolver/ResolverTest.java
+++ b/router/src/test/java/tamarindroute/resolver/ResolverTest.java
@@ -24,8 +24,8 @@
 /** What the asking side decides, without sockets or clocks. */
 class ResolverTest {
 
-  private static final Name ZONE = Forwarder.name("north.example");
-  private static final Name ASKED = Forwarder.name("A.north.Example");
+  private static final Name ZONE = Forwarder.absoluteName("north.example");
+  private static final Name ASKED = Forwarder.absoluteName("A.north.Example");
 
   private static Duration at(double seconds) {
     return Duration.ofMillis(Math.round(seconds * 1000));
@@ -34,7 +34,7 @@
   private static Record record(String name, String type, long ttl, String data) {
     try {
       return Record.fromString(
-          Forwarder.name(name), Type.value(type), DClass.IN, ttl, data, Name.root);
+          Forwarder.absoluteName(name), Type.value(type), DClass.IN, ttl, data, Name.root);
     } catch (IOException e) {
       throw new IllegalArgumentException(e);
     }
@@ -50,36 +50,36 @@
     return message;
   }
 
-  private static Check.Said read(Message message) {
-    return Check.read(message.toWire(), 7, ASKED, Type.A, ZONE);
+  private static AnswerValidator.Verdict read(Message message) {
+    return AnswerValidator.validate(message.toWire(), 7, ASKED, Type.A, ZONE);
   }
 
   @Test
   void onlyAnswersToThisVeryQuestionAreBelieved() {
     Record good = record("a.north.example", "A", 60, "192.0.2.1");
-    assertThat(read(answer(7, ASKED, good))).isInstanceOf(Check.Good.class);
-    assertThat(read(answer(8, ASKED, good))).as("id").isInstanceOf(Check.NotOurs.class);
-    assertThat(read(answer(7, Forwarder.name("a.north.example"), good)))
+    assertThat(read(answer(7, ASKED, good))).isInstanceOf(AnswerValidator.Accepted.class);
+    assertThat(read(answer(8, ASKED, good))).as("id").isInstanceOf(AnswerValidator.Mismatch.class);
+    assertThat(read(answer(7, Forwarder.absoluteName("a.north.example"), good)))
         .as("letters' case")
-        .isInstanceOf(Check.NotOurs.class);
-    assertThat(read(answer(7, Forwarder.name("b.north.example"), good)))
-        .isInstanceOf(Check.NotOurs.class);
+        .isInstanceOf(AnswerValidator.Mismatch.class);
+    assertThat(read(answer(7, Forwarder.absoluteName("b.north.example"), good)))
+        .isInstanceOf(AnswerValidator.Mismatch.class);
     Message query = answer(7, ASKED, good);
     query.getHeader().unsetFlag(Flags.QR);
-    assertThat(read(query)).isInstanceOf(Check.NotOurs.class);
+    assertThat(read(query)).isInstanceOf(AnswerValidator.Mismatch.class);
     Message cut = answer(7, ASKED);
     cut.getHeader().setFlag(Flags.TC);
-    assertThat(read(cut)).isInstanceOf(Check.Cut.class);
+    assertThat(read(cut)).isInstanceOf(AnswerValidator.Truncated.class);
     Message refused = answer(7, ASKED);
     refused.getHeader().setRcode(Rcode.REFUSED);
-    assertThat(read(refused)).isInstanceOf(Check.Unwilling.class);
-    assertThat(read(answer(7, ASKED))).as("lame").isInstanceOf(Check.Unwilling.class);
+    assertThat(read(refused)).isInstanceOf(AnswerValidator.Unusable.class);
+    assertThat(read(answer(7, ASKED))).as("lame").isInstanceOf(AnswerValidator.Unusable.class);
   }
 
   @Test
   void recordsOutsideOfTheChainOrTheZoneAreLeftOut() {
-    Check.Good good =
-        (Check.Good)
+    AnswerValidator.Accepted good =
+        (AnswerValidator.Accepted)
             read(
                 answer(
                     7,
@@ -96,7 +96,8 @@
 
   @Property(seed = "19", tries = 2000)
   void randomAnswersAreNeverTakenAndNeverThrow(@ForAll @Size(max = 600) byte[] bytes) {
-    assertThat(Check.read(bytes, 7, ASKED, Type.A, ZONE)).isNotInstanceOf(Check.Good.class);
+    assertThat(AnswerValidator.validate(bytes, 7, ASKED, Type.A, ZONE))
+        .isNotInstanceOf(AnswerValidator.Accepted.class);
   }
 
   @Property(seed = "20", tries = 2000)
@@ -112,7 +113,8 @@
     for (int i = random.nextInt(4); i >= 0; i--) {
       bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
     }
-    if (Check.read(bytes, 7, ASKED, Type.A, ZONE) instanceof Check.Good good) {
+    if (AnswerValidator.validate(bytes, 7, ASKED, Type.A, ZONE)
+        instanceof AnswerValidator.Accepted good) {
       assertThat(good.message().getSection(Section.ANSWER))
           .allSatisfy(r -> assertThat(r.getName().subdomain(ZONE)).isTrue());
     }
@@ -120,28 +122,28 @@
 
   @Test
   void whatIsKeptAgesIsBoundedAndIsGivenOutStaleForItsTime() {
-    Kept kept = new Kept();
-    Kept.Asked asked = new Kept.Asked(ASKED, Type.A);
-    kept.keep(asked, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
-    assertThat(kept.fresh(asked, at(20)).message().getSection(Section.ANSWER).get(0).getTTL())
+    AnswerCache kept = new AnswerCache();
+    AnswerCache.Question question = new AnswerCache.Question(ASKED, Type.A);
+    kept.put(question, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
+    assertThat(kept.fresh(question, at(20)).message().getSection(Section.ANSWER).get(0).getTTL())
         .isEqualTo(40);
-    assertThat(kept.fresh(asked, at(60))).isNull();
-    Kept.Found stale = kept.stale(asked, at(100), at(159));
+    assertThat(kept.fresh(question, at(60))).isNull();
+    AnswerCache.CachedAnswer stale = kept.stale(question, at(100), at(159));
     assertThat(stale.stale()).isTrue();
     assertThat(stale.message().getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(30);
-    assertThat(kept.stale(asked, at(100), at(160))).isNull();
+    assertThat(kept.stale(question, at(100), at(160))).isNull();
     Message no =
         answer(
             7,
             ASKED,
             record("north.example", "SOA", 900, "ns.north.example. h.north.example. 1 2 3 4 10"));
     no.getHeader().setRcode(Rcode.NXDOMAIN);
-    kept.keep(asked, no, at(200));
-    assertThat(kept.fresh(asked, at(209)).message().getRcode()).isEqualTo(Rcode.NXDOMAIN);
-    assertThat(kept.fresh(asked, at(211))).isNull();
+    kept.put(question, no, at(200));
+    assertThat(kept.fresh(question, at(209)).message().getRcode()).isEqualTo(Rcode.NXDOMAIN);
+    assertThat(kept.fresh(question, at(211))).isNull();
     for (int i = 0; i < 5000; i++) {
-      kept.keep(
-          new Kept.Asked(Forwarder.name("n" + i + ".north.example"), Type.A),
+      kept.put(
+          new AnswerCache.Question(Forwarder.absoluteName("n" + i + ".north.example"), Type.A),
           answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")),
           at(300));
     }
@@ -154,12 +156,12 @@
 
   @Test
   void theQuickAndSoundUpstreamGoesFirstAndOneThatCameBackIsFoundAgain() {
-    Upstreams upstreams = new Upstreams(List.of(upstream(1), upstream(2)), 100, 1);
+    UpstreamSelector upstreams = new UpstreamSelector(List.of(upstream(1), upstream(2)), 100, 1);
     int[] asked = new int[2];
     for (int i = 0; i < 2000; i++) {
       double now = i * 0.1;
       boolean dead = now < 60;
-      Upstreams.Upstream one = upstreams.next(Set.of(), at(now));
+      UpstreamSelector.Upstream one = upstreams.next(Set.of(), at(now));
       int place = one.address.equals(upstream(1)) ? 0 : 1;
       if (now >= 10 && now < 60 || now > 150) {
         asked[now < 60 ? 0 : 1] += place == 0 ? 1 : 0;
@@ -177,12 +179,12 @@
 
   @Test
   void anUpstreamHasItsLimitInFlight() {
-    Upstreams upstreams = new Upstreams(List.of(upstream(1)), 3, 1);
+    UpstreamSelector upstreams = new UpstreamSelector(List.of(upstream(1)), 3, 1);
     for (int i = 0; i < 3; i++) {
       upstreams.sent(upstreams.next(Set.of(), at(0)), at(0));
     }
     assertThat(upstreams.next(Set.of(), at(0))).isNull();
-    upstreams.quit(upstreams.all().get(0));
+    upstreams.abandoned(upstreams.all().get(0));
     assertThat(upstreams.next(Set.of(), at(0))).isNotNull();
   }
 
@@ -191,13 +193,13 @@
     RetryBudget budget = new RetryBudget();
     int further = 0;
     for (int i = 0; i < 10_000; i++) {
-      budget.first(at(i * 0.001));
-      further += budget.further(at(i * 0.001)) ? 1 : 0;
-      further += budget.further(at(i * 0.001)) ? 1 : 0;
+      budget.onFirstAttempt(at(i * 0.001));
+      further += budget.tryRetry(at(i * 0.001)) ? 1 : 0;
+      further += budget.tryRetry(at(i * 0.001)) ? 1 : 0;
     }
     assertThat(further).isBetween(1500, 2010);
     RetryBudget quiet = new RetryBudget();
-    quiet.first(at(0));
-    assertThat(quiet.further(at(0))).isTrue();
+    quiet.onFirstAttempt(at(0));
+    assertThat(quiet.tryRetry(at(0))).isTrue();
   }
 }
