--- a/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
+++ b/members/src/main/java/tamarindroute/members/MemberConfigurationReader.java
@@ -11,11 +11,13 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import tamarindroute.config.InvalidSettingsException;
 import tamarindroute.config.ServiceSettings;
 import tamarindroute.config.SettingsFault;
 import tamarindroute.config.XmlElement;
+import tamarindroute.config.XmlFileParser;
 import tamarindroute.membership.Address;
 import tamarindroute.membership.MembershipSettings;
 import tamarindroute.protocol.MessageAuthenticator;
@@ -49,13 +51,13 @@
 
   static MemberConfiguration read(Path file) throws InvalidSettingsException {
     List<SettingsFault> faults = new ArrayList<>();
-    XmlElement root =
-        XmlElement.read(file, MemberConfigurationReader.class.getResource(SCHEMA), faults);
-    if (root == null) {
+    Optional<XmlElement> root =
+        XmlFileParser.parse(file, MemberConfigurationReader.class.getResource(SCHEMA), faults);
+    if (root.isEmpty()) {
       throw new InvalidSettingsException(faults);
     }
     MemberConfiguration configuration =
-        new MemberConfigurationReader(file, faults).readConfiguration(root);
+        new MemberConfigurationReader(file, faults).readConfiguration(root.get());
     if (!faults.isEmpty()) {
       throw new InvalidSettingsException(faults);
     }
@@ -71,8 +73,7 @@
     List<Address> voters = readAddresses(root, "voter");
     Map<Address, InetSocketAddress> addressOverrides = readAddressOverrides(root);
     MembershipSettings membershipSettings = readMembershipSettings(root);
-    Path incarnationFile =
-        root.attribute("state") == null ? null : resolve(root.attribute("state"));
+    Path incarnationFile = root.optionalAttribute("state").map(this::resolve).orElse(null);
     if (incarnationFile == null && voters.contains(self)) {
       addFault(root, "a voter needs a state file, as it stores the agreed view beside it");
     }
@@ -89,7 +90,7 @@
 
   private Address readAdvertisedAddress(XmlElement root, InetSocketAddress listenAddress) {
     InetSocketAddress address =
-        root.attribute("name") == null ? listenAddress : readAddress(root, "name");
+        root.optionalAttribute("name").isEmpty() ? listenAddress : readAddress(root, "name");
     if (address.getAddress().isAnyLocalAddress()) {
       addFault(root, "others can't reach " + address + ": a name is needed");
     }
@@ -157,8 +158,8 @@
 
   private MembershipSettings readMembershipSettings(XmlElement root) {
     MembershipSettings defaults = MembershipSettings.DEFAULTS;
-    XmlElement timing = root.child("timing");
-    XmlElement limits = root.child("limits");
+    Optional<XmlElement> timing = root.child("timing");
+    Optional<XmlElement> limits = root.child("limits");
     Duration probePeriod = readDuration(timing, "probe", defaults.probePeriod());
     Duration probeTimeout = readDuration(timing, "timeout", defaultProbeTimeout(probePeriod));
     Duration toleratedPause = readDuration(timing, "pause", defaults.toleratedPause());
@@ -172,11 +173,11 @@
           defaults.lowWatermark(),
           defaults.highWatermark(),
           defaults.maxUpdatesPerMessage(),
-          limits == null ? defaults.maxBytesPerSecond() : limits.integer("bytes"),
-          limits == null ? defaults.maxMembers() : limits.integer("members"),
+          limits.map(element -> element.integer("bytes")).orElse(defaults.maxBytesPerSecond()),
+          limits.map(element -> element.integer("members")).orElse(defaults.maxMembers()),
           defaults.guards());
     } catch (IllegalArgumentException e) {
-      addFault(timing == null ? root : timing, e.getMessage());
+      addFault(timing.orElse(root), e.getMessage());
       return defaults;
     }
   }
@@ -188,10 +189,11 @@
   }
 
   private static Duration readDuration(
-      XmlElement element, String attribute, Duration defaultValue) {
-    return element == null || element.attribute(attribute) == null
-        ? defaultValue
-        : Duration.parse(element.attribute(attribute));
+      Optional<XmlElement> element, String attribute, Duration defaultValue) {
+    return element
+        .flatMap(present -> present.optionalAttribute(attribute))
+        .map(Duration::parse)
+        .orElse(defaultValue);
   }
 
   private Path resolve(String name) {
@@ -199,6 +201,6 @@
   }
 
   private void addFault(XmlElement element, String description) {
-    faults.add(new SettingsFault(file.toString(), element.line, element.column, description));
+    faults.add(new SettingsFault(file.toString(), element.line(), element.column(), description));
   }
 }
--- a/router/src/main/java/tamarindroute/config/package-info.java
+++ b/router/src/main/java/tamarindroute/config/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Owns the settings in XML: their schema, the checks that a schema can't make, and their binding to
- * the values that fronts take. It must never start anything, nor let a file through of which any
- * part can't be used.
+ * Settings files in XML: parsing, validation against the schema and by the checks that a schema
+ * cannot express, and conversion to the typed settings of the name server. All faults of a file are
+ * collected and reported together.
+ *
+ * <p>{@code dns} defines the DNS settings, {@code host} the platform's configuration; {@code
+ * members} reads its own files with {@link tamarindroute.config.XmlFileParser}.
  */
 package tamarindroute.config;
--- a/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
+++ b/router/src/test/java/tamarindroute/config/ServiceSettingsTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings files, sound and not. */
+/** Tests reading of settings files, valid and invalid. */
 class ServiceSettingsTest {
 
   @TempDir Path folder;
 
-  private String sound;
+  private String valid;
 
   @BeforeEach
   void example() throws IOException {
-    sound =
+    valid =
         Files.readString(Path.of("deploy/dns.xml"))
             .replace("../example/config.json", "config.json");
     Files.copy(Path.of("deploy/sheds.zone"), folder.resolve("sheds.zone"));
@@ -36,7 +36,7 @@
     Path file = file(text);
     InvalidSettingsException e =
         catchThrowableOfType(InvalidSettingsException.class, () -> ServiceSettings.read(file));
-    assertThat(e).as("refused").isNotNull();
+    assertThat(e).as("rejected").isNotNull();
     return e.faults().stream().map(fault -> fault.toString().replace(file + ":", "")).toList();
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void theExampleIsSoundAndItsDefaultsAreTheSchemas() throws IOException {
+  void exampleFileIsValidAndSchemaDefaultsApply() throws IOException {
     ServiceSettings settings = ServiceSettings.read(Path.of("deploy/dns.xml"));
     assertThat(settings.dns().steering().maxTtl()).isEqualTo(Duration.ofSeconds(30));
     assertThat(settings.dns().steering().nearestLabel()).isEqualTo("near");
@@ -58,70 +58,70 @@
   }
 
   @Test
-  void allThatIsWrongIsToldAtOnceWithItsPlace() throws IOException {
-    String wrong =
-        sound
+  void allSchemaViolationsAreReportedWithPositions() throws IOException {
+    String invalid =
+        valid
             .replace("ttl-most=\"PT30S\"", "ttl-most=\"30\"")
             .replace("slip=\"2\"", "slip=\"no\"")
             .replace("<profile label=\"pick\" name=\"pick\"/>", "<profil label=\"pick\"/>");
-    List<String> faults = faults(wrong);
+    List<String> faults = faults(invalid);
     assertThat(faults).hasSizeGreaterThanOrEqualTo(3);
     assertThat(faults).anySatisfy(f -> assertThat(f).contains("30").contains("ttl-most"));
     assertThat(faults)
         .anySatisfy(
-            f -> assertThat(f).startsWith(line(wrong, "<profil ") + ":").contains("profil"));
+            f -> assertThat(f).startsWith(line(invalid, "<profil ") + ":").contains("profil"));
     assertThat(faults).anySatisfy(f -> assertThat(f).contains("slip"));
   }
 
   @Test
-  void whatASchemaCannotSayIsToldWithItsPlaceToo() throws IOException {
-    String wrong =
-        sound
+  void semanticFaultsAreReportedWithPositions() throws IOException {
+    String invalid =
+        valid
             .replace("place=\"shed\"", "place=\"moon\"")
             .replace("ttl-least=\"PT1S\"", "ttl-least=\"PT1M\"")
             .replace("name=\"clip\"/>", "name=\"clap\"/>")
             .replace("10.3.0.0/16", "10.3.0.0/77")
             .replace("file=\"sheds.zone\"", "file=\"none.zone\"");
-    List<String> faults = faults(wrong);
+    List<String> faults = faults(invalid);
     for (String part : List.of("moon", "ttl-least is over", "clap", "77 bits", "none.zone")) {
       assertThat(faults).anySatisfy(f -> assertThat(f).contains(part).matches("(?s)\\d+:\\d+: .*"));
     }
   }
 
   @Test
-  void brokenFilesAreRefusedWithTheirLine() throws IOException {
+  void malformedFilesAreRejectedWithLine() throws IOException {
     assertThat(faults("<tamarindroute")).singleElement().asString().startsWith("1:");
     assertThat(faults("")).hasSize(1);
-    assertThat(faults(sound.replace("</steer>", "")))
+    assertThat(faults(valid.replace("</steer>", "")))
         .anySatisfy(f -> assertThat(f).contains("steer"));
     assertThat(faults("<other/>")).isNotEmpty();
   }
 
   @Test
-  void entitiesAreNotRead() throws IOException {
+  void externalEntitiesAreRejected() throws IOException {
     Files.writeString(folder.resolve("secret"), "x");
     String external =
         "<!DOCTYPE tamarindroute [<!ENTITY x SYSTEM \"secret\">]>\n"
-            + sound.substring(sound.indexOf("<tamarindroute"));
+            + valid.substring(valid.indexOf("<tamarindroute"));
     assertThat(faults(external)).singleElement().asString().contains("DOCTYPE");
   }
 
   @Test
-  void zonesThatAreNoneAreRefused() throws IOException {
+  void invalidZoneFilesAreRejected() throws IOException {
     Files.writeString(folder.resolve("sheds.zone"), "@ IN A 192.0.2.1\n");
-    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
+    assertThat(faults(valid)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
     Files.writeString(folder.resolve("sheds.zone"), "$INCLUDE /etc/hostname\n");
-    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
+    assertThat(faults(valid)).anySatisfy(f -> assertThat(f).contains("sheds.zone"));
     Files.writeString(
         folder.resolve("sheds.zone"),
         Files.readString(Path.of("deploy/sheds.zone")) + "shed-3 IN A 192.0.2.1\n");
-    assertThat(faults(sound)).anySatisfy(f -> assertThat(f).contains("shed-3").contains("steered"));
+    assertThat(faults(valid)).anySatisfy(f -> assertThat(f).contains("shed-3").contains("steered"));
   }
 
   @Test
-  void aFeedByNameNeedsResolvers() throws IOException {
+  void feedByHostNameNeedsResolvers() throws IOException {
     String named =
-        sound.replace("instances=\"1\"/>", "instances=\"1\" feed=\"feed.sheds.example:7001\"/>");
+        valid.replace("instances=\"1\"/>", "instances=\"1\" feed=\"feed.sheds.example:7001\"/>");
     assertThat(faults(named)).singleElement().asString().contains("resolvers");
     assertThat(
             ServiceSettings.read(
