--- a/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
+++ b/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
@@ -7,15 +7,15 @@
 import java.util.Locale;
 import java.util.Map;
 import tamarindroute.decision.Cache;
+import tamarindroute.dns.CacheDirectory;
 import tamarindroute.dns.DnsSettings.CacheAddress;
 import tamarindroute.dns.HealthCheckScheduler;
-import tamarindroute.dns.Steering;
 import tamarindroute.host.EndpointRegistry;
 
 /**
  * The list as steering sees it: ids as labels, addresses, the feed's silence, what probes prove.
  */
-final class EndpointDirectory implements Steering.CacheDirectory {
+final class EndpointDirectory implements CacheDirectory {
 
   /** A label of a name is no longer. */
   private static final int LONGEST_LABEL = 63;
--- a/router/src/test/java/tamarindroute/dns/TwoLocationDirectory.java
+++ b/router/src/test/java/tamarindroute/dns/TwoLocationDirectory.java
@@ -17,7 +17,7 @@
 import tamarindroute.policy.RatioTestPolicy;
 
 /** Two locations with edges, an origin, and the real module, in time that the test tells. */
-final class TwoLocationDirectory implements Steering.CacheDirectory {
+final class TwoLocationDirectory implements CacheDirectory {
 
   static final Duration LEAST = Duration.ofSeconds(1);
   static final Duration MOST = Duration.ofSeconds(30);
