--- a/router/src/main/java/tamarindroute/dns/HandedOutLoad.java
+++ b/router/src/main/java/tamarindroute/dns/HandedOutLoad.java
@@ -6,50 +6,45 @@
 import java.util.Map;
 
 /**
- * Owns the load that answers handed out still bring: an answer can't be called back, so what it
- * brings stays on the account of its address until its last keeper has forgotten it. Lives are
- * rounded up to whole slots, never down. It must never forget load early, also not when its cache
- * goes: resolvers go on sending clients to the address.
+ * Load by address of the answers that resolvers may still cache. An answer cannot be withdrawn, so
+ * its load counts until the last resolver has dropped it, also after the cache itself is gone.
+ * Expiry times are rounded up to whole slots.
  */
 final class HandedOutLoad {
 
-  /**
-   * A life is told to this part of the longest, which overstates the load by less than that. With
-   * 64 slots, cohorts of resolvers that came back together were still on the account, and were sent
-   * elsewhere in turn: shares were off by half.
-   */
+  /** Slots of the longest cache time. Rounding overstates the load by less than one slot of it. */
   private static final int SLOTS = 256;
 
-  /**
-   * More addresses than a list names, of 2 KB each; past it new ones are refused, which steers
-   * nobody there.
-   */
+  /** Most addresses with load, of about 2 KB each; further ones are refused. */
   private static final int MAX_ADDRESSES = 10_000;
 
   private final long slotNanos;
   private final Map<Object, Account> accounts = new HashMap<>();
 
+  /** Load of one address by the slot in which it expires, as a ring. */
   private static final class Account {
     final double[] expiringLoad = new double[SLOTS + 2];
     double totalLoad;
     long currentSlot;
   }
 
-  HandedOutLoad(Duration longest) {
-    slotNanos = Math.max(1, longest.toNanos() / SLOTS + 1);
+  /**
+   * Creates an empty account.
+   *
+   * @param maxCacheTime the longest time that an answer may be cached
+   */
+  HandedOutLoad(Duration maxCacheTime) {
+    slotNanos = Math.max(1, maxCacheTime.toNanos() / SLOTS + 1);
   }
 
-  /** The load at an address that answers given so far still bring. */
+  /** Returns the load that cached answers may still bring to an address. */
   double load(Object address, Duration now) {
     Account account = accounts.get(address);
     return account == null ? 0 : advance(account, now);
   }
 
-  /**
-   * An answer given now is kept for so long; false where there is no room to note it, and it must
-   * not be given.
-   */
-  boolean add(Object address, double load, Duration life, Duration now) {
+  /** Counts an answer that may be cached for a time; false if the table of addresses is full. */
+  boolean add(Object address, double load, Duration cacheTime, Duration now) {
     Account account = accounts.get(address);
     if (account == null) {
       if (accounts.size() >= MAX_ADDRESSES) {
@@ -65,7 +60,7 @@
     advance(account, now);
     // The end is reckoned from now itself, not from the slot's begin, and the slot in which it
     // falls is whole.
-    long ends = (now.toNanos() + life.toNanos()) / slotNanos + 1;
+    long ends = (now.toNanos() + cacheTime.toNanos()) / slotNanos + 1;
     int ahead = (int) Math.min(SLOTS + 1, Math.max(1, ends - account.currentSlot));
     account.expiringLoad[(int) ((account.currentSlot + ahead) % account.expiringLoad.length)] +=
         load;
@@ -93,7 +88,7 @@
     return account.totalLoad;
   }
 
-  /** Whether no answer noted here is kept any more. */
+  /** Returns whether all answers have expired. */
   boolean isEmpty(Duration now) {
     removeExpired(now);
     return accounts.isEmpty();
@@ -107,7 +102,7 @@
     }
   }
 
-  /** The addresses on account; for tests of its bound. */
+  /** Returns the number of addresses; for tests of the limit. */
   int size() {
     return accounts.size();
   }
--- a/router/src/main/java/tamarindroute/dns/Query.java
+++ b/router/src/main/java/tamarindroute/dns/Query.java
@@ -8,6 +8,7 @@
 import org.xbill.DNS.EDNSOption;
 import org.xbill.DNS.Flags;
 import org.xbill.DNS.Message;
+import org.xbill.DNS.Name;
 import org.xbill.DNS.OPTRecord;
 import org.xbill.DNS.Opcode;
 import org.xbill.DNS.Rcode;
@@ -16,13 +17,11 @@
 import org.xbill.DNS.Type;
 
 /**
- * Owns the reading of a query: whole, bounded, and refused with the code that says why before
- * anything believes it.
+ * A query in decoded form.
  *
- * @param message as dnsjava read it
- * @param edns its OPT record; null for none
- * @param subnet the client network that its resolver tells; null for none
- * @param cookie what it brings of a cookie; null for none
+ * @param edns the OPT record; null for none
+ * @param subnet the client subnet option (RFC 7871); null for none
+ * @param cookie the cookie option (RFC 7873); null for none
  */
 record Query(
     Message message,
@@ -31,101 +30,138 @@
     ClientSubnetOption subnet,
     CookieOption cookie) {
 
-  /** A query holds one name, some options and no more; what is longer is no query. */
+  /** Longest query in bytes: one name of up to 255 bytes and some options. */
   private static final int MAX_LENGTH = 1024;
 
   private static final int HEADER_LENGTH = 12;
 
-  /** An OPT and a TSIG; nobody needs more. */
+  /** An OPT and a TSIG record. */
   private static final int MAX_ADDITIONAL_RECORDS = 2;
 
-  /** Why a query can't be taken: the code to answer with; no answer at all where it is negative. */
+  // Offsets in the header (RFC 1035, 4.1.1).
+  private static final int FLAGS_OFFSET = 2;
+  private static final int QUESTION_COUNT_OFFSET = 4;
+  private static final int ANSWER_COUNT_OFFSET = 6;
+  private static final int AUTHORITY_COUNT_OFFSET = 8;
+  private static final int ADDITIONAL_COUNT_OFFSET = 10;
+
+  private static final int RESPONSE_FLAG = 0x80;
+  private static final int OPCODE_SHIFT = 3;
+  private static final int OPCODE_MASK = 0xF;
+
+  /** Thrown for bytes that are not a query that can be answered. */
   static final class InvalidQueryException extends Exception {
 
     private static final long serialVersionUID = 1L;
+
+    /** Value of {@link #rcode} when nothing may be sent back. */
     static final int NO_REPLY = -1;
 
+    /** Response code to send back, or {@link #NO_REPLY}. */
     final int rcode;
 
-    InvalidQueryException(int code, String why) {
-      super(why, null, false, false);
-      this.rcode = code;
+    InvalidQueryException(int rcode, String message) {
+      // Without a stack trace: floods of invalid queries must stay cheap.
+      super(message, null, false, false);
+      this.rcode = rcode;
     }
   }
 
+  /** Decodes a query. */
   static Query read(byte[] bytes) throws InvalidQueryException {
+    checkHeader(bytes);
+    Message message = decode(bytes);
+    Record question = message.getQuestion();
+    if (question == null || message.getHeader().getFlag(Flags.TC)) {
+      throw new InvalidQueryException(Rcode.FORMERR, "no question");
+    }
+    OPTRecord edns = findEdns(message);
+    return new Query(message, question, edns, findSubnet(edns), findCookie(edns));
+  }
+
+  private static void checkHeader(byte[] bytes) throws InvalidQueryException {
     if (bytes.length < HEADER_LENGTH) {
-      throw new InvalidQueryException(InvalidQueryException.NO_REPLY, "shorter than a header");
+      throw new InvalidQueryException(
+          InvalidQueryException.NO_REPLY, bytes.length + " bytes, shorter than a header");
     }
-    if ((bytes[2] & 0x80) != 0) {
-      // Answering answers is how two servers talk to each other for ever.
-      throw new InvalidQueryException(InvalidQueryException.NO_REPLY, "an answer to no query");
+    if ((bytes[FLAGS_OFFSET] & RESPONSE_FLAG) != 0) {
+      // Replying to responses could make two servers talk to each other for ever.
+      throw new InvalidQueryException(
+          InvalidQueryException.NO_REPLY, "a response rather than a query");
     }
-    if (((bytes[2] >> 3) & 0xF) != Opcode.QUERY) {
-      throw new InvalidQueryException(Rcode.NOTIMP, "opcode " + ((bytes[2] >> 3) & 0xF));
+    int opcode = (bytes[FLAGS_OFFSET] >> OPCODE_SHIFT) & OPCODE_MASK;
+    if (opcode != Opcode.QUERY) {
+      throw new InvalidQueryException(Rcode.NOTIMP, "opcode " + opcode);
     }
     if (bytes.length > MAX_LENGTH
-        || countAt(bytes, 4) != 1
-        || countAt(bytes, 6) != 0
-        || countAt(bytes, 8) != 0
-        || countAt(bytes, 10) > MAX_ADDITIONAL_RECORDS) {
-      throw new InvalidQueryException(Rcode.FORMERR, "counts or length of no query");
+        || countAt(bytes, QUESTION_COUNT_OFFSET) != 1
+        || countAt(bytes, ANSWER_COUNT_OFFSET) != 0
+        || countAt(bytes, AUTHORITY_COUNT_OFFSET) != 0
+        || countAt(bytes, ADDITIONAL_COUNT_OFFSET) > MAX_ADDITIONAL_RECORDS) {
+      throw new InvalidQueryException(Rcode.FORMERR, "length or record counts out of range");
     }
-    Message message;
+  }
+
+  private static int countAt(byte[] bytes, int offset) {
+    return ((bytes[offset] & 0xFF) << 8) | (bytes[offset + 1] & 0xFF);
+  }
+
+  private static Message decode(byte[] bytes) throws InvalidQueryException {
     try {
-      message = new Message(bytes);
+      return new Message(bytes);
     } catch (IOException | RuntimeException e) {
       throw new InvalidQueryException(Rcode.FORMERR, String.valueOf(e.getMessage()));
     }
-    Record question = message.getQuestion();
-    if (question == null || message.getHeader().getFlag(Flags.TC)) {
-      throw new InvalidQueryException(Rcode.FORMERR, "no question");
-    }
+  }
+
+  private static OPTRecord findEdns(Message message) throws InvalidQueryException {
     OPTRecord edns = null;
     for (Record record : message.getSection(Section.ADDITIONAL)) {
       if (record.getType() == Type.OPT) {
-        if (edns != null || !record.getName().equals(org.xbill.DNS.Name.root)) {
-          throw new InvalidQueryException(Rcode.FORMERR, "two OPT records, or one under a name");
+        if (edns != null || !record.getName().equals(Name.root)) {
+          throw new InvalidQueryException(
+              Rcode.FORMERR, "several OPT records, or one not at the root");
         }
         edns = (OPTRecord) record;
       }
     }
-    return new Query(message, question, edns, subnet(edns), cookie(edns));
-  }
-
-  private static int countAt(byte[] bytes, int at) {
-    return (bytes[at] & 0xFF) << 8 | bytes[at + 1] & 0xFF;
+    return edns;
   }
 
-  private static ClientSubnetOption subnet(OPTRecord edns) throws InvalidQueryException {
-    List<EDNSOption> told =
+  private static ClientSubnetOption findSubnet(OPTRecord edns) throws InvalidQueryException {
+    List<EDNSOption> options =
         edns == null ? List.of() : edns.getOptions(EDNSOption.Code.CLIENT_SUBNET);
-    if (told.isEmpty()) {
+    if (options.isEmpty()) {
       return null;
     }
-    // Another family, or bits past the prefix, dnsjava refuses; a scope in a query is refused here.
-    if (told.size() > 1
-        || !(told.get(0) instanceof ClientSubnetOption subnet)
+    // dnsjava rejects unknown families and address bits beyond the prefix; a query's scope must be
+    // 0.
+    if (options.size() > 1
+        || !(options.get(0) instanceof ClientSubnetOption subnet)
         || subnet.getScopePrefixLength() != 0) {
-      throw new InvalidQueryException(Rcode.FORMERR, "a client subnet that is none");
+      throw new InvalidQueryException(Rcode.FORMERR, "invalid client subnet option");
     }
     return subnet;
   }
 
-  private static CookieOption cookie(OPTRecord edns) {
-    List<EDNSOption> told = edns == null ? List.of() : edns.getOptions(EDNSOption.Code.COOKIE);
-    return !told.isEmpty() && told.get(0) instanceof CookieOption cookie ? cookie : null;
+  private static CookieOption findCookie(OPTRecord edns) {
+    List<EDNSOption> options = edns == null ? List.of() : edns.getOptions(EDNSOption.Code.COOKIE);
+    return !options.isEmpty() && options.get(0) instanceof CookieOption cookie ? cookie : null;
+  }
+
+  /** Returns the client's address: of the client subnet option, else of the sender. */
+  InetAddress clientAddress(InetAddress sender) {
+    return hasClientSubnet() ? subnet.getAddress() : sender;
   }
 
-  /** Whom the answer is for: the client that the resolver tells of, else whoever asked. */
-  InetAddress clientAddress(InetAddress asker) {
-    return subnet == null || subnet.getSourcePrefixLength() == 0 ? asker : subnet.getAddress();
+  /** Returns how many leading bits of the client's address are known. */
+  int knownClientBits(InetAddress sender) {
+    return hasClientSubnet()
+        ? subnet.getSourcePrefixLength()
+        : sender.getAddress().length * Byte.SIZE;
   }
 
-  /** How many bits of that are known. */
-  int knownClientBits(InetAddress asker) {
-    return subnet == null || subnet.getSourcePrefixLength() == 0
-        ? asker.getAddress().length * 8
-        : subnet.getSourcePrefixLength();
+  private boolean hasClientSubnet() {
+    return subnet != null && subnet.getSourcePrefixLength() != 0;
   }
 }
--- a/router/src/main/java/tamarindroute/dns/QueryCounters.java
+++ b/router/src/main/java/tamarindroute/dns/QueryCounters.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Counts what became of queries since the start and since it was last read out. */
+/** Counts queries by their results. */
 public final class QueryCounters {
 
-  /** Every end that a query can have, and what is counted beside it. */
+  /** What is counted. The log shows the constants in lower case. */
   public enum Event {
     QUERY,
     MALFORMED,
@@ -35,12 +35,14 @@
     counts.merge(event, 1L, Long::sum);
   }
 
+  /** Returns the count since the start. */
   public long total(Event event) {
     return counts.getOrDefault(event, 0L);
   }
 
   /**
-   * Names and counts since this was last asked, as a log line takes them; of those that have moved.
+   * Returns names and counts of the events that occurred since the last call, alternating as log
+   * fields.
    */
   public Object[] changesSinceLastReport() {
     List<Object> named = new ArrayList<>();
--- a/router/src/main/java/tamarindroute/dns/TcpMessageFramer.java
+++ b/router/src/main/java/tamarindroute/dns/TcpMessageFramer.java
@@ -1,16 +1,16 @@
 package tamarindroute.dns;
 
 import java.nio.ByteBuffer;
+import java.util.Arrays;
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * Owns the cutting of a TCP stream into messages, each behind its length of two bytes (RFC 1035,
- * 4.2.2). It must never take more than it was told is the longest, nor hold room for bytes before
- * they come.
+ * Splits a TCP stream into DNS messages, each preceded by its length in two bytes (RFC 1035,
+ * 4.2.2). Buffers grow as bytes arrive, not when a length is announced.
  */
 public final class TcpMessageFramer {
 
-  /** Room grows by this as bytes come: a message that is announced and not sent costs no more. */
+  /** Least number of bytes by which a buffer grows. */
   private static final int GROWTH_BYTES = 512;
 
   private final int maxLength;
@@ -19,21 +19,27 @@
   private byte[] bytes = new byte[0];
   private int filled;
 
+  /** Creates a framer that rejects messages of more than this many bytes. */
   public TcpMessageFramer(int longest) {
     this.maxLength = longest;
   }
 
-  /** The next whole message; null where more bytes are wanted. */
+  /**
+   * Returns the next complete message; null if more bytes are needed.
+   *
+   * @throws MalformedMessageException if a length is 0 or over the maximum
+   */
   public byte[] nextMessage(ByteBuffer in) throws MalformedMessageException {
     while (length < 0 && in.hasRemaining()) {
       int b = in.get() & 0xFF;
       if (firstLengthByte < 0) {
         firstLengthByte = b;
       } else {
-        length = firstLengthByte << 8 | b;
+        length = (firstLengthByte << 8) | b;
         firstLengthByte = -1;
         if (length > maxLength || length == 0) {
-          throw new MalformedMessageException("a message of " + length + " bytes");
+          throw new MalformedMessageException(
+              "message length " + length + " is not between 1 and " + maxLength);
         }
       }
     }
@@ -43,7 +49,7 @@
     int some = Math.min(in.remaining(), length - filled);
     if (filled + some > bytes.length) {
       bytes =
-          java.util.Arrays.copyOf(
+          Arrays.copyOf(
               bytes, Math.min(length, Math.max(filled + some, bytes.length + GROWTH_BYTES)));
     }
     in.get(bytes, filled, some);
@@ -51,19 +57,19 @@
     if (filled < length) {
       return null;
     }
-    byte[] whole = java.util.Arrays.copyOf(bytes, length);
+    byte[] whole = Arrays.copyOf(bytes, length);
     length = -1;
     filled = 0;
     bytes = new byte[0];
     return whole;
   }
 
-  /** Whether no message is under way. */
+  /** Returns whether no message has been received in part. */
   public boolean isBetweenMessages() {
     return length < 0 && firstLengthByte < 0;
   }
 
-  /** A message behind its length. */
+  /** Returns a message preceded by its length. */
   public static byte[] frame(byte[] message) {
     return ByteBuffer.allocate(2 + message.length)
         .putShort((short) message.length)
--- a/router/src/main/java/tamarindroute/dns/TtlPolicy.java
+++ b/router/src/main/java/tamarindroute/dns/TtlPolicy.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * Owns how long an answer may be kept: as short as is allowed while something at a location drains,
- * warms up or is judged bad, and longer the longer nothing has changed. It must never let a TTL
- * pass its bounds.
+ * Chooses TTLs of answers for one location: the minimum while a cache there drains, is cold or is
+ * ejected, and longer the longer nothing has changed, up to the maximum.
  */
 final class TtlPolicy {
 
   /**
-   * An answer is kept for a quarter of the time that nothing has changed. A location that changes
-   * at random times then has a stale answer out for a fifth of the time at the most, and after a
-   * change at t the TTLs are back at their longest after four times that.
+   * TTL per time without a change. At a quarter, a location that changes at random times has stale
+   * answers out for at most a fifth of the time.
    */
   private static final double TTL_PER_UNCHANGED_TIME = 0.25;
 
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+
   private final Duration minTtl;
   private final Duration maxTtl;
   private Object state;
@@ -27,17 +27,23 @@
   }
 
   /**
-   * How the location is now: any value that differs when anything has changed; unsettled while it
-   * still does.
+   * Returns the TTL of an answer.
+   *
+   * @param currentState differs from the last call's if anything has changed
+   * @param unsettled whether a change is still under way
    */
-  Duration ttl(Object now, boolean unsettled, Duration at) {
-    if (unsettled || unchangedSince == null || !now.equals(state)) {
-      state = now;
-      unchangedSince = at;
+  Duration ttl(Object currentState, boolean unsettled, Duration now) {
+    if (unsettled || unchangedSince == null || !currentState.equals(state)) {
+      state = currentState;
+      unchangedSince = now;
+      return minTtl;
+    }
+    long unchangedNanos = now.minus(unchangedSince).toNanos();
+    long ttlNanos = (long) (unchangedNanos * TTL_PER_UNCHANGED_TIME);
+    Duration ttl = Duration.ofSeconds(Math.max(0, ttlNanos) / NANOS_PER_SECOND);
+    if (ttl.compareTo(minTtl) < 0) {
       return minTtl;
     }
-    long calm = (long) (at.minus(unchangedSince).toNanos() * TTL_PER_UNCHANGED_TIME);
-    Duration ttl = Duration.ofSeconds(Math.max(0, calm) / 1_000_000_000L);
-    return ttl.compareTo(minTtl) < 0 ? minTtl : ttl.compareTo(maxTtl) > 0 ? maxTtl : ttl;
+    return ttl.compareTo(maxTtl) > 0 ? maxTtl : ttl;
   }
 }
--- a/router/src/main/java/tamarindroute/dns/ZoneData.java
+++ b/router/src/main/java/tamarindroute/dns/ZoneData.java
@@ -4,6 +4,7 @@
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.xbill.DNS.Name;
 import org.xbill.DNS.RRset;
@@ -13,29 +14,27 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Zone;
 
-/**
- * The records of one zone that stand as they are written. Immutable; a new version is a new value.
- */
+/** The records of one authoritative zone, without steered names. Immutable. */
 public final class ZoneData {
 
   private final Zone zone;
 
-  /**
-   * Names without records of their own, but with others below: they are there, which dnsjava's Zone
-   * denies.
-   */
+  /** All names with records and those above them, which dnsjava reports as nonexistent. */
   private final Set<Name> existingNames = new HashSet<>();
 
   /**
-   * Throws where the records make no zone: no SOA or NS at the origin, or records outside of it.
+   * Creates a zone.
+   *
+   * @throws IOException if SOA or NS records are missing at the origin, or a record lies outside of
+   *     the zone or is a DNAME, which is not supported
    */
   public ZoneData(Name origin, List<Record> records) throws IOException {
     for (Record record : records) {
       if (!record.getName().subdomain(origin)) {
-        throw new IOException(record.getName() + " is not in " + origin);
+        throw new IOException(record.getName() + " is not in the zone " + origin);
       }
       if (record.getType() == Type.DNAME) {
-        throw new IOException("DNAME records are not answered: " + record.getName());
+        throw new IOException("DNAME records are not supported: " + record.getName());
       }
     }
     zone = new Zone(origin, records.toArray(new Record[0]));
@@ -48,25 +47,27 @@
     }
   }
 
+  /** Returns the name of the zone. */
   public Name origin() {
     return zone.getOrigin();
   }
 
+  /** Returns the SOA record. */
   public SOARecord soa() {
     return zone.getSOA();
   }
 
-  /** What answers a question after these records alone. */
+  /** Returns what the records say to a question. */
   public SetResponse find(Name name, int type) {
     return zone.findRecords(name, type);
   }
 
-  /** Whether this name is there, if only for names below it. */
+  /** Returns whether a name exists, be it as an empty non-terminal. */
   public boolean exists(Name name) {
     return existingNames.contains(name);
   }
 
-  /** Whether records stand at this very name, not by a wildcard. */
+  /** Returns whether there are records at exactly this name, not by a wildcard. */
   public boolean hasRecordsAt(Name name) {
     for (Iterator<RRset> sets = zone.iterator(); sets.hasNext(); ) {
       if (sets.next().getName().equals(name)) {
@@ -76,8 +77,8 @@
     return false;
   }
 
-  /** The records under this name of this type; null for none. */
-  public RRset exactMatch(Name name, int type) {
-    return zone.findExactMatch(name, type);
+  /** Returns the records at exactly this name of this type. */
+  public Optional<RRset> exactMatch(Name name, int type) {
+    return Optional.ofNullable(zone.findExactMatch(name, type));
   }
 }
