--- a/router/src/main/java/tamarindroute/dns/DnsSettings.java
+++ b/router/src/main/java/tamarindroute/dns/DnsSettings.java
@@ -8,7 +8,17 @@
 import org.xbill.DNS.Name;
 import tamarindroute.decision.RequestClass;
 
-/** What the DNS front is told by its settings, checked before it gets here. */
+/**
+ * Settings of the DNS server, already validated.
+ *
+ * @param listen address for UDP and TCP
+ * @param zones zones that this server is authoritative for
+ * @param steering null for no steered names
+ * @param cookies null for a secret of each start's own
+ * @param healthChecks null for none
+ * @param forwardedZones zones whose questions go to other installations' routers
+ * @param identity answer to the question for this server's identity; null to refuse it
+ */
 public record DnsSettings(
     InetSocketAddress listen,
     List<ZoneData> zones,
@@ -19,22 +29,27 @@
     List<ForwardedZone> forwardedZones,
     String identity) {
 
+  /** Copies the lists. */
   public DnsSettings {
     zones = List.copyOf(zones);
     forwardedZones = List.copyOf(forwardedZones);
   }
 
   /**
-   * The names that are answered by the module's decisions, below one zone's origin.
+   * Settings of the steered names, which lie below the origin of one zone.
    *
-   * @param instances all instances that steer or send work to the same caches; they share what a
-   *     cold one bears
-   * @param loadPerAnswer the load, in transfers under way, that one answer brings at the most where
-   *     no network tells
-   * @param minResolverCacheTime how long resolvers keep an answer though its TTL is shorter
-   * @param maxAddresses caches named in one answer, where none of them is cold
-   * @param maxListAge how long the last list is answered from after the feed fell silent
-   * @param edgeBypassAllowed whether what is not kept may go to the origin past the edges
+   * @param nearestLabel label that stands for the client's own location
+   * @param cachesLabel label below which single caches have names
+   * @param requestClasses request classes by the labels that stand for them
+   * @param partitionPrefix prefix of the labels of partitions of the objects
+   * @param partitionCount number of partitions
+   * @param instances number of instances that share the caches, and so what cold ones can take
+   * @param loadPerAnswer the most concurrent transfers that an answer brings, for clients outside
+   *     of all networks
+   * @param minResolverCacheTime time for which resolvers cache answers whatever their TTL
+   * @param maxAddresses most caches in one answer
+   * @param maxListAge silence of the feed after which the last list is used no longer
+   * @param edgeBypassAllowed whether uncacheable requests may go straight to the origin
    */
   public record SteeringSettings(
       Name origin,
@@ -53,6 +68,7 @@
       Duration maxListAge,
       boolean edgeBypassAllowed) {
 
+    /** Copies the collections. */
     public SteeringSettings {
       locations = List.copyOf(locations);
       requestClasses = Map.copyOf(requestClasses);
@@ -60,12 +76,14 @@
   }
 
   /**
-   * @param maxDatagramBytes the largest answer in one datagram, so that none comes in fragments
-   * @param answersPerSecond answers a second to one network before some are held back
-   * @param slip of those held back, each so many is answered with an invitation to TCP; 0 for none
+   * Limits on resources and on rates.
+   *
+   * @param maxDatagramBytes largest response in one datagram, small enough to avoid fragments
+   * @param answersPerSecond responses per second to one network before some are withheld
+   * @param slip one in this many withheld responses is sent truncated; 0 for none
    * @param maxConnections TCP connections at once
-   * @param idleTimeout after which a TCP connection is closed
-   * @param maxPipelinedQueries queries of one TCP connection that are worked on at once
+   * @param idleTimeout time after which an idle TCP connection is closed
+   * @param maxPipelinedQueries queries of one TCP connection that are answered at once
    */
   public record Limits(
       int maxDatagramBytes,
@@ -75,27 +93,66 @@
       Duration idleTimeout,
       int maxPipelinedQueries) {}
 
+  /** Secrets for server cookies, the same at all instances. */
+  public static final class CookieKeys {
+
+    private final byte[] secret;
+    private final byte[] previous;
+
+    /**
+     * Creates keys.
+     *
+     * @param previous secret whose cookies are still accepted; null for none
+     */
+    public CookieKeys(byte[] secret, byte[] previous) {
+      this.secret = secret.clone();
+      this.previous = previous == null ? null : previous.clone();
+    }
+
+    /** Returns the secret that cookies are made with. */
+    public byte[] secret() {
+      return secret.clone();
+    }
+
+    /** Returns the previous secret; null for none. */
+    public byte[] previous() {
+      return previous == null ? null : previous.clone();
+    }
+  }
+
   /**
-   * The secret that answers' cookies are made with, the same at all instances, and the one before
-   * it, or null.
+   * Settings of health checks.
+   *
+   * @param interval time between checks of one cache
+   * @param maxPerSecond most checks per second, of all caches together
+   * @param timeout time that one check may take
    */
-  public record CookieKeys(byte[] secret, byte[] previous) {}
-
-  /** Each cache is probed every so often, but no more than so many probes go out a second. */
   public record HealthCheckSettings(Duration interval, double maxPerSecond, Duration timeout) {}
 
-  /** A zone that another installation's router answers for. */
+  /**
+   * A zone that another installation's router answers for.
+   *
+   * @param upstreams addresses of that router
+   * @param timeout time that one question may take
+   * @param maxStaleness time for which answers are used past their TTL while no upstream answers
+   */
   public record ForwardedZone(
       Name zone, List<InetSocketAddress> upstreams, Duration timeout, Duration maxStaleness) {
+
+    /** Copies the list. */
     public ForwardedZone {
       upstreams = List.copyOf(upstreams);
     }
   }
 
-  /** Where clients reach a cache. */
+  /**
+   * Where clients reach a cache.
+   *
+   * @param id the cache's id as a label of a domain name
+   */
   public record CacheAddress(String id, InetAddress host, int port) {
 
-    /** What resolvers keep of it: another cache may have the address later, under another id. */
+    /** Returns host and port, which a later cache of another id may use as well. */
     InetSocketAddress socketAddress() {
       return new InetSocketAddress(host, port);
     }
--- a/router/src/main/java/tamarindroute/dns/HealthCheckScheduler.java
+++ b/router/src/main/java/tamarindroute/dns/HealthCheckScheduler.java
@@ -2,23 +2,22 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.Outcome.Result;
 
 /**
- * Owns which cache is probed when, within the budget told, and what a probe that came back speaks
- * for. Silence is told of a cache only where others answered lately: when all fall silent at once
- * the way from here is at fault, and no cache is blamed for it. It must never send anything, nor
- * judge.
+ * Schedules health checks of the listed caches within a rate limit and decides what their results
+ * say. A timeout counts against a cache only if another cache answered recently: when all fall
+ * silent at once, the fault is likely on this side.
  */
 public final class HealthCheckScheduler {
 
-  /** What a probe came back with. */
+  /** How a health check ended. */
   public enum HealthCheckResult {
     READY(Result.SERVED),
     UNHEALTHY(Result.FAILED),
@@ -27,22 +26,28 @@
     CONNECTION_LOST(Result.CONNECTION_LOST),
     NOT_SENT(Result.NOT_SENT);
 
-    private final Result result;
+    private final Result reported;
 
-    HealthCheckResult(Result result) {
-      this.result = result;
+    HealthCheckResult(Result reported) {
+      this.reported = reported;
     }
   }
 
-  /** What is to be told to the module of a cache. */
+  /** A result to report to the routing policies. */
   public record Report(Cache cache, Result result) {}
 
-  /** A probe that found a cache ready proves it for so many rounds: one may be lost on the way. */
+  /** Intervals for which a check that found a cache ready counts, so that one may be lost. */
   private static final int READY_INTERVALS = 3;
 
-  /** A lone cache has no others to compare with; its silence is its own from this many in a row. */
+  /** Consecutive timeouts that count against a cache that has no others to compare with. */
   private static final int TIMEOUTS_OF_LONE_CACHE = 3;
 
+  /** Unused allowance is saved for one part in this many of a second. */
+  private static final int SAVED_PART_OF_SECOND = 10;
+
+  private static final double SECONDS_PER_NANO = 1e-9;
+
+  /** Health checks of one cache. Times are monotonic; null before the first. */
   private static final class CheckState {
     Duration lastStartedAt;
     Duration readyAt;
@@ -57,91 +62,94 @@
   private Duration refilledAt = Duration.ZERO;
   private Duration lastAnswerAt = Duration.ofDays(-1);
 
+  /** Creates a scheduler without caches. */
   public HealthCheckScheduler(DnsSettings.HealthCheckSettings settings) {
     this.interval = settings.interval();
     this.maxPerSecond = settings.maxPerSecond();
   }
 
-  /** The caches on the list now. */
-  public void onCacheList(List<Cache> now) {
-    Set<Cache> kept = new HashSet<>(now);
-    caches.keySet().retainAll(kept);
-    now.forEach(cache -> caches.computeIfAbsent(cache, c -> new CheckState()));
+  /** Replaces the caches to check. */
+  public void onCacheList(List<Cache> listed) {
+    caches.keySet().retainAll(new HashSet<>(listed));
+    listed.forEach(cache -> caches.computeIfAbsent(cache, added -> new CheckState()));
   }
 
-  /**
-   * The caches to probe now: those longest not probed first, as many as the budget has; they count
-   * as probed.
-   */
+  /** Returns the caches to check now, the longest unchecked first, and counts them as started. */
   public List<Cache> takeDue(Duration now) {
-    double passed = Math.max(0, now.minus(refilledAt).toNanos() * 1e-9);
-    // A pause of ours must not be followed by a burst: a tenth of a second may be saved up, or one
-    // probe.
-    allowance = Math.min(Math.max(1, maxPerSecond / 10), allowance + passed * maxPerSecond);
-    refilledAt = now;
+    refill(now);
     List<Cache> waiting = new ArrayList<>();
     caches.forEach(
-        (cache, of) -> {
-          if (!of.inFlight
-              && (of.lastStartedAt == null
-                  || now.minus(of.lastStartedAt).compareTo(interval) >= 0)) {
+        (cache, state) -> {
+          if (isDue(state, now)) {
             waiting.add(cache);
           }
         });
     waiting.sort(
-        (a, b) -> {
-          Duration one = caches.get(a).lastStartedAt;
-          Duration other = caches.get(b).lastStartedAt;
-          return one == null ? other == null ? 0 : -1 : other == null ? 1 : one.compareTo(other);
-        });
+        Comparator.comparing(
+            cache -> caches.get(cache).lastStartedAt,
+            Comparator.nullsFirst(Comparator.naturalOrder())));
     List<Cache> due = new ArrayList<>();
     for (Cache cache : waiting) {
       if (allowance < 1) {
         break;
       }
       allowance--;
-      caches.get(cache).lastStartedAt = now;
-      caches.get(cache).inFlight = true;
+      CheckState state = caches.get(cache);
+      state.lastStartedAt = now;
+      state.inFlight = true;
       due.add(cache);
     }
     return due;
   }
 
-  /** A probe is over; what follows is told to the module. */
-  public List<Report> onResult(Cache cache, HealthCheckResult came, Duration now) {
-    CheckState of = caches.get(cache);
-    if (of == null) {
+  private void refill(Duration now) {
+    double passedSeconds = Math.max(0, now.minus(refilledAt).toNanos() * SECONDS_PER_NANO);
+    // Little can be saved, so that no burst follows a pause of this process.
+    double maxAllowance = Math.max(1, maxPerSecond / SAVED_PART_OF_SECOND);
+    allowance = Math.min(maxAllowance, allowance + passedSeconds * maxPerSecond);
+    refilledAt = now;
+  }
+
+  private boolean isDue(CheckState state, Duration now) {
+    return !state.inFlight
+        && (state.lastStartedAt == null || now.minus(state.lastStartedAt).compareTo(interval) >= 0);
+  }
+
+  /** Records the end of a health check and returns what to report. */
+  public List<Report> onResult(Cache cache, HealthCheckResult result, Duration now) {
+    CheckState state = caches.get(cache);
+    if (state == null) {
       return List.of();
     }
-    of.inFlight = false;
-    List<Report> told = new ArrayList<>();
-    switch (came) {
+    state.inFlight = false;
+    return switch (result) {
       case READY, UNHEALTHY, REFUSED, CONNECTION_LOST -> {
-        // Whoever says anything, be it no, proves the way from here.
+        // Any reaction of a cache, even a refusal, shows that the network works.
         lastAnswerAt = now;
-        of.consecutiveTimeouts = 0;
-        of.readyAt = came == HealthCheckResult.READY ? now : null;
-        told.add(new Report(cache, came.result));
+        state.consecutiveTimeouts = 0;
+        state.readyAt = result == HealthCheckResult.READY ? now : null;
+        yield List.of(new Report(cache, result.reported));
       }
       case TIMED_OUT -> {
-        of.consecutiveTimeouts++;
-        boolean others = now.minus(lastAnswerAt).compareTo(interval) <= 0;
-        boolean alone = caches.size() == 1 && of.consecutiveTimeouts >= TIMEOUTS_OF_LONE_CACHE;
-        if (others || alone) {
-          told.add(new Report(cache, came.result));
-        }
+        state.consecutiveTimeouts++;
+        yield isAttributable(state, now) ? List.of(new Report(cache, result.reported)) : List.of();
       }
-      case NOT_SENT -> {}
-      default -> throw new IllegalStateException("no such end of a probe: " + came);
-    }
-    return told;
+      case NOT_SENT -> List.of();
+    };
+  }
+
+  /** Returns whether a timeout is likely the cache's fault. */
+  private boolean isAttributable(CheckState state, Duration now) {
+    boolean othersAnswer = now.minus(lastAnswerAt).compareTo(interval) <= 0;
+    boolean alone = caches.size() == 1 && state.consecutiveTimeouts >= TIMEOUTS_OF_LONE_CACHE;
+    return othersAnswer || alone;
   }
 
-  /** Whether a probe has found this cache ready lately. */
+  /** Returns whether a recent health check found the cache ready. */
   public boolean isRecentlyReady(Cache cache, Duration now) {
-    CheckState of = caches.get(cache);
-    return of != null
-        && of.readyAt != null
-        && now.minus(of.readyAt).compareTo(interval.multipliedBy(READY_INTERVALS)) <= 0;
+    CheckState state = caches.get(cache);
+    return state != null
+        && state.readyAt != null
+        && now.minus(state.readyAt).compareTo(interval.multipliedBy(READY_INTERVALS)) <= 0;
   }
 }
--- a/router/src/main/java/tamarindroute/dns/Location.java
+++ b/router/src/main/java/tamarindroute/dns/Location.java
@@ -2,34 +2,40 @@
 
 import java.net.InetAddress;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * A location that has names: its label, its place among the settings' zones, who stands in when it
- * has nobody, and the networks whose clients are its own.
+ * A location with names of its own.
+ *
+ * @param zoneIndex index among the zones of the instance's settings
+ * @param neighbours labels of the locations that stand in for it, in order
+ * @param clientNetworks networks whose clients belong to it
  */
 public record Location(
     String label, int zoneIndex, List<String> neighbours, List<ClientNetwork> clientNetworks) {
 
   /**
-   * A network and the load, in transfers under way, that one answer to a resolver there brings at
-   * the most.
+   * A network of clients.
+   *
+   * @param loadPerAnswer the most concurrent transfers that an answer to a resolver there brings
    */
   public record ClientNetwork(Subnet subnet, double loadPerAnswer) {}
 
+  /** Copies the lists. */
   public Location {
     neighbours = List.copyOf(neighbours);
     clientNetworks = List.copyOf(clientNetworks);
   }
 
-  /** The narrowest of its networks that holds this address; null for none. */
-  public ClientNetwork narrowestNetworkOf(InetAddress client) {
+  /** Returns the narrowest network that contains an address. */
+  public Optional<ClientNetwork> narrowestNetworkOf(InetAddress client) {
     ClientNetwork best = null;
-    for (ClientNetwork one : clientNetworks) {
-      if (one.subnet().contains(client)
-          && (best == null || one.subnet().bits() > best.subnet().bits())) {
-        best = one;
+    for (ClientNetwork network : clientNetworks) {
+      if (network.subnet().contains(client)
+          && (best == null || network.subnet().bits() > best.subnet().bits())) {
+        best = network;
       }
     }
-    return best;
+    return Optional.ofNullable(best);
   }
 }
--- a/router/src/main/java/tamarindroute/dns/ResponseRateLimiter.java
+++ b/router/src/main/java/tamarindroute/dns/ResponseRateLimiter.java
@@ -6,25 +6,24 @@
 import java.util.Map;
 
 /**
- * Owns how many answers a network gets a second, so that forged questions can't turn this server on
- * whoever they name. It counts networks, not clients, for a forger can name any address of one; its
- * table is bounded, and a network pushed out starts with a full allowance, which costs one burst.
+ * Limits responses per second to each network, so that queries with forged senders cannot flood the
+ * network they name. Counts networks, as a forger can name any address of one. The table is
+ * bounded; a network that was evicted starts with a full bucket.
  */
 public final class ResponseRateLimiter {
 
-  /** What becomes of an answer. */
+  /** What becomes of a response. */
   public enum Verdict {
+    /** Send it. */
     SEND,
-    /**
-     * Only an empty one, cut, so that a true client asks again by TCP, where its address is proven.
-     */
+    /** Send a truncated one without records, which genuine clients repeat over TCP. */
     SLIP,
+    /** Send nothing. */
     DROP
   }
 
   /**
-   * What an answer is, each with an allowance of its own: a flood of wrong names must not silence
-   * right ones.
+   * Kinds of responses with a bucket each, so that a flood of one kind does not affect the others.
    */
   public enum ResponseKind {
     ANSWER,
@@ -32,24 +31,20 @@
     ERROR
   }
 
-  /**
-   * Networks as resolvers' address plans have them: of these bits, all addresses are one holder's.
-   */
+  /** Prefixes that networks are usually assigned in. */
   private static final int IPV4_PREFIX_BITS = 24;
 
   private static final int IPV6_PREFIX_BITS = 56;
 
-  /**
-   * A network may save up two seconds' allowance: a resolver's restart asks for everything at once.
-   */
+  /** Capacity of a bucket, as a resolver that restarts asks for everything at once. */
   private static final double BURST_SECONDS = 2;
 
-  /**
-   * Some megabyte of networks; a flood forged from more than these is bounded by each one's burst.
-   */
+  /** Most networks and kinds; about a megabyte. */
   private static final int MAX_ENTRIES = 10_000;
 
-  private record Key(Subnet subnet, ResponseKind sort) {}
+  private static final double SECONDS_PER_NANO = 1e-9;
+
+  private record Key(Subnet subnet, ResponseKind kind) {}
 
   private static final class TokenBucket {
     double tokens;
@@ -69,37 +64,44 @@
         }
       };
 
-  /** No more than so many answers a second of each sort; 0 for no bound. */
+  /**
+   * Creates a limiter.
+   *
+   * @param perSecond responses per second to one network and of one kind; 0 for no limit
+   * @param slip one in this many responses over the limit is answered truncated; 0 for none
+   */
   public ResponseRateLimiter(double perSecond, int slip) {
     this.perSecond = perSecond;
     this.slip = slip;
   }
 
-  public Verdict check(InetAddress client, ResponseKind sort, Duration now) {
+  /** Decides on a response and counts it. */
+  public Verdict check(InetAddress client, ResponseKind kind, Duration now) {
     if (perSecond <= 0) {
       return Verdict.SEND;
     }
-    TokenBucket of =
+    TokenBucket bucket =
         buckets.computeIfAbsent(
-            new Key(Subnet.of(client, IPV4_PREFIX_BITS, IPV6_PREFIX_BITS), sort),
+            new Key(Subnet.of(client, IPV4_PREFIX_BITS, IPV6_PREFIX_BITS), kind),
             key -> {
               TokenBucket full = new TokenBucket();
               full.tokens = perSecond * BURST_SECONDS;
               full.refilledAt = now;
               return full;
             });
-    double passed = Math.max(0, now.minus(of.refilledAt).toNanos() * 1e-9);
-    of.tokens = Math.min(perSecond * BURST_SECONDS, of.tokens + passed * perSecond);
-    of.refilledAt = now;
-    if (of.tokens >= 1) {
-      of.tokens--;
-      of.limitedCount = 0;
+    double passedSeconds = Math.max(0, now.minus(bucket.refilledAt).toNanos() * SECONDS_PER_NANO);
+    bucket.tokens = Math.min(perSecond * BURST_SECONDS, bucket.tokens + passedSeconds * perSecond);
+    bucket.refilledAt = now;
+    if (bucket.tokens >= 1) {
+      bucket.tokens--;
+      bucket.limitedCount = 0;
       return Verdict.SEND;
     }
-    return slip > 0 && ++of.limitedCount % slip == 0 ? Verdict.SLIP : Verdict.DROP;
+    bucket.limitedCount++;
+    return slip > 0 && bucket.limitedCount % slip == 0 ? Verdict.SLIP : Verdict.DROP;
   }
 
-  /** The networks it knows of; for tests of its bound. */
+  /** Returns the number of buckets; for tests of the limit. */
   int size() {
     return buckets.size();
   }
--- a/router/src/main/java/tamarindroute/dns/SteeringDecision.java
+++ b/router/src/main/java/tamarindroute/dns/SteeringDecision.java
@@ -4,43 +4,39 @@
 import java.util.List;
 
 /**
- * Who is answered, for how long, and why; nobody where the places are empty, and the reason says
- * whose fault it is.
+ * The caches that answer a steered name, for how long, and why.
+ *
+ * @param addresses empty if no cache can answer, for the given reason
  */
 public record SteeringDecision(
     List<DnsSettings.CacheAddress> addresses, Duration ttl, Reason reason) {
 
   /**
-   * Every way in which an answer comes about; the last resorts and refusals are told in answer and
-   * log.
+   * Why an answer is as it is. The log shows the constants; answers carry the texts as extended
+   * errors.
    */
   public enum Reason {
-    /**
-     * By the design's ordinary path: the hashed home, or the least busy of those that serve alike.
-     */
+    /** The hashed home, or the least loaded of equal caches. */
     ORDINARY(Kind.NORMAL, "ordinary"),
-    /**
-     * The hashed home can't be used, is not warm enough or is crowded: the next one by the same
-     * hashing.
-     */
+    /** The next cache by the same hashing, as the home cannot be used or is full. */
     NEXT_HOME(Kind.NORMAL, "the hashed home can't take more"),
-    /** Nobody of the location can take more; a neighbour stands in. */
+    /** A cache of a neighbour location, as none of the location can be used. */
     NEIGHBOUR(Kind.LAST_RESORT, "no cache of the location can take more, a neighbour stands in"),
-    /** All that are left are judged bad: the one least so is better than none. */
+    /** The cache with the least evidence of failure, as all are ejected. */
     LEAST_BAD(Kind.LAST_RESORT, "only caches that are judged bad are left"),
-    /** The feed is silent: the last known list, with what probes prove. */
+    /** A cache of the last list, as the feed is late. */
     LAST_KNOWN(Kind.LAST_RESORT, "the feed is silent, the last known list holds"),
-    /** No list has come yet. */
+    /** No list of caches has been received yet. */
     NO_LIST(Kind.UNANSWERED, "no list of caches yet"),
-    /** The list has no cache there that may be sent work. */
+    /** No listed cache of the location is ready. */
     NONE_READY(Kind.UNANSWERED, "no cache there is ready"),
-    /** Those that are ready are cold and have all that they bear. */
+    /** The ready caches are cold and have no room. */
     COLD(Kind.UNANSWERED, "the caches there are cold and bear no more"),
-    /** The feed is silent for too long and no probe proves a cache. */
+    /** The feed has been silent for too long and no health check found a cache ready. */
     FEED_LOST(Kind.UNANSWERED, "the feed is silent too long"),
-    /** No cache has an address of the family asked for; the name is there all the same. */
+    /** No cache has an address of the family asked for, although the name exists. */
     NO_SUCH_FAMILY(Kind.NORMAL, "no cache has such an address"),
-    /** The cache of this id is not on the list, or draining. */
+    /** No listed cache has this id, or it is draining. */
     NO_SUCH_CACHE(Kind.NORMAL, "no such cache, or it takes no more work");
 
     /** How an answer is marked. */
@@ -58,23 +54,28 @@
       this.text = text;
     }
 
+    /** Returns whether the answer is marked as a last resort. */
     public boolean isLastResort() {
       return kind == Kind.LAST_RESORT;
     }
 
+    /** Returns whether the query fails. */
     public boolean isUnanswered() {
       return kind == Kind.UNANSWERED;
     }
 
+    /** Returns the text for extended errors. */
     public String text() {
       return text;
     }
   }
 
+  /** Copies the list. */
   public SteeringDecision {
     addresses = List.copyOf(addresses);
   }
 
+  /** Creates a decision that names no cache. */
   static SteeringDecision unanswered(Reason reason, Duration ttl) {
     return new SteeringDecision(List.of(), ttl, reason);
   }
--- a/router/src/main/java/tamarindroute/dns/SteeringTarget.java
+++ b/router/src/main/java/tamarindroute/dns/SteeringTarget.java
@@ -2,13 +2,13 @@
 
 import tamarindroute.decision.RequestClass;
 
-/** What a name asks to be steered to. */
+/** What a steered name stands for. */
 public sealed interface SteeringTarget {
 
-  /** Where; null for one cache, wherever it is. */
+  /** Returns the location; null for a single cache, which has no need of one. */
   Location location();
 
-  /** The same at another location. */
+  /** Returns the same target at another location. */
   SteeringTarget withLocation(Location other);
 
   /** Any cache of a location. */
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Whoever serves a profile there. */
+  /** A cache that serves requests of a class at a location. */
   record ForRequestClass(Location location, RequestClass requestClass) implements SteeringTarget {
     @Override
     public SteeringTarget withLocation(Location other) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The home of one of the parts into which the objects are hashed. */
+  /** The home of one of the partitions into which objects are hashed. */
   record HomeOfPartition(Location location, int partition) implements SteeringTarget {
     @Override
     public SteeringTarget withLocation(Location other) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** One cache, by its id; it was chosen before, in an answer that named it. */
+  /** One cache, which an earlier answer named by its id. */
   record ById(String id) implements SteeringTarget {
     @Override
     public Location location() {
--- a/router/src/main/java/tamarindroute/dns/package-info.java
+++ b/router/src/main/java/tamarindroute/dns/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Owns what DNS answers say: which names there are, who is answered with which caches and for how
- * long, what load answers that are still kept bring, who asks too often, and what stands in an
- * answer's bytes. It asks the module what it holds of each cache and must never judge one itself,
- * never touch a socket, a file, a clock or a thread.
+ * Contents of DNS answers: which names exist, which caches answer them and for how long, the load
+ * that answers bring while resolvers cache them, response rate limits, and the encoding of queries
+ * and responses. Free of I/O, clocks and threads.
+ *
+ * <p>{@code decision} provides the routing policy that knows the caches; {@code nameserver}
+ * connects this package to sockets; {@code resolver} asks other name servers.
  */
 package tamarindroute.dns;
