--- a/router/src/main/java/tamarindroute/nameserver/NameServer.java
+++ b/router/src/main/java/tamarindroute/nameserver/NameServer.java
@@ -40,7 +40,7 @@
 import tamarindroute.log.Log;
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.resolver.Forwarder;
-import tamarindroute.resolver.UpstreamSelector;
+import tamarindroute.resolver.ForwardingRoute;
 
 /**
  * Owns one name server's life: its start from the settings, the wiring, the change of settings on
@@ -76,8 +76,8 @@
   private ResponseRateLimiter limit;
   private Steering steering;
   private Responder responder;
-  private Map<DnsSettings.ForwardedZone, Forwarder.Route> routes = Map.of();
-  private Forwarder.Route lookUps;
+  private Map<DnsSettings.ForwardedZone, ForwardingRoute> routes = Map.of();
+  private ForwardingRoute lookUps;
   private Runnable nextLookUp = () -> {};
   private boolean following;
   private int forwardedInFlight;
@@ -169,24 +169,20 @@
       newSteering = new Steering(dns.steering(), directory, byLabel, steering, eventLoop.now());
     }
     Responder newResponder = new Responder(dns, newSteering, newCookies, newLimit, counters);
-    Map<DnsSettings.ForwardedZone, Forwarder.Route> newRoutes = new HashMap<>();
+    Map<DnsSettings.ForwardedZone, ForwardingRoute> newRoutes = new HashMap<>();
     for (DnsSettings.ForwardedZone one : dns.forwardedZones()) {
-      Forwarder.Route known = routes.get(one);
+      ForwardingRoute known = routes.get(one);
       newRoutes.put(
           one,
           known != null
               ? known
-              : new Forwarder.Route(
-                  one.zone(),
-                  new UpstreamSelector(one.upstreams(), Forwarder.MAX_IN_FLIGHT, seed),
-                  one.timeout(),
-                  one.maxStaleness(),
-                  false));
+              : ForwardingRoute.toServers(
+                  one.zone(), one.upstreams(), one.timeout(), one.maxStaleness(), seed));
     }
     lookUps =
         told.resolvers().isEmpty()
             ? null
-            : Forwarder.routeToResolvers(told.resolvers(), told.resolveTimeout(), seed);
+            : ForwardingRoute.toResolvers(told.resolvers(), told.resolveTimeout(), seed);
     cookies = newCookies;
     limit = newLimit;
     steering = newSteering;
--- a/router/src/main/java/tamarindroute/resolver/AnswerCache.java
+++ b/router/src/main/java/tamarindroute/resolver/AnswerCache.java
@@ -4,37 +4,42 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import org.xbill.DNS.DClass;
 import org.xbill.DNS.Message;
 import org.xbill.DNS.Name;
+import org.xbill.DNS.Rcode;
 import org.xbill.DNS.Record;
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
 /**
- * Owns the answers that are kept: for their TTL, what says no for its SOA's (RFC 2308), and past
- * that, marked as stale, for a bounded time while nobody answers (RFC 8767). It must never lengthen
- * a TTL, nor keep more than its bound of answers.
+ * Caches answers for their TTL, negative ones for that of their SOA record (RFC 2308), and marks
+ * them as stale after that (RFC 8767). The number of answers is bounded.
  */
 public final class AnswerCache {
 
-  /** An hour, whatever the TTL says: a mistake at another's is not kept for a week. */
+  /** Longest time for which an answer is fresh, whatever its TTL. */
   private static final long MAX_TTL_SECONDS = 3600;
 
-  /** RFC 2308 wants no more than some minutes for what says no. */
+  /** Longest time for which a negative answer is fresh (RFC 2308, 5). */
   private static final long MAX_NEGATIVE_TTL_SECONDS = 300;
 
-  /** RFC 8767: a stale answer is given for half a minute at a time. */
+  /** TTL of stale answers (RFC 8767, 4). */
   private static final long STALE_TTL_SECONDS = 30;
 
-  /** A few megabytes of answers at the largest that is kept. */
   private static final int MAX_ENTRIES = 2048;
 
   private static final int MAX_ANSWER_BYTES = 4096;
 
-  /** What is asked; the class is always IN. */
+  /** A question of class IN. */
   public record Question(Name name, int type) {}
 
-  /** An answer as it is given out now. */
+  /**
+   * A cached answer with its remaining TTLs.
+   *
+   * @param stale whether it is past its TTL
+   */
   public record CachedAnswer(Message message, boolean stale) {}
 
   private record Entry(
@@ -50,59 +55,68 @@
         }
       };
 
-  /** Keeps a checked answer, where it says for how long. */
+  /** Caches a validated answer, if its TTL is not 0 and it is not too large. */
   public void put(Question question, Message message, Duration now) {
     List<Record> answer = List.copyOf(message.getSection(Section.ANSWER));
     List<Record> authority = List.copyOf(message.getSection(Section.AUTHORITY));
-    long ttl;
-    if (answer.isEmpty() || message.getRcode() != 0) {
-      ttl =
-          authority.stream()
-              .filter(SOARecord.class::isInstance)
-              .mapToLong(soa -> Math.min(soa.getTTL(), ((SOARecord) soa).getMinimum()))
-              .min()
-              .orElse(0);
-      ttl = Math.min(MAX_NEGATIVE_TTL_SECONDS, ttl);
-    } else {
-      ttl = Math.min(MAX_TTL_SECONDS, answer.stream().mapToLong(Record::getTTL).min().orElse(0));
-    }
+    boolean negative = answer.isEmpty() || message.getRcode() != Rcode.NOERROR;
+    long ttl = negative ? negativeTtl(authority) : positiveTtl(answer);
     if (ttl > 0 && message.numBytes() <= MAX_ANSWER_BYTES) {
       entries.put(
           question, new Entry(message.getRcode(), answer, authority, now, now.plusSeconds(ttl)));
     }
   }
 
-  /** What is kept for this question and holds still; null for nothing. */
-  public CachedAnswer fresh(Question question, Duration now) {
+  private static long negativeTtl(List<Record> authority) {
+    long ttl =
+        authority.stream()
+            .filter(SOARecord.class::isInstance)
+            .mapToLong(soa -> Math.min(soa.getTTL(), ((SOARecord) soa).getMinimum()))
+            .min()
+            .orElse(0);
+    return Math.min(MAX_NEGATIVE_TTL_SECONDS, ttl);
+  }
+
+  private static long positiveTtl(List<Record> answer) {
+    long ttl = answer.stream().mapToLong(Record::getTTL).min().orElse(0);
+    return Math.min(MAX_TTL_SECONDS, ttl);
+  }
+
+  /** Returns an answer that is within its TTL. */
+  public Optional<CachedAnswer> fresh(Question question, Duration now) {
     Entry entry = entries.get(question);
-    return entry == null || entry.until.compareTo(now) <= 0 ? null : found(question, entry, now);
+    if (entry == null || entry.until.compareTo(now) <= 0) {
+      return Optional.empty();
+    }
+    return Optional.of(toAnswer(question, entry, now));
   }
 
-  /** What held until so long ago at the most; null for nothing. */
-  public CachedAnswer stale(Question question, Duration longest, Duration now) {
+  /** Returns an answer that is within its TTL or past it by less than a time. */
+  public Optional<CachedAnswer> stale(Question question, Duration maxStaleness, Duration now) {
     Entry entry = entries.get(question);
     if (entry == null) {
-      return null;
+      return Optional.empty();
     }
-    if (entry.until.plus(longest).compareTo(now) <= 0) {
+    if (entry.until.plus(maxStaleness).compareTo(now) <= 0) {
       entries.remove(question);
-      return null;
+      return Optional.empty();
     }
-    return found(question, entry, now);
+    return Optional.of(toAnswer(question, entry, now));
   }
 
-  private static CachedAnswer found(Question question, Entry entry, Duration now) {
+  private static CachedAnswer toAnswer(Question question, Entry entry, Duration now) {
     boolean stale = entry.until.compareTo(now) <= 0;
     long age = now.minus(entry.since).toSeconds();
     Message message = new Message();
     message.getHeader().setRcode(entry.rcode);
-    message.addRecord(Record.newRecord(question.name(), question.type(), 1), Section.QUESTION);
+    message.addRecord(
+        Record.newRecord(question.name(), question.type(), DClass.IN), Section.QUESTION);
     add(message, entry.answer, Section.ANSWER, age, stale);
     add(message, entry.authority, Section.AUTHORITY, age, stale);
     return new CachedAnswer(message, stale);
   }
 
-  /** Adds records with what is left of their TTL, or past it with the stale span. */
+  /** Adds records with their remaining TTLs, or the TTL of stale answers. */
   private static void add(
       Message message, List<Record> records, int section, long age, boolean stale) {
     for (Record record : records) {
@@ -119,7 +133,7 @@
     }
   }
 
-  /** How many answers are kept; for tests of the bound. */
+  /** Returns the number of answers; for tests of the limit. */
   int size() {
     return entries.size();
   }
--- a/router/src/main/java/tamarindroute/resolver/AnswerValidator.java
+++ b/router/src/main/java/tamarindroute/resolver/AnswerValidator.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import org.xbill.DNS.CNAMERecord;
 import org.xbill.DNS.DClass;
 import org.xbill.DNS.Flags;
@@ -16,56 +17,56 @@
 import org.xbill.DNS.Type;
 
 /**
- * Owns what of an answer is believed: it must be for this very question, to the letter's case
- * (0x20), and only records of the question's name, and of aliases from there, inside the zone that
- * was asked for are taken.
+ * Validates answers: they must be to the question sent, including the case of its letters, and only
+ * records of its name and of aliases from there within the zone are accepted.
  */
 public final class AnswerValidator {
 
-  /** What an answer turned out to be. */
+  /** What an answer is. */
   public sealed interface Verdict {}
 
-  /** Usable: only what is believed is left in it. */
+  /** Usable; the message holds only the accepted records. */
   public record Accepted(Message message) implements Verdict {}
 
-  /** Cut: to be asked again by TCP. */
+  /** Truncated; the question is to be repeated over TCP. */
   public record Truncated() implements Verdict {}
 
-  /** The upstream's own word that it can't or won't. */
+  /** The upstream cannot or will not answer. */
   public record Unusable(String reason) implements Verdict {}
 
-  /** Not an answer to this question: a forger's or a late one; the true one may still come. */
+  /** Not an answer to the question: forged or late, so that the genuine one may still come. */
   public record Mismatch(String reason) implements Verdict {}
 
-  /** Aliases in one answer; a longer chain is followed by nobody. */
   private static final int MAX_ALIASES = 8;
-
-  /** More records than any answer of ours has. */
   private static final int MAX_RECORDS = 200;
-
   private static final int HEADER_LENGTH = 12;
+  private static final int FLAGS_OFFSET = 2;
+  private static final int RESPONSE_FLAG = 0x80;
 
   private AnswerValidator() {}
 
-  /** Reads an answer to a query of this id and question, sent to a server of this zone. */
-  public static Verdict validate(byte[] bytes, int id, Name asked, int type, Name zone) {
+  /**
+   * Validates the bytes of an answer.
+   *
+   * @param id the id of the query
+   * @param name the name asked for, as spelled in the query
+   * @param type the type asked for
+   * @param zone the zone that the upstream serves
+   */
+  public static Verdict validate(byte[] bytes, int id, Name name, int type, Name zone) {
     if (bytes.length < HEADER_LENGTH
-        || (bytes[2] & 0x80) == 0
-        || ((bytes[0] & 0xFF) << 8 | bytes[1] & 0xFF) != id) {
-      return new Mismatch("no answer, or to another id");
+        || (bytes[FLAGS_OFFSET] & RESPONSE_FLAG) == 0
+        || idOf(bytes) != id) {
+      return new Mismatch("not a response, or with another id");
     }
     Message message;
     try {
       message = new Message(bytes);
     } catch (IOException | RuntimeException e) {
-      return new Mismatch("unreadable: " + e.getMessage());
+      return new Mismatch("malformed: " + e.getMessage());
     }
-    Record question = message.getQuestion();
-    if (question == null
-        || message.getHeader().getOpcode() != Opcode.QUERY
-        || question.getType() != type
-        || question.getDClass() != DClass.IN
-        || !Arrays.equals(question.getName().toWire(), asked.toWire())) {
+    if (message.getHeader().getOpcode() != Opcode.QUERY
+        || !isQuestion(message.getQuestion(), name, type)) {
       return new Mismatch("another question");
     }
     if (message.getHeader().getFlag(Flags.TC)) {
@@ -75,54 +76,79 @@
     if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
       return new Unusable(Rcode.string(rcode));
     }
-    return believed(message, rcode, asked, type, zone);
+    return acceptRecords(message, rcode, name, type, zone);
+  }
+
+  private static int idOf(byte[] bytes) {
+    return ((bytes[0] & 0xFF) << 8) | (bytes[1] & 0xFF);
+  }
+
+  private static boolean isQuestion(Record question, Name name, int type) {
+    return question != null
+        && question.getType() == type
+        && question.getDClass() == DClass.IN
+        && Arrays.equals(question.getName().toWire(), name.toWire());
   }
 
-  private static Verdict believed(Message message, int rcode, Name asked, int type, Name zone) {
-    List<Record> answer = message.getSection(Section.ANSWER);
-    if (answer.size() > MAX_RECORDS) {
-      return new Unusable("more records than an answer has");
+  private static Verdict acceptRecords(Message message, int rcode, Name name, int type, Name zone) {
+    List<Record> answers = message.getSection(Section.ANSWER);
+    if (answers.size() > MAX_RECORDS) {
+      return new Unusable(answers.size() + " records, more than " + MAX_RECORDS);
     }
-    Message kept = new Message();
-    kept.getHeader().setRcode(rcode);
-    kept.addRecord(Record.newRecord(asked, type, DClass.IN), Section.QUESTION);
-    Name name = asked;
-    boolean found = false;
-    for (int i = 0; i <= MAX_ALIASES && name != null; i++) {
+    Message accepted = new Message();
+    accepted.getHeader().setRcode(rcode);
+    accepted.addRecord(Record.newRecord(name, type, DClass.IN), Section.QUESTION);
+    acceptAnswers(answers, name, type, zone, accepted);
+    acceptSoa(message.getSection(Section.AUTHORITY), name, zone, accepted);
+    boolean empty =
+        accepted.getSection(Section.ANSWER).isEmpty()
+            && accepted.getSection(Section.AUTHORITY).isEmpty();
+    if (empty && rcode == Rcode.NOERROR) {
+      return new Unusable("neither records nor an SOA: a referral, or a lame server");
+    }
+    return new Accepted(accepted);
+  }
+
+  /**
+   * Follows aliases from the name asked for; the target of one out of the zone is not looked at.
+   */
+  private static void acceptAnswers(
+      List<Record> answers, Name name, int type, Name zone, Message accepted) {
+    Optional<Name> next = Optional.of(name);
+    for (int i = 0; i <= MAX_ALIASES && next.isPresent(); i++) {
+      Name current = next.get();
       Name alias = null;
-      for (Record record : records(answer, name)) {
+      for (Record record : recordsAt(answers, current)) {
         if (record.getType() == type || record.getType() == Type.CNAME || type == Type.ANY) {
-          kept.addRecord(record, Section.ANSWER);
-          found = true;
-          alias =
-              record instanceof CNAMERecord other && type != Type.CNAME ? other.getTarget() : alias;
+          accepted.addRecord(record, Section.ANSWER);
+          if (record instanceof CNAMERecord cname && type != Type.CNAME) {
+            alias = cname.getTarget();
+          }
         }
       }
-      // An alias out of the zone is believed, what this server says of its target is not.
-      name = alias != null && alias.subdomain(zone) && !alias.equals(name) ? alias : null;
+      next =
+          Optional.ofNullable(alias)
+              .filter(target -> target.subdomain(zone) && !target.equals(current));
     }
-    boolean soa = false;
-    for (Record record : message.getSection(Section.AUTHORITY)) {
+  }
+
+  private static void acceptSoa(List<Record> authority, Name name, Name zone, Message accepted) {
+    for (Record record : authority) {
       if (record.getType() == Type.SOA
           && record.getName().subdomain(zone)
-          && asked.subdomain(record.getName())) {
-        kept.addRecord(record, Section.AUTHORITY);
-        soa = true;
+          && name.subdomain(record.getName())) {
+        accepted.addRecord(record, Section.AUTHORITY);
       }
     }
-    if (!found && !soa && rcode == Rcode.NOERROR) {
-      return new Unusable("neither records nor an SOA: a referral, or lame");
-    }
-    return new Accepted(kept);
   }
 
-  private static List<Record> records(List<Record> all, Name name) {
-    List<Record> of = new ArrayList<>();
-    for (Record record : all) {
+  private static List<Record> recordsAt(List<Record> records, Name name) {
+    List<Record> found = new ArrayList<>();
+    for (Record record : records) {
       if (record.getName().equals(name) && record.getDClass() == DClass.IN) {
-        of.add(record);
+        found.add(record);
       }
     }
-    return of;
+    return found;
   }
 }
--- a/router/src/main/java/tamarindroute/resolver/RetryBudget.java
+++ b/router/src/main/java/tamarindroute/resolver/RetryBudget.java
@@ -3,47 +3,47 @@
 import java.time.Duration;
 
 /**
- * Owns how many further attempts go out over all questions: a part of the first ones, so that when
- * all upstreams fail the load on them grows by that part and no more.
+ * Limits retries over all questions to a part of the first attempts, so that load grows only by
+ * that part when all upstreams fail.
  */
 public final class RetryBudget {
 
-  /**
-   * One further attempt for five first ones is what calm days need, with a loss of some in a
-   * hundred, tenfold.
-   */
+  /** Retries allowed per first attempt. */
   private static final double RETRIES_PER_FIRST_ATTEMPT = 0.2;
 
-  /** A quiet server may still try again some times. */
+  /** Retries allowed whatever the number of first attempts. */
   private static final double MIN_RETRIES = 3;
 
+  /** Time constant in seconds with which past attempts are forgotten. */
   private static final double DECAY_SECONDS = 10;
 
-  private double onFirstAttempt;
-  private double tryRetry;
+  private static final double SECONDS_PER_NANO = 1e-9;
+
+  private double firstAttempts;
+  private double retries;
   private double decayedAtSeconds;
 
   private void decay(Duration now) {
-    double seconds = now.toNanos() * 1e-9;
-    double kept = Math.exp(Math.min(0, decayedAtSeconds - seconds) / DECAY_SECONDS);
-    onFirstAttempt *= kept;
-    tryRetry *= kept;
+    double seconds = now.toNanos() * SECONDS_PER_NANO;
+    double remaining = Math.exp(Math.min(0, decayedAtSeconds - seconds) / DECAY_SECONDS);
+    firstAttempts *= remaining;
+    retries *= remaining;
     decayedAtSeconds = seconds;
   }
 
-  /** A first attempt goes out. */
+  /** Counts a first attempt. */
   public void onFirstAttempt(Duration now) {
     decay(now);
-    onFirstAttempt++;
+    firstAttempts++;
   }
 
-  /** Whether a further attempt may go out; where it may, it is counted. */
+  /** Returns whether a retry is allowed, and if so counts it. */
   public boolean tryRetry(Duration now) {
     decay(now);
-    if (tryRetry + 1 > MIN_RETRIES + RETRIES_PER_FIRST_ATTEMPT * onFirstAttempt) {
+    if (retries + 1 > MIN_RETRIES + RETRIES_PER_FIRST_ATTEMPT * firstAttempts) {
       return false;
     }
-    tryRetry++;
+    retries++;
     return true;
   }
 }
--- a/router/src/main/java/tamarindroute/resolver/UpstreamSelector.java
+++ b/router/src/main/java/tamarindroute/resolver/UpstreamSelector.java
@@ -5,72 +5,80 @@
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Stream;
 import java.util.zip.CRC32;
 
 /**
- * Owns the order in which a zone's upstreams are asked, judged by their outcomes: the expected time
- * to an answer, counting what a failure costs. It must never ask one beyond its limit in flight,
- * nor give one up for good.
+ * Selects the upstream to ask next by its expected time to an answer, with the cost of failures. No
+ * upstream gets more than a number of questions at once, and none is given up for good.
  */
 public final class UpstreamSelector {
 
-  /** Outcomes fade in this time, so that an upstream that came back is noticed. */
+  /** Time constant in seconds with which outcomes are forgotten. */
   private static final double DECAY_SECONDS = 20;
 
   /**
-   * What an upstream of which nothing is known is taken to need: a little, so that each is tried
-   * soon.
+   * Expected response time in seconds of an upstream without outcomes; short, so that it is tried.
    */
   private static final double INITIAL_RESPONSE_SECONDS = 0.02;
 
-  /**
-   * One question in so many goes first to another that was not asked lately, lest its judgement
-   * never change.
-   */
+  /** One question in this many goes to an upstream that was not asked recently. */
   private static final int EXPLORE_EVERY = 20;
 
   private static final double EXPLORE_AFTER_SECONDS = 5;
 
-  /**
-   * The least and most that one attempt waits: a way round the world twice, and what a client waits
-   * for.
-   */
+  /** Bounds of the timeout of an attempt. */
   private static final double MIN_TIMEOUT_SECONDS = 0.1;
 
   private static final double MAX_TIMEOUT_SECONDS = 1.5;
 
-  /** An answer this many usual times late is not coming; resolvers' common figure. */
+  /** Timeout of an attempt as a multiple of the usual response time. */
   private static final double TIMEOUT_FACTOR = 4;
 
-  /** One upstream, and what its outcomes say. */
+  /** Weight of a response time in the mean: a fast one shows that an upstream has recovered. */
+  private static final double FASTER_WEIGHT = 0.5;
+
+  private static final double SLOWER_WEIGHT = 0.2;
+
+  private static final double TIMEOUT_GROWTH = 1.5;
+  private static final double MIN_SUCCESS_RATE = 0.05;
+  private static final double NEVER_SECONDS = -1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** An upstream and what its outcomes say. */
   public static final class Upstream {
 
-    public final InetSocketAddress address;
+    private final InetSocketAddress address;
     private double responseSeconds = INITIAL_RESPONSE_SECONDS;
     private double successes;
     private double failures;
     private double decayedAtSeconds;
-    private double queriedAtSeconds = -1e9;
+    private double queriedAtSeconds = NEVER_SECONDS;
     private int inFlight;
 
     Upstream(InetSocketAddress address) {
       this.address = address;
     }
 
+    /** Returns the address of the upstream. */
+    public InetSocketAddress address() {
+      return address;
+    }
+
     private void decay(double now) {
-      double kept = Math.exp((decayedAtSeconds - now) / DECAY_SECONDS);
-      successes *= kept;
-      failures *= kept;
+      double remaining = Math.exp((decayedAtSeconds - now) / DECAY_SECONDS);
+      successes *= remaining;
+      failures *= remaining;
       decayedAtSeconds = now;
     }
 
-    /** The expected time to an answer: its own, and a wait in vain as often as it fails. */
+    /** Returns the expected time to an answer, in which each failure costs a timeout. */
     private double expectedSeconds(double now) {
       decay(now);
       double failing = failures / (successes + failures + 1);
-      return responseSeconds + failing / Math.max(0.05, 1 - failing) * MAX_TIMEOUT_SECONDS;
+      return responseSeconds + failing / Math.max(MIN_SUCCESS_RATE, 1 - failing) * MAX_TIMEOUT_SECONDS;
     }
   }
 
@@ -79,39 +87,38 @@
   private final long seed;
   private long drawCount;
 
-  public UpstreamSelector(List<InetSocketAddress> addresses, int mostInFlight, long seed) {
+  /** Creates a selector for upstreams without outcomes. */
+  public UpstreamSelector(List<InetSocketAddress> addresses, int maxInFlight, long seed) {
     this.upstreams = addresses.stream().map(Upstream::new).toList();
-    this.maxInFlight = mostInFlight;
+    this.maxInFlight = maxInFlight;
     this.seed = seed;
   }
 
-  private static double seconds(Duration span) {
-    return span.toNanos() * 1e-9;
+  private static double seconds(Duration duration) {
+    return duration.toNanos() * 1e-9;
   }
 
   /**
-   * Whom to ask next of those not asked for this question; null where all others have their limit
-   * in flight.
+   * Returns the upstream to ask next among those not yet tried; empty if all have the most
+   * questions in flight.
    */
-  public Upstream next(Set<Upstream> asked, Duration at) {
+  public Optional<Upstream> next(Set<Upstream> tried, Duration at) {
     double now = seconds(at);
     List<Upstream> free =
         upstreams.stream()
-            .filter(u -> !asked.contains(u) && u.inFlight < maxInFlight)
+            .filter(u -> !tried.contains(u) && u.inFlight < maxInFlight)
             .sorted(Comparator.comparingDouble(u -> u.expectedSeconds(now)))
             .toList();
     if (free.isEmpty()) {
-      return null;
+      return Optional.empty();
     }
-    if (asked.isEmpty() && nextRandom() < 1.0 / EXPLORE_EVERY) {
-      Upstream forgotten =
-          Stream.concat(free.stream().skip(1), free.stream().limit(1))
-              .filter(u -> now - u.queriedAtSeconds > EXPLORE_AFTER_SECONDS)
-              .findFirst()
-              .orElse(free.get(0));
-      return forgotten;
+    if (tried.isEmpty() && nextRandom() < 1.0 / EXPLORE_EVERY) {
+      return Stream.concat(free.stream().skip(1), free.stream().limit(1))
+          .filter(u -> now - u.queriedAtSeconds > EXPLORE_AFTER_SECONDS)
+          .findFirst()
+          .or(() -> Optional.of(free.get(0)));
     }
-    return free.get(0);
+    return Optional.of(free.get(0));
   }
 
   private double nextRandom() {
@@ -120,40 +127,40 @@
     return (crc.getValue() + 0.5) / 0x1p32;
   }
 
-  /** An attempt goes out; how long it waits. */
+  /** Records that an attempt is sent and returns its timeout. */
   public Duration sent(Upstream upstream, Duration now) {
     upstream.inFlight++;
     upstream.queriedAtSeconds = seconds(now);
-    double wait =
-        Math.max(
-            MIN_TIMEOUT_SECONDS,
-            Math.min(MAX_TIMEOUT_SECONDS, TIMEOUT_FACTOR * upstream.responseSeconds));
-    return Duration.ofNanos((long) (wait * 1e9));
+    double usual = TIMEOUT_FACTOR * upstream.responseSeconds;
+    double timeout = Math.max(MIN_TIMEOUT_SECONDS, Math.min(MAX_TIMEOUT_SECONDS, usual));
+    return Duration.ofNanos((long) (timeout * NANOS_PER_SECOND));
   }
 
-  /** It answered, after so long. */
-  public void answered(Upstream upstream, Duration took, Duration now) {
+  /** Records an answer and its response time. */
+  public void answered(Upstream upstream, Duration responseTime, Duration now) {
     finished(upstream, now);
     upstream.successes++;
-    double sample = Math.min(seconds(took), MAX_TIMEOUT_SECONDS);
-    // What silence had stretched comes down soon: with a fifth each, one that came back was shunned
-    // for minutes.
-    upstream.responseSeconds +=
-        (sample < upstream.responseSeconds ? 0.5 : 0.2) * (sample - upstream.responseSeconds);
+    double sample = Math.min(seconds(responseTime), MAX_TIMEOUT_SECONDS);
+    double weight = sample < upstream.responseSeconds ? FASTER_WEIGHT : SLOWER_WEIGHT;
+    upstream.responseSeconds += weight * (sample - upstream.responseSeconds);
   }
 
-  /** It did not answer, or with nothing that could be used; silence takes longer than a refusal. */
+  /**
+   * Records that there was no usable answer.
+   *
+   * @param silent whether the attempt timed out rather than was refused
+   */
   public void failed(Upstream upstream, boolean silent, Duration now) {
     finished(upstream, now);
     upstream.failures++;
-    // A wait that was too short grows, for an upstream that became slow must not look dead.
-    upstream.responseSeconds =
-        silent
-            ? Math.min(MAX_TIMEOUT_SECONDS, upstream.responseSeconds * 1.5)
-            : upstream.responseSeconds;
+    if (silent) {
+      // The timeout grows with it, so that an upstream that became slow does not seem dead.
+      upstream.responseSeconds =
+          Math.min(MAX_TIMEOUT_SECONDS, upstream.responseSeconds * TIMEOUT_GROWTH);
+    }
   }
 
-  /** It was given up for reasons of ours: nothing is known of it. */
+  /** Records that an attempt was cancelled, which says nothing about the upstream. */
   public void abandoned(Upstream upstream) {
     upstream.inFlight--;
   }
@@ -163,6 +170,7 @@
     upstream.decay(seconds(now));
   }
 
+  /** Returns all upstreams. */
   public List<Upstream> all() {
     return upstreams;
   }
--- a/router/src/main/java/tamarindroute/resolver/package-info.java
+++ b/router/src/main/java/tamarindroute/resolver/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Owns the asking of other name servers: whom to ask next and how long to wait, what further
- * attempts are allowed, which answers are believed, and how long they are kept. Forwarder alone
- * sends; the others decide without I/O or clocks. It must never believe an answer for more than the
- * question and the zone that it was asked for.
+ * Asks other name servers: selection of upstreams, timeouts and retries, validation of answers, and
+ * their cache. Only {@link tamarindroute.resolver.Forwarder} and its questions do I/O, on the event
+ * loop; the other classes are free of I/O and clocks.
+ *
+ * <p>{@code nameserver} uses this package for forwarded zones and for the feed's host name.
  */
 package tamarindroute.resolver;
--- a/router/src/test/java/tamarindroute/resolver/ResolverTest.java
+++ b/router/src/test/java/tamarindroute/resolver/ResolverTest.java
@@ -6,6 +6,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
+import java.util.Locale;
 import java.util.Random;
 import java.util.Set;
 import net.jqwik.api.ForAll;
@@ -55,7 +56,7 @@
   }
 
   @Test
-  void onlyAnswersToThisVeryQuestionAreBelieved() {
+  void onlyAnswersToTheQuestionAreAccepted() {
     Record good = record("a.north.example", "A", 60, "192.0.2.1");
     assertThat(read(answer(7, ASKED, good))).isInstanceOf(AnswerValidator.Accepted.class);
     assertThat(read(answer(8, ASKED, good))).as("id").isInstanceOf(AnswerValidator.Mismatch.class);
@@ -77,7 +78,7 @@
   }
 
   @Test
-  void recordsOutsideOfTheChainOrTheZoneAreLeftOut() {
+  void recordsOutsideOfTheAliasChainOrTheZoneAreDropped() {
     AnswerValidator.Accepted good =
         (AnswerValidator.Accepted)
             read(
@@ -90,18 +91,18 @@
                     record("bank.example", "A", 60, "203.0.113.66"),
                     record("z.north.example", "A", 60, "203.0.113.66")));
     assertThat(good.message().getSection(Section.ANSWER))
-        .extracting(r -> r.getName().toString().toLowerCase())
+        .extracting(r -> r.getName().toString().toLowerCase(Locale.ROOT))
         .containsExactly("a.north.example.", "b.north.example.");
   }
 
   @Property(seed = "19", tries = 2000)
-  void randomAnswersAreNeverTakenAndNeverThrow(@ForAll @Size(max = 600) byte[] bytes) {
+  void randomBytesAreNeverAcceptedAndNeverThrow(@ForAll @Size(max = 600) byte[] bytes) {
     assertThat(AnswerValidator.validate(bytes, 7, ASKED, Type.A, ZONE))
         .isNotInstanceOf(AnswerValidator.Accepted.class);
   }
 
   @Property(seed = "20", tries = 2000)
-  void mutilatedAnswersGiveOnlyRecordsOfTheName(@ForAll long seed) {
+  void mutatedAnswersGiveOnlyRecordsInTheZone(@ForAll long seed) {
     Random random = new Random(seed);
     byte[] bytes =
         answer(
@@ -121,33 +122,41 @@
   }
 
   @Test
-  void whatIsKeptAgesIsBoundedAndIsGivenOutStaleForItsTime() {
-    AnswerCache kept = new AnswerCache();
+  void cachedAnswersExpireAreBoundedAndServedStaleForATime() {
+    AnswerCache cache = new AnswerCache();
     AnswerCache.Question question = new AnswerCache.Question(ASKED, Type.A);
-    kept.put(question, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
-    assertThat(kept.fresh(question, at(20)).message().getSection(Section.ANSWER).get(0).getTTL())
+    cache.put(question, answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")), at(0));
+    assertThat(
+            cache
+                .fresh(question, at(20))
+                .orElseThrow()
+                .message()
+                .getSection(Section.ANSWER)
+                .get(0)
+                .getTTL())
         .isEqualTo(40);
-    assertThat(kept.fresh(question, at(60))).isNull();
-    AnswerCache.CachedAnswer stale = kept.stale(question, at(100), at(159));
+    assertThat(cache.fresh(question, at(60))).isEmpty();
+    AnswerCache.CachedAnswer stale = cache.stale(question, at(100), at(159)).orElseThrow();
     assertThat(stale.stale()).isTrue();
     assertThat(stale.message().getSection(Section.ANSWER).get(0).getTTL()).isEqualTo(30);
-    assertThat(kept.stale(question, at(100), at(160))).isNull();
+    assertThat(cache.stale(question, at(100), at(160))).isEmpty();
     Message no =
         answer(
             7,
             ASKED,
             record("north.example", "SOA", 900, "ns.north.example. h.north.example. 1 2 3 4 10"));
     no.getHeader().setRcode(Rcode.NXDOMAIN);
-    kept.put(question, no, at(200));
-    assertThat(kept.fresh(question, at(209)).message().getRcode()).isEqualTo(Rcode.NXDOMAIN);
-    assertThat(kept.fresh(question, at(211))).isNull();
+    cache.put(question, no, at(200));
+    assertThat(cache.fresh(question, at(209)).orElseThrow().message().getRcode())
+        .isEqualTo(Rcode.NXDOMAIN);
+    assertThat(cache.fresh(question, at(211))).isEmpty();
     for (int i = 0; i < 5000; i++) {
-      kept.put(
+      cache.put(
           new AnswerCache.Question(Forwarder.absoluteName("n" + i + ".north.example"), Type.A),
           answer(7, ASKED, record("a.north.example", "A", 60, "192.0.2.1")),
           at(300));
     }
-    assertThat(kept.size()).isEqualTo(2048);
+    assertThat(cache.size()).isEqualTo(2048);
   }
 
   private static InetSocketAddress upstream(int last) {
@@ -155,15 +164,15 @@
   }
 
   @Test
-  void theQuickAndSoundUpstreamGoesFirstAndOneThatCameBackIsFoundAgain() {
+  void fastHealthyUpstreamIsPreferredAndARecoveredOneIsNoticed() {
     UpstreamSelector upstreams = new UpstreamSelector(List.of(upstream(1), upstream(2)), 100, 1);
     int[] asked = new int[2];
     for (int i = 0; i < 2000; i++) {
       double now = i * 0.1;
       boolean dead = now < 60;
-      UpstreamSelector.Upstream one = upstreams.next(Set.of(), at(now));
-      int place = one.address.equals(upstream(1)) ? 0 : 1;
-      if (now >= 10 && now < 60 || now > 150) {
+      UpstreamSelector.Upstream one = upstreams.next(Set.of(), at(now)).orElseThrow();
+      int place = one.address().equals(upstream(1)) ? 0 : 1;
+      if ((now >= 10 && now < 60) || now > 150) {
         asked[now < 60 ? 0 : 1] += place == 0 ? 1 : 0;
       }
       upstreams.sent(one, at(now));
@@ -178,18 +187,18 @@
   }
 
   @Test
-  void anUpstreamHasItsLimitInFlight() {
+  void questionsInFlightAreLimitedByUpstream() {
     UpstreamSelector upstreams = new UpstreamSelector(List.of(upstream(1)), 3, 1);
     for (int i = 0; i < 3; i++) {
-      upstreams.sent(upstreams.next(Set.of(), at(0)), at(0));
+      upstreams.sent(upstreams.next(Set.of(), at(0)).orElseThrow(), at(0));
     }
-    assertThat(upstreams.next(Set.of(), at(0))).isNull();
+    assertThat(upstreams.next(Set.of(), at(0))).isEmpty();
     upstreams.abandoned(upstreams.all().get(0));
-    assertThat(upstreams.next(Set.of(), at(0))).isNotNull();
+    assertThat(upstreams.next(Set.of(), at(0))).isPresent();
   }
 
   @Test
-  void furtherAttemptsStayAPartOfTheFirst() {
+  void retriesStayAPartOfFirstAttempts() {
     RetryBudget budget = new RetryBudget();
     int further = 0;
     for (int i = 0; i < 10_000; i++) {
