--- a/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
@@ -282,7 +282,7 @@
     String instance = "settings=\"config.json\"";
     program.settings(instance, ZONE + steer(1).replace("shed-3", "shed-4") + FREE);
     program.signal("HUP");
-    program.logged("read again");
+    program.logged("settings reloaded");
     assertThat(Program.addresses(program.ask("shed-4.sheds.example", 1000))).hasSize(1);
     assertThat(program.ask("shed-3.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
     // The zone is sound, the locations are not: neither is taken.
@@ -291,7 +291,7 @@
         "$TTL 5\n@ IN SOA ns1 h ( 2 1 1 1 1 )\n IN NS ns1\nnew IN A 192.0.2.3\n");
     program.settings(instance, ZONE + steer(1).replace("place=\"shed\"", "place=\"moon\"") + FREE);
     program.signal("HUP");
-    program.logged("the old one holds");
+    program.logged("the previous settings stay in use");
     assertThat(program.log()).contains("moon");
     assertThat(program.ask("new.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
     assertThat(Program.addresses(program.ask("shed-4.sheds.example", 1000))).hasSize(1);
@@ -527,7 +527,7 @@
       }
       assertThat(ended).as("a client that reads nothing is closed").isTrue();
     }
-    program.logged("query-unread");
+    program.logged("responses-unread");
     assertThat(Program.addresses(program.ask("shed-3.sheds.example", 1000))).hasSize(1);
   }
 
--- a/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
+++ b/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
@@ -12,26 +12,24 @@
 import tamarindroute.dns.HealthCheckScheduler;
 import tamarindroute.host.EndpointRegistry;
 
-/**
- * The list as steering sees it: ids as labels, addresses, the feed's silence, what probes prove.
- */
+/** The registered endpoints as steering needs them, with their ids as labels of domain names. */
 final class EndpointDirectory implements CacheDirectory {
 
-  /** A label of a name is no longer. */
-  private static final int LONGEST_LABEL = 63;
+  /** Longest label of a domain name in octets (RFC 1035, 2.3.4). */
+  private static final int MAX_LABEL_LENGTH = 63;
 
   private final EndpointRegistry endpoints;
   private final HealthCheckScheduler healthChecks;
-  private final Map<Cache, CacheAddress> places = new HashMap<>();
+  private final Map<Cache, CacheAddress> addresses = new HashMap<>();
 
   EndpointDirectory(EndpointRegistry endpoints, HealthCheckScheduler healthChecks) {
     this.endpoints = endpoints;
     this.healthChecks = healthChecks;
   }
 
-  /** The list has changed: an address may have, too. */
-  void changed() {
-    places.clear();
+  /** Called when the list of caches has changed, and with it perhaps addresses. */
+  void onChange() {
+    addresses.clear();
     if (healthChecks != null) {
       healthChecks.onCacheList(endpoints.caches());
     }
@@ -44,18 +42,18 @@
 
   @Override
   public CacheAddress address(Cache cache) {
-    return places.computeIfAbsent(
+    return addresses.computeIfAbsent(
         cache,
-        c -> {
-          InetSocketAddress address = endpoints.address(c);
-          return new CacheAddress(label(endpoints.id(c)), address.getAddress(), address.getPort());
+        added -> {
+          InetSocketAddress address = endpoints.address(added);
+          return new CacheAddress(label(endpoints.id(added)), address.getAddress(), address.getPort());
         });
   }
 
-  /** An id as a label: what can't stand in one becomes a dash. */
+  /** Returns an id as a label: in lower case, with dashes for what a label cannot contain. */
   private static String label(String id) {
     String label = id.toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9-]", "-");
-    return label.length() > LONGEST_LABEL ? label.substring(0, LONGEST_LABEL) : label;
+    return label.length() > MAX_LABEL_LENGTH ? label.substring(0, MAX_LABEL_LENGTH) : label;
   }
 
   @Override
@@ -65,7 +63,8 @@
 
   @Override
   public Duration feedSilence(Duration now) {
-    return endpoints.lastFeedReadAt() == null ? now : now.minus(endpoints.lastFeedReadAt());
+    Duration lastReadAt = endpoints.lastFeedReadAt();
+    return lastReadAt == null ? now : now.minus(lastReadAt);
   }
 
   @Override
--- a/router/src/main/java/tamarindroute/nameserver/HealthChecker.java
+++ b/router/src/main/java/tamarindroute/nameserver/HealthChecker.java
@@ -17,62 +17,59 @@
 import tamarindroute.protocol.CacheResponse;
 import tamarindroute.protocol.MalformedMessageException;
 
-/**
- * Sends the probes that are due and tells the modules what they speak for. It must never choose
- * whom to probe, nor tell of a probe that did not leave.
- */
+/** Sends the health checks that are due and passes their results to the routing policies. */
 final class HealthChecker {
 
-  /** Probes that are due go out this often; their spread over time is the budget's. */
-  private static final Duration TICK = Duration.ofMillis(20);
+  private static final Duration INTERVAL = Duration.ofMillis(20);
 
   private final Scheduler scheduler;
   private final EndpointRegistry endpoints;
   private final HealthCheckScheduler healthChecks;
-  private final List<RoutingPolicy> modules;
-  private final Duration within;
-  private long tags;
+  private final List<RoutingPolicy> policies;
+  private final Duration timeout;
+  private long lastCheckId;
 
   HealthChecker(
       Scheduler scheduler,
       EndpointRegistry endpoints,
       HealthCheckScheduler healthChecks,
-      List<RoutingPolicy> modules,
-      Duration within) {
+      List<RoutingPolicy> policies,
+      Duration timeout) {
     this.scheduler = scheduler;
     this.endpoints = endpoints;
     this.healthChecks = healthChecks;
-    this.modules = modules;
-    this.within = within;
+    this.policies = policies;
+    this.timeout = timeout;
   }
 
-  void tick() {
-    healthChecks.takeDue(scheduler.now()).forEach(cache -> new Probe(cache).go());
-    scheduler.schedule(TICK, this::tick);
+  /** Sends the checks that are due and schedules the next run. */
+  void run() {
+    healthChecks.takeDue(scheduler.now()).forEach(cache -> new HealthCheck(cache).start());
+    scheduler.schedule(INTERVAL, this::run);
   }
 
-  private final class Probe implements ResponseHandler {
+  private final class HealthCheck implements ResponseHandler {
 
     private final Cache cache;
-    private Runnable timer = () -> {};
-    private Runnable quit = () -> {};
+    private Runnable cancelTimeout = () -> {};
+    private Runnable cancelRequest = () -> {};
     private CacheResponse response;
-    private boolean over;
+    private boolean ended;
 
-    Probe(Cache cache) {
+    HealthCheck(Cache cache) {
       this.cache = cache;
     }
 
-    void go() {
-      // The id of a probe is a number of its own; no view's id is so short.
-      quit = endpoints.connectionPool(cache).sendHealthCheck(Long.toString(++tags), this);
-      timer =
-          scheduler.schedule(
-              within,
-              () -> {
-                end(HealthCheckResult.TIMED_OUT);
-                quit.run();
-              });
+    void start() {
+      lastCheckId++;
+      cancelRequest =
+          endpoints.connectionPool(cache).sendHealthCheck(Long.toString(lastCheckId), this);
+      cancelTimeout = scheduler.schedule(timeout, this::onTimeout);
+    }
+
+    private void onTimeout() {
+      end(HealthCheckResult.TIMED_OUT);
+      cancelRequest.run();
     }
 
     @Override
@@ -87,8 +84,8 @@
     public void onComplete() {
       try {
         LoadReport loadReport = response.loadReport().orElse(null);
-        if (loadReport != null && !over) {
-          modules.forEach(module -> module.onLoadReport(cache, loadReport, scheduler.now()));
+        if (loadReport != null && !ended) {
+          policies.forEach(policy -> policy.onLoadReport(cache, loadReport, scheduler.now()));
         }
       } catch (MalformedMessageException e) {
         Log.info("cache-protocol-error", e.getMessage());
@@ -107,15 +104,16 @@
           });
     }
 
-    private void end(HealthCheckResult came) {
-      if (over) {
+    private void end(HealthCheckResult result) {
+      if (ended) {
         return;
       }
-      over = true;
-      timer.run();
-      for (HealthCheckScheduler.Report told : healthChecks.onResult(cache, came, scheduler.now())) {
-        modules.forEach(
-            module -> module.onHealthCheck(told.cache(), told.result(), scheduler.now()));
+      ended = true;
+      cancelTimeout.run();
+      for (HealthCheckScheduler.Report report :
+          healthChecks.onResult(cache, result, scheduler.now())) {
+        policies.forEach(
+            policy -> policy.onHealthCheck(report.cache(), report.result(), scheduler.now()));
       }
     }
   }
--- a/router/src/main/java/tamarindroute/nameserver/TcpQueryConnection.java
+++ b/router/src/main/java/tamarindroute/nameserver/TcpQueryConnection.java
@@ -5,6 +5,7 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.function.Consumer;
+import tamarindroute.dns.DnsSettings;
 import tamarindroute.dns.TcpMessageFramer;
 import tamarindroute.log.Log;
 import tamarindroute.net.CloseReason;
@@ -14,54 +15,60 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * One client's TCP connection: queries are taken as they come and answered in any order (RFC 7766).
- * It must never hold an answer back in a queue: what a client leaves unread would be out of date
- * when it reads it.
+ * A client's TCP connection. Queries are pipelined and answered in any order (RFC 7766). Responses
+ * are not queued for a client that does not read, as they would be outdated when it does.
  */
 final class TcpQueryConnection implements ConnectionHandler {
 
-  /** What takes a query; the answer comes once, null for none. */
-  interface Taker {
-    void taken(byte[] query, InetAddress from, Consumer<byte[]> answer);
+  /** Receives queries. */
+  interface QueryListener {
+
+    /**
+     * Handles a query.
+     *
+     * @param callback to be called once, with the response or with null for none
+     */
+    void onQuery(byte[] query, InetAddress sender, Consumer<byte[]> callback);
   }
 
-  /** A query's longest by RFC 1035 and what EDNS adds; nobody sends more. */
-  private static final int LONGEST = 1024;
+  /** Longest query in bytes. */
+  private static final int MAX_QUERY_LENGTH = 1024;
 
-  /**
-   * From a message's first byte to its last, and from the connection's start to its first message.
-   */
-  private static final Duration WHOLE = Duration.ofSeconds(2);
+  /** Time for a message from its first byte, and for the first message from the connection. */
+  private static final Duration MESSAGE_TIMEOUT = Duration.ofSeconds(2);
 
-  /**
-   * A drain holds within 500 ms for every answer given: what has not left after half of that never
-   * will.
-   */
-  private static final Duration UNREAD = Duration.ofMillis(250);
+  /** Half of the time within which answers must reflect a drain. */
+  private static final Duration UNREAD_TIMEOUT = Duration.ofMillis(250);
 
   private final Scheduler scheduler;
   private final Connection connection;
-  private InetAddress from;
-  private final Duration idle;
-  private final int most;
-  private final Taker taker;
-  private final TcpMessageFramer framer = new TcpMessageFramer(LONGEST);
-  private Duration usedAt;
-  private Runnable patience;
-  private Runnable unread;
-  private int open;
-  private boolean last;
-  private boolean over;
+  private final Duration idleTimeout;
+  private final int maxPipelinedQueries;
+  private final QueryListener listener;
+  private final TcpMessageFramer framer = new TcpMessageFramer(MAX_QUERY_LENGTH);
+  private InetAddress sender;
+  private Duration lastUsedAt;
+  private Runnable cancelTimeout;
+
+  /** Cancels the check for unread responses; null if none is scheduled. */
+  private Runnable cancelUnreadCheck;
+
+  private int openQueries;
+  private boolean inputClosed;
+  private boolean closed;
 
   TcpQueryConnection(
-      Scheduler scheduler, Connection connection, Duration idle, int most, Taker taker) {
+      Scheduler scheduler,
+      Connection connection,
+      DnsSettings.Limits limits,
+      QueryListener listener) {
     this.scheduler = scheduler;
     this.connection = connection;
-    this.idle = idle;
-    this.most = most;
-    this.taker = taker;
-    this.usedAt = scheduler.now();
-    this.patience = scheduler.schedule(WHOLE, this::waited);
+    this.idleTimeout = limits.idleTimeout();
+    this.maxPipelinedQueries = limits.maxPipelinedQueries();
+    this.listener = listener;
+    this.lastUsedAt = scheduler.now();
+    this.cancelTimeout = scheduler.schedule(MESSAGE_TIMEOUT, this::onTimeout);
   }
 
   @Override
@@ -70,14 +77,14 @@
     if (remote == null) {
       connection.close(CloseReason.CLOSED_LOCALLY, false);
     } else {
-      from = remote.getAddress();
+      sender = remote.getAddress();
     }
   }
 
-  /** The time for a whole message, or for the next one, is over. */
-  private void waited() {
-    if (open > 0) {
-      patience = scheduler.schedule(WHOLE, this::waited);
+  /** Called when no complete message arrived in time. */
+  private void onTimeout() {
+    if (openQueries > 0) {
+      cancelTimeout = scheduler.schedule(MESSAGE_TIMEOUT, this::onTimeout);
     } else {
       connection.close(CloseReason.CLOSED_LOCALLY, true);
     }
@@ -86,93 +93,102 @@
   @Override
   public void onReceived(ByteBuffer bytes) {
     try {
-      while (!connection.paused()) {
-        byte[] query = last ? null : framer.nextMessage(bytes);
-        if (query == null) {
-          break;
-        }
-        open++;
-        if (open >= most) {
-          connection.pause();
-        }
-        taker.taken(query, from, this::answer);
-      }
+      readQueries(bytes);
     } catch (MalformedMessageException e) {
-      Log.info("query-unreadable", e.getMessage());
+      Log.info("query-malformed", e.getMessage());
       connection.close(CloseReason.PROTOCOL_ERROR, false);
       return;
     }
-    if (last) {
+    if (inputClosed) {
       bytes.position(bytes.limit());
     }
-    if (!over) {
-      patience.run();
-      patience = scheduler.schedule(framer.isBetweenMessages() ? idle : WHOLE, this::waited);
+    if (!closed) {
+      cancelTimeout.run();
+      Duration timeout = framer.isBetweenMessages() ? idleTimeout : MESSAGE_TIMEOUT;
+      cancelTimeout = scheduler.schedule(timeout, this::onTimeout);
     }
   }
 
-  private void answer(byte[] bytes) {
-    open--;
-    usedAt = scheduler.now();
-    if (over) {
+  /** Reads queries until input is missing or enough are in flight. */
+  private void readQueries(ByteBuffer bytes) throws MalformedMessageException {
+    while (!connection.paused() && !inputClosed) {
+      byte[] query = framer.nextMessage(bytes);
+      if (query == null) {
+        return;
+      }
+      openQueries++;
+      if (openQueries >= maxPipelinedQueries) {
+        connection.pause();
+      }
+      listener.onQuery(query, sender, this::onResponse);
+    }
+  }
+
+  private void onResponse(byte[] response) {
+    openQueries--;
+    lastUsedAt = scheduler.now();
+    if (closed) {
       return;
     }
-    if (bytes != null) {
-      connection.write(TcpMessageFramer.frame(bytes));
-      if (unread == null) {
-        look();
+    if (response != null) {
+      connection.write(TcpMessageFramer.frame(response));
+      if (cancelUnreadCheck == null) {
+        scheduleUnreadCheck();
       }
     }
-    if (connection.paused() && open < most) {
+    if (connection.paused() && openQueries < maxPipelinedQueries) {
       connection.resume();
     }
     closeIfDone();
   }
 
-  /** Looks after a while whether what is written up to now has left. */
-  private void look() {
-    long mark = connection.bytesWritten();
-    unread =
+  private void scheduleUnreadCheck() {
+    long written = connection.bytesWritten();
+    cancelUnreadCheck =
         scheduler.schedule(
-            UNREAD,
+            UNREAD_TIMEOUT,
             () -> {
-              unread = null;
-              if (over) {
-                return;
-              }
-              if (!connection.isSent(mark)) {
-                Log.info(
-                    "query-unread", connection.unsentBytes() + " bytes of answers left unread");
-                connection.close(CloseReason.CLOSED_LOCALLY, false);
-              } else if (connection.unsentBytes() > 0) {
-                look();
-              }
+              cancelUnreadCheck = null;
+              checkUnread(written);
             });
   }
 
+  /** Closes the connection if bytes that were written before the last check are still unsent. */
+  private void checkUnread(long written) {
+    if (closed) {
+      return;
+    }
+    if (!connection.isSent(written)) {
+      Log.info("responses-unread", connection.unsentBytes() + " bytes of responses left unread");
+      connection.close(CloseReason.CLOSED_LOCALLY, false);
+    } else if (connection.unsentBytes() > 0) {
+      scheduleUnreadCheck();
+    }
+  }
+
   @Override
   public Duration idleSince() {
-    return open > 0 ? null : usedAt;
+    return openQueries > 0 ? null : lastUsedAt;
   }
 
   @Override
   public void onInputClosed() {
-    last = true;
+    inputClosed = true;
     closeIfDone();
   }
 
   private void closeIfDone() {
-    if (last && open == 0) {
+    if (inputClosed && openQueries == 0) {
       connection.close(CloseReason.CLOSED_LOCALLY, true);
     }
   }
 
   @Override
   public void onClosed(CloseReason closeReason) {
-    over = true;
-    patience.run();
-    if (unread != null) {
-      unread.run();
+    closed = true;
+    cancelTimeout.run();
+    if (cancelUnreadCheck != null) {
+      cancelUnreadCheck.run();
     }
   }
 }
--- a/router/src/main/java/tamarindroute/nameserver/package-info.java
+++ b/router/src/main/java/tamarindroute/nameserver/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Owns the DNS front on sockets: taking queries in, probing the caches, handing on what is
- * another's, reading the settings again. It must never decide who is answered (package dns) or whom
- * to ask (package resolver), and never let one client's bytes cost another's query.
+ * The name server on sockets: UDP and TCP queries, health checks of caches, reload of settings, and
+ * the location of the control feed.
+ *
+ * <p>{@code dns} decides on answers, {@code resolver} asks other name servers, {@code host} runs
+ * the control feed and the connections to caches, {@code config} reads the settings.
  */
 package tamarindroute.nameserver;
--- a/router/src/main/java/tamarindroute/resolver/UpstreamSelector.java
+++ b/router/src/main/java/tamarindroute/resolver/UpstreamSelector.java
@@ -78,7 +78,8 @@
     private double expectedSeconds(double now) {
       decay(now);
       double failing = failures / (successes + failures + 1);
-      return responseSeconds + failing / Math.max(MIN_SUCCESS_RATE, 1 - failing) * MAX_TIMEOUT_SECONDS;
+      return responseSeconds
+          + failing / Math.max(MIN_SUCCESS_RATE, 1 - failing) * MAX_TIMEOUT_SECONDS;
     }
   }
 
