--- a/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
+++ b/router/src/main/java/tamarindroute/nameserver/EndpointDirectory.java
@@ -46,7 +46,8 @@
         cache,
         added -> {
           InetSocketAddress address = endpoints.address(added);
-          return new CacheAddress(label(endpoints.id(added)), address.getAddress(), address.getPort());
+          return new CacheAddress(
+              label(endpoints.id(added)), address.getAddress(), address.getPort());
         });
   }
 
--- /dev/null
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpWireFormatTest.java
@@ -0,0 +1,60 @@
+package tamarindroute.vrrp;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.net.InetAddress;
+import java.time.Duration;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import tamarindroute.protocol.MalformedMessageException;
+import tamarindroute.protocol.MessageAuthenticator;
+
+/** Pins the bytes of advertisements, grant messages and sealed datagrams. */
+class VrrpWireFormatTest {
+
+  private static final HexFormat HEX = HexFormat.of();
+
+  private static Advertisement advertisement(String shared) throws Exception {
+    return new Advertisement(
+        7, 120, Duration.ofMillis(1000), List.of(InetAddress.getByName(shared)));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "192.0.2.1, 192.0.2.2, 192.0.2.100, 3107780100640faec0000264",
+    "2001:db8::1, 2001:db8::2, 2001:db8::100, 310778010064cbdc20010db8000000000000000000000100"
+  })
+  void advertisement(String from, String to, String shared, String hex) throws Exception {
+    byte[] bytes =
+        advertisement(shared).write(InetAddress.getByName(from), InetAddress.getByName(to));
+    assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "ASKED, 47000900000e100102030405060708",
+    "GRANTED, 47010900000e100102030405060708",
+    "DENIED, 47020900000e100102030405060708",
+    "RETURNED, 47030900000e100102030405060708"
+  })
+  void grantMessage(Ballot.Kind type, String hex) throws MalformedMessageException {
+    Ballot message = new Ballot(type, 9, Duration.ofMillis(3600), 0x0102030405060708L);
+    assertThat(HEX.formatHex(message.write())).isEqualTo(hex);
+    assertThat(Ballot.read(HEX.parseHex(hex))).isEqualTo(message);
+  }
+
+  @Test
+  void sealedGrantMessage() {
+    MessageAuthenticator authenticator =
+        new MessageAuthenticator(Map.of(1, new byte[] {1, 2, 3, 4}), 1);
+    byte[] message =
+        new Ballot(Ballot.Kind.ASKED, 9, Duration.ofMillis(3600), 0x0102030405060708L).write();
+    assertThat(HEX.formatHex(authenticator.seal(message, 5, 6)))
+        .isEqualTo(
+            "010000000000000005000000000000000647000900000e100102030405060708f047a9dff4745f1cdb8e853ee53bfc3cda3406315bba4437cc27e59dce43a03f");
+  }
+}
