--- a/bench/tamarindroute/bench/StandbyBench.java
+++ b/bench/tamarindroute/bench/StandbyBench.java
@@ -17,7 +17,7 @@
 import org.HdrHistogram.Histogram;
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.DatagramTransport;
-import tamarindroute.standby.Endpoint;
+import tamarindroute.standby.VrrpEndpoint;
 import tamarindroute.vrrp.Election;
 
 /**
@@ -53,20 +53,21 @@
       CountDownLatch started = new CountDownLatch(1);
       eventLoop.execute(
           () -> {
-            Endpoint endpoint = new Endpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
+            VrrpEndpoint endpoint =
+                new VrrpEndpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
             endpoint.add(
                 1,
                 priority,
                 List.of(SHARED),
-                new Election.Settings(Endpoint.order(own), interval, true, Duration.ZERO),
-                new Endpoint.Holder() {
+                new Election.Settings(VrrpEndpoint.tieBreaker(own), interval, true, Duration.ZERO),
+                new VrrpEndpoint.AddressHolder() {
                   @Override
-                  public void take() {
+                  public void onTaken() {
                     took.set(System.nanoTime());
                   }
 
                   @Override
-                  public void drop(Election.Why why) {
+                  public void onReleased(Election.ReleaseReason why) {
                     took.set(0);
                   }
                 });
@@ -149,7 +150,7 @@
     PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparing(Due::at));
     for (int i = 0; i < 2; i++) {
       states.add(Election.initial(priorities[i], settings.get(i)));
-      queue.add(new Due(Duration.ZERO, i, new Election.Start()));
+      queue.add(new Due(Duration.ZERO, i, new Election.Startup()));
     }
     Duration end = interval.multipliedBy(intervals);
     int falseTakeOvers = 0;
@@ -160,7 +161,8 @@
       Due next = queue.poll();
       Election.State before = states.get(next.to);
       if (next.event instanceof Election.Tick
-          && (Election.due(before) == null || Election.due(before).compareTo(next.at) > 0)) {
+          && (Election.nextDeadline(before) == null
+              || Election.nextDeadline(before).compareTo(next.at) > 0)) {
         continue;
       }
       Election.Step step = Election.next(before, next.event, next.at, settings.get(next.to));
@@ -172,15 +174,16 @@
         falseTakeOvers++;
       }
       for (Election.Action action : step.actions()) {
-        if (action instanceof Election.Advertise advertise && random.nextDouble() >= loss) {
+        if (action instanceof Election.SendAdvertisement advertise && random.nextDouble() >= loss) {
           queue.add(
               new Due(
                   next.at.plus(way),
                   1 - next.to,
-                  new Election.Heard(advertise.priority(), settings.get(next.to).own(), interval)));
+                  new Election.AdvertisementReceived(
+                      advertise.priority(), settings.get(next.to).tieBreaker(), interval)));
         }
       }
-      Duration due = Election.due(step.state());
+      Duration due = Election.nextDeadline(step.state());
       if (due != null) {
         queue.add(
             new Due(
--- a/router/src/main/java/tamarindroute/standby/Endpoint.java
+++ b/router/src/main/java/tamarindroute/standby/VrrpEndpoint.java
@@ -16,8 +16,8 @@
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.MessageAuthenticator;
 import tamarindroute.vrrp.Advertisement;
-import tamarindroute.vrrp.Ballot;
 import tamarindroute.vrrp.Election;
+import tamarindroute.vrrp.GrantMessage;
 import tamarindroute.vrrp.Quorum;
 
 /**
@@ -26,33 +26,33 @@
  * sense is dropped with a log line. The addresses in the pseudo header are those of the UDP
  * addresses.
  */
-public final class Endpoint {
+public final class VrrpEndpoint {
 
   /** Who holds a virtual router's address; on the owner's thread. */
-  public interface Holder {
+  public interface AddressHolder {
 
     /** Bind, announce, serve. */
-    void take();
+    void onTaken();
 
     /** Unbind; what is open gets the answer that it still may. */
-    void drop(Election.Why why);
+    void onReleased(Election.ReleaseReason why);
   }
 
   private final Scheduler scheduler;
   private final DatagramTransport datagrams;
   private final InetSocketAddress own;
   private final List<InetSocketAddress> peers;
-  private final Post post;
-  private final Map<Integer, Router> routers = new HashMap<>();
+  private final SealedDatagrams channel;
+  private final Map<Integer, VirtualRouter> routers = new HashMap<>();
   private final List<InetSocketAddress> voters = new ArrayList<>();
-  private Duration span;
-  private Booth booth;
+  private Duration grantSpan;
+  private GrantService grantService;
 
   /**
    * Without a seal the plain form of the standard is sent and taken; run is larger at each start of
    * this gateway.
    */
-  public Endpoint(
+  public VrrpEndpoint(
       Scheduler scheduler,
       DatagramTransport datagrams,
       InetSocketAddress own,
@@ -63,7 +63,7 @@
     this.datagrams = datagrams;
     this.own = own;
     this.peers = List.copyOf(peers);
-    this.post = new Post(datagrams, own, seal, run);
+    this.channel = new SealedDatagrams(datagrams, own, seal, run);
   }
 
   /**
@@ -71,22 +71,22 @@
    * these, witnesses among them, and this gateway itself. Needs a seal. The span is the same at
    * all; three intervals are a lease's.
    */
-  public void askVoters(List<InetSocketAddress> others, Duration each) {
-    if (!post.sealed()) {
+  public void requireVoters(List<InetSocketAddress> others, Duration each) {
+    if (!channel.isSealed()) {
       throw new IllegalArgumentException("voters need a seal");
     }
     voters.addAll(others);
-    span = each;
+    grantSpan = each;
   }
 
   /** Adds a virtual router, not yet started. */
-  public Router add(
+  public VirtualRouter add(
       int virtualId,
       int priority,
       List<InetAddress> addresses,
       Election.Settings settings,
-      Holder holder) {
-    Router router = new Router(virtualId, priority, addresses, settings, holder);
+      AddressHolder holder) {
+    VirtualRouter router = new VirtualRouter(virtualId, priority, addresses, settings, holder);
     if (routers.putIfAbsent(virtualId, router) != null) {
       throw new IllegalArgumentException("the virtual router " + virtualId + " is there twice");
     }
@@ -95,21 +95,21 @@
 
   /** Listens, then starts all routers; on the owner's thread. */
   public void start() throws IOException {
-    booth = span == null ? null : new Booth(routers.keySet(), span);
-    datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
-    routers.values().forEach(router -> router.event(new Election.Start()));
+    grantService = grantSpan == null ? null : new GrantService(routers.keySet(), grantSpan);
+    datagrams.listen(own, (bytes, from, at, answer) -> onDatagram(bytes, from));
+    routers.values().forEach(router -> router.handle(new Election.Startup()));
   }
 
   /** Stops all routers in order: peers hear of it and need not wait. */
   public void stop() {
-    routers.values().forEach(router -> router.event(new Election.Stop()));
+    routers.values().forEach(router -> router.handle(new Election.Shutdown()));
   }
 
   /**
    * A gateway's address as a number of which the higher wins a tie; unsigned bytes in their order,
    * then the port.
    */
-  public static long order(InetSocketAddress address) {
+  public static long tieBreaker(InetSocketAddress address) {
     byte[] bytes = address.getAddress().getAddress();
     // The last six bytes tell peers of one network apart, in IPv6 too.
     long order = 0;
@@ -119,22 +119,22 @@
     return order << 16 | address.getPort();
   }
 
-  private void taken(byte[] bytes, InetSocketAddress from) {
+  private void onDatagram(byte[] bytes, InetSocketAddress from) {
     if (!peers.contains(from) && !voters.contains(from)) {
       Log.infoWithFields("vrrp-stranger", "an advertisement from no peer", "from", from);
       return;
     }
     try {
-      byte[] message = post.open(bytes, from);
-      if (post.sealed() && Ballot.is(message)) {
-        ballot(Ballot.read(message), from);
+      byte[] message = channel.open(bytes, from);
+      if (channel.isSealed() && GrantMessage.isGrantMessage(message)) {
+        ballot(GrantMessage.decode(message), from);
         return;
       }
       if (!peers.contains(from)) {
         throw new MalformedMessageException("an advertisement from a voter that is no peer");
       }
-      Advertisement told = Advertisement.read(message, from.getAddress(), own.getAddress());
-      Router router = routers.get(told.virtualId());
+      Advertisement told = Advertisement.decode(message, from.getAddress(), own.getAddress());
+      VirtualRouter router = routers.get(told.virtualId());
       if (router == null || !router.addresses.equals(told.addresses())) {
         throw new MalformedMessageException(
             "virtual router "
@@ -143,54 +143,57 @@
                 + told.addresses()
                 + " is not one of ours");
       }
-      router.event(new Election.Heard(told.priority(), order(from), told.interval()));
+      router.handle(
+          new Election.AdvertisementReceived(told.priority(), tieBreaker(from), told.interval()));
     } catch (MalformedMessageException e) {
       Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
     }
   }
 
-  private void ballot(Ballot ballot, InetSocketAddress from) throws MalformedMessageException {
-    if (booth == null) {
+  private void ballot(GrantMessage message, InetSocketAddress from)
+      throws MalformedMessageException {
+    if (grantService == null) {
       throw new MalformedMessageException("a ballot, and there are no voters here");
     }
-    if (ballot.kind() == Ballot.Kind.ASKED || ballot.kind() == Ballot.Kind.RETURNED) {
-      Ballot answer = booth.taken(ballot, from);
+    if (message.type() == GrantMessage.MessageType.REQUEST
+        || message.type() == GrantMessage.MessageType.RELEASE) {
+      GrantMessage answer = grantService.onMessage(message, from);
       if (answer != null) {
         send(from, answer);
       }
-    } else if (ballot.kind() == Ballot.Kind.GRANTED
-        && routers.containsKey(ballot.virtualId())
-        && ballot.span().equals(span)
+    } else if (message.type() == GrantMessage.MessageType.GRANTED
+        && routers.containsKey(message.virtualId())
+        && message.span().equals(grantSpan)
         && voters.contains(from)) {
       routers
-          .get(ballot.virtualId())
-          .granted(1 + voters.indexOf(from), Duration.ofNanos(ballot.mark()));
+          .get(message.virtualId())
+          .onGranted(1 + voters.indexOf(from), Duration.ofNanos(message.requestToken()));
     }
   }
 
-  private void send(InetSocketAddress to, Ballot ballot) {
-    post.send(to, ballot.write());
+  private void send(InetSocketAddress to, GrantMessage message) {
+    channel.send(to, message.encode());
   }
 
   /** One virtual router. */
-  public final class Router {
+  public final class VirtualRouter {
 
     private final int virtualId;
     private final List<InetAddress> addresses;
     private final Election.Settings settings;
-    private final Holder holder;
+    private final AddressHolder holder;
     private Election.State state;
     private Runnable timer = () -> {};
     private Runnable quorumTimer = () -> {};
     private Quorum quorum;
-    private boolean taken;
+    private boolean addressTaken;
 
-    private Router(
+    private VirtualRouter(
         int virtualId,
         int priority,
         List<InetAddress> addresses,
         Election.Settings settings,
-        Holder holder) {
+        AddressHolder holder) {
       this.virtualId = virtualId;
       this.addresses = List.copyOf(addresses);
       this.settings = settings;
@@ -202,69 +205,71 @@
      * Whether this gateway may act for the address now; asked before each taking in and each write.
      */
     public boolean mayAct() {
-      if (!taken) {
+      if (!addressTaken) {
         return false;
       }
       if (!Election.mayAct(state, MonotonicClock.now())) {
         // It was stopped: all is put in order before whoever asked goes on.
-        event(new Election.Tick());
+        handle(new Election.Tick());
       }
-      settle();
-      return taken;
+      updateAddress();
+      return addressTaken;
     }
 
     /** Takes the address when all that it needs is there, and drops it when any of it is gone. */
-    private void settle() {
+    private void updateAddress() {
       boolean may =
           Election.mayAct(state, MonotonicClock.now())
-              && (quorum == null || quorum.holds(MonotonicClock.now()));
-      if (may && !taken) {
-        taken = true;
+              && (quorum == null || quorum.isHeld(MonotonicClock.now()));
+      if (may && !addressTaken) {
+        addressTaken = true;
         Log.infoWithFields("vrrp-taken", "the address is ours", "router", virtualId);
-        holder.take();
-      } else if (!may && taken) {
-        drop(Election.Why.LEASE_OVER);
+        holder.onTaken();
+      } else if (!may && addressTaken) {
+        drop(Election.ReleaseReason.LEASE_EXPIRED);
       }
     }
 
-    private void drop(Election.Why why) {
-      taken = false;
+    private void drop(Election.ReleaseReason why) {
+      addressTaken = false;
       Log.infoWithFields(
           "vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
-      holder.drop(why);
+      holder.onReleased(why);
     }
 
     /** The grants asked for at this time; the answers come, or do not. */
-    private void askVoters() {
+    private void requestGrants() {
       Duration now = MonotonicClock.now();
-      quorum = quorum == null ? Quorum.none(voters.size() + 1) : quorum;
-      Ballot ask = new Ballot(Ballot.Kind.ASKED, virtualId, span, now.toNanos());
-      Ballot mine = booth.taken(ask, own);
-      if (mine != null && mine.kind() == Ballot.Kind.GRANTED) {
-        granted(0, now);
+      quorum = quorum == null ? Quorum.withoutGrants(voters.size() + 1) : quorum;
+      GrantMessage ask =
+          new GrantMessage(GrantMessage.MessageType.REQUEST, virtualId, grantSpan, now.toNanos());
+      GrantMessage mine = grantService.onMessage(ask, own);
+      if (mine != null && mine.type() == GrantMessage.MessageType.GRANTED) {
+        onGranted(0, now);
       }
       voters.forEach(voter -> send(voter, ask));
     }
 
-    private void granted(int voter, Duration asked) {
+    private void onGranted(int voter, Duration asked) {
       // A time that is none of ours would let a grant count for ever.
       if (state.role() == Election.Role.ACTIVE
           && quorum != null
           && asked.compareTo(MonotonicClock.now()) <= 0) {
-        quorum = quorum.granted(voter, asked, span);
-        settle();
+        quorum = quorum.granted(voter, asked, grantSpan);
+        updateAddress();
         quorumTimer.run();
-        quorumTimer = scheduler.schedule(span, this::settle);
+        quorumTimer = scheduler.schedule(grantSpan, this::updateAddress);
       }
     }
 
     /** What was granted is given back, so that the next one need not wait for its end. */
-    private void giveBack() {
-      if (booth != null) {
-        Ballot back = new Ballot(Ballot.Kind.RETURNED, virtualId, span, 0);
-        booth.taken(back, own);
+    private void releaseGrants() {
+      if (grantService != null) {
+        GrantMessage back =
+            new GrantMessage(GrantMessage.MessageType.RELEASE, virtualId, grantSpan, 0);
+        grantService.onMessage(back, own);
         voters.forEach(voter -> send(voter, back));
-        quorum = Quorum.none(voters.size() + 1);
+        quorum = Quorum.withoutGrants(voters.size() + 1);
       }
     }
 
@@ -273,21 +278,21 @@
     }
 
     /** How good a candidate this gateway is has changed. */
-    public void priority(int now) {
+    public void setPriority(int now) {
       if (now != state.priority()) {
         Log.infoWithFields(
             "vrrp-priority", "changed", "router", virtualId, "from", state.priority(), "to", now);
-        event(new Election.Changed(now));
+        handle(new Election.PriorityChanged(now));
       }
     }
 
     /** Gives the address up in order and waits as any other from then on. */
     public void resign() {
-      event(new Election.Stop());
-      event(new Election.Start());
+      handle(new Election.Shutdown());
+      handle(new Election.Startup());
     }
 
-    private void event(Election.Event event) {
+    private void handle(Election.Event event) {
       Election.Role before = state.role();
       Duration now = MonotonicClock.now();
       Election.Step step = Election.next(state, event, now, settings);
@@ -306,31 +311,31 @@
             state.priority());
       }
       timer.run();
-      Duration due = Election.due(state);
+      Duration due = Election.nextDeadline(state);
       if (due != null) {
-        timer = scheduler.schedule(due.minus(now), () -> event(new Election.Tick()));
+        timer = scheduler.schedule(due.minus(now), () -> handle(new Election.Tick()));
       }
       for (Election.Action action : step.actions()) {
-        if (action instanceof Election.Advertise advertise) {
+        if (action instanceof Election.SendAdvertisement advertise) {
           advertise(advertise.priority());
-          if (booth != null && advertise.priority() != Advertisement.STOPS) {
-            askVoters();
+          if (grantService != null && advertise.priority() != Advertisement.RESIGN_PRIORITY) {
+            requestGrants();
           }
-        } else if (action instanceof Election.Drop drop) {
-          if (taken) {
-            drop(drop.why());
+        } else if (action instanceof Election.ReleaseAddress release) {
+          if (addressTaken) {
+            drop(release.reason());
           }
-          giveBack();
+          releaseGrants();
         }
       }
-      settle();
+      updateAddress();
     }
 
     private void advertise(int priority) {
       Advertisement advertisement =
           new Advertisement(virtualId, priority, settings.interval(), addresses);
       for (InetSocketAddress peer : peers) {
-        post.send(peer, advertisement.write(own.getAddress(), peer.getAddress()));
+        channel.send(peer, advertisement.encode(own.getAddress(), peer.getAddress()));
       }
     }
   }
--- a/router/src/main/java/tamarindroute/standby/Witness.java
+++ b/router/src/main/java/tamarindroute/standby/Witness.java
@@ -9,7 +9,7 @@
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.MessageAuthenticator;
-import tamarindroute.vrrp.Ballot;
+import tamarindroute.vrrp.GrantMessage;
 
 /**
  * A third voter that carries nothing: it answers known candidates' sealed requests, and is never
@@ -20,8 +20,8 @@
   private final DatagramTransport datagrams;
   private final InetSocketAddress own;
   private final List<InetSocketAddress> candidates;
-  private final Post post;
-  private final Booth booth;
+  private final SealedDatagrams channel;
+  private final GrantService grantService;
 
   public Witness(
       DatagramTransport datagrams,
@@ -34,22 +34,23 @@
     this.datagrams = datagrams;
     this.own = own;
     this.candidates = List.copyOf(candidates);
-    this.post = new Post(datagrams, own, seal, run);
-    this.booth = new Booth(virtualIds, span);
+    this.channel = new SealedDatagrams(datagrams, own, seal, run);
+    this.grantService = new GrantService(virtualIds, span);
   }
 
   public void start() throws IOException {
-    datagrams.listen(own, (bytes, from, at, answer) -> taken(bytes, from));
+    datagrams.listen(own, (bytes, from, at, answer) -> onDatagram(bytes, from));
   }
 
-  private void taken(byte[] bytes, InetSocketAddress from) {
+  private void onDatagram(byte[] bytes, InetSocketAddress from) {
     try {
       if (!candidates.contains(from)) {
         throw new MalformedMessageException("no candidate");
       }
-      Ballot answer = booth.taken(Ballot.read(post.open(bytes, from)), from);
+      GrantMessage answer =
+          grantService.onMessage(GrantMessage.decode(channel.open(bytes, from)), from);
       if (answer != null) {
-        post.send(from, answer.write());
+        channel.send(from, answer.encode());
       }
     } catch (MalformedMessageException e) {
       Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
--- a/router/src/main/java/tamarindroute/vrrp/Advertisement.java
+++ b/router/src/main/java/tamarindroute/vrrp/Advertisement.java
@@ -18,18 +18,18 @@
     int virtualId, int priority, Duration interval, List<InetAddress> addresses) {
 
   /** The priority of whoever owns the address, and the one that says that its holder stops. */
-  public static final int OWNER = 255;
+  public static final int OWNER_PRIORITY = 255;
 
-  public static final int STOPS = 0;
+  public static final int RESIGN_PRIORITY = 0;
 
   private static final int VERSION_AND_TYPE = 0x31;
-  private static final int HEADER = 8;
-  private static final int PROTOCOL = 112;
+  private static final int HEADER_LENGTH = 8;
+  private static final int IP_PROTOCOL = 112;
 
   /** Twelve bits of centiseconds. */
-  private static final int LONGEST_CENTIS = 0xFFF;
+  private static final int MAX_INTERVAL_CENTISECONDS = 0xFFF;
 
-  private static final int MOST_ADDRESSES = 255;
+  private static final int MAX_ADDRESSES = 255;
 
   public Advertisement {
     List<InetAddress> all = List.copyOf(addresses);
@@ -40,19 +40,19 @@
         || priority < 0
         || priority > 255
         || centis < 1
-        || centis > LONGEST_CENTIS
+        || centis > MAX_INTERVAL_CENTISECONDS
         || interval.toMillis() % 10 != 0
         || addresses.isEmpty()
-        || addresses.size() > MOST_ADDRESSES
+        || addresses.size() > MAX_ADDRESSES
         || all.stream().anyMatch(a -> a.getClass() != all.get(0).getClass())) {
       throw new IllegalArgumentException("no advertisement of version 3");
     }
   }
 
   /** As it goes from one address to another of the same family. */
-  public byte[] write(InetAddress from, InetAddress to) {
+  public byte[] encode(InetAddress from, InetAddress to) {
     int size = addresses.get(0).getAddress().length;
-    ByteBuffer bytes = ByteBuffer.allocate(HEADER + size * addresses.size());
+    ByteBuffer bytes = ByteBuffer.allocate(HEADER_LENGTH + size * addresses.size());
     bytes
         .put((byte) VERSION_AND_TYPE)
         .put((byte) virtualId)
@@ -66,14 +66,16 @@
   }
 
   /** Reads one whole, as it came from one address to another; anything else of it is refused. */
-  public static Advertisement read(byte[] bytes, InetAddress from, InetAddress to)
+  public static Advertisement decode(byte[] bytes, InetAddress from, InetAddress to)
       throws MalformedMessageException {
-    if (bytes.length < HEADER || (bytes[0] & 0xFF) != VERSION_AND_TYPE) {
+    if (bytes.length < HEADER_LENGTH || (bytes[0] & 0xFF) != VERSION_AND_TYPE) {
       throw new MalformedMessageException("no advertisement of version 3");
     }
     int size = from.getAddress().length;
     int count = bytes[3] & 0xFF;
-    if (to.getAddress().length != size || count == 0 || bytes.length != HEADER + size * count) {
+    if (to.getAddress().length != size
+        || count == 0
+        || bytes.length != HEADER_LENGTH + size * count) {
       throw new MalformedMessageException(bytes.length + " bytes with " + count + " addresses");
     }
     if (checksum(bytes, from, to) != 0) {
@@ -86,7 +88,7 @@
     List<InetAddress> addresses = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       byte[] address = new byte[size];
-      System.arraycopy(bytes, HEADER + i * size, address, 0, size);
+      System.arraycopy(bytes, HEADER_LENGTH + i * size, address, 0, size);
       try {
         addresses.add(InetAddress.getByAddress(address));
       } catch (UnknownHostException e) {
@@ -105,7 +107,7 @@
    * The Internet checksum over the pseudo header and the message; 0 over one that holds its own.
    */
   private static int checksum(byte[] message, InetAddress from, InetAddress to) {
-    long sum = PROTOCOL + message.length;
+    long sum = IP_PROTOCOL + message.length;
     for (byte[] part : new byte[][] {from.getAddress(), to.getAddress(), message}) {
       for (int i = 0; i < part.length; i++) {
         sum += (i & 1) == 0 ? (part[i] & 0xFF) << 8 : part[i] & 0xFF;
--- a/router/src/main/java/tamarindroute/vrrp/Election.java
+++ b/router/src/main/java/tamarindroute/vrrp/Election.java
@@ -16,9 +16,9 @@
 public final class Election {
 
   /** RFC 9568, 6.1: an active router is missed after so many intervals and the skew. */
-  private static final int MISSED = 3;
+  private static final int MISSED_INTERVALS = 3;
 
-  private static final int PRIORITIES = 256;
+  private static final int PRIORITY_COUNT = 256;
 
   public enum Role {
     INITIALIZE,
@@ -29,63 +29,67 @@
   /**
    * What a virtual router is told.
    *
-   * @param own this gateway's address as a number, by which ties are broken: the higher one wins
+   * @param tieBreaker this gateway's address as a number, by which ties are broken: the higher one
+   *     wins
    * @param preemptDelay how long a better candidate watches a worse active one before it takes over
    */
-  public record Settings(long own, Duration interval, boolean preempt, Duration preemptDelay) {}
+  public record Settings(
+      long tieBreaker, Duration interval, boolean preempt, Duration preemptDelay) {}
 
   /**
    * Where a virtual router is. Times are of the monotonic clock; null for none.
    *
-   * @param heardInterval the active one's interval, as its advertisements tell it
-   * @param downAt when the active one will be missed
+   * @param activeInterval the active one's interval, as its advertisements tell it
+   * @param activeDownAt when the active one will be missed
    * @param advertiseAt when the next advertisement is due
    * @param leaseUntil until when this one may act
-   * @param betterSince since when a worse one has been heard active, while this one may preempt
-   * @param ranAt when an event was last taken: a long gap means that the process was stopped
+   * @param preemptableSince since when a worse one has been heard active, while this one may
+   *     preempt
+   * @param lastEventAt when an event was last taken: a long gap means that the process was stopped
    */
   public record State(
       Role role,
       int priority,
-      Duration heardInterval,
-      Duration downAt,
+      Duration activeInterval,
+      Duration activeDownAt,
       Duration advertiseAt,
       Duration leaseUntil,
-      Duration betterSince,
-      Duration ranAt) {}
+      Duration preemptableSince,
+      Duration lastEventAt) {}
 
   public sealed interface Event {}
 
   /** It begins; with the owner's priority it is active at once. */
-  public record Start() implements Event {}
+  public record Startup() implements Event {}
 
   /** It stops in order, or resigns for now. */
-  public record Stop() implements Event {}
+  public record Shutdown() implements Event {}
 
   /** Time has passed. */
   public record Tick() implements Event {}
 
   /** An advertisement that was read, proven and meant for this virtual router. */
-  public record Heard(int priority, long sender, Duration interval) implements Event {}
+  public record AdvertisementReceived(int priority, long sender, Duration interval)
+      implements Event {}
 
   /** How good a candidate this one is has changed. */
-  public record Changed(int priority) implements Event {}
+  public record PriorityChanged(int priority) implements Event {}
 
   public sealed interface Action {}
 
   /** Send an advertisement of this priority, now. */
-  public record Advertise(int priority) implements Action {}
+  public record SendAdvertisement(int priority) implements Action {}
 
   /** Bind the address, announce it and serve. */
-  public record Take() implements Action {}
+  public record TakeAddress() implements Action {}
 
   /** Unbind the address; answer what is open by what it still may. */
-  public record Drop(Why why) implements Action {}
+  public record ReleaseAddress(ReleaseReason reason) implements Action {}
 
-  public enum Why {
+  public enum ReleaseReason {
     STOPPED,
-    BETTER_ONE,
-    LEASE_OVER
+    HIGHER_PRIORITY,
+    LEASE_EXPIRED
   }
 
   /** The next state, and what is to be done, in this order. */
@@ -104,103 +108,105 @@
   }
 
   /** When something is due though nothing is heard; null for never. */
-  public static Duration due(State state) {
+  public static Duration nextDeadline(State state) {
     return switch (state.role) {
       case INITIALIZE -> null;
       case BACKUP -> {
-        Duration look = state.ranAt.plus(state.heardInterval.dividedBy(2));
-        yield state.downAt.compareTo(look) < 0 ? state.downAt : look;
+        Duration look = state.lastEventAt.plus(state.activeInterval.dividedBy(2));
+        yield state.activeDownAt.compareTo(look) < 0 ? state.activeDownAt : look;
       }
       case ACTIVE ->
           state.advertiseAt.compareTo(state.leaseUntil) < 0 ? state.advertiseAt : state.leaseUntil;
     };
   }
 
-  static Duration skew(int priority, Duration interval) {
-    return interval.multipliedBy(PRIORITIES - priority).dividedBy(PRIORITIES);
+  static Duration skewTime(int priority, Duration interval) {
+    return interval.multipliedBy(PRIORITY_COUNT - priority).dividedBy(PRIORITY_COUNT);
   }
 
-  private static Duration missedAfter(int priority, Duration interval) {
-    return interval.multipliedBy(MISSED).plus(skew(priority, interval));
+  private static Duration activeDownInterval(int priority, Duration interval) {
+    return interval.multipliedBy(MISSED_INTERVALS).plus(skewTime(priority, interval));
   }
 
   public static Step next(State state, Event event, Duration now, Settings settings) {
     // Whatever wakes an active one whose lease is over finds that first: it may have been stopped
     // for long.
     if (state.role == Role.ACTIVE && now.compareTo(state.leaseUntil) >= 0) {
-      State back = backup(state, settings.interval(), now);
-      List<Action> dropped = List.of(new Drop(Why.LEASE_OVER));
+      State back = toBackup(state, settings.interval(), now);
+      List<Action> dropped = List.of(new ReleaseAddress(ReleaseReason.LEASE_EXPIRED));
       Step after =
           event instanceof Tick ? new Step(back, List.of()) : next(back, event, now, settings);
-      return new Step(after.state, join(dropped, after.actions));
+      return new Step(after.state, concat(dropped, after.actions));
     }
-    if (event instanceof Start) {
+    if (event instanceof Startup) {
       return state.role != Role.INITIALIZE
           ? new Step(state, List.of())
-          : state.priority == Advertisement.OWNER
-              ? activate(state, now, settings)
-              : new Step(backup(state, settings.interval(), now), List.of());
+          : state.priority == Advertisement.OWNER_PRIORITY
+              ? toActive(state, now, settings)
+              : new Step(toBackup(state, settings.interval(), now), List.of());
     }
-    if (event instanceof Stop) {
+    if (event instanceof Shutdown) {
       List<Action> actions =
           state.role == Role.ACTIVE
-              ? List.of(new Drop(Why.STOPPED), new Advertise(Advertisement.STOPS))
+              ? List.of(
+                  new ReleaseAddress(ReleaseReason.STOPPED),
+                  new SendAdvertisement(Advertisement.RESIGN_PRIORITY))
               : List.of();
       return new Step(initial(state.priority, settings), actions);
     }
-    if (event instanceof Changed changed) {
+    if (event instanceof PriorityChanged changed) {
       // A waiting one's timer is not set anew: its next advertisement heard does that by the new
       // priority.
       return new Step(
           new State(
               state.role,
               changed.priority,
-              state.heardInterval,
-              state.downAt,
+              state.activeInterval,
+              state.activeDownAt,
               state.advertiseAt,
               state.leaseUntil,
-              state.betterSince,
+              state.preemptableSince,
               now),
           List.of());
     }
     return switch (state.role) {
       case INITIALIZE -> new Step(state, List.of());
       case BACKUP ->
-          event instanceof Heard heard
-              ? heardAsBackup(state, heard, now, settings)
+          event instanceof AdvertisementReceived advertisement
+              ? receiveAsBackup(state, advertisement, now, settings)
               : tickAsBackup(state, now, settings);
       case ACTIVE ->
-          event instanceof Heard heard
-              ? heardAsActive(state, heard, now, settings)
+          event instanceof AdvertisementReceived advertisement
+              ? receiveAsActive(state, advertisement, now, settings)
               : now.compareTo(state.advertiseAt) >= 0
                   ? advertise(state, now, settings)
                   : new Step(state, List.of());
     };
   }
 
-  private static <T> List<T> join(List<T> first, List<T> second) {
+  private static <T> List<T> concat(List<T> first, List<T> second) {
     return java.util.stream.Stream.concat(first.stream(), second.stream()).toList();
   }
 
-  private static State backup(State state, Duration interval, Duration now) {
+  private static State toBackup(State state, Duration interval, Duration now) {
     return new State(
         Role.BACKUP,
         state.priority,
         interval,
-        now.plus(missedAfter(state.priority, interval)),
+        now.plus(activeDownInterval(state.priority, interval)),
         null,
         null,
         null,
         now);
   }
 
-  private static Step activate(State state, Duration now, Settings settings) {
+  private static Step toActive(State state, Duration now, Settings settings) {
     Step step = advertise(state, now, settings);
-    return new Step(step.state, join(step.actions, List.of(new Take())));
+    return new Step(step.state, concat(step.actions, List.of(new TakeAddress())));
   }
 
   private static Step advertise(State state, Duration now, Settings settings) {
-    Duration lease = now.plus(settings.interval().multipliedBy(MISSED));
+    Duration lease = now.plus(settings.interval().multipliedBy(MISSED_INTERVALS));
     return new Step(
         new State(
             Role.ACTIVE,
@@ -211,7 +217,7 @@
             lease,
             null,
             now),
-        List.of(new Advertise(state.priority)));
+        List.of(new SendAdvertisement(state.priority)));
   }
 
   /**
@@ -219,49 +225,51 @@
    * and must not take them for missing: it listens for one interval more.
    */
   private static Step tickAsBackup(State state, Duration now, Settings settings) {
-    boolean stopped = now.minus(state.ranAt).compareTo(state.heardInterval) > 0;
-    if (now.compareTo(state.downAt) >= 0 && !stopped) {
-      return activate(state, now, settings);
+    boolean stopped = now.minus(state.lastEventAt).compareTo(state.activeInterval) > 0;
+    if (now.compareTo(state.activeDownAt) >= 0 && !stopped) {
+      return toActive(state, now, settings);
     }
-    Duration listening = now.plus(state.heardInterval);
-    Duration downAt = stopped && state.downAt.compareTo(listening) < 0 ? listening : state.downAt;
+    Duration listening = now.plus(state.activeInterval);
+    Duration downAt =
+        stopped && state.activeDownAt.compareTo(listening) < 0 ? listening : state.activeDownAt;
     return new Step(
         new State(
             Role.BACKUP,
             state.priority,
-            state.heardInterval,
+            state.activeInterval,
             downAt,
             null,
             null,
-            state.betterSince,
+            state.preemptableSince,
             now),
         List.of());
   }
 
-  private static Step heardAsBackup(State state, Heard heard, Duration now, Settings settings) {
-    if (heard.priority == Advertisement.STOPS) {
+  private static Step receiveAsBackup(
+      State state, AdvertisementReceived advertisement, Duration now, Settings settings) {
+    if (advertisement.priority == Advertisement.RESIGN_PRIORITY) {
       // It has stopped: only the skew is waited, so that the best of several comes first.
-      Duration soon = now.plus(skew(state.priority, state.heardInterval));
-      Duration at = state.downAt.compareTo(soon) < 0 ? state.downAt : soon;
+      Duration soon = now.plus(skewTime(state.priority, state.activeInterval));
+      Duration at = state.activeDownAt.compareTo(soon) < 0 ? state.activeDownAt : soon;
       return new Step(
-          new State(Role.BACKUP, state.priority, state.heardInterval, at, null, null, null, now),
+          new State(Role.BACKUP, state.priority, state.activeInterval, at, null, null, null, now),
           List.of());
     }
-    boolean worse = heard.priority < state.priority;
+    boolean worse = advertisement.priority < state.priority;
     if (!settings.preempt() || !worse) {
-      return new Step(backup(state, heard.interval, now), List.of());
+      return new Step(toBackup(state, advertisement.interval, now), List.of());
     }
-    Duration since = state.betterSince == null ? now : state.betterSince;
+    Duration since = state.preemptableSince == null ? now : state.preemptableSince;
     if (now.minus(since).compareTo(settings.preemptDelay()) >= 0) {
-      return activate(state, now, settings);
+      return toActive(state, now, settings);
     }
-    State watching = backup(state, heard.interval, now);
+    State watching = toBackup(state, advertisement.interval, now);
     return new Step(
         new State(
             Role.BACKUP,
             watching.priority,
-            watching.heardInterval,
-            watching.downAt,
+            watching.activeInterval,
+            watching.activeDownAt,
             null,
             null,
             since,
@@ -269,19 +277,23 @@
         List.of());
   }
 
-  private static Step heardAsActive(State state, Heard heard, Duration now, Settings settings) {
-    if (heard.priority == Advertisement.STOPS) {
+  private static Step receiveAsActive(
+      State state, AdvertisementReceived advertisement, Duration now, Settings settings) {
+    if (advertisement.priority == Advertisement.RESIGN_PRIORITY) {
       return advertise(state, now, settings);
     }
     boolean better =
-        heard.priority > state.priority
-            || heard.priority == state.priority && heard.sender > settings.own();
+        advertisement.priority > state.priority
+            || advertisement.priority == state.priority
+                && advertisement.sender > settings.tieBreaker();
     if (better) {
-      return new Step(backup(state, heard.interval, now), List.of(new Drop(Why.BETTER_ONE)));
+      return new Step(
+          toBackup(state, advertisement.interval, now),
+          List.of(new ReleaseAddress(ReleaseReason.HIGHER_PRIORITY)));
     }
     // RFC 9568, 6.4.3: the worse one is told at once, so that both are active for one way and no
     // longer.
-    return heard.sender == settings.own()
+    return advertisement.sender == settings.tieBreaker()
         ? new Step(state, List.of())
         : advertise(state, now, settings);
   }
--- a/router/src/main/java/tamarindroute/vrrp/Quorum.java
+++ b/router/src/main/java/tamarindroute/vrrp/Quorum.java
@@ -9,15 +9,15 @@
  * voters have granted it and none of those grants is over. Immutable.
  *
  * @param voters all voters, the candidate among them
- * @param until until when each voter's grant counts, by the voter's number
+ * @param validUntilByVoter until when each voter's grant counts, by the voter's number
  */
-public record Quorum(int voters, Map<Integer, Duration> until) {
+public record Quorum(int voters, Map<Integer, Duration> validUntilByVoter) {
 
   public Quorum {
-    until = Map.copyOf(until);
+    validUntilByVoter = Map.copyOf(validUntilByVoter);
   }
 
-  public static Quorum none(int voters) {
+  public static Quorum withoutGrants(int voters) {
     return new Quorum(voters, Map.of());
   }
 
@@ -26,13 +26,14 @@
    * nothing.
    */
   public Quorum granted(int voter, Duration asked, Duration span) {
-    Duration counts = Grants.countsUntil(asked, span);
-    Map<Integer, Duration> more = new HashMap<>(until);
+    Duration counts = VoterGrant.validUntil(asked, span);
+    Map<Integer, Duration> more = new HashMap<>(validUntilByVoter);
     more.merge(voter, counts, (one, other) -> one.compareTo(other) > 0 ? one : other);
     return new Quorum(voters, more);
   }
 
-  public boolean holds(Duration now) {
-    return until.values().stream().filter(end -> now.compareTo(end) < 0).count() > voters / 2;
+  public boolean isHeld(Duration now) {
+    return validUntilByVoter.values().stream().filter(end -> now.compareTo(end) < 0).count()
+        > voters / 2;
   }
 }
--- a/router/src/main/java/tamarindroute/vrrp/Grants.java
+++ b/router/src/main/java/tamarindroute/vrrp/VoterGrant.java
@@ -9,34 +9,36 @@
  * voters is then never active beside another, under any partition, as long as clocks run alike to
  * one part in a hundred. Immutable.
  */
-public record Grants(long holder, Duration until) {
+public record VoterGrant(long holder, Duration until) {
 
   /** A candidate gives up this part of its span for clocks that do not run alike. */
-  private static final long DRIFT = 100;
+  private static final long CLOCK_DRIFT_DIVISOR = 100;
 
   /**
    * Nobody holds it; a voter that has started anew waits a whole span first, for it may have
    * granted before.
    */
-  public static Grants started(Duration span, Duration now) {
-    return new Grants(Long.MIN_VALUE, now.plus(span));
+  public static VoterGrant started(Duration span, Duration now) {
+    return new VoterGrant(Long.MIN_VALUE, now.plus(span));
   }
 
   /** What follows on a request, and whether it is granted. */
-  public record Answer(Grants grants, boolean granted) {}
+  public record Response(VoterGrant grant, boolean granted) {}
 
-  public Answer asked(long candidate, Duration span, Duration now) {
+  public Response request(long candidate, Duration span, Duration now) {
     boolean free = candidate == holder || now.compareTo(until) >= 0;
-    return free ? new Answer(new Grants(candidate, now.plus(span)), true) : new Answer(this, false);
+    return free
+        ? new Response(new VoterGrant(candidate, now.plus(span)), true)
+        : new Response(this, false);
   }
 
   /** Given back before its time, by its holder. */
-  public Grants returned(long candidate, Duration now) {
-    return candidate == holder ? new Grants(holder, now) : this;
+  public VoterGrant release(long candidate, Duration now) {
+    return candidate == holder ? new VoterGrant(holder, now) : this;
   }
 
   /** Until when a candidate may count on a grant that it asked for at this time. */
-  public static Duration countsUntil(Duration asked, Duration span) {
-    return asked.plus(span).minus(span.dividedBy(DRIFT));
+  public static Duration validUntil(Duration asked, Duration span) {
+    return asked.plus(span).minus(span.dividedBy(CLOCK_DRIFT_DIVISOR));
   }
 }
--- a/router/src/test/java/tamarindroute/standby/EndpointTest.java
+++ b/router/src/test/java/tamarindroute/standby/VrrpEndpointTest.java
@@ -25,7 +25,7 @@
 
 /** Two and three gateways' elections over UDP on loopback, each with a thread of its own. */
 @Timeout(60)
-class EndpointTest {
+class VrrpEndpointTest {
 
   /**
    * Long enough that a busy machine's pauses take nobody for dead; an address is missed after 3.6
@@ -40,8 +40,8 @@
     final EventLoop eventLoop = new EventLoop();
     final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final List<String> done = java.util.Collections.synchronizedList(new ArrayList<>());
-    Endpoint endpoint;
-    Endpoint.Router router;
+    VrrpEndpoint endpoint;
+    VrrpEndpoint.VirtualRouter router;
 
     void start(
         InetSocketAddress own,
@@ -51,26 +51,27 @@
         throws Exception {
       onOwner(
           () -> {
-            endpoint = new Endpoint(eventLoop, datagrams, own, peers, seal, System.nanoTime());
+            endpoint = new VrrpEndpoint(eventLoop, datagrams, own, peers, seal, System.nanoTime());
             router =
                 endpoint.add(
                     9,
                     priority,
                     List.of(InetAddress.getByName("127.0.9.9")),
-                    new Election.Settings(Endpoint.order(own), INTERVAL, true, Duration.ZERO),
-                    new Endpoint.Holder() {
+                    new Election.Settings(
+                        VrrpEndpoint.tieBreaker(own), INTERVAL, true, Duration.ZERO),
+                    new VrrpEndpoint.AddressHolder() {
                       @Override
-                      public void take() {
+                      public void onTaken() {
                         done.add("take");
                       }
 
                       @Override
-                      public void drop(Election.Why why) {
+                      public void onReleased(Election.ReleaseReason why) {
                         done.add("drop " + why);
                       }
                     });
             if (!voters.isEmpty()) {
-              endpoint.askVoters(voters, INTERVAL.multipliedBy(3));
+              endpoint.requireVoters(voters, INTERVAL.multipliedBy(3));
             }
             endpoint.start();
             return null;
@@ -259,7 +260,7 @@
         assertThat(System.nanoTime()).isLessThan(end);
       }
       assertThat(best.active()).isFalse();
-      assertThat(best.done).contains("drop LEASE_OVER");
+      assertThat(best.done).contains("drop LEASE_EXPIRED");
       first.mend();
       between.mend();
       await(() -> best.active() && !next.active());
@@ -313,7 +314,9 @@
     Gateway one = gateway(0, 100, seal());
     Gateway other = gateway(1, 100, seal());
     Gateway higher =
-        Endpoint.order(addresses.get(0)) > Endpoint.order(addresses.get(1)) ? one : other;
+        VrrpEndpoint.tieBreaker(addresses.get(0)) > VrrpEndpoint.tieBreaker(addresses.get(1))
+            ? one
+            : other;
     Gateway lower = higher == one ? other : one;
     await(() -> one.active() || other.active());
     TimeUnit.MILLISECONDS.sleep(300);
@@ -347,7 +350,7 @@
     await(second::active);
     assertThat(over.await(5, TimeUnit.SECONDS)).isTrue();
     assertThat(may).containsExactly(true, false);
-    assertThat(first.done).contains("drop LEASE_OVER");
+    assertThat(first.done).contains("drop LEASE_EXPIRED");
     await(() -> first.active() && !second.active());
   }
 
@@ -359,7 +362,7 @@
     byte[] better =
         new tamarindroute.vrrp.Advertisement(
                 9, 255, INTERVAL, List.of(InetAddress.getByName("127.0.9.9")))
-            .write(addresses.get(1).getAddress(), addresses.get(0).getAddress());
+            .encode(addresses.get(1).getAddress(), addresses.get(0).getAddress());
     try (DatagramSocket peer = new DatagramSocket(addresses.get(1));
         DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
       for (int i = 0; i < 300; i++) {
@@ -395,14 +398,14 @@
     await(first::active);
     first.onOwner(
         () -> {
-          first.router.priority(10);
+          first.router.setPriority(10);
           first.router.resign();
           return null;
         });
     await(() -> second.active() && !first.active());
     first.onOwner(
         () -> {
-          first.router.priority(150);
+          first.router.setPriority(150);
           return null;
         });
     await(() -> first.active() && !second.active());
--- a/router/src/test/java/tamarindroute/vrrp/ModelCheck.java
+++ b/router/src/test/java/tamarindroute/vrrp/ModelCheck.java
@@ -167,7 +167,7 @@
     return event(
         with(world, place, new Node(initial, false, false), world.left),
         place,
-        new Election.Start());
+        new Election.Startup());
   }
 
   private static World with(World world, int place, Node node, Budget left) {
@@ -262,9 +262,9 @@
     return event(
         world,
         message.to,
-        new Election.Heard(
+        new Election.AdvertisementReceived(
             message.priority,
-            settings.get(message.from).own(),
+            settings.get(message.from).tieBreaker(),
             settings.get(message.from).interval()));
   }
 
@@ -273,7 +273,7 @@
         machine.next(world.nodes.get(place).state, event, NOW, settings.get(place));
     World next = with(world, place, new Node(step.state(), false, false), world.left);
     for (Election.Action action : step.actions()) {
-      if (action instanceof Election.Advertise advertise) {
+      if (action instanceof Election.SendAdvertisement advertise) {
         for (int to = 0; to < settings.size(); to++) {
           if (to != place) {
             next = flying(next, new Message(to, place, advertise.priority(), 0), next.left);
@@ -305,7 +305,7 @@
     World world = new World(nodes, flying, delivered.left, acting > 1 ? before.overlap + 1 : 0);
     for (int i = 0; i < nodes.size(); i++) {
       Node node = world.nodes.get(i);
-      Duration due = node.stopped || node.dead ? null : Election.due(node.state);
+      Duration due = node.stopped || node.dead ? null : Election.nextDeadline(node.state);
       if (due != null && due.compareTo(NOW) <= 0) {
         world = event(world, i, new Election.Tick());
       }
@@ -317,7 +317,7 @@
     return new Election.State(
         Election.Role.INITIALIZE,
         state.priority(),
-        state.heardInterval(),
+        state.activeInterval(),
         null,
         null,
         null,
@@ -330,12 +330,12 @@
     return new Election.State(
         s.role(),
         s.priority(),
-        s.heardInterval(),
-        shift(s.downAt()),
+        s.activeInterval(),
+        shift(s.activeDownAt()),
         shift(s.advertiseAt()),
         shift(s.leaseUntil()),
-        shift(s.betterSince()),
-        shift(s.ranAt()));
+        shift(s.preemptableSince()),
+        shift(s.lastEventAt()));
   }
 
   private static Duration shift(Duration time) {
--- a/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
@@ -43,10 +43,10 @@
       throws MalformedMessageException {
     Advertisement told =
         new Advertisement(7, 120, Duration.ofMillis(1000), List.of(address(shared), address(from)));
-    byte[] bytes = told.write(address(from), address(to));
-    assertThat(Advertisement.read(bytes, address(from), address(to))).isEqualTo(told);
+    byte[] bytes = told.encode(address(from), address(to));
+    assertThat(Advertisement.decode(bytes, address(from), address(to))).isEqualTo(told);
     assertThat(bytes[0]).isEqualTo((byte) 0x31);
-    assertThatThrownBy(() -> Advertisement.read(bytes, address(shared), address(to)))
+    assertThatThrownBy(() -> Advertisement.decode(bytes, address(shared), address(to)))
         .as("the pseudo header")
         .isInstanceOf(MalformedMessageException.class);
   }
@@ -55,8 +55,8 @@
   void randomBytesAreNoAdvertisements(@ForAll @Size(max = 100) byte[] bytes) {
     // Only the checksum stands between luck and belief: one in 65,536 of what has the form.
     try {
-      Advertisement read = Advertisement.read(bytes, address("192.0.2.1"), address("192.0.2.2"));
-      assertThat(read.write(address("192.0.2.1"), address("192.0.2.2"))).hasSameSizeAs(bytes);
+      Advertisement read = Advertisement.decode(bytes, address("192.0.2.1"), address("192.0.2.2"));
+      assertThat(read.encode(address("192.0.2.1"), address("192.0.2.2"))).hasSameSizeAs(bytes);
     } catch (MalformedMessageException e) {
       assertThat(e).hasMessageNotContaining("Exception");
     }
@@ -67,11 +67,11 @@
     Random random = new Random(seed);
     byte[] bytes =
         new Advertisement(1, 100, INTERVAL, List.of(address("192.0.2.9")))
-            .write(address("192.0.2.1"), address("192.0.2.2"));
+            .encode(address("192.0.2.1"), address("192.0.2.2"));
     byte[] flipped = bytes.clone();
     flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
     assertThatThrownBy(
-            () -> Advertisement.read(flipped, address("192.0.2.1"), address("192.0.2.2")))
+            () -> Advertisement.decode(flipped, address("192.0.2.1"), address("192.0.2.2")))
         .isInstanceOf(MalformedMessageException.class);
     MessageAuthenticator seal = new MessageAuthenticator(Map.of(1, new byte[] {1, 2, 3}), 1);
     byte[] sealed = seal.seal(bytes, 5, 9);
@@ -110,27 +110,34 @@
 
   @Test
   void worthFallsAtOnceAndRisesOnlyWhenItHasHeld() {
-    Candidacy candidacy = Candidacy.of(100);
-    Candidacy.Facts well = new Candidacy.Facts(true, true, 1);
+    EffectivePriority candidacy = EffectivePriority.of(100);
+    EffectivePriority.TrackedState well = new EffectivePriority.TrackedState(true, true, 1);
     candidacy = candidacy.with(well, Duration.ZERO).with(well, Duration.ofSeconds(9));
-    assertThat(candidacy.now()).isEqualTo(1);
+    assertThat(candidacy.current()).isEqualTo(1);
     candidacy = candidacy.with(well, Duration.ofSeconds(10));
-    assertThat(candidacy.now()).isEqualTo(100);
-    Candidacy cold =
-        Candidacy.of(200)
-            .with(new Candidacy.Facts(true, false, 1), Duration.ZERO)
-            .with(new Candidacy.Facts(true, false, 1), Duration.ofSeconds(60));
-    assertThat(cold.now()).as("a cold standby, whatever it was told").isLessThan(candidacy.now());
-    candidacy = candidacy.with(new Candidacy.Facts(true, true, 0.5), Duration.ofSeconds(11));
-    assertThat(candidacy.now()).isEqualTo(50);
+    assertThat(candidacy.current()).isEqualTo(100);
+    EffectivePriority cold =
+        EffectivePriority.of(200)
+            .with(new EffectivePriority.TrackedState(true, false, 1), Duration.ZERO)
+            .with(new EffectivePriority.TrackedState(true, false, 1), Duration.ofSeconds(60));
+    assertThat(cold.current())
+        .as("a cold standby, whatever it was told")
+        .isLessThan(candidacy.current());
+    candidacy =
+        candidacy.with(new EffectivePriority.TrackedState(true, true, 0.5), Duration.ofSeconds(11));
+    assertThat(candidacy.current()).isEqualTo(50);
     for (int i = 0; i < 100; i++) {
       // A fact that comes and goes each second never raises it.
       candidacy =
           candidacy.with(
-              i % 2 == 0 ? well : new Candidacy.Facts(true, true, 0.5), Duration.ofSeconds(12 + i));
-      assertThat(candidacy.now()).isEqualTo(50);
+              i % 2 == 0 ? well : new EffectivePriority.TrackedState(true, true, 0.5),
+              Duration.ofSeconds(12 + i));
+      assertThat(candidacy.current()).isEqualTo(50);
     }
-    assertThat(candidacy.with(new Candidacy.Facts(false, true, 1), Duration.ofSeconds(200)).now())
+    assertThat(
+            candidacy
+                .with(new EffectivePriority.TrackedState(false, true, 1), Duration.ofSeconds(200))
+                .current())
         .isEqualTo(1);
   }
 
@@ -138,8 +145,8 @@
   void twoOfThreeVotersNeverLetTwoCountOnThem(@ForAll long seed) {
     Random random = new Random(seed);
     Duration span = Duration.ofMillis(100);
-    Grants[] voters = new Grants[3];
-    java.util.Arrays.fill(voters, Grants.started(span, Duration.ofMillis(-200)));
+    VoterGrant[] voters = new VoterGrant[3];
+    java.util.Arrays.fill(voters, VoterGrant.started(span, Duration.ofMillis(-200)));
     Duration[][] counts = new Duration[2][3];
     for (int ms = 0; ms < 2000; ms++) {
       Duration now = Duration.ofMillis(ms);
@@ -148,14 +155,14 @@
         int voter = random.nextInt(3);
         // The request was on its way for a while, and its answer may be lost.
         Duration asked = now.minusMillis(random.nextInt(30));
-        Grants.Answer answer = voters[voter].asked(candidate, span, now);
-        voters[voter] = answer.grants();
+        VoterGrant.Response answer = voters[voter].request(candidate, span, now);
+        voters[voter] = answer.grant();
         if (answer.granted() && random.nextInt(3) > 0) {
-          counts[candidate][voter] = Grants.countsUntil(asked, span);
+          counts[candidate][voter] = VoterGrant.validUntil(asked, span);
         }
       }
       if (random.nextInt(300) == 0) {
-        voters[random.nextInt(3)] = Grants.started(span, now);
+        voters[random.nextInt(3)] = VoterGrant.started(span, now);
       }
       int sure = 0;
       for (Duration[] one : counts) {
@@ -239,8 +246,8 @@
               Duration now,
               Election.Settings settings) {
             Election.Event seen =
-                event instanceof Election.Heard h
-                    ? new Election.Heard(h.priority(), Long.MIN_VALUE, h.interval())
+                event instanceof Election.AdvertisementReceived h
+                    ? new Election.AdvertisementReceived(h.priority(), Long.MIN_VALUE, h.interval())
                     : event;
             return Election.next(state, seen, now, settings);
           }
--- a/router/src/test/java/tamarindroute/vrrp/VrrpWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpWireFormatTest.java
@@ -30,21 +30,21 @@
   })
   void advertisement(String from, String to, String shared, String hex) throws Exception {
     byte[] bytes =
-        advertisement(shared).write(InetAddress.getByName(from), InetAddress.getByName(to));
+        advertisement(shared).encode(InetAddress.getByName(from), InetAddress.getByName(to));
     assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
   }
 
   @ParameterizedTest
   @CsvSource({
-    "ASKED, 47000900000e100102030405060708",
+    "REQUEST, 47000900000e100102030405060708",
     "GRANTED, 47010900000e100102030405060708",
     "DENIED, 47020900000e100102030405060708",
-    "RETURNED, 47030900000e100102030405060708"
+    "RELEASE, 47030900000e100102030405060708"
   })
-  void grantMessage(Ballot.Kind type, String hex) throws MalformedMessageException {
-    Ballot message = new Ballot(type, 9, Duration.ofMillis(3600), 0x0102030405060708L);
-    assertThat(HEX.formatHex(message.write())).isEqualTo(hex);
-    assertThat(Ballot.read(HEX.parseHex(hex))).isEqualTo(message);
+  void grantMessage(GrantMessage.MessageType type, String hex) throws MalformedMessageException {
+    GrantMessage message = new GrantMessage(type, 9, Duration.ofMillis(3600), 0x0102030405060708L);
+    assertThat(HEX.formatHex(message.encode())).isEqualTo(hex);
+    assertThat(GrantMessage.decode(HEX.parseHex(hex))).isEqualTo(message);
   }
 
   @Test
@@ -52,7 +52,9 @@
     MessageAuthenticator authenticator =
         new MessageAuthenticator(Map.of(1, new byte[] {1, 2, 3, 4}), 1);
     byte[] message =
-        new Ballot(Ballot.Kind.ASKED, 9, Duration.ofMillis(3600), 0x0102030405060708L).write();
+        new GrantMessage(
+                GrantMessage.MessageType.REQUEST, 9, Duration.ofMillis(3600), 0x0102030405060708L)
+            .encode();
     assertThat(HEX.formatHex(authenticator.seal(message, 5, 6)))
         .isEqualTo(
             "010000000000000005000000000000000647000900000e100102030405060708f047a9dff4745f1cdb8e853ee53bfc3cda3406315bba4437cc27e59dce43a03f");
