--- a/bench/tamarindroute/bench/ElectionSimulation.java
+++ b/bench/tamarindroute/bench/ElectionSimulation.java
@@ -44,7 +44,7 @@
     this.loss = loss;
     for (int router = 0; router < PRIORITIES.length; router++) {
       states.add(Election.initial(PRIORITIES[router], settings.get(router)));
-      queue.add(new ScheduledEvent(Duration.ZERO, router, new Election.Start()));
+      queue.add(new ScheduledEvent(Duration.ZERO, router, new Election.Startup()));
     }
   }
 
@@ -78,7 +78,7 @@
 
   /** Whether a timer was set again since the event was scheduled. */
   private boolean isObsolete(ScheduledEvent scheduled) {
-    Duration due = Election.due(states.get(scheduled.router));
+    Duration due = Election.nextDeadline(states.get(scheduled.router));
     return scheduled.event instanceof Election.Tick
         && (due == null || due.compareTo(scheduled.at) > 0);
   }
@@ -95,7 +95,7 @@
       falseTakeovers++;
     }
     for (Election.Action action : step.actions()) {
-      if (action instanceof Election.Advertise advertise && random.nextDouble() >= loss) {
+      if (action instanceof Election.SendAdvertisement advertise && random.nextDouble() >= loss) {
         deliver(advertise, scheduled);
       }
     }
@@ -103,14 +103,15 @@
     recordBothActive(scheduled.at);
   }
 
-  private void deliver(Election.Advertise advertise, ScheduledEvent cause) {
+  private void deliver(Election.SendAdvertisement advertise, ScheduledEvent cause) {
     Election.Event heard =
-        new Election.Heard(advertise.priority(), settings.get(cause.router).own(), INTERVAL);
+        new Election.AdvertisementReceived(
+            advertise.priority(), settings.get(cause.router).tieBreaker(), INTERVAL);
     queue.add(new ScheduledEvent(cause.at.plus(TRANSIT_TIME), 1 - cause.router, heard));
   }
 
   private void scheduleTimer(ScheduledEvent handled) {
-    Duration due = Election.due(states.get(handled.router));
+    Duration due = Election.nextDeadline(states.get(handled.router));
     if (due != null) {
       Duration at = due.compareTo(handled.at) > 0 ? due : handled.at.plusNanos(1);
       queue.add(new ScheduledEvent(at, handled.router, new Election.Tick()));
--- a/bench/tamarindroute/bench/StandbyBenchmark.java
+++ b/bench/tamarindroute/bench/StandbyBenchmark.java
@@ -15,7 +15,7 @@
 import org.HdrHistogram.Histogram;
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.DatagramTransport;
-import tamarindroute.standby.Endpoint;
+import tamarindroute.standby.VrrpEndpoint;
 import tamarindroute.vrrp.Election;
 
 /**
@@ -67,12 +67,12 @@
 
     private void startEndpoint(
         InetSocketAddress own, InetSocketAddress peer, int priority, Duration interval) {
-      Endpoint endpoint = new Endpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
+      VrrpEndpoint endpoint = new VrrpEndpoint(eventLoop, datagrams, own, List.of(peer), null, 1);
       endpoint.add(
           1,
           priority,
           List.of(SHARED_ADDRESS),
-          new Election.Settings(Endpoint.order(own), interval, true, Duration.ZERO),
+          new Election.Settings(VrrpEndpoint.tieBreaker(own), interval, true, Duration.ZERO),
           new AddressHolder());
       try {
         endpoint.start();
@@ -81,15 +81,15 @@
       }
     }
 
-    private final class AddressHolder implements Endpoint.Holder {
+    private final class AddressHolder implements VrrpEndpoint.AddressHolder {
 
       @Override
-      public void take() {
+      public void onTaken() {
         takenAt.set(System.nanoTime());
       }
 
       @Override
-      public void drop(Election.Why why) {
+      public void onReleased(Election.ReleaseReason why) {
         takenAt.set(0);
       }
     }
