--- a/cli/src/test/java/tamarindroute/nameserver/NameServerConnectionIT.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerConnectionIT.java
@@ -130,7 +130,7 @@
     NameServerProcess nameServer = startNameServer(4, STEERING);
     assertPipelinedQueriesAreAnswered(nameServer, 200);
     assertClosedWithoutReading(nameServer);
-    nameServer.awaitLog("query-unread");
+    nameServer.awaitLog("responses-unread");
     assertThat(nameServer.queryAddresses(SHED_3, 1000)).hasSize(1);
   }
 
--- a/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
+++ b/cli/src/test/java/tamarindroute/nameserver/NameServerIT.java
@@ -29,7 +29,7 @@
     nameServer.writeSettings(
         instanceAttributes, ZONE + steering(1).replace("shed-3", "shed-4") + UNLIMITED);
     nameServer.signal("HUP");
-    nameServer.awaitLog("read again");
+    nameServer.awaitLog("settings reloaded");
     assertThat(nameServer.queryAddresses("shed-4.sheds.example", 1000)).hasSize(1);
     assertThat(nameServer.query(SHED_3, 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
     // The zone is valid and the locations are not, so neither is applied.
@@ -40,7 +40,7 @@
         instanceAttributes,
         ZONE + steering(1).replace("place=\"shed\"", "place=\"moon\"") + UNLIMITED);
     nameServer.signal("HUP");
-    nameServer.awaitLog("the old one holds");
+    nameServer.awaitLog("the previous settings stay in use");
     assertThat(nameServer.log()).contains("moon");
     assertThat(nameServer.query("new.sheds.example", 1000).getRcode()).isEqualTo(Rcode.NXDOMAIN);
     assertThat(nameServer.queryAddresses("shed-4.sheds.example", 1000)).hasSize(1);
