--- a/cli/src/test/java/tamarindroute/faultinjection/CacheResponder.java
+++ b/cli/src/test/java/tamarindroute/faultinjection/CacheResponder.java
@@ -102,11 +102,7 @@
       case CLOSE -> connection.close();
       case GARBAGE -> connection.writeLast(GARBAGE, GARBAGE.length);
       case ENDLESS -> writeEndlessLength(attempt, random);
-      case DRIP -> {
-        int first = Math.min(partial, MAX_BYTES_BEFORE_DRIP);
-        connection.writeLast(complete, first);
-        drip(complete, first);
-      }
+      case DRIP -> startDrip(complete, Math.min(partial, MAX_BYTES_BEFORE_DRIP));
       case MALFORMED_FIELDS -> writeMalformedFields(attempt);
       case NOT_MODIFIED_WRONG_DIGEST ->
           write(
@@ -182,6 +178,11 @@
     connection.write(ToyServer.frame(attempt.requestId(), "ACK", "why,,=;x", currentBody(attempt)));
   }
 
+  private void startDrip(byte[] frame, int first) throws IOException {
+    connection.writeLast(frame, first);
+    drip(frame, first);
+  }
+
   /** Writes a byte at a time, except for the last. */
   private void drip(byte[] frame, int next) {
     if (connection.isEnded() || next >= frame.length - 1) {
