--- a/cli/src/test/java/tamarindroute/gateway/MalformedInputIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/MalformedInputIT.java
@@ -28,9 +28,9 @@
         "*0\r\n",
         "*9999999\r\n",
         "*4\r\n$99999999\r\n",
-        "*2\r\n$3\r\nFOO\r\n" + "$1\r\n1\r\n",
+        "*2\r\n$3\r\nFOO\r\n$1\r\n1\r\n",
         "*2\r\n$10\r\nRPC.HEALTH\r\n$2\r\n-1\r\n",
-        "*5\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$4\r\nclip\r\n" + "$0\r\n\r\n$999999\r\n"
+        "*5\r\n$8\r\nRPC.CALL\r\n$1\r\n1\r\n$4\r\nclip\r\n$0\r\n\r\n$999999\r\n"
       })
   void malformedFrameEndsOnlyItsConnection(String bytes) throws Exception {
     try (ToyServer.Client bad = client();
--- a/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ShutdownIT.java
@@ -200,6 +200,8 @@
    * An idle client's connection is closed in order and the gateway ends right after, as it does
    * without clients.
    */
+  // Clients close before the end of their block, since the gateway waits for that.
+  @SuppressWarnings("try")
   @Test
   void idleClientIsClosedInOrderAndShutdownIsQuick() throws Exception {
     try (ToyServer.Client resting = client();
@@ -231,6 +233,8 @@
     }
   }
 
+  // Clients close before the end of their block, since the gateway waits for that.
+  @SuppressWarnings("try")
   @Test
   void furtherSignalsDuringShutdownChangeNothing() throws Exception {
     setMode(Mode.LATE);
--- a/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
+++ b/facts/src/test/java/tamarindroute/facts/FactStoreTest.java
@@ -58,7 +58,7 @@
                 cacheId,
                 (double) (sequence % 10),
                 sequence % 2 == 0,
-                now.minus(seconds(sequence - 9)));
+                now.minus(seconds((double) (sequence - 9))));
         case CHANGE, SNAPSHOT -> event(sequence, kind == Kind.SNAPSHOT, text());
       };
     }
--- a/members/src/main/java/tamarindroute/members/agreed/FragmentSendQueue.java
+++ b/members/src/main/java/tamarindroute/members/agreed/FragmentSendQueue.java
@@ -29,6 +29,8 @@
    * @param recipient where to
    * @param bytes the fragment with its header
    */
+  // Instances are never compared.
+  @SuppressWarnings("ArrayRecordComponent")
   record Fragment(Address recipient, byte[] bytes) {}
 
   private static final class QueuedMessage {
--- a/members/src/main/java/tamarindroute/members/wire/MemberMessage.java
+++ b/members/src/main/java/tamarindroute/members/wire/MemberMessage.java
@@ -34,6 +34,8 @@
    *
    * @param bytes encoded by the package {@code facts}
    */
+  // Equality compares the contents; the array is not copied, since nobody changes it.
+  @SuppressWarnings("ArrayRecordComponent")
   public record FactsPayload(byte[] bytes) implements Payload {
     @Override
     public boolean equals(Object other) {
@@ -51,6 +53,8 @@
    *
    * @param bytes the fragment with its header
    */
+  // Equality compares the contents; the array is not copied, since nobody changes it.
+  @SuppressWarnings("ArrayRecordComponent")
   public record AgreementPayload(byte[] bytes) implements Payload {
     @Override
     public boolean equals(Object other) {
--- a/members/src/test/java/tamarindroute/members/GrantHistory.java
+++ b/members/src/test/java/tamarindroute/members/GrantHistory.java
@@ -13,6 +13,7 @@
 
   private final double evenShare;
   private final List<Grant> grants = new ArrayList<>();
+  private Duration endedAt;
 
   GrantHistory(double evenShare) {
     this.evenShare = evenShare;
@@ -22,8 +23,16 @@
     grants.add(new Grant(appliedAt, share, appliedAt.plus(validFor)));
   }
 
-  /** The share in use at a moment; 0 before the first grant. */
+  /** The gateway ends the use of its shares now. */
+  synchronized void markEnded(Duration now) {
+    endedAt = now;
+  }
+
+  /** The share in use at a moment; 0 before the first grant, and from the end on. */
   synchronized double shareAt(Duration moment) {
+    if (endedAt != null && endedAt.compareTo(moment) <= 0) {
+      return 0;
+    }
     return grants.stream()
         .filter(grant -> grant.appliedAt.compareTo(moment) <= 0)
         .reduce((earlier, later) -> later)
--- a/members/src/test/java/tamarindroute/members/QuotaCluster.java
+++ b/members/src/test/java/tamarindroute/members/QuotaCluster.java
@@ -59,7 +59,6 @@
     final MembershipEndpoint endpoint;
     volatile boolean disconnected;
     final GrantHistory history = new GrantHistory(EVEN_SHARE);
-    private volatile Duration endedAt;
 
     Gateway(int index, long incarnation, List<Address> seeds) {
       Address self = MemberConfiguration.toAddress(cluster.addresses.get(index));
@@ -82,8 +81,7 @@
     }
 
     private double shareInUse(Duration now) {
-      boolean ended = endedAt != null && endedAt.compareTo(now) <= 0;
-      return ended ? 0 : history.shareAt(now);
+      return history.shareAt(now);
     }
 
     final double shareInUse() {
@@ -95,7 +93,7 @@
     }
 
     final void markEnded() {
-      endedAt = MonotonicClock.now();
+      history.markEnded(MonotonicClock.now());
     }
 
     /** Ends the use of the quota, and then closes the socket, as the end of a process does. */
--- a/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/MessageFragmenterTest.java
@@ -34,6 +34,8 @@
     return message;
   }
 
+  // Instances are never compared.
+  @SuppressWarnings("ArrayRecordComponent")
   private record Arrival(Member from, byte[] bytes) {}
 
   /** Fragments are reordered; without loss each message is reassembled. */
--- a/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
+++ b/members/src/test/java/tamarindroute/members/agreed/ViewChangeBatcherTest.java
@@ -80,6 +80,8 @@
   }
 
   @Example
+  // Any constant is as good as another here.
+  @SuppressWarnings("EnumOrdinal")
   void laterIncarnationReplacesTheEarlierAndUnknownMembersAreRemovedLate() {
     others.put(member(1, 1), MemberState.ALIVE);
     others.put(member(2, 1), MemberState.ALIVE);
--- a/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
+++ b/members/src/test/java/tamarindroute/members/wire/MemberMessageFixtureTest.java
@@ -66,6 +66,8 @@
           "52140802100418fbd095ffbc3120052890a10f30b817",
           "52140802100518fbd095ffbc3120052890a10f30b817");
 
+  // Ordinals index the list of the expected payloads, which is in the order of the constants.
+  @SuppressWarnings("EnumOrdinal")
   static List<Arguments> membershipMessages() {
     List<Arguments> messages = new ArrayList<>();
     for (Message.Kind kind : Message.Kind.values()) {
@@ -80,6 +82,8 @@
     return messages;
   }
 
+  // Ordinals index the list of the expected payloads, which is in the order of the constants.
+  @SuppressWarnings("EnumOrdinal")
   static List<Arguments> leaseMessages() {
     List<Arguments> messages = new ArrayList<>();
     for (MemberMessage.LeaseKind kind : MemberMessage.LeaseKind.values()) {
--- a/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
@@ -112,6 +112,8 @@
             (long) (smallSettings.maxBytesPerSecond() * (1 + now.toMillis() / 1_000.0)));
   }
 
+  // Any constant is as good as another here.
+  @SuppressWarnings("EnumOrdinal")
   private static Message randomMessage(Random random, Member self) {
     List<MembershipUpdate> updates = new ArrayList<>();
     for (int i = random.nextInt(6); i > 0; i--) {
--- a/net/src/main/java/tamarindroute/net/BoundedAcceptor.java
+++ b/net/src/main/java/tamarindroute/net/BoundedAcceptor.java
@@ -30,7 +30,7 @@
   BoundedAcceptor(IoProcessor<NioSession> processor, ClientConnections clients) {
     super(processor);
     this.clients = clients;
-    SocketTransport.configure(getSessionConfig());
+    SocketOptions.configure(getSessionConfig());
     getSessionConfig().setReaderIdleTime(CLIENT_IDLE_SECONDS);
     setReuseAddress(true);
     // Clients that are connected are served on after the listening socket was closed.
--- a/net/src/main/java/tamarindroute/net/CacheConnectionPool.java
+++ b/net/src/main/java/tamarindroute/net/CacheConnectionPool.java
@@ -160,9 +160,9 @@
 
   private boolean isOverloaded(CacheConnection connection) {
     return connection.pendingCount() >= limits.maxRequestsPerConnection()
-        || connection.pendingCount() >= MAX_SHARED_REQUESTS
+        || (connection.pendingCount() >= MAX_SHARED_REQUESTS
             && connections.size() < limits.maxConnections()
-            && transport.canConnect();
+            && transport.canConnect());
   }
 
   private CacheConnection openConnection() {
--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -17,17 +17,11 @@
   /** The session attribute that holds the connection. */
   private static final String SESSION_ATTRIBUTE = "connection";
 
-  /**
-   * After this long without an open input, nobody is there to be served. The protocol lets a client
-   * close its side and wait, but for one that is gone no attempt may begin after 100 ms; this is
-   * half of that.
-   */
-  private static final long ABANDONED_AFTER_NANOS = 50_000_000;
-
   private final SocketTransport transport;
   private final boolean fromClient;
   private final InboundQueue inbound;
   private final OutboundBytes outbound = new OutboundBytes();
+  private final RemoteSide remoteSide = new RemoteSide();
   ConnectionHandler handler = DiscardingHandler.INSTANCE;
   private volatile IoSession session;
   private boolean finished;
@@ -39,10 +33,6 @@
   /** The lingering close under way; null before. */
   private volatile LingeringClose lingeringClose;
 
-  private volatile long inputClosedAtNanos;
-  private volatile boolean inputClosed;
-  private volatile boolean sessionClosed;
-
   /**
    * Creates a connection that is not established yet.
    *
@@ -185,7 +175,7 @@
     LingeringClose lingering = new LingeringClose(this, transport);
     lingeringClose = lingering;
     lingering.start();
-    if (inputClosed) {
+    if (remoteSide.isInputClosed()) {
       session.closeOnFlush();
     } else {
       session.resumeRead();
@@ -207,20 +197,16 @@
    * ago.
    */
   public boolean isAbandoned() {
-    return sessionClosed
-        || inputClosed && System.nanoTime() - inputClosedAtNanos > ABANDONED_AFTER_NANOS;
+    return remoteSide.isAbandoned();
   }
 
   boolean isFinished() {
     return finished;
   }
 
-  boolean isInputClosed() {
-    return inputClosed;
-  }
-
-  boolean isSessionClosed() {
-    return sessionClosed;
+  /** What the other side has closed; on any thread. */
+  RemoteSide remoteSide() {
+    return remoteSide;
   }
 
   /** Whether a lingering close is under way; on any thread. */
@@ -247,16 +233,10 @@
    * that.
    */
   boolean onInputClosed() {
-    inputClosedAtNanos = System.nanoTime();
-    inputClosed = true;
+    remoteSide.onInputClosed();
     return lingeringClose != null;
   }
 
-  /** On MINA's thread: the session has ended. */
-  void onSessionClosed() {
-    sessionClosed = true;
-  }
-
   /** On MINA's thread: whether bytes just received are to be discarded. */
   boolean discardsInput(int length) {
     if (!discarding) {
--- a/net/src/main/java/tamarindroute/net/FeedTimeouts.java
+++ b/net/src/main/java/tamarindroute/net/FeedTimeouts.java
@@ -19,7 +19,7 @@
    * How long a response that has begun may pause; a long one on a slow network is not cut off while
    * it comes.
    */
-  static final Duration STALL_TIMEOUT = Duration.ofMillis(1000);
+  static final Duration STALL_TIMEOUT = Duration.ofSeconds(1);
 
   /** How long a response may take in all, so that a trickle does not hide later events for good. */
   static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(20);
@@ -28,7 +28,7 @@
   static final Duration RECHECK_INTERVAL = Duration.ofMillis(20);
 
   /** How long the feed may wait for an event before it responds. */
-  static final Duration LONG_POLL_WAIT = Duration.ofMillis(2000);
+  static final Duration LONG_POLL_WAIT = Duration.ofSeconds(2);
 
   /**
    * The same after one or two failures, so that another silent connection is noticed within a
@@ -42,7 +42,7 @@
   private static final Duration RESPONSE_GRACE = Duration.ofMillis(800);
 
   /** The same after more failures: a feed that is always slower could otherwise never be read. */
-  private static final Duration SLOW_FEED_RESPONSE_GRACE = Duration.ofMillis(2000);
+  private static final Duration SLOW_FEED_RESPONSE_GRACE = Duration.ofSeconds(2);
 
   private static final int MAX_FAILURES_WITH_SHORT_GRACE = 3;
 
--- a/net/src/main/java/tamarindroute/net/InboundQueue.java
+++ b/net/src/main/java/tamarindroute/net/InboundQueue.java
@@ -73,7 +73,7 @@
   void beforeHandOver(IoSession session) {
     if (unconsumedCount.incrementAndGet() >= maxUnconsumed()) {
       session.suspendRead();
-      if (unconsumedCount.get() < maxUnconsumed() && !paused || connection.isLingering()) {
+      if ((unconsumedCount.get() < maxUnconsumed() && !paused) || connection.isLingering()) {
         session.resumeRead();
       }
     }
--- a/net/src/main/java/tamarindroute/net/LingeringClose.java
+++ b/net/src/main/java/tamarindroute/net/LingeringClose.java
@@ -53,7 +53,7 @@
    * once.
    */
   boolean claimOutputShutdown() {
-    if (outputShutDown || connection.isInputClosed() || connection.unsentBytes() > 0) {
+    if (outputShutDown || connection.remoteSide().isInputClosed() || connection.unsentBytes() > 0) {
       return false;
     }
     outputShutDown = true;
@@ -63,7 +63,7 @@
 
   private void awaitClientClose() {
     timer.run();
-    if (!connection.isSessionClosed()) {
+    if (!connection.remoteSide().isSessionClosed()) {
       timer = transport.schedule(LINGER_TIMEOUT, connection::closeNow);
     }
   }
--- a/net/src/main/java/tamarindroute/net/OutboundBytes.java
+++ b/net/src/main/java/tamarindroute/net/OutboundBytes.java
@@ -21,6 +21,8 @@
   private final AtomicLong sent = new AtomicLong();
 
   /** Writes a buffer, which is freed once it was sent or the connection has ended. */
+  // Only the event loop writes the count.
+  @SuppressWarnings("NonAtomicVolatileUpdate")
   void write(IoBuffer buffer, IoSession session) {
     int length = buffer.remaining();
     written += length;
--- a/net/src/main/java/tamarindroute/net/SocketTransport.java
+++ b/net/src/main/java/tamarindroute/net/SocketTransport.java
@@ -12,7 +12,6 @@
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.IdleStatus;
 import org.apache.mina.core.session.IoSession;
-import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
@@ -71,20 +70,12 @@
 
   private NioSocketConnector newConnector(IoProcessor<NioSession> processor) {
     NioSocketConnector created = new NioSocketConnector(processor);
-    configure(created.getSessionConfig());
+    SocketOptions.configure(created.getSessionConfig());
     created.setConnectTimeoutMillis(CONNECT_TIMEOUT_MILLIS);
     created.setHandler(this);
     return created;
   }
 
-  /** Sets the options that all connections share. */
-  static void configure(SocketSessionConfig config) {
-    config.setTcpNoDelay(true);
-    config.setMinReadBufferSize(BufferPool.BUFFER_BYTES);
-    config.setReadBufferSize(BufferPool.BUFFER_BYTES);
-    config.setMaxReadBufferSize(BufferPool.BUFFER_BYTES);
-  }
-
   /** Sets the largest number of clients, if that is less than the descriptors allow. */
   public void limitClients(int limit) {
     clients.limit(limit);
@@ -278,7 +269,7 @@
   @Override
   public void sessionClosed(IoSession session) {
     Connection connection = Connection.of(session);
-    connection.onSessionClosed();
+    connection.remoteSide().onSessionClosed();
     if (isClient(session)) {
       clients.onSessionClosed();
     }
--- a/net/src/main/java/tamarindroute/protocol/MessageAuthenticator.java
+++ b/net/src/main/java/tamarindroute/protocol/MessageAuthenticator.java
@@ -74,6 +74,8 @@
    *
    * @param window the sender's window with this message
    */
+  // Instances are never compared.
+  @SuppressWarnings("ArrayRecordComponent")
   public record OpenedMessage(byte[] message, ReplayWindow window) {}
 
   /**
--- a/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
+++ b/net/src/test/java/tamarindroute/net/CacheConnectionPoolTest.java
@@ -3,181 +3,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.Executors;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.DummySession;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tamarindroute.decision.Outcome.Result;
-import tamarindroute.protocol.CacheResponse;
 import tamarindroute.protocol.CacheStatus;
 
 /** Requests on the connections to a scripted cache on real sockets. */
 @Timeout(30)
-class CacheConnectionPoolTest {
-
-  /** Clock and timers that run ten times as fast as real time. */
-  private static final class AcceleratedScheduler implements Scheduler {
-
-    private static final int SPEED_UP = 10;
-    private volatile Thread eventLoopThread;
-    private final ScheduledExecutorService thread =
-        Executors.newSingleThreadScheduledExecutor(
-            task -> eventLoopThread = new Thread(task, "event-loop"));
-
-    /** MINA's thread waits for this after each event that it hands over. */
-    private volatile CompletableFuture<?> heldBackUntil = CompletableFuture.completedFuture(null);
-
-    @Override
-    public Duration now() {
-      return Duration.ofNanos(System.nanoTime() * SPEED_UP);
-    }
-
-    @Override
-    public void execute(Runnable task) {
-      thread.execute(task);
-      if (Thread.currentThread() != eventLoopThread) {
-        heldBackUntil.completeOnTimeout(null, 5, TimeUnit.SECONDS).join();
-      }
-    }
-
-    @Override
-    public Runnable schedule(Duration span, Runnable task) {
-      var timer = thread.schedule(task, span.toNanos() / SPEED_UP, TimeUnit.NANOSECONDS);
-      return () -> timer.cancel(false);
-    }
-  }
-
-  /** Records the outcome of a request, and runs the next step of the test in the same call. */
-  private static class RecordingHandler implements ResponseHandler {
-
-    final CompletableFuture<CacheStatus> status = new CompletableFuture<>();
-    final CompletableFuture<String> failure = new CompletableFuture<>();
-    Runnable afterwards = () -> {};
-    boolean wanted = true;
-
-    @Override
-    public boolean isStillWanted() {
-      return wanted;
-    }
-
-    @Override
-    public void onResponse(CacheResponse response, int bodyLength) {
-      status.complete(response.status());
-    }
-
-    @Override
-    public void onBody(ByteBuffer part, Connection from) {}
-
-    @Override
-    public void onComplete() {
-      afterwards.run();
-    }
-
-    @Override
-    public void onFailure(CloseReason closeReason, boolean written) {
-      failure.complete(closeReason + " " + written);
-      afterwards.run();
-    }
-  }
-
-  private final AcceleratedScheduler scheduler = new AcceleratedScheduler();
-  private final BufferPool bufferPool = new BufferPool(64L * 1024 * 1024);
-  private final SocketTransport transport = new SocketTransport(scheduler, bufferPool, 1024);
-  private ServerSocket server;
-  private CacheConnectionPool connectionPool;
-
-  @BeforeEach
-  void start() throws IOException {
-    server = new ServerSocket();
-    // A cache that does not read must soon block the sender.
-    server.setReceiveBufferSize(16 * 1024);
-    server.bind(new InetSocketAddress("127.0.0.1", 0), 200);
-    server.setSoTimeout(5000);
-    connectionPool =
-        new CacheConnectionPool(
-            transport,
-            scheduler,
-            "s",
-            new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-            new CacheConnectionPool.Limits(4, 100, Duration.ofSeconds(20), Duration.ZERO));
-  }
-
-  @AfterEach
-  void end() throws IOException {
-    transport.shutDown();
-    scheduler.thread.shutdownNow();
-    server.close();
-  }
-
-  private <T> T onEventLoop(Callable<T> task) throws Exception {
-    return scheduler.thread.submit(task).get(5, TimeUnit.SECONDS);
-  }
-
-  private Runnable send(String id, RecordingHandler attempt) {
-    return connectionPool.send(id, () -> "-", List.of(), 0, attempt);
-  }
-
-  private static <T> T await(CompletableFuture<T> future) throws Exception {
-    return future.get(5, TimeUnit.SECONDS);
-  }
-
-  private Socket accept() throws IOException {
-    Socket cache = server.accept();
-    cache.setSoTimeout(5000);
-    return cache;
-  }
-
-  /** Reads until this text was received, and returns all that was received. */
-  private static String readUntil(Socket cache, String text) throws IOException {
-    StringBuilder received = new StringBuilder();
-    InputStream in = cache.getInputStream();
-    while (received.indexOf(text) < 0) {
-      int next = in.read();
-      assertThat(next).as("more after " + received).isNotNegative();
-      received.append((char) next);
-    }
-    return received.toString();
-  }
-
-  private static String askFrameEnd(String id) {
-    return "ASK\r\n$" + id.length() + "\r\n" + id + "\r\n";
-  }
-
-  private static void write(Socket cache, String text) throws IOException {
-    OutputStream out = cache.getOutputStream();
-    out.write(text.getBytes(StandardCharsets.US_ASCII));
-    out.flush();
-  }
-
-  private static String responseFrame(String id, String status) {
-    return "*4\r\n$"
-        + id.length()
-        + "\r\n"
-        + id
-        + "\r\n$"
-        + status.length()
-        + "\r\n"
-        + status
-        + "\r\n$1\r\n-\r\n$0\r\n\r\n";
-  }
+class CacheConnectionPoolTest extends CacheConnectionPoolFixture {
 
   /**
    * A connection may be established a second after the decision, so the time left must be current.
@@ -187,7 +28,7 @@
     String[] fields = {"ttl=1500"};
     onEventLoop(
         () -> {
-          connectionPool.send("1", () -> fields[0], List.of(), 0, new RecordingHandler());
+          connectionPool.send("1", () -> fields[0], List.of(), 0, new RecordingResponseHandler());
           fields[0] = "ttl=900";
           return null;
         });
@@ -199,13 +40,13 @@
   /** The failure of one waiting request may cancel another one that waits behind it. */
   @Test
   void aRequestCancelledWhileOthersAreWrittenIsNotWritten() throws Exception {
-    RecordingHandler unwanted = new RecordingHandler();
+    RecordingResponseHandler unwanted = new RecordingResponseHandler();
     unwanted.wanted = false;
     onEventLoop(
         () -> {
           send("1", unwanted);
-          unwanted.afterwards = send("2", new RecordingHandler());
-          send("3", new RecordingHandler());
+          unwanted.afterwards = send("2", new RecordingResponseHandler());
+          send("3", new RecordingResponseHandler());
           return null;
         });
     assertThat(await(unwanted.failure)).isEqualTo("NO_LONGER_WANTED false");
@@ -222,8 +63,8 @@
    */
   @Test
   void aRequestWrittenToALocallyClosedConnectionMayHaveRun() throws Exception {
-    RecordingHandler first = new RecordingHandler();
-    RecordingHandler second = new RecordingHandler();
+    RecordingResponseHandler first = new RecordingResponseHandler();
+    RecordingResponseHandler second = new RecordingResponseHandler();
     first.afterwards = () -> send("2", second);
     onEventLoop(() -> send("1", first));
     try (Socket cache = accept()) {
@@ -267,8 +108,8 @@
   /** A duplicate of a miss would otherwise prove that the next attempt was not executed. */
   @Test
   void aResponseReadBeforeTheRequestWasWrittenIsNotItsResponse() throws Exception {
-    RecordingHandler first = new RecordingHandler();
-    RecordingHandler second = new RecordingHandler();
+    RecordingResponseHandler first = new RecordingResponseHandler();
+    RecordingResponseHandler second = new RecordingResponseHandler();
     first.afterwards = () -> send("1", second);
     onEventLoop(() -> send("1", first));
     try (Socket cache = accept()) {
@@ -286,15 +127,15 @@
    */
   @Test
   void theNextAttemptTakesAnotherConnectionOnlyAtACacheThatRespondedTwice() throws Exception {
-    RecordingHandler sane = new RecordingHandler();
-    sane.afterwards = () -> send("1", new RecordingHandler());
+    RecordingResponseHandler sane = new RecordingResponseHandler();
+    sane.afterwards = () -> send("1", new RecordingResponseHandler());
     onEventLoop(() -> send("1", sane));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
       write(cache, responseFrame("1", "NOENT"));
       readUntil(cache, askFrameEnd("1"));
-      RecordingHandler after = new RecordingHandler();
-      after.afterwards = () -> send("2", new RecordingHandler());
+      RecordingResponseHandler after = new RecordingResponseHandler();
+      after.afterwards = () -> send("2", new RecordingResponseHandler());
       onEventLoop(() -> send("2", after));
       readUntil(cache, askFrameEnd("2"));
       write(
@@ -309,10 +150,10 @@
   /** A cache that hangs must not execute, once it continues, what was cancelled meanwhile. */
   @Test
   void aCancelledUnsentRequestIsNeverSent() throws Exception {
-    RecordingHandler large = new RecordingHandler();
-    RecordingHandler small = new RecordingHandler();
+    RecordingResponseHandler large = new RecordingResponseHandler();
+    RecordingResponseHandler small = new RecordingResponseHandler();
     CompletableFuture<Void> up = new CompletableFuture<>();
-    RecordingHandler probe = new RecordingHandler();
+    RecordingResponseHandler probe = new RecordingResponseHandler();
     probe.afterwards = () -> up.complete(null);
     onEventLoop(() -> send("0", probe));
     try (Socket cache = accept()) {
@@ -351,7 +192,7 @@
   /** Well-formed frames without end. */
   @Test
   void aConnectionWithOnlyUnsolicitedResponsesIsClosed() throws Exception {
-    RecordingHandler open = new RecordingHandler();
+    RecordingResponseHandler open = new RecordingResponseHandler();
     onEventLoop(() -> send("1", open));
     try (Socket cache = accept()) {
       readUntil(cache, askFrameEnd("1"));
@@ -365,8 +206,8 @@
    */
   @Test
   void anUnwantedResponseIsCutOffAfterItsTimeLimit() throws Exception {
-    RecordingHandler cancelled = new RecordingHandler();
-    RecordingHandler behind = new RecordingHandler();
+    RecordingResponseHandler cancelled = new RecordingResponseHandler();
+    RecordingResponseHandler behind = new RecordingResponseHandler();
     Runnable[] cancel = new Runnable[1];
     onEventLoop(
         () -> {
@@ -382,12 +223,11 @@
             cancel[0].run();
             return null;
           });
-      List<IOException> cut = new ArrayList<>();
       for (int i = 0; i < 1000 && !behind.failure.isDone(); i++) {
         try {
           write(cache, "x");
         } catch (IOException e) {
-          cut.add(e);
+          // The connection was closed, as it must be.
         }
         Thread.sleep(5);
       }
--- a/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
+++ b/net/src/test/java/tamarindroute/net/ControlFeedFormatTest.java
@@ -72,10 +72,8 @@
                 + "{\"n\":0,\"events\":[],\"x\":2}");
         String second = first.replace("SUB=0", "SUB=41");
         assertThat(request(socket.getInputStream(), second.length())).isEqualTo(second);
-        respond(
-            socket,
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "5\r\n{\"n\":\r\nf\r\n1,\"events\":[{}]\r\n1\r\n}\r\n0\r\n\r\n");
+        String chunks = "5\r\n{\"n\":\r\nf\r\n1,\"events\":[{}]\r\n1\r\n}\r\n0\r\n\r\n";
+        respond(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks);
         String third = first.replace("SUB=0", "SUB=82");
         assertThat(request(socket.getInputStream(), third.length())).isEqualTo(third);
       }
--- a/net/src/test/java/tamarindroute/net/SentBytesTest.java
+++ b/net/src/test/java/tamarindroute/net/SentBytesTest.java
@@ -8,8 +8,7 @@
 import java.nio.ByteBuffer;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Queue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
@@ -31,6 +30,10 @@
   private final BufferPool bufferPool = new BufferPool(MEMORY);
   private final SocketTransport transport = new SocketTransport(scheduler, bufferPool, 256);
 
+  /** Keeps the buffers in use to the end of the test. */
+  @SuppressWarnings("ModifiedButNotUsed")
+  private final Queue<IoBuffer> heldBuffers = new ConcurrentLinkedQueue<>();
+
   @AfterEach
   void end() {
     transport.shutDown();
@@ -44,49 +47,11 @@
   @RepeatedTest(10)
   void aBufferReusedAtOnceDoesNotChangeTheSentByteCount() throws Exception {
     try (ServerSocket server = new ServerSocket(0)) {
-      CompletableFuture<Connection> opened = new CompletableFuture<>();
-      CompletableFuture<Connection> made = new CompletableFuture<>();
-      scheduler.execute(
-          () ->
-              made.complete(
-                  transport.connect(
-                      new InetSocketAddress("127.0.0.1", server.getLocalPort()),
-                      new ConnectionHandler() {
-                        @Override
-                        public void onOpened() {
-                          opened.complete(made.join());
-                        }
-
-                        @Override
-                        public void onReceived(ByteBuffer bytes) {
-                          bytes.position(bytes.limit());
-                        }
-
-                        @Override
-                        public void onClosed(CloseReason closeReason) {}
-                      })));
+      CompletableFuture<Connection> opened = connect(server);
       try (Socket peer = server.accept()) {
         Connection connection = opened.get(5, TimeUnit.SECONDS);
-        CompletableFuture<Void> reacquired = new CompletableFuture<>();
-        ConcurrentLinkedQueue<IoBuffer> others = new ConcurrentLinkedQueue<>();
-        bufferPool.onCapacityAvailable(
-            () -> {
-              // The next user sets limits of its own.
-              for (int i = 0; i < BUFFERS_HELD; i++) {
-                others.add(bufferPool.acquire().limit(0));
-              }
-              reacquired.complete(null);
-            });
-        List<IoBuffer> buffers = new ArrayList<>();
-        scheduler.execute(
-            () -> {
-              for (int i = 0; i < BUFFERS_HELD; i++) {
-                buffers.add(bufferPool.acquire());
-              }
-              ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
-              bufferPool.copy(ByteBuffer.wrap(new byte[100]), frame);
-              connection.write(frame);
-            });
+        CompletableFuture<Void> reacquired = reacquireFreedBuffers();
+        scheduler.execute(() -> writeWithLastBuffers(connection));
         reacquired.get(5, TimeUnit.SECONDS);
         assertThat(peer.getInputStream().readNBytes(100)).hasSize(100);
         // MINA reports writes in order: the first one's report precedes this write.
@@ -101,4 +66,49 @@
       }
     }
   }
+
+  private CompletableFuture<Connection> connect(ServerSocket server) {
+    CompletableFuture<Connection> opened = new CompletableFuture<>();
+    CompletableFuture<Connection> made = new CompletableFuture<>();
+    ConnectionHandler handler =
+        new ConnectionHandler() {
+          @Override
+          public void onOpened() {
+            opened.complete(made.join());
+          }
+
+          @Override
+          public void onReceived(ByteBuffer bytes) {
+            bytes.position(bytes.limit());
+          }
+
+          @Override
+          public void onClosed(CloseReason closeReason) {}
+        };
+    InetSocketAddress address = new InetSocketAddress("127.0.0.1", server.getLocalPort());
+    scheduler.execute(() -> made.complete(transport.connect(address, handler)));
+    return opened;
+  }
+
+  /** Takes buffers as soon as there is capacity again; the next user sets limits of its own. */
+  private CompletableFuture<Void> reacquireFreedBuffers() {
+    CompletableFuture<Void> reacquired = new CompletableFuture<>();
+    bufferPool.onCapacityAvailable(
+        () -> {
+          for (int i = 0; i < BUFFERS_HELD; i++) {
+            heldBuffers.add(bufferPool.acquire().limit(0));
+          }
+          reacquired.complete(null);
+        });
+    return reacquired;
+  }
+
+  private void writeWithLastBuffers(Connection connection) {
+    for (int i = 0; i < BUFFERS_HELD; i++) {
+      heldBuffers.add(bufferPool.acquire());
+    }
+    ArrayDeque<IoBuffer> frame = new ArrayDeque<>();
+    bufferPool.copy(ByteBuffer.wrap(new byte[100]), frame);
+    connection.write(frame);
+  }
 }
--- a/router/src/main/java/tamarindroute/gateway/WarmUpCache.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUpCache.java
@@ -60,6 +60,8 @@
     write(RespWriter.frameTrailer());
   }
 
+  // The writer returns buffers that wrap a whole array.
+  @SuppressWarnings("ByteBufferBackingArray")
   private void write(ByteBuffer bytes) {
     connection.write(bytes.array());
   }
--- a/router/src/main/java/tamarindroute/host/EndpointTable.java
+++ b/router/src/main/java/tamarindroute/host/EndpointTable.java
@@ -28,6 +28,9 @@
   private final int parentKind;
   private final int originKind;
   private final Map<String, Endpoint> endpointsById = new HashMap<>();
+
+  // Caches are entities, which are told apart by identity.
+  @SuppressWarnings("IdentityHashMapUsage")
   private final Map<Cache, Endpoint> endpointsByCache = new IdentityHashMap<>();
 
   /**
--- a/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
+++ b/router/src/main/java/tamarindroute/wirehost/ActionWriter.java
@@ -13,6 +13,8 @@
  * Encodes the actions of one reply on the simulator's wire: records of equal size, then a tail for
  * data of variable length. All numbers are little-endian.
  */
+// All buffers are allocated by this class as whole arrays, without an offset.
+@SuppressWarnings("ByteBufferBackingArray")
 final class ActionWriter {
 
   private static final int LOOKUP = 80;
--- a/router/src/main/java/tamarindroute/wirehost/SimulatedRequest.java
+++ b/router/src/main/java/tamarindroute/wirehost/SimulatedRequest.java
@@ -35,7 +35,8 @@
 
   /** The cookie of the timer for the next decision. */
   long timerCookie() {
-    return Integer.toUnsignedLong(requestId) << GENERATION_BITS | timerGeneration & GENERATION_MASK;
+    return (Integer.toUnsignedLong(requestId) << GENERATION_BITS)
+        | (timerGeneration & GENERATION_MASK);
   }
 
   /** Whether the timer of this cookie was set after the last decision. */
--- a/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
+++ b/router/src/test/java/tamarindroute/wirehost/WireHostTest.java
@@ -44,6 +44,8 @@
     return ByteBuffer.allocate(56).order(ByteOrder.LITTLE_ENDIAN).put((byte) code);
   }
 
+  // The record is a whole array, without an offset.
+  @SuppressWarnings("ByteBufferBackingArray")
   private void add(ByteBuffer record) {
     records.writeBytes(record.array());
     count++;
@@ -205,6 +207,8 @@
     assertThat(reply(out)[0].get(0)).isEqualTo((byte) 90);
   }
 
+  // The reply is a whole array, without an offset.
+  @SuppressWarnings("ByteBufferBackingArray")
   @Test
   void reportsAFailureOfThePolicyForItsInstance() throws IOException {
     open(7, SETTINGS);
--- a/threads/src/test/java/tamarindroute/log/LogRateLimiterRaceTest.java
+++ b/threads/src/test/java/tamarindroute/log/LogRateLimiterRaceTest.java
@@ -22,6 +22,8 @@
 
   /** Seeded fault: reads the time before it takes the lock. */
   private static final class ReadsTimeBeforeLock extends CountingClock {
+    // The missing lock is the seeded fault.
+    @SuppressWarnings("UnsynchronizedOverridesSynchronized")
     @Override
     int admit(String topic) {
       return admit(topic, currentTimeMillis());
@@ -33,6 +35,8 @@
     private long last;
     private int suppressed;
 
+    // The missing lock is the seeded fault.
+    @SuppressWarnings("UnsynchronizedOverridesSynchronized")
     @Override
     int admit(String topic) {
       return admit(topic, currentTimeMillis());
--- a/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
+++ b/threads/src/test/java/tamarindroute/net/BufferPoolRaceTest.java
@@ -35,6 +35,8 @@
   }
 
   /** Two threads acquire while one buffer is free. */
+  // Which buffer it is matters, not what it holds.
+  @SuppressWarnings("ReferenceEquality")
   private static void acquireFromTwoThreads(ByteBuffer free, Supplier<ByteBuffer> take) {
     ByteBuffer[] taken = new ByteBuffer[2];
     Interleavings.runConcurrently(() -> taken[0] = take.get(), () -> taken[1] = take.get());
@@ -42,6 +44,8 @@
   }
 
   /** Two threads free the same buffer. */
+  // Which buffer it is matters, not what it holds.
+  @SuppressWarnings("ReferenceEquality")
   private static void freeTwice(BufferPool bufferPool) {
     IoBuffer twice = bufferPool.acquire();
     Interleavings.runConcurrently(twice::free, twice::free);
@@ -51,6 +55,8 @@
   }
 
   /** Two threads free a buffer each, of which the pool keeps one. */
+  // Which buffer it is matters, not what it holds.
+  @SuppressWarnings("ReferenceEquality")
   private static void keepsOneFree(BufferPool bufferPool) {
     IoBuffer one = bufferPool.acquire();
     IoBuffer other = bufferPool.acquire();
--- a/threads/src/test/java/tamarindroute/net/PermitCounterRaceTest.java
+++ b/threads/src/test/java/tamarindroute/net/PermitCounterRaceTest.java
@@ -43,6 +43,8 @@
       super(1);
     }
 
+    // The update in two steps is the seeded fault.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     @Override
     boolean tryAcquire() {
       if (in >= 1) {
@@ -52,6 +54,8 @@
       return true;
     }
 
+    // The update in two steps is the seeded fault.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     @Override
     void release() {
       in = in - 1;
