--- a/router/src/test/java/tamarindroute/dns/DnsFixture.java
+++ b/router/src/test/java/tamarindroute/dns/DnsFixture.java
@@ -74,6 +74,7 @@
     private final List<Steering> instances = new ArrayList<>();
     private double ttl;
 
+    /** Creates a location of warm edges and instances that each steer on their own. */
     public Fleet(int count, int instances) {
       directory = new TwoLocationDirectory(count);
       edges = directory.edges(0);
@@ -86,23 +87,28 @@
       return Duration.ofMillis(Math.round(seconds * 1000));
     }
 
+    /** Records that the feed sent something. */
     public void heard(double now) {
       directory.feedReadAt = at(now);
     }
 
+    /** Sets the weight of an edge as a multiple of the usual one. */
     public void weigh(int cache, double times) {
       edges.get(cache).weight = times * TwoLocationDirectory.WEIGHT;
     }
 
+    /** Returns whether an edge takes new requests. */
     public boolean ready(int cache) {
       return edges.get(cache).availability == Cache.Availability.READY;
     }
 
+    /** Removes an edge from the list. */
     public void gone(int cache, double now) {
       edges.get(cache).availability = Cache.Availability.GONE;
       directory.publishList(at(now));
     }
 
+    /** Lists an edge again, restarted at this time. */
     public void back(int cache, double now) {
       directory.restart(edges.get(cache), at(now));
     }
