--- a/net/src/main/java/tamarindroute/net/Connection.java
+++ b/net/src/main/java/tamarindroute/net/Connection.java
@@ -22,17 +22,12 @@
   private final InboundQueue inbound;
   private final OutboundBytes outbound = new OutboundBytes();
   private final RemoteSide remoteSide = new RemoteSide();
+  private final InputDiscarder inputDiscarder = new InputDiscarder();
   ConnectionHandler handler = DiscardingHandler.INSTANCE;
   private volatile IoSession session;
   private boolean finished;
   private CloseReason pendingCloseReason;
 
-  /** Whether MINA's thread discards what is received. */
-  private volatile boolean discarding;
-
-  /** The lingering close under way; null before. */
-  private volatile LingeringClose lingeringClose;
-
   /**
    * Creates a connection that is not established yet.
    *
@@ -171,10 +166,7 @@
    * that at least one of them sees that both this side and the client have finished.
    */
   private void startLingering() {
-    discarding = true;
-    LingeringClose lingering = new LingeringClose(this, transport);
-    lingeringClose = lingering;
-    lingering.start();
+    inputDiscarder.startLingering(new LingeringClose(this, transport));
     if (remoteSide.isInputClosed()) {
       session.closeOnFlush();
     } else {
@@ -189,7 +181,7 @@
 
   /** Discards all that is received from now on, without work for the event loop. */
   public void discard() {
-    discarding = true;
+    inputDiscarder.start();
   }
 
   /**
@@ -211,13 +203,12 @@
 
   /** Whether a lingering close is under way; on any thread. */
   boolean isLingering() {
-    return lingeringClose != null;
+    return inputDiscarder.isLingering();
   }
 
   /** On MINA's thread: whether the output is to be shut down now; true only once. */
   boolean claimOutputShutdown() {
-    LingeringClose lingering = lingeringClose;
-    return lingering != null && lingering.claimOutputShutdown();
+    return inputDiscarder.claimOutputShutdown();
   }
 
   /**
@@ -225,7 +216,7 @@
    * down.
    */
   boolean isOutputShutdownDue() {
-    return lingeringClose != null && unsentBytes() == 0;
+    return inputDiscarder.isLingering() && unsentBytes() == 0;
   }
 
   /**
@@ -234,19 +225,12 @@
    */
   boolean onInputClosed() {
     remoteSide.onInputClosed();
-    return lingeringClose != null;
+    return inputDiscarder.isLingering();
   }
 
   /** On MINA's thread: whether bytes just received are to be discarded. */
   boolean discardsInput(int length) {
-    if (!discarding) {
-      return false;
-    }
-    LingeringClose lingering = lingeringClose;
-    if (lingering != null) {
-      lingering.onDiscarded(length);
-    }
-    return true;
+    return inputDiscarder.discards(length);
   }
 
   /** On MINA's thread, before received bytes are handed over to the event loop. */
@@ -287,10 +271,7 @@
    * was received before.
    */
   void onSessionLost(CloseReason reason) {
-    LingeringClose lingering = lingeringClose;
-    if (lingering != null) {
-      lingering.cancelTimer();
-    }
+    inputDiscarder.cancelTimer();
     if (pendingCloseReason == null) {
       pendingCloseReason = reason;
       inbound.consume();
