--- a/windows/src/test/java/tamarindroute/windows/BruteForce.java
+++ b/windows/src/test/java/tamarindroute/windows/BruteForce.java
@@ -14,8 +14,8 @@
   private final int warm;
   private final int[] starts;
 
-  /** What lacks in a bin, by which caches are in, out and cold there. */
-  private final Map<Integer, List<String>> lacks = new HashMap<>();
+  /** What shortages in a bin, by which caches are in, out and cold there. */
+  private final Map<Integer, List<NaiveChecker.Breach>> shortages = new HashMap<>();
 
   private int best = Integer.MAX_VALUE;
 
@@ -49,14 +49,16 @@
   }
 
   /**
-   * Cover once gone is gone, and so is room of those placed; one that is yet to be placed may still
-   * leave its load.
+   * A range without cover stays so, as does a cache without capacity, unless it is yet to be
+   * placed: then its own load may still move elsewhere.
    */
   private boolean fits(int from, int to, int placed) {
     for (int bin = from; bin < to; bin++) {
-      for (String lack : lacks(bin, placed)) {
-        String cache = lack.startsWith("room ") ? lack.split(" ")[1] : "";
-        if (!caches.subList(placed, caches.size()).contains(cache)) {
+      for (NaiveChecker.Breach shortage : shortages(bin, placed)) {
+        boolean mayGoOutToo =
+            shortage.kind() == Shortage.Kind.CAPACITY
+                && caches.subList(placed, caches.size()).contains(shortage.subject());
+        if (!mayGoOutToo) {
           return false;
         }
       }
@@ -64,14 +66,14 @@
     return true;
   }
 
-  private List<String> lacks(int bin, int placed) {
+  private List<NaiveChecker.Breach> shortages(int bin, int placed) {
     int key = bin;
     for (int c = 0; c < caches.size(); c++) {
       int into = bin - starts[c];
-      int standing = c >= placed || into < 0 || into >= length + warm ? 0 : into < length ? 1 : 2;
-      key = key * 3 + standing;
+      int state = c >= placed || into < 0 || into >= length + warm ? 0 : into < length ? 1 : 2;
+      key = key * 3 + state;
     }
-    List<String> known = lacks.get(key);
+    List<NaiveChecker.Breach> known = shortages.get(key);
     if (known == null) {
       List<ScheduledOutage> windows = new ArrayList<>();
       for (int c = 0; c < placed; c++) {
@@ -81,7 +83,7 @@
                 caches.get(c), start, start.plus(input.binLength().multipliedBy(length))));
       }
       known = List.copyOf(NaiveChecker.breaches(input, windows, bin).keySet());
-      lacks.put(key, known);
+      shortages.put(key, known);
     }
     return known;
   }
--- a/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
+++ b/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
@@ -5,6 +5,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.Random;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.ForAll;
@@ -18,7 +19,7 @@
     Random random = new Random(seed);
     LoadCurve curve = LoadCurve.empty(4);
     for (int i = random.nextInt(4); i >= 0; i--) {
-      // One process's words of one sequence are the same word, or it breaks its word: both occur.
+      // Two samples of one member and sequence may differ, which members never do on purpose.
       LoadSample sample = LoadSample.empty(4);
       for (int more = random.nextInt(3); more >= 0; more--) {
         sample = sample.withLoad(random.nextInt(4), random.nextInt(3), NOW);
@@ -33,11 +34,11 @@
     curve
         .samples()
         .forEach(
-            (m, w) ->
-                text.append(m)
-                    .append(w.sequence())
-                    .append(java.util.Arrays.toString(w.load()))
-                    .append(java.util.Arrays.toString(w.weight())));
+            (member, sample) ->
+                text.append(member)
+                    .append(sample.sequence())
+                    .append(Arrays.toString(sample.load()))
+                    .append(Arrays.toString(sample.weight())));
     return text.toString();
   }
 
@@ -53,7 +54,7 @@
   }
 
   @Test
-  void daysDecayMembersAddUpAndTheUnseenGrow() {
+  void daysDecayMembersAddUpAndOutdatedSamplesGrow() {
     LoadSample sample = LoadSample.empty(4).withLoad(1, 10, NOW).withLoad(1, 16, NOW);
     LoadCurve curve = LoadCurve.empty(4).withSample("m", sample);
     assertThat(curve.loadAt(1, NOW))
@@ -68,7 +69,7 @@
   }
 
   @Test
-  void wordsOutOfBoundsAreRefusedWhole() {
+  void samplesOutOfBoundsAreRejectedWhole() {
     assertThatThrownBy(() -> LoadSample.empty(4).withLoad(0, Double.NaN, NOW))
         .hasMessageContaining("bin 0");
     assertThatThrownBy(() -> LoadSample.empty(4).withLoad(2, -1, NOW))
--- a/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Prints how long plans take, how good they are, and a location's night in batches, one by one and
- * in random order.
+ * Prints label long plans take, label good they are, and a location's night in batches, one by one
+ * and in random order.
  */
 public final class PlannerBenchmark {
   private PlannerBenchmark() {}
@@ -33,7 +33,7 @@
   }
 
   static PlanningInput large(long seed) {
-    return SampleInputs.world(
+    return SampleInputs.input(
         seed,
         new SampleInputs.Shape(10, 95, 50, 5, 4096, 4, 192, 0.9),
         new CoverageRules(
@@ -42,9 +42,9 @@
 
   /** Every edge of every location, from midnight on, within two days. */
   static List<MaintenanceRequest> all(PlanningInput input) {
-    List<MaintenanceRequest> wishes = new ArrayList<>();
+    List<MaintenanceRequest> requests = new ArrayList<>();
     for (int l = 0; l < 10; l++) {
-      wishes.add(
+      requests.add(
           MaintenanceRequest.forShare(
               "all-" + l,
               "l" + l,
@@ -53,17 +53,17 @@
               Duration.ZERO,
               SampleInputs.BIN.multipliedBy(input.binCount())));
     }
-    return wishes;
+    return requests;
   }
 
   private static void time() {
     PlanningInput input = large(1);
-    List<MaintenanceRequest> wishes = all(input);
+    List<MaintenanceRequest> requests = all(input);
     double[] took = new double[15];
     Plan plan = null;
     for (int i = 0; i < took.length; i++) {
       long start = cpu();
-      plan = Planner.plan(input, List.of(), wishes);
+      plan = Planner.plan(input, List.of(), requests);
       took[i] = (cpu() - start) / 1e6;
     }
     double first = took[0];
@@ -92,7 +92,8 @@
       int length = 1 + seed % 2;
       List<String> edges = SampleInputs.edges(input, "l0");
       int best = new BruteForce(input, edges, length).end();
-      Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, length)));
+      Plan plan =
+          Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, length)));
       if (best == Integer.MAX_VALUE) {
         none++;
       } else if (!plan.rejections().isEmpty()) {
@@ -128,14 +129,14 @@
 
   private static void night(long seed) {
     PlanningInput input =
-        SampleInputs.world(
+        SampleInputs.input(
             seed,
             new SampleInputs.Shape(1, 24, 6, 3, 256, 4, 144, 0.9),
             new CoverageRules(
                 Set.of(CoverageRules.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
     List<String> edges = SampleInputs.edges(input, "l0");
-    Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, 3)));
-    List<ScheduledOutage> batches = NaiveChecker.held(plan);
+    Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, 3)));
+    List<ScheduledOutage> batches = NaiveChecker.outages(plan);
     report("batches", seed, input, batches);
     List<ScheduledOutage> single = new ArrayList<>();
     for (int i = 0; i < edges.size(); i++) {
@@ -165,7 +166,7 @@
   }
 
   private static void report(
-      String how, long seed, PlanningInput input, List<ScheduledOutage> windows) {
+      String label, long seed, PlanningInput input, List<ScheduledOutage> windows) {
     int end =
         windows.stream().mapToInt(w -> (int) w.end().dividedBy(SampleInputs.BIN)).max().orElse(0);
     double room = 1;
@@ -177,10 +178,10 @@
     int uncovered =
         (int)
             NaiveChecker.harm(input, List.of(), windows).stream()
-                .filter(h -> h.startsWith("cover"))
+                .filter(breach -> breach.getKey().kind() == Shortage.Kind.NO_EDGE)
                 .count();
     System.out.printf(
         "night, seed %d, %s: %.2f h, least room with one more failure %.2f, uncovered range-bins %d%n",
-        seed, how, end / 4.0, room, uncovered);
+        seed, label, end / 4.0, room, uncovered);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/PlannerTest.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerTest.java
@@ -1,9 +1,13 @@
 package tamarindroute.windows;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.data.Offset.offset;
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -17,14 +21,11 @@
 class PlannerTest {
   private static final Set<CoverageRules.Failure> ALL = Set.of(CoverageRules.Failure.values());
 
-  /**
-   * Some windows agreed before: each of these is harmless beside the others, as an earlier plan's
-   * are.
-   */
-  private static List<ScheduledOutage> others(PlanningInput input, long seed) {
+  /** Outages of an earlier plan. */
+  private static List<ScheduledOutage> outages(PlanningInput input, long seed) {
     List<String> some = new ArrayList<>(SampleInputs.edges(input, "l0"));
-    java.util.Collections.shuffle(some, new Random(seed));
-    return NaiveChecker.held(
+    Collections.shuffle(some, new Random(seed));
+    return NaiveChecker.outages(
         Planner.plan(
             input,
             List.of(),
@@ -37,10 +38,10 @@
                     SampleInputs.BIN.multipliedBy(28)))));
   }
 
-  private static List<MaintenanceRequest> wishes(PlanningInput input, long seed) {
+  private static List<MaintenanceRequest> requests(PlanningInput input, long seed) {
     List<String> edges = SampleInputs.edges(input, "l0");
     return List.of(
-        SampleInputs.wish(input, edges.subList(2, 7), 1 + (int) (seed % 2)),
+        SampleInputs.request(input, edges.subList(2, 7), 1 + (int) (seed % 2)),
         MaintenanceRequest.forShare(
             "half",
             "l1",
@@ -56,45 +57,45 @@
             SampleInputs.BIN.multipliedBy(28)));
   }
 
-  private static List<String> harm(
+  private static List<Map.Entry<NaiveChecker.Breach, Double>> harm(
       PlanningInput input,
-      PlanningInput told,
-      List<ScheduledOutage> others,
-      List<ScheduledOutage> toldOthers,
+      PlanningInput reported,
+      List<ScheduledOutage> outages,
+      List<ScheduledOutage> reportedOutages,
       long seed) {
-    Plan plan = Planner.plan(told, toldOthers, wishes(input, seed));
-    return NaiveChecker.harm(input, others, NaiveChecker.held(plan));
+    Plan plan = Planner.plan(reported, reportedOutages, requests(input, seed));
+    return NaiveChecker.harm(input, outages, NaiveChecker.outages(plan));
   }
 
   @Property(seed = "28", tries = 12)
-  void everyPlanKeepsCoverAndRoomWithOneFailureMore(
+  void everyPlanKeepsCoverAndCapacityWithOneFurtherFailure(
       @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
     PlanningInput input = SampleInputs.middle(seed, ALL);
-    List<ScheduledOutage> others = others(input, seed);
-    assertThat(NaiveChecker.harm(input, List.of(), others)).isEmpty();
-    assertThat(harm(input, input, others, others, seed)).isEmpty();
+    List<ScheduledOutage> outages = outages(input, seed);
+    assertThat(NaiveChecker.harm(input, List.of(), outages)).isEmpty();
+    assertThat(harm(input, input, outages, outages, seed)).isEmpty();
   }
 
   /**
-   * Each is a planner that leaves something out; the checker must see what comes of it in some
-   * world.
+   * Each seeded defect is a planner with wrong input; the checker must find its effect in some
+   * input.
    */
   @Test
-  void theCheckerFindsPlannersThatIgnoreWhatCounts() {
+  void theCheckerFindsPlannersThatIgnoreARule() {
     int[] found = new int[4];
     int placed = 0;
     for (long seed = 1; seed <= 4; seed++) {
       PlanningInput input = SampleInputs.middle(seed, ALL);
       CoverageRules rules = input.rules();
-      List<ScheduledOutage> others = others(input, seed);
-      placed += Planner.plan(input, others, wishes(input, seed)).batches().size();
-      PlanningInput warm =
+      List<ScheduledOutage> outages = outages(input, seed);
+      placed += Planner.plan(input, outages, requests(input, seed)).batches().size();
+      PlanningInput withoutWarmUp =
           with(
               input,
               new CoverageRules(
                   ALL, rules.missRatio(), rules.coldShare(), Duration.ZERO, rules.siblingFill()),
               1);
-      PlanningInput bold =
+      PlanningInput withoutReserve =
           with(
               input,
               new CoverageRules(
@@ -104,74 +105,72 @@
                   rules.warmUp(),
                   rules.siblingFill()),
               1);
-      found[0] += harm(input, warm, others, others, seed).isEmpty() ? 0 : 1;
-      found[1] += harm(input, bold, others, others, seed).isEmpty() ? 0 : 1;
-      found[2] += harm(input, with(input, rules, 0), others, others, seed).isEmpty() ? 0 : 1;
-      found[3] += harm(input, input, others, List.of(), seed).isEmpty() ? 0 : 1;
+      found[0] += harm(input, withoutWarmUp, outages, outages, seed).isEmpty() ? 0 : 1;
+      found[1] += harm(input, withoutReserve, outages, outages, seed).isEmpty() ? 0 : 1;
+      found[2] += harm(input, with(input, rules, 0), outages, outages, seed).isEmpty() ? 0 : 1;
+      found[3] += harm(input, input, outages, List.of(), seed).isEmpty() ? 0 : 1;
     }
     assertThat(placed).isGreaterThan(4);
     assertThat(found).as("cold returns, reserve, load, other windows").doesNotContain(0);
   }
 
   private static PlanningInput with(PlanningInput input, CoverageRules rules, double load) {
-    Map<String, double[]> loads = new java.util.HashMap<>();
-    input
-        .load()
-        .forEach(
-            (l, old) -> loads.put(l, java.util.Arrays.stream(old).map(x -> x * load).toArray()));
+    Map<String, double[]> loads = new HashMap<>();
+    input.load().forEach((l, old) -> loads.put(l, Arrays.stream(old).map(x -> x * load).toArray()));
     return new PlanningInput(
         input.caches(), input.ranges(), loads, input.start(), input.binLength(), rules);
   }
 
-  /** On small worlds no plan ends later than this many times the best ... */
-  static final double FACTOR = 3;
+  /** No plan of a small input ends later than this many times the optimum. */
+  static final double MAX_FACTOR = 3;
 
-  /** ... and of sixty no more than this many are refused though there is a plan. */
-  static final int MISSED = 1;
+  /** Most requests of small inputs that are rejected though there is a plan. */
+  static final int MAX_MISSED = 1;
 
   @Test
-  void plansAreWithinTheFactorOfTheBest() {
+  void smallPlansEndWithinAFactorOfTheOptimum() {
     int planned = 0;
-    int none = 0;
+    int infeasible = 0;
     int missed = 0;
-    int met = 0;
-    // The first sixty, and of three hundred the two whose plans are the furthest from the best.
+    int optimal = 0;
+    // The first sixty, and of 300 the two whose plans are the furthest from the optimum.
     for (int seed :
         IntStream.concat(IntStream.rangeClosed(1, 60), IntStream.of(154, 253)).toArray()) {
       PlanningInput input = SampleInputs.small(seed);
       List<String> edges = SampleInputs.edges(input, "l0");
       int length = 1 + seed % 2;
       int best = new BruteForce(input, edges, length).end();
-      Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.wish(input, edges, length)));
+      Plan plan =
+          Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, length)));
       if (best == Integer.MAX_VALUE) {
-        none++;
+        infeasible++;
         assertThat(plan.rejections()).as("seed %d", seed).hasSize(1);
       } else if (plan.rejections().isEmpty()) {
         planned++;
-        met += PlannerBenchmark.end(plan) == best ? 1 : 0;
+        optimal += PlannerBenchmark.end(plan) == best ? 1 : 0;
         assertThat(PlannerBenchmark.end(plan))
             .as("seed %d", seed)
-            .isBetween(best, (int) (best * FACTOR));
+            .isBetween(best, (int) (best * MAX_FACTOR));
       } else {
         missed++;
       }
     }
-    assertThat(missed).isLessThanOrEqualTo(MISSED);
+    assertThat(missed).isLessThanOrEqualTo(MAX_MISSED);
     assertThat(planned).isGreaterThan(40);
-    assertThat(met).as("plans that are the best").isGreaterThan(planned * 9 / 10);
-    assertThat(none).isPositive();
+    assertThat(optimal).as("plans that end at the optimum").isGreaterThan(planned * 9 / 10);
+    assertThat(infeasible).isPositive();
   }
 
   @Test
-  void aThousandCachesAndFourThousandRangesInASecondOrThree() {
+  void plansAThousandCachesWithinThreeSeconds() {
     PlanningInput input = PlannerBenchmark.large(1);
     assertThat(input.caches()).hasSizeGreaterThanOrEqualTo(1000);
     assertThat(input.ranges()).hasSize(4096);
-    List<MaintenanceRequest> wishes = PlannerBenchmark.all(input);
+    List<MaintenanceRequest> requests = PlannerBenchmark.all(input);
     long best = Long.MAX_VALUE;
     for (int i = 0; i < 4 && best > 3_000; i++) {
       long start = System.nanoTime();
-      Plan plan = Planner.plan(input, List.of(), wishes);
+      Plan plan = Planner.plan(input, List.of(), requests);
       best = Math.min(best, (System.nanoTime() - start) / 1_000_000);
       assertThat(plan.rejections()).isEmpty();
       assertThat(plan.batches().stream().mapToInt(b -> b.caches().size()).sum()).isEqualTo(950);
@@ -179,18 +178,15 @@
     assertThat(best).as("milliseconds").isLessThan(3_000);
   }
 
-  /**
-   * Three equal edges, any of which serves the one range; two bear the load of the day's first
-   * hour, all of it is one's at 4.
-   */
-  private static PlanningInput three(int bins, Set<CoverageRules.Failure> reserve) {
+  /** Three equal edges, each of which could serve the one key range alone. */
+  private static PlanningInput threeEdges(int bins, Set<CoverageRules.Failure> reserve) {
     List<Cache> caches = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       caches.add(new Cache("c" + i, "here", Cache.Tier.EDGE, 10, "", true, Duration.ZERO));
     }
     caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 100, "", true, Duration.ZERO));
     double[] load = new double[bins];
-    java.util.Arrays.fill(load, 9);
+    Arrays.fill(load, 9);
     return new PlanningInput(
         caches,
         List.of(new KeyRange("here", 1, List.of(0, 1, 2), List.of(3))),
@@ -201,8 +197,8 @@
   }
 
   @Test
-  void oneByOneWithTheReserveAndTheColdReturnKept() {
-    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
+  void placesOneAfterAnotherWithReserveAndWarmUp() {
+    PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -224,8 +220,8 @@
   }
 
   @Test
-  void aRefusalTellsRangeCacheNumberAndTheTimeThatWouldDo() {
-    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
+  void aRejectionNamesTheShortageAndTheFeasibleEnd() {
+    PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -266,16 +262,15 @@
             r -> {
               assertThat(r.shortage().kind()).isEqualTo(Shortage.Kind.CAPACITY);
               assertThat(r.shortage().cache()).isIn("c1", "c2");
-              assertThat(r.shortage().required())
-                  .isCloseTo(10.8, org.assertj.core.data.Offset.offset(1e-9));
+              assertThat(r.shortage().required()).isCloseTo(10.8, offset(1e-9));
               assertThat(r.shortage().available()).isEqualTo(10);
               assertThat(r.feasibleEnd()).isNull();
             });
   }
 
   @Test
-  void timeAndUnknownCachesRefuseTooAndAShareTakesAsManyAsNeeded() {
-    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
+  void rejectsShortTimesAndUnknownCachesAndPlacesTheRequiredShare() {
+    PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
     Plan plan =
         Planner.plan(
             input,
@@ -308,8 +303,8 @@
   }
 
   @Test
-  void whatLacksNowIsToldForAnyCachesOut() {
-    PlanningInput input = three(12, Set.of(CoverageRules.Failure.CACHE));
+  void findsTheShortageWhileSomeCachesAreOut() {
+    PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
     assertThat(Planner.shortage(input, List.of("c1"), Duration.ZERO)).isEmpty();
     assertThat(Planner.shortage(input, List.of("c1", "c2"), Duration.ZERO))
         .map(Shortage::kind)
--- a/windows/src/test/java/tamarindroute/windows/SampleInputs.java
+++ b/windows/src/test/java/tamarindroute/windows/SampleInputs.java
@@ -12,8 +12,8 @@
 import java.util.stream.IntStream;
 
 /**
- * SampleInputs by seed: weighted rendezvous hashing as the policy's, a day's load whose peak nearly
- * fills the fullest cache.
+ * Planning inputs by seed: weighted rendezvous hashing as in the routing policy, and a day's load
+ * whose peak nearly fills the fullest cache.
  */
 final class SampleInputs {
   static final Duration BIN = Duration.ofMinutes(15);
@@ -26,11 +26,11 @@
       int parents,
       int hubs,
       int ranges,
-      int deep,
+      int rankingLength,
       int bins,
       double peak) {}
 
-  static PlanningInput world(long seed, Shape shape, CoverageRules rules) {
+  static PlanningInput input(long seed, Shape shape, CoverageRules rules) {
     Random random = new Random(seed);
     List<Cache> caches = new ArrayList<>();
     for (int l = 0; l < shape.locations; l++) {
@@ -63,13 +63,14 @@
       String location = "l" + r % shape.locations;
       double share = (double) shape.locations / shape.ranges;
       List<Integer> fills =
-          new ArrayList<>(ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.deep));
+          new ArrayList<>(
+              ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.rankingLength));
       fills.add(caches.size() - 1);
       ranges.add(
           new KeyRange(
               location,
               Math.min(1, share),
-              ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed, shape.deep),
+              ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed, shape.rankingLength),
               fills));
     }
     Map<String, double[]> load = new HashMap<>();
@@ -134,14 +135,14 @@
   }
 
   static List<Integer> ranked(
-      List<Cache> caches, Cache.Tier tier, String location, long key, int deep) {
+      List<Cache> caches, Cache.Tier tier, String location, long key, int rankingLength) {
     record Scored(int place, double score) {}
     return IntStream.range(0, caches.size())
         .filter(c -> caches.get(c).tier() == tier && caches.get(c).location().equals(location))
         .mapToObj(
             c -> new Scored(c, -Math.log(uniform(key * 1_000_003L + c)) / caches.get(c).capacity()))
         .sorted(Comparator.comparingDouble(Scored::score))
-        .limit(deep)
+        .limit(rankingLength)
         .map(Scored::place)
         .toList();
   }
@@ -165,16 +166,24 @@
             0.1,
             BIN.multipliedBy(random.nextInt(3)),
             random.nextBoolean());
-    int deep = reserve ? 3 + random.nextInt(2) : 2 + random.nextInt(2);
-    return world(
+    int rankingLength = reserve ? 3 + random.nextInt(2) : 2 + random.nextInt(2);
+    return input(
         seed,
-        new Shape(1, edges, 3, 2, 4 + random.nextInt(8), deep, 12, 0.4 + random.nextDouble() / 2),
+        new Shape(
+            1,
+            edges,
+            3,
+            2,
+            4 + random.nextInt(8),
+            rankingLength,
+            12,
+            0.4 + random.nextDouble() / 2),
         rules);
   }
 
   /** Some worlds of middle size, with two locations. */
   static PlanningInput middle(long seed, Set<CoverageRules.Failure> reserve) {
-    return world(
+    return input(
         seed,
         new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
         new CoverageRules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
@@ -187,7 +196,7 @@
         .toList();
   }
 
-  static MaintenanceRequest wish(PlanningInput input, List<String> caches, int bins) {
+  static MaintenanceRequest request(PlanningInput input, List<String> caches, int bins) {
     return MaintenanceRequest.forCaches(
         "night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(input.binCount()));
   }
