--- /dev/null
+++ b/forms/src/test/java/tamarindroute/forms/VersionsTest.java
@@ -0,0 +1,166 @@
+package tamarindroute.forms;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.OptionalInt;
+import java.util.Random;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
+import tamarindroute.forms.FirstAttemptVersions.Knowledge;
+
+class VersionsTest {
+  private static final Duration RETENTION = Duration.ofSeconds(10);
+  private static final int EIGHT_VERSIONS = 0xFF;
+
+  private record Report(long request, int version, int ageSeconds) {}
+
+  private static VersionSet firstEight(int bits) {
+    return new VersionSet(bits & EIGHT_VERSIONS);
+  }
+
+  @Property(tries = 300, seed = "7")
+  void parsesWhatItFormats(@ForAll long bits) {
+    VersionSet set = new VersionSet(bits);
+    assertThat(bits == 0 ? VersionSet.NONE : VersionSet.parse(set.toString())).isEqualTo(set);
+  }
+
+  @Test
+  void parsesRangesAndRejectsOtherTextsWithAReason() {
+    assertThat(VersionSet.parse("0, 2-4")).isEqualTo(VersionSet.of(0, 2, 3, 4));
+    for (String bad : List.of("", "64", "3-1", "1-2-3", "a", "-1", "1,,2", "0".repeat(201))) {
+      assertThatThrownBy(() -> VersionSet.parse(bad))
+          .as(bad)
+          .isInstanceOf(IllegalArgumentException.class)
+          .message()
+          .isNotBlank();
+    }
+  }
+
+  @Property(tries = 2000, seed = "11")
+  void choosesTheNewestVersionThatAllReadAndWrite(
+      @ForAll int client,
+      @ForAll int usable,
+      @ForAll int reads,
+      @ForAll int writes,
+      @ForAll int sourceReads,
+      @ForAll int sourceWrites) {
+    PeerVersionRange cache = new PeerVersionRange(firstEight(reads), firstEight(writes));
+    PeerVersionRange source =
+        new PeerVersionRange(firstEight(sourceReads), firstEight(sourceWrites));
+    VersionNegotiation negotiation =
+        VersionNegotiation.anyVersion(firstEight(client), firstEight(usable));
+    int lookup = negotiation.lookupVersion(cache);
+    int fill = negotiation.fillVersion(cache, source);
+    for (int version = 0; version < 8; version++) {
+      int bit = 1 << version;
+      boolean common = (client & usable & reads & writes & bit) != 0;
+      boolean commonWithSource = common && (sourceReads & sourceWrites & bit) != 0;
+      assertThat(common && version > lookup).as("a newer common version than chosen").isFalse();
+      assertThat(version == lookup && !common).isFalse();
+      assertThat(version == fill && !commonWithSource).isFalse();
+    }
+    assertThat(negotiation.isPossible(List.of(cache)))
+        .isEqualTo(lookup != VersionNegotiation.NO_VERSION);
+  }
+
+  @Property(tries = 500, seed = "13")
+  void aKeyedRequestKeepsItsFirstVersionOrGoesNowhere(
+      @ForAll int client, @ForAll int supported, @ForAll byte first) {
+    VersionSet clientReads = firstEight(client);
+    PeerVersionRange cache = new PeerVersionRange(firstEight(supported), firstEight(supported));
+    int version = first & 7;
+    assertThat(
+            VersionNegotiation.sameVersion(clientReads, OptionalInt.of(version))
+                .lookupVersion(cache))
+        .isIn(version, VersionNegotiation.NO_VERSION);
+    assertThat(
+            VersionNegotiation.sameVersion(clientReads, OptionalInt.empty()).lookupVersion(cache))
+        .isEqualTo(VersionNegotiation.NO_VERSION);
+  }
+
+  @Test
+  void aClientWithoutACommonVersionLearnsTheSupportedOnes() {
+    List<PeerVersionRange> caches =
+        List.of(
+            PeerVersionRange.OLDEST,
+            new PeerVersionRange(VersionSet.of(0, 1, 2), VersionSet.of(1, 2)));
+    assertThat(
+            VersionNegotiation.anyVersion(VersionSet.of(5), VersionSet.of(0, 1, 5))
+                .isPossible(caches))
+        .isFalse();
+    assertThat(VersionNegotiation.supported(caches)).isEqualTo(VersionSet.of(0, 1, 2));
+  }
+
+  @Property(tries = 200, seed = "17")
+  void reportsOfFirstAttemptsMergeInAnyOrder(@ForAll long seed) {
+    Random random = new Random(seed);
+    List<Report> reports = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      reports.add(new Report(random.nextInt(4), random.nextInt(2), random.nextInt(8)));
+    }
+    reports.addAll(reports.subList(0, 4));
+    FirstAttemptVersions one = recorded(reports);
+    Collections.shuffle(reports, random);
+    FirstAttemptVersions other = recorded(reports);
+    Duration now = Duration.ofSeconds(100);
+    for (long request = 0; request < 5; request++) {
+      Knowledge knowledge = one.lookup(request, false, now);
+      boolean reportedOld = isReported(reports, request, 0);
+      boolean reportedNew = isReported(reports, request, 1);
+      boolean conflicting = reportedOld && reportedNew;
+      boolean reported = reportedOld || reportedNew;
+      assertThat(knowledge).isEqualTo(other.lookup(request, false, now));
+      assertThat(knowledge instanceof Knowledge.Unknown).isEqualTo(conflicting || !reported);
+    }
+  }
+
+  private static boolean isReported(List<Report> reports, long request, int version) {
+    return reports.stream()
+        .anyMatch(report -> report.request() == request && report.version() == version);
+  }
+
+  private static FirstAttemptVersions recorded(List<Report> reports) {
+    FirstAttemptVersions versions = new FirstAttemptVersions(100, RETENTION);
+    reports.forEach(
+        report ->
+            versions.onAttempt(
+                report.request(),
+                report.version(),
+                Duration.ofSeconds(report.ageSeconds()),
+                Duration.ofSeconds(100)));
+    return versions;
+  }
+
+  @Test
+  void aRepeatWithoutAnEntryMayHaveUsedAnyVersion() {
+    FirstAttemptVersions versions = new FirstAttemptVersions(2, RETENTION);
+    Duration now = Duration.ofSeconds(50);
+    assertThat(versions.lookup(1, true, now)).isEqualTo(new Knowledge.NotAttempted());
+    versions.onAttempt(1, 3, Duration.ZERO, now);
+    assertThat(versions.lookup(1, false, now)).isEqualTo(new Knowledge.Known(3));
+    versions.onAttempt(2, 3, Duration.ZERO, now);
+    versions.onAttempt(3, 3, Duration.ZERO, now);
+    assertThat(versions.size()).isEqualTo(2);
+    assertThat(versions.lookup(1, false, now))
+        .as("dropped at capacity")
+        .isEqualTo(new Knowledge.Unknown());
+    assertThat(versions.lookup(2, false, now.plus(RETENTION)))
+        .as("expired")
+        .isEqualTo(new Knowledge.Unknown());
+  }
+
+  @Test
+  void neighbouringFleetVersionsMustShareASchemaVersion() {
+    assertThatThrownBy(() -> new VersionTable(List.of(VersionSet.of(0), VersionSet.of(1))))
+        .hasMessage("fleet versions 0 and 1 share no schema version");
+    assertThat(new FleetVersion(1, FleetVersion.Phase.STABLE).joinRefusal(0, 0))
+        .contains("the fleet has settled on version 1, this peer supports 0 to 0");
+    assertThat(new FleetVersion(1, FleetVersion.Phase.TRIAL).joinRefusal(0, 1)).isEmpty();
+  }
+}
