--- a/rig/play.sh
+++ b/rig/play.sh
@@ -6,4 +6,4 @@
 for file in "$@"; do
     files="$files $(realpath "$file")" || exit 1
 done
-cd "$here" && mvn -q -DskipTests package && exec java -cp rig/target/test-classes tamarindroute.rig.Schedules $files
+cd "$here" && mvn -q -DskipTests package && exec java -cp rig/target/test-classes tamarindroute.rig.ScheduleRunner $files
--- a/rig/src/test/java/tamarindroute/rig/PlayIT.java
+++ b/rig/src/test/java/tamarindroute/rig/PlayIT.java
@@ -14,36 +14,33 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every schedule there is. */
+/** Runs every schedule of the folder. */
 class PlayIT {
 
   private static final Path SCHEDULES = Path.of("rig/src/test/resources/schedules");
 
-  /**
-   * A play is mostly waiting; with less than four cores each, starting processes take too much from
-   * one another.
-   */
-  private static final int ABREAST = Math.max(1, Runtime.getRuntime().availableProcessors() / 4);
+  /** A run mostly waits, but with fewer than four cores each, starting processes stall others. */
+  private static final int PARALLEL = Math.max(1, Runtime.getRuntime().availableProcessors() / 4);
 
   @TestFactory
-  Stream<DynamicTest> eachScheduleIsPlayedAndItsExpectationsHold() throws IOException {
+  Stream<DynamicTest> theExpectationsOfEachScheduleHold() throws IOException {
     List<Path> files;
     try (Stream<Path> all = Files.list(SCHEDULES)) {
       files = all.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
     }
     assertThat(files).isNotEmpty();
-    ExecutorService plays = Executors.newFixedThreadPool(ABREAST);
+    ExecutorService runs = Executors.newFixedThreadPool(PARALLEL);
     List<DynamicTest> tests =
         files.stream()
             .map(
                 file -> {
-                  Future<List<String>> play = plays.submit(() -> Schedules.failures(file));
+                  Future<List<String>> run = runs.submit(() -> ScheduleRunner.failures(file));
                   return DynamicTest.dynamicTest(
                       file.getFileName().toString(),
-                      () -> assertThat(play.get(5, TimeUnit.MINUTES)).isEmpty());
+                      () -> assertThat(run.get(5, TimeUnit.MINUTES)).isEmpty());
                 })
             .toList();
-    plays.shutdown();
+    runs.shutdown();
     return tests.stream();
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/check/Checker.java
+++ b/rig/src/test/java/tamarindroute/rig/check/Checker.java
@@ -1,10 +1,16 @@
 package tamarindroute.rig.check;
 
 import java.util.List;
-import tamarindroute.rig.journal.Line;
+import tamarindroute.rig.journal.JournalEntry;
 
-/** Judges one invariant; the words are those behind its name in the schedule. */
-public interface Checker {
+/** Judges one invariant. */
+interface Checker {
 
-  Verdict check(List<Line> journal, List<String> words);
+  /**
+   * Judges a run.
+   *
+   * @param journal all entries of the run
+   * @param arguments the words after the checker's name in the schedule
+   */
+  Verdict check(List<JournalEntry> journal, List<String> arguments);
 }
--- a/rig/src/test/java/tamarindroute/rig/check/Checkers.java
+++ b/rig/src/test/java/tamarindroute/rig/check/Checkers.java
@@ -1,102 +1,103 @@
 package tamarindroute.rig.check;
 
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import tamarindroute.rig.check.Verdict.Breach;
 import tamarindroute.rig.journal.Journal;
-import tamarindroute.rig.journal.Line;
+import tamarindroute.rig.journal.JournalEntry;
 import tamarindroute.rig.schedule.Schedule;
 
-/** All checkers by the names that schedules call them by. */
+/** All checkers by their names in schedules. */
 public final class Checkers {
 
-  /** Breaches that are told of one checker, and lines around the first. */
-  private static final int TOLD = 5;
+  private static final int MAX_REPORTED_BREACHES = 5;
+  private static final int EXCERPT_LINES = 20;
 
-  private static final int AROUND = 20;
-
-  private static final Map<String, Checker> ALL =
+  private static final Map<String, Checker> BY_NAME =
       new TreeMap<>(
           Map.ofEntries(
-              Map.entry("views-kept", GatewayChecks::viewsKept),
-              Map.entry("effects-once", GatewayChecks::effectsOnce),
-              Map.entry("drains-kept", GatewayChecks::drainsKept),
-              Map.entry("cold-share-kept", GatewayChecks::coldShareKept),
-              Map.entry("no-false-away", MemberChecks::noFalseAway),
-              Map.entry("killed-known", MemberChecks::killedKnown),
-              Map.entry("cut-off-told", MemberChecks::cutOffTold),
-              Map.entry("lives-in-order", MemberChecks::livesInOrder),
-              Map.entry("all-agree", MemberChecks::allAgree),
-              Map.entry("no-flapping", MemberChecks::noFlapping),
-              Map.entry("none-ends", ProcessChecks::noneEnds),
-              Map.entry("says", ProcessChecks::says),
-              Map.entry("silent", ProcessChecks::silent)));
+              Map.entry("requests-answered", new RequestsAnsweredChecker()),
+              Map.entry("at-most-once", new AtMostOnceChecker()),
+              Map.entry("drains-respected", new DrainsRespectedChecker()),
+              Map.entry("slow-start-respected", new SlowStartChecker()),
+              Map.entry("no-false-faulty", new NoFalseFaultyChecker()),
+              Map.entry("crashes-detected", new CrashesDetectedChecker()),
+              Map.entry("isolation-reported", new IsolationReportedChecker()),
+              Map.entry("incarnations-ordered", new IncarnationsOrderedChecker()),
+              Map.entry("membership-converges", new MembershipConvergesChecker()),
+              Map.entry("no-flapping", new NoFlappingChecker()),
+              Map.entry("no-unexpected-exit", new NoUnexpectedExitChecker()),
+              Map.entry("logs", new LogTextChecker(true)),
+              Map.entry("does-not-log", new LogTextChecker(false))));
 
   private Checkers() {}
 
-  public static List<String> names() {
-    return List.copyOf(ALL.keySet());
+  /** The names of all checkers, sorted. */
+  static List<String> names() {
+    return List.copyOf(BY_NAME.keySet());
   }
 
-  public static Verdict check(String name, List<Line> journal, List<String> words) {
-    Checker checker = ALL.get(name);
+  static Verdict check(String name, List<JournalEntry> journal, List<String> arguments) {
+    Checker checker = BY_NAME.get(name);
     if (checker == null) {
-      throw new IllegalArgumentException("there is no checker " + name + " among " + ALL.keySet());
+      throw new IllegalArgumentException(
+          "there is no checker " + name + " among " + BY_NAME.keySet());
     }
-    return checker.check(journal, words);
+    return checker.check(journal, arguments);
   }
 
-  /**
-   * What of a schedule's expectations does not hold, each with its seed and the lines around; empty
-   * if all hold.
-   */
-  public static List<String> failures(Schedule schedule, List<Line> journal) {
+  /** A description of each expectation of a schedule that does not hold. */
+  public static List<String> failures(Schedule schedule, List<JournalEntry> journal) {
     List<String> failures = new ArrayList<>();
-    for (Schedule.Expectation expected : schedule.expectations) {
-      Verdict verdict = check(expected.name(), journal, expected.words());
-      String where =
-          schedule.file
-              + ":"
-              + expected.line()
-              + ": "
-              + expected.name()
-              + " (seed "
-              + schedule.seed
-              + ", "
-              + verdict.judged
-              + " judged)";
-      if (verdict.judged == 0) {
-        failures.add(where + ": nothing was there to judge");
-      } else if (expected.breach() && verdict.breaches.isEmpty()) {
-        failures.add(where + ": the seeded defect was not found");
-      } else if (!expected.breach() && !verdict.breaches.isEmpty()) {
-        failures.add(where + ": " + told(verdict.breaches, journal));
-      }
+    for (Schedule.Expectation expectation : schedule.expectations()) {
+      Verdict verdict = check(expectation.checker(), journal, expectation.arguments());
+      problem(expectation, verdict, journal)
+          .ifPresent(
+              problem -> failures.add(location(schedule, expectation, verdict) + ": " + problem));
     }
     return failures;
   }
 
-  private static String told(List<Breach> breaches, List<Line> journal) {
+  private static String location(
+      Schedule schedule, Schedule.Expectation expectation, Verdict verdict) {
+    return "%s:%d: %s (seed %d, %d judged)"
+        .formatted(
+            schedule.file(),
+            expectation.line(),
+            expectation.checker(),
+            schedule.seed(),
+            verdict.judged());
+  }
+
+  private static Optional<String> problem(
+      Schedule.Expectation expectation, Verdict verdict, List<JournalEntry> journal) {
+    boolean broken = !verdict.breaches().isEmpty();
+    if (verdict.judged() == 0) {
+      return Optional.of("there was nothing to judge");
+    }
+    if (expectation.breach() && !broken) {
+      return Optional.of("the seeded defect was not found");
+    }
+    if (!expectation.breach() && broken) {
+      return Optional.of(describe(verdict.breaches(), journal));
+    }
+    return Optional.empty();
+  }
+
+  private static String describe(List<Breach> breaches, List<JournalEntry> journal) {
     StringBuilder text = new StringBuilder(breaches.size() + " breaches\n");
     breaches.stream()
-        .limit(TOLD)
+        .limit(MAX_REPORTED_BREACHES)
         .forEach(
             breach ->
                 text.append("  at ")
                     .append(breach.at().toMillis())
                     .append(" ms: ")
-                    .append(breach.what())
+                    .append(breach.description())
                     .append('\n'));
-    return text.append(Journal.excerpt(journal, breaches.get(0).at(), AROUND)).toString();
-  }
-
-  /** 1.5s or 200ms. */
-  static Duration time(String word) {
-    boolean millis = word.endsWith("ms");
-    double value = Double.parseDouble(word.substring(0, word.length() - (millis ? 2 : 1)));
-    return Duration.ofNanos(Math.round(value * (millis ? 1e6 : 1e9)));
+    return text.append(Journal.excerpt(journal, breaches.get(0).at(), EXCERPT_LINES)).toString();
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/check/Verdict.java
+++ b/rig/src/test/java/tamarindroute/rig/check/Verdict.java
@@ -4,19 +4,36 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * How much a checker has judged, and what broke its invariant. One that has judged nothing has not
- * shown anything.
- */
+/** How many cases a checker has judged, and the breaches of its invariant among them. */
 public final class Verdict {
 
-  /** When and how an invariant was broken. */
-  public record Breach(Duration at, String what) {}
+  /**
+   * A breach of an invariant.
+   *
+   * @param at when
+   * @param description what happened
+   */
+  public record Breach(Duration at, String description) {}
 
-  public int judged;
-  public final List<Breach> breaches = new ArrayList<>();
+  private int judged;
+  private final List<Breach> breaches = new ArrayList<>();
 
-  void breach(Duration at, String what) {
-    breaches.add(new Breach(at, what));
+  /** One more case was judged. */
+  void countJudged() {
+    judged++;
+  }
+
+  void addBreach(Duration at, String description) {
+    breaches.add(new Breach(at, description));
+  }
+
+  /** The number of judged cases; a checker without any has shown nothing. */
+  public int judged() {
+    return judged;
+  }
+
+  /** The breaches in the order in which they were found. */
+  public List<Breach> breaches() {
+    return List.copyOf(breaches);
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/check/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/check/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the verdict on a play, from its journal alone: what the stand-ins saw and what the processes
- * printed. It must never ask the product's code, nor a process.
+ * The checkers that judge a run by its journal alone: what the stubs recorded and what the
+ * processes printed. No code of the program is used, and no process is asked.
  */
 package tamarindroute.rig.check;
--- a/rig/src/test/java/tamarindroute/rig/journal/Journal.java
+++ b/rig/src/test/java/tamarindroute/rig/journal/Journal.java
@@ -8,80 +8,89 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The merged log of one play, in the order in which its lines were heard. */
+/** The merged log of one run, in the order in which its lines were read. Thread-safe. */
 public final class Journal {
 
-  /**
-   * Lines that are kept: a play of 16 processes writes some 50,000; a process gone wild must not
-   * take the memory.
-   */
-  private static final int MOST = 400_000;
+  /** Entry that marks the start of a schedule's times. */
+  public static final String RUN_BEGINS = "run begins";
 
-  private final long start = System.nanoTime();
-  private final List<Line> lines = new ArrayList<>();
+  /** Entry that marks the end of a run. */
+  public static final String RUN_ENDS = "run ends";
 
+  /** Bounds the memory; a run of 16 processes writes some 50,000 entries. */
+  private static final int MAX_ENTRIES = 400_000;
+
+  private final long startNanos = System.nanoTime();
+  private final List<JournalEntry> entries = new ArrayList<>();
+
+  /** Time since the journal was created. */
   public Duration now() {
-    return Duration.ofNanos(System.nanoTime() - start);
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  /** Stamps and keeps a line; returns its time. */
-  public synchronized Duration add(String who, String text) {
+  /** Stamps and adds an entry; returns its time. */
+  public synchronized Duration add(String source, String text) {
     Duration now = now();
-    if (lines.size() < MOST) {
-      lines.add(new Line(now, who, text));
-    } else if (lines.size() == MOST) {
-      lines.add(new Line(now, "rig", "too many lines: the rest is not kept"));
+    if (entries.size() < MAX_ENTRIES) {
+      entries.add(new JournalEntry(now, source, text));
+    } else if (entries.size() == MAX_ENTRIES) {
+      entries.add(new JournalEntry(now, JournalEntry.RIG, "too many entries: the rest is dropped"));
     }
     notifyAll();
     return now;
   }
 
-  public synchronized List<Line> lines() {
-    return List.copyOf(lines);
+  /** A copy of all entries so far. */
+  public synchronized List<JournalEntry> entries() {
+    return List.copyOf(entries);
   }
 
-  /** Whether such a line is there, now or before the time is over. */
-  public synchronized boolean await(Predicate<Line> wanted, Duration longest)
+  /** Waits for an entry; false if there is none before the timeout. */
+  public synchronized boolean await(Predicate<JournalEntry> wanted, Duration timeout)
       throws InterruptedException {
-    long end = System.nanoTime() + longest.toNanos();
+    long endNanos = System.nanoTime() + timeout.toNanos();
     int next = 0;
     while (true) {
-      for (; next < lines.size(); next++) {
-        if (wanted.test(lines.get(next))) {
+      for (; next < entries.size(); next++) {
+        if (wanted.test(entries.get(next))) {
           return true;
         }
       }
-      long left = (end - System.nanoTime()) / 1_000_000;
-      if (left <= 0) {
+      long leftMillis = (endNanos - System.nanoTime()) / 1_000_000;
+      if (leftMillis <= 0) {
         return false;
       }
-      wait(left);
+      wait(leftMillis);
     }
   }
 
-  /** The last line of someone's that holds these words; empty where there is none. */
-  public synchronized String last(String who, String words) {
-    for (int i = lines.size() - 1; i >= 0; i--) {
-      if (lines.get(i).by(who) && lines.get(i).text().contains(words)) {
-        return lines.get(i).text();
+  /** The text of a source's last entry that contains some words; empty where there is none. */
+  public synchronized String lastText(String source, String words) {
+    for (int i = entries.size() - 1; i >= 0; i--) {
+      JournalEntry entry = entries.get(i);
+      if (entry.isFrom(source) && entry.text().contains(words)) {
+        return entry.text();
       }
     }
     return "";
   }
 
+  /** Writes all entries to a file. */
   public void write(Path file) throws IOException {
-    Files.write(file, (Iterable<String>) lines().stream().map(Line::toString)::iterator);
+    Files.write(file, entries().stream().map(JournalEntry::toString).toList());
   }
 
-  /** The lines around a moment, for whoever has to understand a breach. */
-  public static String excerpt(List<Line> lines, Duration at, int around) {
+  /** The entries around a time, as text, with the first one at or after it marked. */
+  public static String excerpt(List<JournalEntry> entries, Duration at, int around) {
     int middle = 0;
-    while (middle < lines.size() && lines.get(middle).at().compareTo(at) < 0) {
+    while (middle < entries.size() && entries.get(middle).at().compareTo(at) < 0) {
       middle++;
     }
+    int from = Math.max(0, middle - around);
+    int to = Math.min(entries.size(), middle + around);
     StringBuilder text = new StringBuilder();
-    for (int i = Math.max(0, middle - around); i < Math.min(lines.size(), middle + around); i++) {
-      text.append(i == middle ? "  > " : "    ").append(lines.get(i)).append('\n');
+    for (int i = from; i < to; i++) {
+      text.append(i == middle ? "  > " : "    ").append(entries.get(i)).append('\n');
     }
     return text.toString();
   }
--- a/rig/src/test/java/tamarindroute/rig/journal/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/journal/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns what a play has heard: each line of a process, each event at a stand-in and each deed of the
- * rig, stamped by one monotonic clock. It must never judge a line.
+ * The journal of a run: each line that a process printed, each event at a stub and each action of
+ * the rig, stamped by one monotonic clock. Package {@code check} judges it.
  */
 package tamarindroute.rig.journal;
--- a/rig/src/test/java/tamarindroute/rig/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Owns the tests of the rig and the playing of all schedules. It must never hold what a single
- * schedule needs.
+ * Runs schedules of faults against real processes of the program; see docs/rig.md. Package {@code
+ * schedule} parses a schedule, {@code play} executes it with the links of {@code proxy}, {@code
+ * journal} records the run and {@code check} judges it.
  */
 package tamarindroute.rig;
--- a/rig/src/test/java/tamarindroute/rig/play/Signals.java
+++ b/rig/src/test/java/tamarindroute/rig/play/SignalSender.java
@@ -1,38 +1,39 @@
 package tamarindroute.rig.play;
 
+import java.io.Closeable;
 import java.io.IOException;
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sends signals through one shell that stays, since starting a program for each costs a starved
- * machine too much.
+ * Sends signals through one long-lived shell: starting a program for each would load the machine
+ * too much.
  */
-final class Signals implements AutoCloseable {
+final class SignalSender implements Closeable {
 
   private final Process shell;
-  private final Writer in;
+  private final Writer input;
 
-  Signals() throws IOException {
+  SignalSender() throws IOException {
     shell =
         new ProcessBuilder("/bin/sh")
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
-    in = shell.outputWriter(StandardCharsets.US_ASCII);
+    input = shell.outputWriter(StandardCharsets.US_ASCII);
   }
 
-  /** A process of ours, and only while it lives: its id may later be another's. */
+  /** Signals a process that this program started, while it lives: its id may be reused later. */
   synchronized void send(String signal, Process process) throws IOException {
     if (process.isAlive()) {
-      in.write("kill -" + signal + " " + process.pid() + "\n");
-      in.flush();
+      input.write("kill -" + signal + " " + process.pid() + "\n");
+      input.flush();
     }
   }
 
   @Override
   public void close() throws IOException {
-    in.close();
+    input.close();
     shell.destroy();
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/play/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/play/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns the playing of a schedule: the processes that it starts and ends, the stand-ins round them,
- * the clients. It signals only processes that it started, by their id. It must never judge what
- * came of it.
+ * Executes a schedule: the processes that it starts and ends, the stub servers around them, the
+ * clients. Signals go only to processes that it started, by their id. Package {@code check} judges
+ * the result.
  */
 package tamarindroute.rig.play;
--- a/rig/src/test/java/tamarindroute/rig/proxy/Chance.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/DeterministicRandom.java
@@ -7,17 +7,17 @@
  * Draws of one way: a checksum over the seed, the way's name and a counter, so that no way's draws
  * hang on another's.
  */
-public final class Chance {
+public final class DeterministicRandom {
 
   private final byte[] name;
   private long count;
 
-  public Chance(long seed, String name) {
+  public DeterministicRandom(long seed, String name) {
     this.name = (seed + " " + name + " ").getBytes(StandardCharsets.UTF_8);
   }
 
   /** From 0 up to, not including, 1. */
-  public double draw() {
+  public double next() {
     CRC32 sum = new CRC32();
     sum.update(name);
     count++;
--- a/rig/src/test/java/tamarindroute/rig/proxy/Proxies.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetwork.java
@@ -1,5 +1,6 @@
 package tamarindroute.rig.proxy;
 
+import java.io.Closeable;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -20,49 +21,52 @@
 import java.util.function.UnaryOperator;
 
 /** All ways, on one selecting thread. Faults may be set from any thread and hold from then on. */
-public final class Proxies implements AutoCloseable {
+public final class ProxyNetwork implements Closeable {
 
   /** What a selected channel leads to. */
-  interface Ready {
-    void ready() throws IOException;
+  interface ReadyHandler {
+    void onReady() throws IOException;
   }
 
-  private record Due(long at, long number, Runnable work) implements Comparable<Due> {
+  private record DelayedTask(long dueNanos, long number, Runnable task)
+      implements Comparable<DelayedTask> {
     @Override
-    public int compareTo(Due other) {
-      return at != other.at ? Long.signum(at - other.at) : Long.compare(number, other.number);
+    public int compareTo(DelayedTask other) {
+      return dueNanos != other.dueNanos
+          ? Long.signum(dueNanos - other.dueNanos)
+          : Long.compare(number, other.number);
     }
   }
 
   /** Connections at once; a process under test is bounded by 1,024 descriptors itself. */
-  private static final int LINKS = 4096;
+  private static final int MAX_CONNECTIONS = 4096;
 
   private final long seed;
   private final Selector selector = Selector.open();
-  private final Map<String, Way> ways = new ConcurrentHashMap<>();
-  private final Set<TcpLink> links = new LinkedHashSet<>();
-  private final PriorityQueue<Due> due = new PriorityQueue<>();
-  private final ConcurrentLinkedQueue<Runnable> handed = new ConcurrentLinkedQueue<>();
-  private final List<SelectableChannel> doors = new ArrayList<>();
+  private final Map<String, Link> links = new ConcurrentHashMap<>();
+  private final Set<TcpProxy> connections = new LinkedHashSet<>();
+  private final PriorityQueue<DelayedTask> delayedTasks = new PriorityQueue<>();
+  private final ConcurrentLinkedQueue<Runnable> submitted = new ConcurrentLinkedQueue<>();
+  private final List<SelectableChannel> channels = new ArrayList<>();
   private final Thread thread = new Thread(this::run, "proxies");
-  private long number;
-  private volatile boolean over;
+  private long taskCount;
+  private volatile boolean closed;
 
-  public Proxies(long seed) throws IOException {
+  public ProxyNetwork(long seed) throws IOException {
     this.seed = seed;
     thread.setDaemon(true);
     thread.start();
   }
 
-  private Way way(String from, String to) {
-    return ways.computeIfAbsent(from + " > " + to, name -> new Way(seed, name));
+  private Link link(String from, String to) {
+    return links.computeIfAbsent(from + " > " + to, name -> new Link(seed, name));
   }
 
   /** Changes the fault of a directed way. */
-  public void fault(String from, String to, UnaryOperator<Fault> change) {
-    Way way = way(from, to);
-    way.fault = change.apply(way.fault);
-    hand(() -> new ArrayList<>(links).forEach(TcpLink::settle));
+  public void changeFaults(String from, String to, UnaryOperator<LinkFaults> change) {
+    Link link = link(from, to);
+    link.faults = change.apply(link.faults);
+    submit(() -> new ArrayList<>(connections).forEach(TcpProxy::advance));
   }
 
   /**
@@ -86,11 +90,11 @@
       }
       server.configureBlocking(false);
       datagrams.configureBlocking(false);
-      Way there = way(from, to);
-      Way back = way(to, from);
-      UdpLink udp = new UdpLink(this, datagrams, target, there, back);
-      Ready door = () -> accept(server, target, there, back);
-      hand(
+      Link forward = link(from, to);
+      Link backward = link(to, from);
+      UdpProxy udp = new UdpProxy(this, datagrams, target, forward, backward);
+      ReadyHandler door = () -> accept(server, target, forward, backward);
+      submit(
           () -> {
             register(server, SelectionKey.OP_ACCEPT, door);
             register(datagrams, SelectionKey.OP_READ, udp);
@@ -99,52 +103,53 @@
     }
   }
 
-  private void register(SelectableChannel channel, int operation, Ready ready) {
+  private void register(SelectableChannel channel, int operation, ReadyHandler ready) {
     try {
-      doors.add(channel);
+      channels.add(channel);
       channel.register(selector, operation, ready);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void accept(ServerSocketChannel server, InetSocketAddress target, Way there, Way back)
+  private void accept(
+      ServerSocketChannel server, InetSocketAddress target, Link forward, Link backward)
       throws IOException {
     for (SocketChannel caller = server.accept(); caller != null; caller = server.accept()) {
-      if (links.size() >= LINKS) {
-        Pump.reset(caller);
+      if (connections.size() >= MAX_CONNECTIONS) {
+        StreamPipe.reset(caller);
       } else {
-        links.add(new TcpLink(this, selector, caller, target, there, back));
+        connections.add(new TcpProxy(this, selector, caller, target, forward, backward));
       }
     }
   }
 
-  void forget(TcpLink link) {
-    links.remove(link);
+  void remove(TcpProxy link) {
+    connections.remove(link);
   }
 
   /** On the proxies' thread, and only from there. */
-  void after(long nanos, Runnable work) {
-    due.add(new Due(System.nanoTime() + nanos, number++, work));
+  void schedule(long nanos, Runnable work) {
+    delayedTasks.add(new DelayedTask(System.nanoTime() + nanos, taskCount++, work));
   }
 
   /** Resets all connections; new ones come up. */
-  public void reset() {
-    hand(() -> new ArrayList<>(links).forEach(TcpLink::close));
+  public void resetConnections() {
+    submit(() -> new ArrayList<>(connections).forEach(TcpProxy::close));
   }
 
-  private void hand(Runnable work) {
-    handed.add(work);
+  private void submit(Runnable work) {
+    submitted.add(work);
     selector.wakeup();
   }
 
   private void run() {
-    while (!over) {
+    while (!closed) {
       try {
         long wait =
-            due.isEmpty()
+            delayedTasks.isEmpty()
                 ? 100
-                : Math.min(100, (due.peek().at - System.nanoTime()) / 1_000_000 + 1);
+                : Math.min(100, (delayedTasks.peek().dueNanos - System.nanoTime()) / 1_000_000 + 1);
         if (wait <= 0) {
           selector.selectNow();
         } else {
@@ -152,22 +157,22 @@
         }
         for (SelectionKey key : selector.selectedKeys()) {
           if (key.isValid()) {
-            ((Ready) key.attachment()).ready();
+            ((ReadyHandler) key.attachment()).onReady();
           }
         }
         selector.selectedKeys().clear();
-        for (Runnable work = handed.poll(); work != null; work = handed.poll()) {
+        for (Runnable work = submitted.poll(); work != null; work = submitted.poll()) {
           work.run();
         }
-        while (!due.isEmpty() && due.peek().at - System.nanoTime() <= 0) {
-          due.poll().work.run();
+        while (!delayedTasks.isEmpty() && delayedTasks.peek().dueNanos - System.nanoTime() <= 0) {
+          delayedTasks.poll().task.run();
         }
       } catch (IOException | RuntimeException e) {
         e.printStackTrace();
       }
     }
-    new ArrayList<>(links).forEach(TcpLink::close);
-    for (SelectableChannel door : doors) {
+    new ArrayList<>(connections).forEach(TcpProxy::close);
+    for (SelectableChannel door : channels) {
       try {
         door.close();
       } catch (IOException e) {
@@ -178,7 +183,7 @@
 
   @Override
   public void close() throws IOException {
-    over = true;
+    closed = true;
     selector.wakeup();
     try {
       thread.join(5000);
--- a/rig/src/test/java/tamarindroute/rig/proxy/ProxiesTest.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetworkTest.java
@@ -27,11 +27,11 @@
  * same seed.
  */
 @Timeout(20)
-class ProxiesTest {
+class ProxyNetworkTest {
 
   private static final InetAddress HOME = InetAddress.getLoopbackAddress();
 
-  private Proxies proxies;
+  private ProxyNetwork proxies;
   private DatagramSocket sender;
   private DatagramSocket receiver;
   private int port;
@@ -46,7 +46,7 @@
   }
 
   private void fresh() throws IOException {
-    proxies = new Proxies(5);
+    proxies = new ProxyNetwork(5);
     port = proxies.open("a", "b", (InetSocketAddress) receiver.getLocalSocketAddress());
   }
 
@@ -57,8 +57,8 @@
     receiver.close();
   }
 
-  private void fault(String from, String to, UnaryOperator<Fault> change) {
-    proxies.fault(from, to, change);
+  private void fault(String from, String to, UnaryOperator<LinkFaults> change) {
+    proxies.changeFaults(from, to, change);
   }
 
   private static int next(DatagramSocket socket) throws IOException {
@@ -99,7 +99,7 @@
 
   @Test
   void theSameSeedLosesAndDoublesTheSameDatagrams() throws Exception {
-    UnaryOperator<Fault> change = fault -> fault.withLoss(0.2).withDoubled(0.1);
+    UnaryOperator<LinkFaults> change = fault -> fault.withLoss(0.2).withDuplication(0.1);
     fault("a", "b", change);
     List<Integer> first = pass(1000);
     proxies.close();
@@ -135,7 +135,7 @@
     assertThatThrownBy(() -> next(receiver)).isInstanceOf(SocketTimeoutException.class);
     receiver.send(new DatagramPacket(new byte[] {0, 9}, 2, packet.getSocketAddress()));
     assertThat(next(sender)).isEqualTo(9);
-    fault("a", "b", fault -> Fault.NONE);
+    fault("a", "b", fault -> LinkFaults.NONE);
     send(3);
     assertThat(next(receiver)).isEqualTo(3);
   }
@@ -172,7 +172,7 @@
         caller.setSoTimeout(200);
         assertThatThrownBy(() -> caller.getInputStream().read())
             .isInstanceOf(SocketTimeoutException.class);
-        fault("b", "a", fault -> Fault.NONE);
+        fault("b", "a", fault -> LinkFaults.NONE);
         caller.setSoTimeout(5000);
         assertThat(caller.getInputStream().read()).isEqualTo(7);
       }
@@ -207,7 +207,7 @@
       try (Socket caller = new Socket(HOME, way)) {
         caller.getOutputStream().write(5);
         assertThatThrownBy(server::accept).isInstanceOf(SocketTimeoutException.class);
-        fault("a", "b", fault -> Fault.NONE);
+        fault("a", "b", fault -> LinkFaults.NONE);
         server.setSoTimeout(5000);
         try (Socket called = server.accept()) {
           assertThat(called.getInputStream().read()).isEqualTo(5);
--- a/rig/src/test/java/tamarindroute/rig/proxy/Pump.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/StreamPipe.java
@@ -10,12 +10,12 @@
  * The bytes of one direction of a stream, in their order, each piece with the time before which it
  * doesn't go on. A cut holds all, the end and the reset too, until it is healed.
  */
-final class Pump {
+final class StreamPipe {
 
   /** Beyond this nothing more is read, so that the sender's own buffers fill, as on a real way. */
-  private static final int MOST = 256 * 1024;
+  private static final int MAX_BUFFERED = 256 * 1024;
 
-  private static final int PIECE = 16 * 1024;
+  private static final int CHUNK_SIZE = 16 * 1024;
 
   private enum End {
     NONE,
@@ -23,27 +23,27 @@
     RESET
   }
 
-  private record Piece(long due, ByteBuffer bytes, End end) {}
+  private record Chunk(long due, ByteBuffer bytes, End end) {}
 
   final SocketChannel from;
   final SocketChannel to;
-  private final Way way;
-  private final Proxies proxies;
-  private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-  private int held;
-  private long last;
+  private final Link link;
+  private final ProxyNetwork proxies;
+  private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
+  private int buffered;
+  private long lastDue;
   private boolean ended;
   private boolean blocked;
 
-  Pump(Proxies proxies, SocketChannel from, SocketChannel to, Way way) {
+  StreamPipe(ProxyNetwork proxies, SocketChannel from, SocketChannel to, Link link) {
     this.proxies = proxies;
     this.from = from;
     this.to = to;
-    this.way = way;
+    this.link = link;
   }
 
   boolean wantsRead() {
-    return !ended && held < MOST;
+    return !ended && buffered < MAX_BUFFERED;
   }
 
   boolean wantsWrite() {
@@ -51,7 +51,7 @@
   }
 
   void read(Runnable later) {
-    ByteBuffer buffer = ByteBuffer.allocate(PIECE);
+    ByteBuffer buffer = ByteBuffer.allocate(CHUNK_SIZE);
     try {
       int count = from.read(buffer);
       if (count < 0) {
@@ -73,20 +73,22 @@
       return;
     }
     ended = end != End.NONE;
-    held += bytes == null ? 0 : bytes.remaining();
-    long delay = way.delayNanos() + (bytes != null && way.lost() ? Fault.AGAIN.toNanos() : 0);
-    last = Math.max(last, System.nanoTime() + delay);
-    pieces.add(new Piece(last, bytes, end));
+    buffered += bytes == null ? 0 : bytes.remaining();
+    long delay =
+        link.delayNanos()
+            + (bytes != null && link.isLost() ? LinkFaults.RETRANSMISSION_DELAY.toNanos() : 0);
+    lastDue = Math.max(lastDue, System.nanoTime() + delay);
+    chunks.add(new Chunk(lastDue, bytes, end));
     if (delay > 0) {
-      proxies.after(last - System.nanoTime(), later);
+      proxies.schedule(lastDue - System.nanoTime(), later);
     }
   }
 
   /** Sends what is due; false once the whole connection is to be ended by a reset. */
   boolean flush() {
     blocked = false;
-    while (!pieces.isEmpty() && !way.cut() && pieces.peek().due - System.nanoTime() <= 0) {
-      Piece piece = pieces.peek();
+    while (!chunks.isEmpty() && !link.isCut() && chunks.peek().due - System.nanoTime() <= 0) {
+      Chunk piece = chunks.peek();
       try {
         if (piece.end == End.RESET) {
           return false;
@@ -94,7 +96,7 @@
         if (piece.end == End.ORDERLY) {
           to.shutdownOutput();
         } else {
-          held -= to.write(piece.bytes);
+          buffered -= to.write(piece.bytes);
           if (piece.bytes.hasRemaining()) {
             blocked = true;
             return true;
@@ -103,14 +105,14 @@
       } catch (IOException e) {
         return false;
       }
-      pieces.remove();
+      chunks.remove();
     }
     return true;
   }
 
   /** Whether the end has gone out. */
-  boolean done() {
-    return ended && pieces.isEmpty();
+  boolean isDone() {
+    return ended && chunks.isEmpty();
   }
 
   static void reset(SocketChannel channel) {
--- a/rig/src/test/java/tamarindroute/rig/proxy/TcpLink.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/TcpProxy.java
@@ -11,90 +11,90 @@
  * One connection through a proxy. The machine accepts it for the proxy before the other end is
  * asked: a way that is cut shows as a connection that stays silent. An end that refuses resets it.
  */
-final class TcpLink implements Proxies.Ready {
+final class TcpProxy implements ProxyNetwork.ReadyHandler {
 
-  private final Proxies proxies;
+  private final ProxyNetwork proxies;
   private final InetSocketAddress target;
-  private final Way there;
+  private final Link forward;
   private final SocketChannel caller;
-  private final SocketChannel called;
+  private final SocketChannel callee;
   private final SelectionKey callerKey;
-  private final SelectionKey calledKey;
-  private final Pump up;
-  private final Pump down;
-  private boolean asked;
+  private final SelectionKey calleeKey;
+  private final StreamPipe toCallee;
+  private final StreamPipe toCaller;
+  private boolean connecting;
   private boolean connected;
 
-  TcpLink(
-      Proxies proxies,
+  TcpProxy(
+      ProxyNetwork proxies,
       Selector selector,
       SocketChannel caller,
       InetSocketAddress target,
-      Way there,
-      Way back)
+      Link forward,
+      Link backward)
       throws IOException {
     this.proxies = proxies;
     this.target = target;
-    this.there = there;
+    this.forward = forward;
     this.caller = caller;
-    called = SocketChannel.open();
-    for (SocketChannel channel : new SocketChannel[] {caller, called}) {
+    callee = SocketChannel.open();
+    for (SocketChannel channel : new SocketChannel[] {caller, callee}) {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
     }
-    up = new Pump(proxies, caller, called, there);
-    down = new Pump(proxies, called, caller, back);
+    toCallee = new StreamPipe(proxies, caller, callee, forward);
+    toCaller = new StreamPipe(proxies, callee, caller, backward);
     callerKey = caller.register(selector, 0, this);
-    calledKey = called.register(selector, 0, this);
-    settle();
+    calleeKey = callee.register(selector, 0, this);
+    advance();
   }
 
   @Override
-  public void ready() {
+  public void onReady() {
     if (callerKey.isValid() && callerKey.isReadable()) {
-      up.read(this::settle);
+      toCallee.read(this::advance);
     }
-    if (calledKey.isValid() && connected && calledKey.isReadable()) {
-      down.read(this::settle);
+    if (calleeKey.isValid() && connected && calleeKey.isReadable()) {
+      toCaller.read(this::advance);
     }
-    settle();
+    advance();
   }
 
   /** Asks the other end, sends what may go, and says what to wait for. */
-  void settle() {
-    if (!caller.isOpen() && !called.isOpen()) {
+  void advance() {
+    if (!caller.isOpen() && !callee.isOpen()) {
       return;
     }
     try {
-      if (!asked && !there.cut()) {
-        asked = true;
-        connected = called.connect(target);
-      } else if (asked && !connected) {
-        connected = called.finishConnect();
+      if (!connecting && !forward.isCut()) {
+        connecting = true;
+        connected = callee.connect(target);
+      } else if (connecting && !connected) {
+        connected = callee.finishConnect();
       }
     } catch (IOException e) {
       // Refused: the caller hears of it by the way back.
       connected = true;
-      down.reset(this::settle);
+      toCaller.reset(this::advance);
     }
-    if (connected && called.isConnected() && !up.flush()
-        || !down.flush()
-        || up.done() && down.done()) {
+    if (connected && callee.isConnected() && !toCallee.flush()
+        || !toCaller.flush()
+        || toCallee.isDone() && toCaller.isDone()) {
       close();
       return;
     }
     interest(
         callerKey,
-        (up.wantsRead() ? SelectionKey.OP_READ : 0)
-            | (down.wantsWrite() ? SelectionKey.OP_WRITE : 0));
+        (toCallee.wantsRead() ? SelectionKey.OP_READ : 0)
+            | (toCaller.wantsWrite() ? SelectionKey.OP_WRITE : 0));
     interest(
-        calledKey,
-        !asked
+        calleeKey,
+        !connecting
             ? 0
             : !connected
                 ? SelectionKey.OP_CONNECT
-                : (down.wantsRead() ? SelectionKey.OP_READ : 0)
-                    | (up.wantsWrite() ? SelectionKey.OP_WRITE : 0));
+                : (toCaller.wantsRead() ? SelectionKey.OP_READ : 0)
+                    | (toCallee.wantsWrite() ? SelectionKey.OP_WRITE : 0));
   }
 
   /** An end that refused has no key any more. */
@@ -106,16 +106,16 @@
 
   /** Resets both ends; after orderly ends nothing is left that a reset could take away. */
   void close() {
-    if (up.done() && down.done()) {
-      quietly(caller);
-      quietly(called);
+    if (toCallee.isDone() && toCaller.isDone()) {
+      closeQuietly(caller);
+      closeQuietly(callee);
     }
-    Pump.reset(caller);
-    Pump.reset(called);
-    proxies.forget(this);
+    StreamPipe.reset(caller);
+    StreamPipe.reset(callee);
+    proxies.remove(this);
   }
 
-  private static void quietly(SocketChannel channel) {
+  private static void closeQuietly(SocketChannel channel) {
     try {
       channel.close();
     } catch (IOException e) {
--- a/rig/src/test/java/tamarindroute/rig/proxy/UdpLink.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/UdpProxy.java
@@ -7,33 +7,38 @@
 import java.nio.channels.DatagramChannel;
 
 /** Datagrams from one process to another, and answers to where they came from. */
-final class UdpLink implements Proxies.Ready {
+final class UdpProxy implements ProxyNetwork.ReadyHandler {
 
   /**
    * What may be on the way of one link: at 1,000 datagrams a second and the longest delays in use
    * some 2 s.
    */
-  private static final int MOST = 2048;
+  private static final int MAX_DELAYED = 2048;
 
-  private final Proxies proxies;
+  private final ProxyNetwork proxies;
   private final DatagramChannel channel;
   private final InetSocketAddress target;
-  private final Way there;
-  private final Way back;
+  private final Link forward;
+  private final Link backward;
   private final ByteBuffer buffer = ByteBuffer.allocate(65_536);
   private SocketAddress source;
-  private int under;
+  private int delayed;
 
-  UdpLink(Proxies proxies, DatagramChannel channel, InetSocketAddress target, Way there, Way back) {
+  UdpProxy(
+      ProxyNetwork proxies,
+      DatagramChannel channel,
+      InetSocketAddress target,
+      Link forward,
+      Link backward) {
     this.proxies = proxies;
     this.channel = channel;
     this.target = target;
-    this.there = there;
-    this.back = back;
+    this.forward = forward;
+    this.backward = backward;
   }
 
   @Override
-  public void ready() throws IOException {
+  public void onReady() throws IOException {
     while (true) {
       buffer.clear();
       SocketAddress from;
@@ -51,34 +56,34 @@
       byte[] bytes = new byte[buffer.remaining()];
       buffer.get(bytes);
       if (from.equals(target)) {
-        pass(back, bytes, source);
+        forwardDatagram(backward, bytes, source);
       } else {
         source = from;
-        pass(there, bytes, target);
+        forwardDatagram(forward, bytes, target);
       }
     }
   }
 
-  private void pass(Way way, byte[] bytes, SocketAddress to) {
-    if (to == null || way.cut() || way.lost()) {
+  private void forwardDatagram(Link link, byte[] bytes, SocketAddress to) {
+    if (to == null || link.isCut() || link.isLost()) {
       return;
     }
-    send(way, bytes, to);
-    if (way.doubled()) {
-      send(way, bytes, to);
+    send(link, bytes, to);
+    if (link.isDuplicated()) {
+      send(link, bytes, to);
     }
   }
 
-  private void send(Way way, byte[] bytes, SocketAddress to) {
-    long delay = way.delayNanos();
+  private void send(Link link, byte[] bytes, SocketAddress to) {
+    long delay = link.delayNanos();
     if (delay == 0) {
       write(bytes, to);
-    } else if (under < MOST) {
-      under++;
-      proxies.after(
+    } else if (delayed < MAX_DELAYED) {
+      delayed++;
+      proxies.schedule(
           delay,
           () -> {
-            under--;
+            delayed--;
             write(bytes, to);
           });
     }
--- a/rig/src/test/java/tamarindroute/rig/schedule/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/schedule/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Owns the words of a schedule: who is there, what is done to whom and when, and what is expected
- * in the end. It must never do any of it.
+ * The language of schedules: which processes run, which actions happen to them and when, and what
+ * is expected of the run. Package {@code play} executes a schedule, {@code check} judges the run.
  */
 package tamarindroute.rig.schedule;
