--- a/rig/play.sh
+++ b/rig/play.sh
@@ -1,6 +1,5 @@
 #!/bin/sh
-# Plays the schedules named, from any folder: builds what has changed, then starts the program as it would in service.
-# It must never do more.
+# Runs the named schedules, from any folder: builds what has changed, then starts the program as it would in service.
 here=$(cd "$(dirname "$0")/.." && pwd) || exit 1
 files=
 for file in "$@"; do
--- a/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetwork.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetwork.java
@@ -3,112 +3,103 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.BindException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.channels.DatagramChannel;
-import java.nio.channels.SelectableChannel;
 import java.nio.channels.SelectionKey;
-import java.nio.channels.Selector;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.UnaryOperator;
 
-/** All ways, on one selecting thread. Faults may be set from any thread and hold from then on. */
+/** All links and their proxies. Faults may be changed from any thread, and hold from then on. */
 public final class ProxyNetwork implements Closeable {
 
-  /** What a selected channel leads to. */
-  interface ReadyHandler {
-    void onReady() throws IOException;
-  }
+  /** Bounds the connections; a process under test has at most 1,024 descriptors itself. */
+  private static final int MAX_CONNECTIONS = 4096;
 
-  private record DelayedTask(long dueNanos, long number, Runnable task)
-      implements Comparable<DelayedTask> {
-    @Override
-    public int compareTo(DelayedTask other) {
-      return dueNanos != other.dueNanos
-          ? Long.signum(dueNanos - other.dueNanos)
-          : Long.compare(number, other.number);
-    }
-  }
+  private static final int BACKLOG = 128;
 
-  /** Connections at once; a process under test is bounded by 1,024 descriptors itself. */
-  private static final int MAX_CONNECTIONS = 4096;
+  /** A port that is free for connections may be in use for datagrams. */
+  private static final int MAX_BIND_ATTEMPTS = 20;
+
+  private record Listener(ServerSocketChannel stream, DatagramChannel datagrams) {}
 
   private final long seed;
-  private final Selector selector = Selector.open();
   private final Map<String, Link> links = new ConcurrentHashMap<>();
   private final Set<TcpProxy> connections = new LinkedHashSet<>();
-  private final PriorityQueue<DelayedTask> delayedTasks = new PriorityQueue<>();
-  private final ConcurrentLinkedQueue<Runnable> submitted = new ConcurrentLinkedQueue<>();
-  private final List<SelectableChannel> channels = new ArrayList<>();
-  private final Thread thread = new Thread(this::run, "proxies");
-  private long taskCount;
-  private volatile boolean closed;
+  private final ProxyLoop loop = new ProxyLoop(this::closeConnections);
 
+  /** Starts without links; the seed determines all random draws. */
   public ProxyNetwork(long seed) throws IOException {
     this.seed = seed;
-    thread.setDaemon(true);
-    thread.start();
+    loop.start();
   }
 
   private Link link(String from, String to) {
     return links.computeIfAbsent(from + " > " + to, name -> new Link(seed, name));
   }
 
-  /** Changes the fault of a directed way. */
+  /** Changes the faults of a directed link. */
   public void changeFaults(String from, String to, UnaryOperator<LinkFaults> change) {
     Link link = link(from, to);
-    link.faults = change.apply(link.faults);
-    submit(() -> new ArrayList<>(connections).forEach(TcpProxy::advance));
+    link.setFaults(change.apply(link.faults()));
+    loop.submit(() -> new ArrayList<>(connections).forEach(TcpProxy::advance));
   }
 
   /**
-   * Opens a way to an address; a port on the loopback that takes both datagrams and connections.
+   * Opens a proxy.
+   *
+   * @param from name of the sender
+   * @param to name of the receiver
+   * @param target address of the receiver
+   * @return a port on the loopback for both datagrams and connections
    */
   public int open(String from, String to, InetSocketAddress target) throws IOException {
-    for (int tries = 0; ; tries++) {
-      ServerSocketChannel server = ServerSocketChannel.open();
-      server.bind(new InetSocketAddress("127.0.0.1", 0), 128);
-      int port = server.socket().getLocalPort();
-      DatagramChannel datagrams = DatagramChannel.open();
+    Listener listener = bind();
+    listener.stream.configureBlocking(false);
+    listener.datagrams.configureBlocking(false);
+    Link forward = link(from, to);
+    Link backward = link(to, from);
+    UdpProxy udp = new UdpProxy(loop, listener.datagrams, target, forward, backward);
+    loop.submit(
+        () -> {
+          loop.registerForLife(
+              listener.stream,
+              SelectionKey.OP_ACCEPT,
+              () -> accept(listener.stream, target, forward, backward));
+          loop.registerForLife(listener.datagrams, SelectionKey.OP_READ, udp);
+        });
+    return listener.stream.socket().getLocalPort();
+  }
+
+  private static Listener bind() throws IOException {
+    for (int attempt = 1; attempt < MAX_BIND_ATTEMPTS; attempt++) {
       try {
-        datagrams.bind(new InetSocketAddress("127.0.0.1", port));
+        return tryBind();
       } catch (BindException e) {
-        server.close();
-        datagrams.close();
-        if (tries == 20) {
-          throw e;
-        }
-        continue;
+        // Another port is tried.
       }
-      server.configureBlocking(false);
-      datagrams.configureBlocking(false);
-      Link forward = link(from, to);
-      Link backward = link(to, from);
-      UdpProxy udp = new UdpProxy(this, datagrams, target, forward, backward);
-      ReadyHandler door = () -> accept(server, target, forward, backward);
-      submit(
-          () -> {
-            register(server, SelectionKey.OP_ACCEPT, door);
-            register(datagrams, SelectionKey.OP_READ, udp);
-          });
-      return port;
     }
+    return tryBind();
   }
 
-  private void register(SelectableChannel channel, int operation, ReadyHandler ready) {
+  private static Listener tryBind() throws IOException {
+    InetAddress host = InetAddress.getLoopbackAddress();
+    ServerSocketChannel stream = ServerSocketChannel.open();
+    DatagramChannel datagrams = DatagramChannel.open();
     try {
-      channels.add(channel);
-      channel.register(selector, operation, ready);
+      stream.bind(new InetSocketAddress(host, 0), BACKLOG);
+      datagrams.bind(new InetSocketAddress(host, stream.socket().getLocalPort()));
+      return new Listener(stream, datagrams);
     } catch (IOException e) {
-      throw new IllegalStateException(e);
+      stream.close();
+      datagrams.close();
+      throw e;
     }
   }
 
@@ -119,77 +110,22 @@
       if (connections.size() >= MAX_CONNECTIONS) {
         StreamPipe.reset(caller);
       } else {
-        connections.add(new TcpProxy(this, selector, caller, target, forward, backward));
+        connections.add(new TcpProxy(loop, caller, target, forward, backward, connections::remove));
       }
     }
   }
 
-  void remove(TcpProxy link) {
-    connections.remove(link);
-  }
-
-  /** On the proxies' thread, and only from there. */
-  void schedule(long nanos, Runnable work) {
-    delayedTasks.add(new DelayedTask(System.nanoTime() + nanos, taskCount++, work));
-  }
-
-  /** Resets all connections; new ones come up. */
+  /** Resets all connections; new ones may be made. */
   public void resetConnections() {
-    submit(() -> new ArrayList<>(connections).forEach(TcpProxy::close));
-  }
-
-  private void submit(Runnable work) {
-    submitted.add(work);
-    selector.wakeup();
+    loop.submit(this::closeConnections);
   }
 
-  private void run() {
-    while (!closed) {
-      try {
-        long wait =
-            delayedTasks.isEmpty()
-                ? 100
-                : Math.min(100, (delayedTasks.peek().dueNanos - System.nanoTime()) / 1_000_000 + 1);
-        if (wait <= 0) {
-          selector.selectNow();
-        } else {
-          selector.select(wait);
-        }
-        for (SelectionKey key : selector.selectedKeys()) {
-          if (key.isValid()) {
-            ((ReadyHandler) key.attachment()).onReady();
-          }
-        }
-        selector.selectedKeys().clear();
-        for (Runnable work = submitted.poll(); work != null; work = submitted.poll()) {
-          work.run();
-        }
-        while (!delayedTasks.isEmpty() && delayedTasks.peek().dueNanos - System.nanoTime() <= 0) {
-          delayedTasks.poll().task.run();
-        }
-      } catch (IOException | RuntimeException e) {
-        e.printStackTrace();
-      }
-    }
+  private void closeConnections() {
     new ArrayList<>(connections).forEach(TcpProxy::close);
-    for (SelectableChannel door : channels) {
-      try {
-        door.close();
-      } catch (IOException e) {
-        // It is gone, which was the aim.
-      }
-    }
   }
 
   @Override
   public void close() throws IOException {
-    closed = true;
-    selector.wakeup();
-    try {
-      thread.join(5000);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-    selector.close();
+    loop.close();
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetworkTest.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetworkTest.java
@@ -23,13 +23,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the proxies do to datagrams and to streams, either way, and that they do it again with the
- * same seed.
+ * The effect of faults on datagrams and streams in both directions, and their reproducibility by
+ * seed.
  */
 @Timeout(20)
 class ProxyNetworkTest {
 
-  private static final InetAddress HOME = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
   private ProxyNetwork proxies;
   private DatagramSocket sender;
@@ -38,14 +38,14 @@
 
   @BeforeEach
   void open() throws IOException {
-    sender = new DatagramSocket(0, HOME);
-    receiver = new DatagramSocket(0, HOME);
+    sender = new DatagramSocket(0, LOOPBACK);
+    receiver = new DatagramSocket(0, LOOPBACK);
     receiver.setSoTimeout(400);
     sender.setSoTimeout(400);
-    fresh();
+    openProxy();
   }
 
-  private void fresh() throws IOException {
+  private void openProxy() throws IOException {
     proxies = new ProxyNetwork(5);
     port = proxies.open("a", "b", (InetSocketAddress) receiver.getLocalSocketAddress());
   }
@@ -64,26 +64,26 @@
   private static int next(DatagramSocket socket) throws IOException {
     DatagramPacket packet = new DatagramPacket(new byte[8], 8);
     socket.receive(packet);
-    return (packet.getData()[0] & 0xff) << 8 | packet.getData()[1] & 0xff;
+    return ((packet.getData()[0] & 0xff) << 8) | (packet.getData()[1] & 0xff);
   }
 
   private void send(int number) throws IOException {
     sender.send(
-        new DatagramPacket(new byte[] {(byte) (number >> 8), (byte) number}, 2, HOME, port));
+        new DatagramPacket(new byte[] {(byte) (number >> 8), (byte) number}, 2, LOOPBACK, port));
   }
 
-  /** Sends so many, a little apart, and says which came, in their order. */
+  /** Sends some datagrams and returns those that arrived, in order. */
   private List<Integer> pass(int count) throws Exception {
-    List<Integer> came = new ArrayList<>();
+    List<Integer> received = new ArrayList<>();
     Thread reader =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  came.add(next(receiver));
+                  received.add(next(receiver));
                 }
               } catch (IOException e) {
-                // Nothing more came.
+                // No more arrive.
               }
             });
     reader.start();
@@ -94,16 +94,16 @@
       }
     }
     reader.join();
-    return came;
+    return received;
   }
 
   @Test
-  void theSameSeedLosesAndDoublesTheSameDatagrams() throws Exception {
+  void theSameSeedLosesAndDuplicatesTheSameDatagrams() throws Exception {
     UnaryOperator<LinkFaults> change = fault -> fault.withLoss(0.2).withDuplication(0.1);
     fault("a", "b", change);
     List<Integer> first = pass(1000);
     proxies.close();
-    fresh();
+    openProxy();
     fault("a", "b", change);
     assertThat(pass(1000)).isEqualTo(first);
     assertThat(first.stream().distinct().count()).isBetween(740L, 860L);
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void delaysAreKeptAndJitterReorders() throws Exception {
+  void delaysHoldAndJitterReorders() throws Exception {
     fault("a", "b", fault -> fault.withDelay(Duration.ofMillis(100), Duration.ZERO));
     long start = System.nanoTime();
     send(1);
@@ -119,8 +119,8 @@
     assertThat(Duration.ofNanos(System.nanoTime() - start))
         .isBetween(Duration.ofMillis(100), Duration.ofMillis(390));
     fault("a", "b", fault -> fault.withDelay(Duration.ZERO, Duration.ofMillis(50)));
-    List<Integer> came = pass(100);
-    assertThat(came)
+    List<Integer> received = pass(100);
+    assertThat(received)
         .isNotEqualTo(IntStream.range(0, 100).boxed().toList())
         .containsExactlyInAnyOrderElementsOf(IntStream.range(0, 100).boxed().toList());
   }
@@ -141,18 +141,18 @@
   }
 
   @Test
-  void aStreamStaysWholeUnderLossAndDelayAndACutHoldsItUntilItIsHealed() throws Exception {
-    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
-      int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-      try (Socket caller = new Socket(HOME, way);
-          Socket called = server.accept()) {
+  void aStreamStaysIntactUnderLossAndDelayAndACutHoldsItBack() throws Exception {
+    try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
+      int proxyPort = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(LOOPBACK, proxyPort);
+          Socket callee = server.accept()) {
         fault(
             "a",
             "b",
             fault -> fault.withLoss(0.2).withDelay(Duration.ofMillis(1), Duration.ofMillis(5)));
         byte[] bytes = new byte[600_000];
         for (int i = 0; i < bytes.length; i++) {
-          bytes[i] = (byte) (i * 31 >> 4);
+          bytes[i] = (byte) ((i * 31) >> 4);
         }
         Thread writer =
             new Thread(
@@ -165,10 +165,10 @@
                   }
                 });
         writer.start();
-        assertThat(called.getInputStream().readAllBytes()).isEqualTo(bytes);
+        assertThat(callee.getInputStream().readAllBytes()).isEqualTo(bytes);
         writer.join();
         fault("b", "a", fault -> fault.withCut(true));
-        called.getOutputStream().write(7);
+        callee.getOutputStream().write(7);
         caller.setSoTimeout(200);
         assertThatThrownBy(() -> caller.getInputStream().read())
             .isInstanceOf(SocketTimeoutException.class);
@@ -180,37 +180,37 @@
   }
 
   @Test
-  void aRefusedConnectionAndAResetArePassedOn() throws Exception {
-    int nobody;
-    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
-      nobody = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-      try (Socket caller = new Socket(HOME, nobody);
-          Socket called = server.accept()) {
-        called.setSoLinger(true, 0);
-        called.close();
+  void aRefusedConnectionAndAResetAreForwarded() throws Exception {
+    int proxyPort;
+    try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
+      proxyPort = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(LOOPBACK, proxyPort);
+          Socket callee = server.accept()) {
+        callee.setSoLinger(true, 0);
+        callee.close();
         assertThatThrownBy(() -> caller.getInputStream().read())
             .isInstanceOf(SocketException.class);
       }
     }
-    try (Socket caller = new Socket(HOME, nobody)) {
+    try (Socket caller = new Socket(LOOPBACK, proxyPort)) {
       caller.setSoTimeout(5000);
       assertThatThrownBy(() -> caller.getInputStream().read()).isInstanceOf(SocketException.class);
     }
   }
 
   @Test
-  void aConnectionOverACutWayStaysSilentAndComesUpOnceItIsHealed() throws Exception {
+  void aConnectionOverACutLinkStaysSilentUntilItIsHealed() throws Exception {
     fault("a", "b", fault -> fault.withCut(true));
-    try (ServerSocket server = new ServerSocket(0, 1, HOME)) {
+    try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
       server.setSoTimeout(200);
-      int way = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
-      try (Socket caller = new Socket(HOME, way)) {
+      int proxyPort = proxies.open("a", "b", (InetSocketAddress) server.getLocalSocketAddress());
+      try (Socket caller = new Socket(LOOPBACK, proxyPort)) {
         caller.getOutputStream().write(5);
         assertThatThrownBy(server::accept).isInstanceOf(SocketTimeoutException.class);
         fault("a", "b", fault -> LinkFaults.NONE);
         server.setSoTimeout(5000);
-        try (Socket called = server.accept()) {
-          assertThat(called.getInputStream().read()).isEqualTo(5);
+        try (Socket callee = server.accept()) {
+          assertThat(callee.getInputStream().read()).isEqualTo(5);
         }
       }
     }
--- a/rig/src/test/java/tamarindroute/rig/proxy/StreamPipe.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/StreamPipe.java
@@ -7,15 +7,16 @@
 import java.util.ArrayDeque;
 
 /**
- * The bytes of one direction of a stream, in their order, each piece with the time before which it
- * doesn't go on. A cut holds all, the end and the reset too, until it is healed.
+ * One direction of a stream: chunks in order, each with the time from which it may be sent. A cut
+ * holds back everything, also the end and a reset, until it is healed.
  */
 final class StreamPipe {
 
-  /** Beyond this nothing more is read, so that the sender's own buffers fill, as on a real way. */
-  private static final int MAX_BUFFERED = 256 * 1024;
+  /** Beyond this nothing is read, so that the sender's buffers fill, as on a real link. */
+  private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
-  private static final int CHUNK_SIZE = 16 * 1024;
+  private static final int CHUNK_BYTES = 16 * 1024;
+  private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
   private enum End {
     NONE,
@@ -23,94 +24,105 @@
     RESET
   }
 
-  private record Chunk(long due, ByteBuffer bytes, End end) {}
+  private record Chunk(long dueNanos, ByteBuffer bytes, End end) {
+    boolean isDue() {
+      return dueNanos - System.nanoTime() <= 0;
+    }
+  }
 
-  final SocketChannel from;
-  final SocketChannel to;
+  private final ProxyLoop loop;
+  private final SocketChannel source;
+  private final SocketChannel destination;
   private final Link link;
-  private final ProxyNetwork proxies;
   private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
-  private int buffered;
-  private long lastDue;
+  private int bufferedBytes;
+  private long lastDueNanos;
   private boolean ended;
   private boolean blocked;
 
-  StreamPipe(ProxyNetwork proxies, SocketChannel from, SocketChannel to, Link link) {
-    this.proxies = proxies;
-    this.from = from;
-    this.to = to;
+  StreamPipe(ProxyLoop loop, SocketChannel source, SocketChannel destination, Link link) {
+    this.loop = loop;
+    this.source = source;
+    this.destination = destination;
     this.link = link;
   }
 
   boolean wantsRead() {
-    return !ended && buffered < MAX_BUFFERED;
+    return !ended && bufferedBytes < MAX_BUFFERED_BYTES;
   }
 
   boolean wantsWrite() {
     return blocked;
   }
 
-  void read(Runnable later) {
-    ByteBuffer buffer = ByteBuffer.allocate(CHUNK_SIZE);
+  /** Reads what has arrived; {@code whenDue} runs when it may be sent. */
+  void read(Runnable whenDue) {
+    ByteBuffer buffer = ByteBuffer.allocate(CHUNK_BYTES);
     try {
-      int count = from.read(buffer);
+      int count = source.read(buffer);
       if (count < 0) {
-        add(null, End.ORDERLY, later);
+        add(EMPTY, End.ORDERLY, whenDue);
       } else if (count > 0) {
-        add(buffer.flip(), End.NONE, later);
+        add(buffer.flip(), End.NONE, whenDue);
       }
     } catch (IOException e) {
-      add(null, End.RESET, later);
+      reset(whenDue);
     }
   }
 
-  void reset(Runnable later) {
-    add(null, End.RESET, later);
+  /** Adds a reset after what is buffered. */
+  void reset(Runnable whenDue) {
+    add(EMPTY, End.RESET, whenDue);
   }
 
-  private void add(ByteBuffer bytes, End end, Runnable later) {
+  private void add(ByteBuffer bytes, End end, Runnable whenDue) {
     if (ended) {
       return;
     }
     ended = end != End.NONE;
-    buffered += bytes == null ? 0 : bytes.remaining();
-    long delay =
-        link.delayNanos()
-            + (bytes != null && link.isLost() ? LinkFaults.RETRANSMISSION_DELAY.toNanos() : 0);
-    lastDue = Math.max(lastDue, System.nanoTime() + delay);
-    chunks.add(new Chunk(lastDue, bytes, end));
-    if (delay > 0) {
-      proxies.schedule(lastDue - System.nanoTime(), later);
+    bufferedBytes += bytes.remaining();
+    long delayNanos = link.delayNanos();
+    if (end == End.NONE && link.isLost()) {
+      delayNanos += LinkFaults.RETRANSMISSION_DELAY.toNanos();
+    }
+    lastDueNanos = Math.max(lastDueNanos, System.nanoTime() + delayNanos);
+    chunks.add(new Chunk(lastDueNanos, bytes, end));
+    if (delayNanos > 0) {
+      loop.schedule(lastDueNanos - System.nanoTime(), whenDue);
     }
   }
 
-  /** Sends what is due; false once the whole connection is to be ended by a reset. */
+  /** Sends what is due; false if the connection is to be reset. */
   boolean flush() {
     blocked = false;
-    while (!chunks.isEmpty() && !link.isCut() && chunks.peek().due - System.nanoTime() <= 0) {
-      Chunk piece = chunks.peek();
+    while (!chunks.isEmpty() && !link.isCut() && chunks.peek().isDue()) {
+      Chunk chunk = chunks.peek();
+      if (chunk.end == End.RESET) {
+        return false;
+      }
       try {
-        if (piece.end == End.RESET) {
-          return false;
-        }
-        if (piece.end == End.ORDERLY) {
-          to.shutdownOutput();
-        } else {
-          buffered -= to.write(piece.bytes);
-          if (piece.bytes.hasRemaining()) {
-            blocked = true;
-            return true;
-          }
-        }
+        send(chunk);
       } catch (IOException e) {
         return false;
       }
+      if (chunk.bytes.hasRemaining()) {
+        blocked = true;
+        return true;
+      }
       chunks.remove();
     }
     return true;
   }
 
-  /** Whether the end has gone out. */
+  private void send(Chunk chunk) throws IOException {
+    if (chunk.end == End.ORDERLY) {
+      destination.shutdownOutput();
+    } else {
+      bufferedBytes -= destination.write(chunk.bytes);
+    }
+  }
+
+  /** Whether the end of the stream was sent. */
   boolean isDone() {
     return ended && chunks.isEmpty();
   }
@@ -122,7 +134,7 @@
         channel.close();
       }
     } catch (IOException e) {
-      // Already gone.
+      // It is closed all the same.
     }
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/proxy/TcpProxy.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/TcpProxy.java
@@ -4,16 +4,15 @@
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
 import java.nio.channels.SelectionKey;
-import java.nio.channels.Selector;
 import java.nio.channels.SocketChannel;
+import java.util.function.Consumer;
 
 /**
- * One connection through a proxy. The machine accepts it for the proxy before the other end is
- * asked: a way that is cut shows as a connection that stays silent. An end that refuses resets it.
+ * One connection through a proxy. The kernel accepts it before the other end is contacted: over a
+ * link that is cut it comes up and stays silent. If the other end refuses, it is reset.
  */
-final class TcpProxy implements ProxyNetwork.ReadyHandler {
+final class TcpProxy implements ProxyLoop.ReadyHandler {
 
-  private final ProxyNetwork proxies;
   private final InetSocketAddress target;
   private final Link forward;
   private final SocketChannel caller;
@@ -22,33 +21,39 @@
   private final SelectionKey calleeKey;
   private final StreamPipe toCallee;
   private final StreamPipe toCaller;
+  private final Consumer<TcpProxy> onClosed;
   private boolean connecting;
+
+  /** True also after the other end has refused. */
   private boolean connected;
 
   TcpProxy(
-      ProxyNetwork proxies,
-      Selector selector,
+      ProxyLoop loop,
       SocketChannel caller,
       InetSocketAddress target,
       Link forward,
-      Link backward)
+      Link backward,
+      Consumer<TcpProxy> onClosed)
       throws IOException {
-    this.proxies = proxies;
     this.target = target;
     this.forward = forward;
     this.caller = caller;
+    this.onClosed = onClosed;
     callee = SocketChannel.open();
-    for (SocketChannel channel : new SocketChannel[] {caller, callee}) {
-      channel.configureBlocking(false);
-      channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-    }
-    toCallee = new StreamPipe(proxies, caller, callee, forward);
-    toCaller = new StreamPipe(proxies, callee, caller, backward);
-    callerKey = caller.register(selector, 0, this);
-    calleeKey = callee.register(selector, 0, this);
+    configure(caller);
+    configure(callee);
+    toCallee = new StreamPipe(loop, caller, callee, forward);
+    toCaller = new StreamPipe(loop, callee, caller, backward);
+    callerKey = loop.register(caller, 0, this);
+    calleeKey = loop.register(callee, 0, this);
     advance();
   }
 
+  private static void configure(SocketChannel channel) throws IOException {
+    channel.configureBlocking(false);
+    channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+  }
+
   @Override
   public void onReady() {
     if (callerKey.isValid() && callerKey.isReadable()) {
@@ -60,11 +65,21 @@
     advance();
   }
 
-  /** Asks the other end, sends what may go, and says what to wait for. */
+  /** Connects to the other end, sends what is due, and sets what to wait for. */
   void advance() {
     if (!caller.isOpen() && !callee.isOpen()) {
       return;
     }
+    connect();
+    if (!flush() || (toCallee.isDone() && toCaller.isDone())) {
+      close();
+      return;
+    }
+    setInterest(callerKey, callerInterest());
+    setInterest(calleeKey, calleeInterest());
+  }
+
+  private void connect() {
     try {
       if (!connecting && !forward.isCut()) {
         connecting = true;
@@ -73,38 +88,42 @@
         connected = callee.finishConnect();
       }
     } catch (IOException e) {
-      // Refused: the caller hears of it by the way back.
+      // Refused: the reset reaches the caller over the opposite link.
       connected = true;
       toCaller.reset(this::advance);
     }
-    if (connected && callee.isConnected() && !toCallee.flush()
-        || !toCaller.flush()
-        || toCallee.isDone() && toCaller.isDone()) {
-      close();
-      return;
+  }
+
+  /** Sends what is due in both directions; false if the connection is to be reset. */
+  private boolean flush() {
+    boolean forwardIntact = !connected || !callee.isConnected() || toCallee.flush();
+    return forwardIntact && toCaller.flush();
+  }
+
+  private int callerInterest() {
+    return (toCallee.wantsRead() ? SelectionKey.OP_READ : 0)
+        | (toCaller.wantsWrite() ? SelectionKey.OP_WRITE : 0);
+  }
+
+  private int calleeInterest() {
+    if (!connecting) {
+      return 0;
+    }
+    if (!connected) {
+      return SelectionKey.OP_CONNECT;
     }
-    interest(
-        callerKey,
-        (toCallee.wantsRead() ? SelectionKey.OP_READ : 0)
-            | (toCaller.wantsWrite() ? SelectionKey.OP_WRITE : 0));
-    interest(
-        calleeKey,
-        !connecting
-            ? 0
-            : !connected
-                ? SelectionKey.OP_CONNECT
-                : (toCaller.wantsRead() ? SelectionKey.OP_READ : 0)
-                    | (toCallee.wantsWrite() ? SelectionKey.OP_WRITE : 0));
+    return (toCaller.wantsRead() ? SelectionKey.OP_READ : 0)
+        | (toCallee.wantsWrite() ? SelectionKey.OP_WRITE : 0);
   }
 
-  /** An end that refused has no key any more. */
-  private static void interest(SelectionKey key, int operations) {
+  /** The key of an end that refused is no longer valid. */
+  private static void setInterest(SelectionKey key, int operations) {
     if (key.isValid()) {
       key.interestOps(operations);
     }
   }
 
-  /** Resets both ends; after orderly ends nothing is left that a reset could take away. */
+  /** Resets both ends, unless both directions have ended in order. */
   void close() {
     if (toCallee.isDone() && toCaller.isDone()) {
       closeQuietly(caller);
@@ -112,14 +131,14 @@
     }
     StreamPipe.reset(caller);
     StreamPipe.reset(callee);
-    proxies.remove(this);
+    onClosed.accept(this);
   }
 
   private static void closeQuietly(SocketChannel channel) {
     try {
       channel.close();
     } catch (IOException e) {
-      // Already gone.
+      // It is closed all the same.
     }
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/proxy/UdpProxy.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/UdpProxy.java
@@ -6,31 +6,33 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 
-/** Datagrams from one process to another, and answers to where they came from. */
-final class UdpProxy implements ProxyNetwork.ReadyHandler {
+/** Forwards datagrams from one process to another, and the answers to their sender. */
+final class UdpProxy implements ProxyLoop.ReadyHandler {
 
-  /**
-   * What may be on the way of one link: at 1,000 datagrams a second and the longest delays in use
-   * some 2 s.
-   */
+  /** Delayed datagrams of one proxy: some 2 s at 1,000 datagrams per second. */
   private static final int MAX_DELAYED = 2048;
 
-  private final ProxyNetwork proxies;
+  private static final int MAX_DATAGRAM_BYTES = 65_536;
+
+  private final ProxyLoop loop;
   private final DatagramChannel channel;
   private final InetSocketAddress target;
   private final Link forward;
   private final Link backward;
-  private final ByteBuffer buffer = ByteBuffer.allocate(65_536);
+  private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+
+  /** The sender of the last datagram; null before the first. */
   private SocketAddress source;
+
   private int delayed;
 
   UdpProxy(
-      ProxyNetwork proxies,
+      ProxyLoop loop,
       DatagramChannel channel,
       InetSocketAddress target,
       Link forward,
       Link backward) {
-    this.proxies = proxies;
+    this.loop = loop;
     this.channel = channel;
     this.target = target;
     this.forward = forward;
@@ -45,8 +47,7 @@
       try {
         from = channel.receive(buffer);
       } catch (IOException e) {
-        // The machine tells here that an earlier datagram found nobody: on a real way nothing would
-        // be heard.
+        // An earlier datagram found no receiver: on a real link the sender would not notice.
         continue;
       }
       if (from == null) {
@@ -75,13 +76,13 @@
   }
 
   private void send(Link link, byte[] bytes, SocketAddress to) {
-    long delay = link.delayNanos();
-    if (delay == 0) {
+    long delayNanos = link.delayNanos();
+    if (delayNanos == 0) {
       write(bytes, to);
     } else if (delayed < MAX_DELAYED) {
       delayed++;
-      proxies.schedule(
-          delay,
+      loop.schedule(
+          delayNanos,
           () -> {
             delayed--;
             write(bytes, to);
@@ -93,7 +94,7 @@
     try {
       channel.send(ByteBuffer.wrap(bytes), to);
     } catch (IOException e) {
-      // Lost, as datagrams may be.
+      // Datagrams may be lost.
     }
   }
 }
--- a/rig/src/test/java/tamarindroute/rig/proxy/package-info.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns what lies between two processes: for each directed way a port that passes datagrams and
- * bytes on, and the faults of that way (loss, delay, doubling, reordering, cuts). It must never
- * read what it passes on, nor know who the two are.
+ * Proxies between processes: for each directed link a port that forwards datagrams and connections
+ * under the link's faults (loss, delay, duplication, reordering, cuts). Content is forwarded
+ * unread.
  */
 package tamarindroute.rig.proxy;
--- a/rig/src/test/java/tamarindroute/rig/schedule/ScheduleTest.java
+++ b/rig/src/test/java/tamarindroute/rig/schedule/ScheduleTest.java
@@ -25,21 +25,21 @@
 
     @Override
     public void changeFaults(List<String> from, List<String> to, UnaryOperator<LinkFaults> change) {
-      LinkFaults fault = change.apply(LinkFaults.NONE);
+      LinkFaults faults = change.apply(LinkFaults.NONE);
       calls.add(
           from
               + ">"
               + to
               + " "
-              + fault.loss()
+              + faults.loss()
               + " "
-              + fault.delay().toMillis()
+              + faults.delay().toMillis()
               + " "
-              + fault.jitter().toMillis()
+              + faults.jitter().toMillis()
               + " "
-              + fault.duplication()
+              + faults.duplication()
               + " "
-              + fault.cut());
+              + faults.cut());
     }
 
     @Override
@@ -68,13 +68,13 @@
     }
 
     @Override
-    public void start(String process, Duration clock) {
-      calls.add("start " + process + " " + clock);
+    public void start(String process, Duration clockOffset) {
+      calls.add("start " + process + " " + clockOffset);
     }
 
     @Override
-    public void announce(String cache, String state, List<String> feeds) {
-      calls.add("announce " + cache + " " + state + " " + feeds);
+    public void announce(String cache, String state, List<String> gateways) {
+      calls.add("announce " + cache + " " + state + " " + gateways);
     }
 
     @Override
--- a/variants/generate.sh
+++ b/variants/generate.sh
@@ -1,6 +1,5 @@
 #!/bin/sh
-# Writes variants of a site file, from any folder: builds what has changed, then runs the generator on the words given.
-# It must never play one: that is the operators' bench.
+# Writes variants of a site file, from any folder: builds what has changed, then runs the generator with the given arguments.
 here=$(cd "$(dirname "$0")/.." && pwd) || exit 1
 (cd "$here" && mvn -q -pl variants -DskipTests package) || exit 1
-exec java -cp "$here/variants/target/classes:$here/variants/target/lib/*" tamarindroute.variants.Generate "$@"
+exec java -cp "$here/variants/target/classes:$here/variants/target/lib/*" tamarindroute.variants.GenerateCommand "$@"
--- a/variants/src/main/java/tamarindroute/variants/Changes.java
+++ b/variants/src/main/java/tamarindroute/variants/DocumentDiff.java
@@ -7,20 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * What differs between two documents: the paths of the keys, such as {@code tier[0].report.how},
- * with their values in the second; {@link MissingNode} where it has none. An array of tables is
- * gone into, any other array is one value.
+ * The difference of two documents: the paths of the keys, such as {@code tier[0].report.how}, with
+ * their values in the second; {@link MissingNode} where it has none. Arrays of tables are compared
+ * table by table, any other array is one value.
  */
-final class Changes {
+final class DocumentDiff {
 
-  private final SortedMap<String, JsonNode> found = new TreeMap<>();
+  private final SortedMap<String, JsonNode> changes = new TreeMap<>();
 
-  private Changes() {}
+  private DocumentDiff() {}
 
   static SortedMap<String, JsonNode> between(JsonNode before, JsonNode after) {
-    Changes changes = new Changes();
-    changes.compare("", before, after);
-    return changes.found;
+    DocumentDiff diff = new DocumentDiff();
+    diff.compare("", before, after);
+    return diff.changes;
   }
 
   private void compare(String path, JsonNode before, JsonNode after) {
@@ -31,7 +31,7 @@
         compare(path + "[" + i + "]", before.get(i), after.get(i));
       }
     } else if (!sameValue(before, after)) {
-      found.put(path, after);
+      changes.put(path, after);
     }
   }
 
@@ -44,7 +44,7 @@
     for (Iterator<String> keys = after.fieldNames(); keys.hasNext(); ) {
       String key = keys.next();
       if (!before.has(key)) {
-        found.put(prefix + key, after.get(key));
+        changes.put(prefix + key, after.get(key));
       }
     }
   }
@@ -53,7 +53,7 @@
     return node.isArray() && !node.isEmpty() && node.get(0).isObject();
   }
 
-  /** Whether two values are one, 5 and 5.0 being the same. */
+  /** Whether two values are equal; 5 equals 5.0. */
   private static boolean sameValue(JsonNode one, JsonNode other) {
     return one.equals(
         (a, b) -> {
--- a/variants/src/main/java/tamarindroute/variants/Generate.java
+++ b/variants/src/main/java/tamarindroute/variants/GenerateCommand.java
@@ -8,8 +8,8 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** The command that writes a site's variants, as docs/variants.md tells. */
-public final class Generate {
+/** The command that writes a site's variants; see docs/variants.md. */
+public final class GenerateCommand {
 
   private static final String USAGE =
       "usage: generate.sh SITE.toml OUT_FOLDER [--pairs N --seed S]\n"
@@ -21,62 +21,62 @@
   private long seed = 1;
   private boolean list;
 
-  private Generate(PrintStream out) {
+  private GenerateCommand(PrintStream out) {
     this.out = out;
   }
 
-  /** Words as in the usage; exit codes 0, 1 (reading or writing failed), 2 (usage), 3 (refused). */
-  public static void main(String[] words) {
-    System.exit(run(System.out, System.err, words));
+  /** Arguments as in the usage; exit codes as in {@link ExitCodes}. */
+  public static void main(String[] arguments) {
+    System.exit(run(System.out, System.err, arguments));
   }
 
-  static int run(PrintStream out, PrintStream errors, String... words) {
-    return Exit.codeOf(
+  static int run(PrintStream out, PrintStream errors, String... arguments) {
+    return ExitCodes.codeOf(
         () -> {
-          Generate command = new Generate(out);
-          command.take(Arrays.asList(words).iterator());
+          GenerateCommand command = new GenerateCommand(out);
+          command.parse(Arrays.asList(arguments).iterator());
           command.run();
         },
         USAGE,
         errors);
   }
 
-  private void take(Iterator<String> words) throws UsageException, RefusedException {
-    while (words.hasNext()) {
-      String word = words.next();
-      switch (word) {
-        case "--pairs" -> pairs = Math.toIntExact(number(word, words, Integer.MAX_VALUE));
-        case "--seed" -> seed = number(word, words, Long.MAX_VALUE);
+  private void parse(Iterator<String> arguments) throws UsageException, InvalidInputException {
+    while (arguments.hasNext()) {
+      String argument = arguments.next();
+      switch (argument) {
+        case "--pairs" -> pairs = Math.toIntExact(number(argument, arguments, Integer.MAX_VALUE));
+        case "--seed" -> seed = number(argument, arguments, Long.MAX_VALUE);
         case "--list" -> list = true;
-        default -> takePath(word);
+        default -> parsePath(argument);
       }
     }
-    if (paths.size() > 2 || !list && paths.size() < 2) {
+    if (paths.size() > 2 || (!list && paths.size() < 2)) {
       throw new UsageException(paths.size() + " paths given");
     }
   }
 
-  private void takePath(String word) throws RefusedException {
-    if (word.startsWith("-")) {
-      throw new RefusedException(word + ": no such option");
+  private void parsePath(String argument) throws InvalidInputException {
+    if (argument.startsWith("-")) {
+      throw new InvalidInputException(argument + ": no such option");
     }
-    paths.add(Path.of(word));
+    paths.add(Path.of(argument));
   }
 
-  private static long number(String option, Iterator<String> words, long most)
+  private static long number(String option, Iterator<String> arguments, long max)
       throws UsageException {
     try {
-      long number = words.hasNext() ? Long.parseLong(words.next()) : -1;
-      if (number >= 0 && number <= most) {
+      long number = arguments.hasNext() ? Long.parseLong(arguments.next()) : -1;
+      if (number >= 0 && number <= max) {
         return number;
       }
-    } catch (NumberFormatException none) {
-      // Told below, as are negative numbers.
+    } catch (NumberFormatException e) {
+      // Refused below, as are negative numbers.
     }
     throw new UsageException(option + " takes a whole number from 0");
   }
 
-  private void run() throws RefusedException, IOException {
+  private void run() throws InvalidInputException, IOException {
     SiteFile site = paths.isEmpty() ? null : SiteFile.read(paths.get(0));
     if (list) {
       printFactors(site);
@@ -90,7 +90,7 @@
     folder.write(site, variants);
     for (Factor factor : Factor.values()) {
       if (!Variant.of(site, factor).differsFrom(site)) {
-        out.println(factor.word() + ": skipped, changes nothing on " + site.name());
+        out.println(factor.displayName() + ": skipped, changes nothing on " + site.name());
       }
     }
     out.println(variants.size() + " variants of " + site.name() + " in " + paths.get(1));
@@ -101,7 +101,7 @@
       boolean skipped = site != null && !Variant.of(site, factor).differsFrom(site);
       out.printf(
           "%-18s %s%s%n",
-          factor.word(), factor.description, skipped ? " (changes nothing here)" : "");
+          factor.displayName(), factor.description(), skipped ? " (changes nothing here)" : "");
     }
   }
 }
--- a/variants/src/main/java/tamarindroute/variants/SiteFile.java
+++ b/variants/src/main/java/tamarindroute/variants/SiteFile.java
@@ -34,17 +34,17 @@
     this.document = document;
   }
 
-  static SiteFile read(Path path) throws RefusedException {
+  static SiteFile read(Path path) throws InvalidInputException {
     String text;
     try {
       text = Files.readString(path);
     } catch (IOException unreadable) {
-      throw new RefusedException(path + ": no site file can be read there");
+      throw new InvalidInputException(path + ": no site file can be read there");
     }
     if (!path.getFileName().toString().endsWith(SUFFIX)) {
-      throw new RefusedException(path + ": the name of a site file ends in " + SUFFIX);
+      throw new InvalidInputException(path + ": the name of a site file ends in " + SUFFIX);
     }
-    return new SiteFile(path, text, checked(path, parsed(path, text)));
+    return new SiteFile(path, text, validated(path, parsed(path, text)));
   }
 
   /** The file's name, which its variants keep. */
@@ -67,23 +67,23 @@
    * This file's text changed so that it holds the wanted document; refused where the text can't be
    * brought to that.
    */
-  String textOf(ObjectNode wanted) throws RefusedException {
-    String edited = TomlText.edited(text, Changes.between(document, wanted));
-    SortedMap<String, JsonNode> left = Changes.between(parsed(path, edited), wanted);
+  String textOf(ObjectNode wanted) throws InvalidInputException {
+    String edited = TomlEditor.edited(text, DocumentDiff.between(document, wanted));
+    SortedMap<String, JsonNode> left = DocumentDiff.between(parsed(path, edited), wanted);
     if (!left.isEmpty()) {
-      throw new RefusedException(
+      throw new InvalidInputException(
           path + ": " + left.firstKey() + " can't be changed, as it isn't one line of the file");
     }
     return edited;
   }
 
-  static ObjectNode parsed(Path path, String text) throws RefusedException {
+  static ObjectNode parsed(Path path, String text) throws InvalidInputException {
     try {
       return TOML.readTree(text) instanceof ObjectNode document
           ? document
           : TOML.createObjectNode();
     } catch (JsonProcessingException malformed) {
-      throw new RefusedException(
+      throw new InvalidInputException(
           path
               + ": not TOML: "
               + malformed.getOriginalMessage().lines().findFirst().orElse("")
@@ -93,15 +93,17 @@
     }
   }
 
-  private static ObjectNode checked(Path path, ObjectNode document) throws RefusedException {
+  private static ObjectNode validated(Path path, ObjectNode document) throws InvalidInputException {
     for (String table : TABLES) {
       if (!document.path(table).isObject()) {
-        throw new RefusedException(path + ": not a site file: it has no table [" + table + "]");
+        throw new InvalidInputException(
+            path + ": not a site file: it has no table [" + table + "]");
       }
     }
     for (String array : ARRAYS) {
       if (!document.path(array).path(0).isObject()) {
-        throw new RefusedException(path + ": not a site file: it has no tables [[" + array + "]]");
+        throw new InvalidInputException(
+            path + ": not a site file: it has no tables [[" + array + "]]");
       }
     }
     return document;
--- a/variants/src/main/java/tamarindroute/variants/Table.java
+++ b/variants/src/main/java/tamarindroute/variants/TableCommand.java
@@ -16,7 +16,7 @@
  * The command that prints a Markdown table of the bench's reports; a report's file is named for its
  * factor.
  */
-public final class Table {
+public final class TableCommand {
 
   private static final String USAGE =
       "usage: table.sh FOLDER    of reports FACTOR.json, as the bench's --json writes them";
@@ -29,31 +29,31 @@
   /** The keys of a report's row that the columns after the first show. */
   private static final List<String> KEYS = List.of("served", "G_floor", "G_top", "gate", "score");
 
-  private Table() {}
+  private TableCommand() {}
 
-  /** The folder; exit codes as those of {@link Generate}. */
-  public static void main(String[] words) {
-    System.exit(run(System.out, System.err, words));
+  /** Argument: the folder; exit codes as in {@link ExitCodes}. */
+  public static void main(String[] arguments) {
+    System.exit(run(System.out, System.err, arguments));
   }
 
-  static int run(PrintStream out, PrintStream errors, String... words) {
-    return Exit.codeOf(
+  static int run(PrintStream out, PrintStream errors, String... arguments) {
+    return ExitCodes.codeOf(
         () -> {
-          if (words.length != 1) {
-            throw new UsageException(words.length + " folders given");
+          if (arguments.length != 1) {
+            throw new UsageException(arguments.length + " folders given");
           }
-          if (words[0].startsWith("-")) {
-            throw new RefusedException(words[0] + ": no such option");
+          if (arguments[0].startsWith("-")) {
+            throw new InvalidInputException(arguments[0] + ": no such option");
           }
-          lines(Path.of(words[0])).forEach(out::println);
+          lines(Path.of(arguments[0])).forEach(out::println);
         },
         USAGE,
         errors);
   }
 
-  private static List<String> lines(Path folder) throws RefusedException, IOException {
+  private static List<String> lines(Path folder) throws InvalidInputException, IOException {
     if (!Files.isDirectory(folder)) {
-      throw new RefusedException(folder + ": no such folder");
+      throw new InvalidInputException(folder + ": no such folder");
     }
     List<Path> reports;
     try (Stream<Path> files = Files.list(folder)) {
@@ -61,7 +61,7 @@
           files.filter(file -> file.getFileName().toString().endsWith(SUFFIX)).sorted().toList();
     }
     if (reports.isEmpty()) {
-      throw new RefusedException(folder + ": no reports (*" + SUFFIX + ") there");
+      throw new InvalidInputException(folder + ": no reports (*" + SUFFIX + ") there");
     }
     List<String> lines = new ArrayList<>();
     lines.add(line(COLUMNS));
@@ -72,24 +72,23 @@
     return lines;
   }
 
-  private static String row(Path report) throws RefusedException, IOException {
+  private static String row(Path report) throws InvalidInputException, IOException {
     String file = report.getFileName().toString();
     List<String> cells =
         new ArrayList<>(List.of(file.substring(0, file.length() - SUFFIX.length())));
     JsonNode row = read(report).path("row");
     if (!row.isObject()) {
-      throw new RefusedException(report + ": not a report of the bench: it has no row");
+      throw new InvalidInputException(report + ": not a report of the bench: it has no row");
     }
     KEYS.forEach(key -> cells.add(cell(row.path(key))));
     return line(cells);
   }
 
-  private static JsonNode read(Path report) throws RefusedException, IOException {
+  private static JsonNode read(Path report) throws InvalidInputException, IOException {
     try {
       return JSON.readTree(report.toFile());
-    } catch (JsonProcessingException malformed) {
-      throw new RefusedException(
-          report + ": not JSON, line " + malformed.getLocation().getLineNr());
+    } catch (JsonProcessingException e) {
+      throw new InvalidInputException(report + ": not JSON, line " + e.getLocation().getLineNr());
     }
   }
 
--- a/variants/src/main/java/tamarindroute/variants/Tables.java
+++ b/variants/src/main/java/tamarindroute/variants/TableSelection.java
@@ -15,25 +15,25 @@
 import java.util.function.UnaryOperator;
 
 /**
- * All tables of a document that stand at one place, such as every {@code [[tier.kind]]}, to be
- * changed alike. Numbers are changed one by one, also those of a range; as each change keeps the
- * order of any two numbers, ranges stay ordered.
+ * All tables at one path of a document, such as every {@code [[tier.kind]]}, to be changed alike.
+ * Numbers are changed one by one, also those of a range; each change is monotonic, so ranges stay
+ * ordered.
  */
-final class Tables {
+final class TableSelection {
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-  /** As many digits as a changed number gets; the files have two. */
+  /** Digits of a changed number; the files have two. */
   private static final MathContext DIGITS = new MathContext(4);
 
   private final List<ObjectNode> tables;
 
-  private Tables(List<ObjectNode> tables) {
+  private TableSelection(List<ObjectNode> tables) {
     this.tables = tables;
   }
 
   /** The tables at the names in turn, in all tables of the arrays on the way. */
-  static Tables at(ObjectNode document, String... names) {
+  static TableSelection at(ObjectNode document, String... names) {
     List<ObjectNode> found = List.of(document);
     for (String name : names) {
       List<ObjectNode> next = new ArrayList<>();
@@ -42,7 +42,7 @@
       }
       found = next;
     }
-    return new Tables(found);
+    return new TableSelection(found);
   }
 
   private static void addTables(JsonNode node, List<ObjectNode> to) {
@@ -53,9 +53,9 @@
     }
   }
 
-  /** Those of the tables that fulfil the condition. */
-  Tables where(Predicate<ObjectNode> condition) {
-    return new Tables(tables.stream().filter(condition).toList());
+  /** The tables that fulfil a condition. */
+  TableSelection where(Predicate<ObjectNode> condition) {
+    return new TableSelection(tables.stream().filter(condition).toList());
   }
 
   Optional<ObjectNode> findFirst() {
@@ -66,28 +66,28 @@
     tables.forEach(change);
   }
 
-  Tables set(String key, String value) {
+  TableSelection set(String key, String value) {
     return put(key, NODES.textNode(value));
   }
 
-  Tables set(String key, boolean value) {
+  TableSelection set(String key, boolean value) {
     return put(key, NODES.booleanNode(value));
   }
 
   /** Sets a value of strings. */
-  Tables set(String key, List<String> values) {
+  TableSelection set(String key, List<String> values) {
     ArrayNode array = NODES.arrayNode();
     values.forEach(array::add);
     return put(key, array);
   }
 
   /** Sets one number. */
-  Tables set(String key, double value) {
+  TableSelection set(String key, double value) {
     return put(key, number(BigDecimal.valueOf(value)));
   }
 
   /** Sets a range. */
-  Tables set(String key, double low, double high) {
+  TableSelection set(String key, double low, double high) {
     return put(
         key,
         NODES
@@ -96,24 +96,24 @@
             .add(number(BigDecimal.valueOf(high))));
   }
 
-  Tables put(String key, JsonNode value) {
+  TableSelection put(String key, JsonNode value) {
     tables.forEach(table -> table.set(key, value.deepCopy()));
     return this;
   }
 
   /** Sets a range where the key is there, and leaves the other tables. */
-  Tables setPresent(String key, double low, double high) {
+  TableSelection setPresent(String key, double low, double high) {
     where(table -> table.has(key)).set(key, low, high);
     return this;
   }
 
   /** Multiplies a number, or each of a range, where the key is there. */
-  Tables times(String key, double factor) {
+  TableSelection times(String key, double factor) {
     return change(key, value -> value.multiply(BigDecimal.valueOf(factor)));
   }
 
   /** As {@link #times}, but not under the least; what is under it already stays. */
-  Tables timesDownTo(String key, double factor, double least) {
+  TableSelection timesDownTo(String key, double factor, double least) {
     return change(
         key,
         value ->
@@ -121,7 +121,7 @@
   }
 
   /** As {@link #times}, but not over the most; what is over it already stays. */
-  Tables timesUpTo(String key, double factor, double most) {
+  TableSelection timesUpTo(String key, double factor, double most) {
     return change(
         key,
         value ->
@@ -129,16 +129,16 @@
   }
 
   /** Lowers what is over the most. */
-  Tables atMost(String key, double most) {
+  TableSelection atMost(String key, double most) {
     return change(key, value -> value.min(BigDecimal.valueOf(most)));
   }
 
   /** Rounds to whole numbers, halves up. */
-  Tables whole(String key) {
+  TableSelection whole(String key) {
     return change(key, value -> value.setScale(0, RoundingMode.HALF_UP));
   }
 
-  private Tables change(String key, UnaryOperator<BigDecimal> change) {
+  private TableSelection change(String key, UnaryOperator<BigDecimal> change) {
     for (ObjectNode table : tables) {
       if (table.has(key)) {
         table.set(key, changed(table.get(key), change));
--- a/variants/src/main/java/tamarindroute/variants/TomlText.java
+++ b/variants/src/main/java/tamarindroute/variants/TomlEditor.java
@@ -12,11 +12,10 @@
 
 /**
  * Edits the text of a TOML document line by line, so that its order, its comments and its arrays of
- * tables stay as they are. It knows one key a line under headers of bare keys, which is how site
- * files are written; whoever uses it parses the result and compares. A comment behind a value that
- * changes is dropped.
+ * tables stay as they are. It supports one key a line under headers of bare keys, as in site files;
+ * callers must parse and compare the result. A comment after a changed value is dropped.
  */
-final class TomlText {
+final class TomlEditor {
 
   private static final Pattern HEADER =
       Pattern.compile("\\s*(\\[{1,2})\\s*([A-Za-z0-9_.-]+)\\s*]{1,2}\\s*(#.*)?");
@@ -25,29 +24,29 @@
   private final SortedMap<String, JsonNode> pending;
   private final List<String> lines = new ArrayList<>();
 
-  /** How many tables of each array, by its path, have begun. */
-  private final Map<String, Integer> begun = new HashMap<>();
+  /** The number of tables so far of each array, by its path. */
+  private final Map<String, Integer> tableCounts = new HashMap<>();
 
   private String table = "";
 
-  /** Where a key that the present table lacks is put. */
+  /** The index at which missing keys of the present table are added. */
   private int endOfTable;
 
-  private TomlText(Map<String, JsonNode> values) {
+  private TomlEditor(Map<String, JsonNode> values) {
     pending = new TreeMap<>(values);
   }
 
-  /** The text with the values, by their paths as {@link Changes} names them, put in. */
+  /** The text with the values, by their paths as {@link DocumentDiff} names them, put in. */
   static String edited(String text, Map<String, JsonNode> values) {
-    TomlText editor = new TomlText(values);
+    TomlEditor editor = new TomlEditor(values);
     for (String line : text.split("\n", -1)) {
-      editor.take(line);
+      editor.add(line);
     }
     editor.addMissing();
     return String.join("\n", editor.lines);
   }
 
-  private void take(String line) {
+  private void add(String line) {
     Matcher header = HEADER.matcher(line);
     Matcher key = KEY.matcher(line);
     if (header.matches()) {
@@ -69,21 +68,22 @@
     List<String> missing = new ArrayList<>(pending.keySet());
     missing.removeIf(path -> !path.startsWith(prefix) || path.indexOf('.', prefix.length()) >= 0);
     for (String path : missing) {
-      lines.add(endOfTable++, assignment(path.substring(prefix.length()), pending.remove(path)));
+      lines.add(endOfTable, assignment(path.substring(prefix.length()), pending.remove(path)));
+      endOfTable++;
     }
   }
 
   /** The path that a header opens: the names with the running numbers of the arrays' tables. */
   private String pathOf(String header, boolean ofArray) {
     String path = "";
-    String[] names = header.split("\\.");
+    String[] names = header.split("\\.", -1);
     for (int i = 0; i < names.length; i++) {
       path = path(path, names[i]);
       if (ofArray && i == names.length - 1) {
-        begun.merge(path, 1, Integer::sum);
+        tableCounts.merge(path, 1, Integer::sum);
       }
-      if (begun.containsKey(path)) {
-        path += "[" + (begun.get(path) - 1) + "]";
+      if (tableCounts.containsKey(path)) {
+        path += "[" + (tableCounts.get(path) - 1) + "]";
       }
     }
     return path;
--- a/variants/src/main/java/tamarindroute/variants/UsageException.java
+++ b/variants/src/main/java/tamarindroute/variants/UsageException.java
@@ -1,6 +1,6 @@
 package tamarindroute.variants;
 
-/** Words of a command that don't make one; the usage is to be printed. */
+/** Wrong arguments; the usage is printed with the message. */
 final class UsageException extends Exception {
 
   private static final long serialVersionUID = 1;
--- a/variants/src/main/java/tamarindroute/variants/Variant.java
+++ b/variants/src/main/java/tamarindroute/variants/Variant.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** A site with some factors changed; with none it is the site itself. */
+/** A site with some factors changed; without factors it equals the site. */
 record Variant(List<Factor> factors, ObjectNode document) {
 
   private static final String UNCHANGED = "unchanged";
@@ -22,11 +22,11 @@
     return new Variant(List.of(factors), document);
   }
 
-  /** The name of the folder that it is written to. */
-  String folder() {
+  /** The name of the folder to which it is written. */
+  String folderName() {
     return factors.isEmpty()
         ? UNCHANGED
-        : factors.stream().map(Factor::word).collect(Collectors.joining("+"));
+        : factors.stream().map(Factor::displayName).collect(Collectors.joining("+"));
   }
 
   /** Whether its document differs from the site's. */
@@ -36,7 +36,7 @@
 
   /** The paths of the keys in which it differs from the site. */
   Set<String> changedKeys(SiteFile site) {
-    return Changes.between(site.document(), document).keySet();
+    return DocumentDiff.between(site.document(), document).keySet();
   }
 
   /** One variant for each factor that changes something on the site. */
@@ -55,7 +55,7 @@
    * Draws pairs of factors, the same ones for the same site and seed. The two of a pair change
    * different keys, and each still changes all of its keys after the other.
    */
-  static List<Variant> pairs(SiteFile site, int count, long seed) throws RefusedException {
+  static List<Variant> pairs(SiteFile site, int count, long seed) throws InvalidInputException {
     List<Variant> single = single(site);
     List<Variant> pairs = new ArrayList<>();
     for (List<Variant> drawn : shuffled(single, new Random(seed))) {
@@ -63,12 +63,12 @@
         return pairs;
       }
       Variant pair = of(site, drawn.get(0).factors.get(0), drawn.get(1).factors.get(0));
-      if (pair.changesAllOf(site, drawn.get(0), drawn.get(1))) {
+      if (pair.changesKeysOfBoth(site, drawn.get(0), drawn.get(1))) {
         pairs.add(pair);
       }
     }
     if (pairs.size() < count) {
-      throw new RefusedException(
+      throw new InvalidInputException(
           site.path + ": " + count + " pairs are wanted, it has " + pairs.size());
     }
     return pairs;
@@ -85,7 +85,7 @@
     return twos;
   }
 
-  private boolean changesAllOf(SiteFile site, Variant one, Variant other) {
+  private boolean changesKeysOfBoth(SiteFile site, Variant one, Variant other) {
     Set<String> keys = new HashSet<>(one.changedKeys(site));
     Set<String> others = other.changedKeys(site);
     int together = keys.size() + others.size();
--- a/variants/src/main/java/tamarindroute/variants/VariantFolder.java
+++ b/variants/src/main/java/tamarindroute/variants/VariantFolder.java
@@ -10,38 +10,38 @@
 import java.util.stream.Stream;
 
 /**
- * Writes variants into a folder, all or none: they are written beside it and moved there when they
- * are whole.
+ * Writes variants into a folder, all or none: they are written to a temporary folder that is
+ * renamed when it is complete.
  */
 final class VariantFolder {
 
-  /** What may stand beside a site file and goes with it as it is. */
+  /** Files of a site's folder that are copied unchanged. */
   static final List<String> COMPANIONS = List.of("wire.json", "real.json", "unlock.txt");
 
   private static final String TEMPORARY = ".variants-";
 
   private final Path folder;
 
-  /** The folder to be; refused if it holds something already. */
-  VariantFolder(Path folder) throws RefusedException, IOException {
+  /** Refuses a folder that has entries, or whose parent does not exist. */
+  VariantFolder(Path folder) throws InvalidInputException, IOException {
     this.folder = folder.toAbsolutePath().normalize();
     if (Files.exists(folder, LinkOption.NOFOLLOW_LINKS) && !isEmptyFolder(folder)) {
-      throw new RefusedException(
-          folder + ": there is something already; an empty or a new folder is needed");
+      throw new InvalidInputException(folder + ": not empty; an empty or a new folder is needed");
     }
     if (this.folder.getParent() == null || !Files.isDirectory(this.folder.getParent())) {
-      throw new RefusedException(folder + ": the folder that it would stand in is not there");
+      throw new InvalidInputException(folder + ": its parent folder does not exist");
     }
   }
 
-  void write(SiteFile site, List<Variant> variants) throws RefusedException, IOException {
+  void write(SiteFile site, List<Variant> variants) throws InvalidInputException, IOException {
     Path temporary = Files.createTempDirectory(folder.getParent(), TEMPORARY);
     try {
       for (Variant variant : variants) {
-        writeOne(site, variant, Files.createDirectory(temporary.resolve(variant.folder())));
+        writeOne(site, variant, Files.createDirectory(temporary.resolve(variant.folderName())));
       }
       Files.setPosixFilePermissions(
-          temporary, Files.getPosixFilePermissions(temporary.resolve(variants.get(0).folder())));
+          temporary,
+          Files.getPosixFilePermissions(temporary.resolve(variants.get(0).folderName())));
       Files.move(temporary, folder, StandardCopyOption.ATOMIC_MOVE);
     } finally {
       delete(temporary);
@@ -49,7 +49,7 @@
   }
 
   private static void writeOne(SiteFile site, Variant variant, Path into)
-      throws RefusedException, IOException {
+      throws InvalidInputException, IOException {
     Files.writeString(into.resolve(site.fileName()), site.textOf(variant.document()));
     for (String name : COMPANIONS) {
       Path companion = site.path.resolveSibling(name);
--- a/variants/src/main/java/tamarindroute/variants/package-info.java
+++ b/variants/src/main/java/tamarindroute/variants/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Variants of a site file, to show what the program was fitted to without anybody meaning it:
- * {@link tamarindroute.variants.Factor} says what can be changed, {@link
- * tamarindroute.variants.Generate} writes the files, {@link tamarindroute.variants.Table} collects
- * what the bench reported. A developers' tool, no part of the program.
+ * Variants of a site file, to show on which properties of a site the program's quality depends:
+ * {@link tamarindroute.variants.Factor} lists what can be changed, {@link
+ * tamarindroute.variants.GenerateCommand} writes the files, {@link
+ * tamarindroute.variants.TableCommand} collects what the bench reported. A developers' tool; no
+ * module uses it.
  */
 package tamarindroute.variants;
--- a/variants/src/test/java/tamarindroute/variants/FactorTest.java
+++ b/variants/src/test/java/tamarindroute/variants/FactorTest.java
@@ -20,13 +20,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/**
- * What each factor changes in the written files of two sites: the keys that it names and no other.
- */
+/** Each factor changes its keys and no others in the written files of two sites. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FactorTest {
 
-  /** A line a factor: its keys, in whatever table of an array they stand. */
+  /** A line for each factor: its keys, in any table of an array. */
   private static final Map<String, Set<String>> KEYS =
       keys(
           """
@@ -90,7 +88,7 @@
       Set.of(
           "nominal-weights", "sizes-told", "links-untold", "tells-hits", "second-copies", "bypass");
 
-  /** What a factor makes of all its keys on quayside-lots, reckoned by hand. */
+  /** What a factor makes of all its keys on quayside-lots, calculated by hand. */
   private static final String QUAYSIDE =
       """
             no-weights tier[0].weights="none"
@@ -139,7 +137,7 @@
   private static Map<String, Set<String>> keys(String lines) {
     Map<String, Set<String>> keys = new HashMap<>();
     for (String line : lines.lines().toList()) {
-      String[] words = line.split(" ");
+      String[] words = line.split(" ", -1);
       keys.put(words[0], Set.copyOf(Arrays.asList(words).subList(1, words.length)));
     }
     return keys;
@@ -147,28 +145,30 @@
 
   @BeforeAll
   static void generate() {
-    assertThat(Sites.generate(Sites.ATRIUM, temporary.resolve("atrium")).code())
-        .isEqualTo(Exit.DONE);
-    assertThat(Sites.generate(Sites.QUAYSIDE, temporary.resolve("quayside")).code())
-        .isEqualTo(Exit.DONE);
+    assertThat(SiteFixtures.generate(SiteFixtures.ATRIUM, temporary.resolve("atrium")).code())
+        .isEqualTo(ExitCodes.SUCCESS);
+    assertThat(SiteFixtures.generate(SiteFixtures.QUAYSIDE, temporary.resolve("quayside")).code())
+        .isEqualTo(ExitCodes.SUCCESS);
   }
 
   @ParameterizedTest
   @EnumSource
   void changesItsKeysAndNoOther(Factor factor) throws IOException {
-    checkKeys(factor, Sites.ATRIUM, temporary.resolve("atrium"), ALREADY_IN_ATRIUM);
-    checkKeys(factor, Sites.QUAYSIDE, temporary.resolve("quayside"), ALREADY_IN_QUAYSIDE);
+    checkKeys(factor, SiteFixtures.ATRIUM, temporary.resolve("atrium"), ALREADY_IN_ATRIUM);
+    checkKeys(factor, SiteFixtures.QUAYSIDE, temporary.resolve("quayside"), ALREADY_IN_QUAYSIDE);
   }
 
   private static void checkKeys(Factor factor, Path site, Path folder, Set<String> already)
       throws IOException {
-    Path variant = folder.resolve(factor.word()).resolve(site.getFileName());
+    Path variant = folder.resolve(factor.displayName()).resolve(site.getFileName());
     assertThat(Files.exists(variant))
         .as("%s of %s", factor, site)
-        .isEqualTo(!already.contains(factor.word()));
-    if (!already.contains(factor.word())) {
-      Map<String, String> changed = Sites.changed(site, variant);
-      assertThat(withoutNumbers(changed.keySet())).isNotEmpty().isSubsetOf(KEYS.get(factor.word()));
+        .isEqualTo(!already.contains(factor.displayName()));
+    if (!already.contains(factor.displayName())) {
+      Map<String, String> changed = SiteFixtures.changed(site, variant);
+      assertThat(withoutNumbers(changed.keySet()))
+          .isNotEmpty()
+          .isSubsetOf(KEYS.get(factor.displayName()));
       for (String value : changed.values()) {
         checkRange(value);
       }
@@ -190,23 +190,23 @@
   }
 
   @Test
-  void whatItSetsIsWhatWasReckonedByHand() throws IOException {
+  void setsTheValuesCalculatedByHand() throws IOException {
     Map<String, Set<String>> wanted = keys(QUAYSIDE);
     assertThat(wanted).hasSize(Factor.values().length - ALREADY_IN_QUAYSIDE.size());
     for (Map.Entry<String, Set<String>> line : wanted.entrySet()) {
       Path variant =
           temporary.resolve("quayside").resolve(line.getKey()).resolve("quayside-lots.toml");
       Set<String> found = new TreeSet<>();
-      Sites.changed(Sites.QUAYSIDE, variant)
+      SiteFixtures.changed(SiteFixtures.QUAYSIDE, variant)
           .forEach((path, value) -> found.add(path + "=" + value));
       assertThat(found).as(line.getKey()).isEqualTo(line.getValue());
     }
   }
 
   @Test
-  void aDeadlineUnderTheLeastStays() throws Exception {
-    var site = SiteFile.read(Sites.QUAYSIDE).document();
-    Tables.at(site, "class").set("deadline_ms", 600).set("aim_ms", 500);
+  void aDeadlineBelowTheMinimumStays() throws Exception {
+    var site = SiteFile.read(SiteFixtures.QUAYSIDE).document();
+    TableSelection.at(site, "class").set("deadline_ms", 600).set("aim_ms", 500);
     Factor.SHORT_DEADLINES.apply(site);
     Factor.LOOSE_TARGET.apply(site);
     assertThat(site.findValues("deadline_ms")).allMatch(deadline -> deadline.asInt() == 600);
@@ -214,8 +214,8 @@
   }
 
   @Test
-  void reportsThatWereOffGetFieldsWhenPolled() throws Exception {
-    var site = SiteFile.read(Sites.ATRIUM).document();
+  void disabledReportsGetDefaultFieldsWhenPolled() throws Exception {
+    var site = SiteFile.read(SiteFixtures.ATRIUM).document();
     Factor.NO_REPORTS.apply(site);
     var without = site.deepCopy();
     Factor.LATE_REPORTS.apply(site);
@@ -226,9 +226,9 @@
   }
 
   @Test
-  void withoutPurgesNoneAreQuicker() throws Exception {
-    var site = SiteFile.read(Sites.QUAYSIDE).document();
-    Tables.at(site, "fam").set("purges", 0);
+  void aSiteWithoutPurgesStays() throws Exception {
+    var site = SiteFile.read(SiteFixtures.QUAYSIDE).document();
+    TableSelection.at(site, "fam").set("purges", 0);
     var before = site.deepCopy();
     Factor.QUICK_PURGES.apply(site);
     assertThat(site).isEqualTo(before);
--- a/variants/src/test/java/tamarindroute/variants/GenerateTest.java
+++ b/variants/src/test/java/tamarindroute/variants/GenerateCommandTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The generator's folders: what stands in them, that pairs can be drawn again, and that what fails
- * leaves nothing.
+ * The generator's folders: their contents, that pairs are reproducible, and that a failure leaves
+ * nothing.
  */
-class GenerateTest {
+class GenerateCommandTest {
 
   @TempDir Path temporary;
 
@@ -38,24 +38,25 @@
   @Test
   void companionsAndTheUnchangedSiteAreCopiedByteForByte() throws IOException {
     Path out = temporary.resolve("out");
-    assertThat(Sites.generate(Sites.ATRIUM, out, "--pairs", 2).code()).isZero();
+    assertThat(SiteFixtures.generate(SiteFixtures.ATRIUM, out, "--pairs", 2).code()).isZero();
     for (String variant : names(out)) {
       assertThat(names(out.resolve(variant)))
           .containsExactlyInAnyOrder("atrium-reels.toml", "wire.json", "real.json", "unlock.txt");
       for (String companion : VariantFolder.COMPANIONS) {
         assertThat(out.resolve(variant).resolve(companion))
-            .hasSameBinaryContentAs(Sites.ATRIUM.resolveSibling(companion));
+            .hasSameBinaryContentAs(SiteFixtures.ATRIUM.resolveSibling(companion));
       }
     }
-    assertThat(out.resolve("unchanged/atrium-reels.toml")).hasSameBinaryContentAs(Sites.ATRIUM);
+    assertThat(out.resolve("unchanged/atrium-reels.toml"))
+        .hasSameBinaryContentAs(SiteFixtures.ATRIUM);
     assertThat(names(temporary)).containsExactly("out");
   }
 
   @Test
   void onlyTheCompanionsThatAreThereAreCopied() throws IOException {
-    Path site = Files.copy(Sites.QUAYSIDE, temporary.resolve("lots.toml"));
+    Path site = Files.copy(SiteFixtures.QUAYSIDE, temporary.resolve("lots.toml"));
     Files.writeString(temporary.resolve("wire.json"), "{}");
-    assertThat(Sites.generate(site, temporary.resolve("out")).code()).isZero();
+    assertThat(SiteFixtures.generate(site, temporary.resolve("out")).code()).isZero();
     assertThat(names(temporary.resolve("out/low-load")))
         .containsExactlyInAnyOrder("lots.toml", "wire.json");
   }
@@ -63,8 +64,8 @@
   @Test
   void onlyTheChangedLinesDiffer() throws IOException {
     Path out = temporary.resolve("out");
-    Sites.generate(Sites.ATRIUM, out);
-    List<String> before = Files.readAllLines(Sites.ATRIUM);
+    SiteFixtures.generate(SiteFixtures.ATRIUM, out);
+    List<String> before = Files.readAllLines(SiteFixtures.ATRIUM);
     List<String> after = Files.readAllLines(out.resolve("slow-cold-starts/atrium-reels.toml"));
     assertThat(after).hasSameSizeAs(before);
     int changed = 0;
@@ -78,11 +79,13 @@
   void pairsAreTheSameForTheSameSeed() throws IOException {
     for (String run : List.of("one", "again")) {
       assertThat(
-              Sites.generate(Sites.QUAYSIDE, temporary.resolve(run), "--pairs", 9, "--seed", 5)
+              SiteFixtures.generate(
+                      SiteFixtures.QUAYSIDE, temporary.resolve(run), "--pairs", 9, "--seed", 5)
                   .code())
           .isZero();
     }
-    Sites.generate(Sites.QUAYSIDE, temporary.resolve("other"), "--pairs", 9, "--seed", 6);
+    SiteFixtures.generate(
+        SiteFixtures.QUAYSIDE, temporary.resolve("other"), "--pairs", 9, "--seed", 6);
     assertThat(pairs(temporary.resolve("one")))
         .hasSize(9)
         .isEqualTo(pairs(temporary.resolve("again")));
@@ -94,19 +97,21 @@
   @Test
   void aPairChangesTheKeysOfBoth() throws IOException {
     Path out = temporary.resolve("out");
-    Sites.generate(Sites.QUAYSIDE, out, "--pairs", 60, "--seed", 1);
+    SiteFixtures.generate(SiteFixtures.QUAYSIDE, out, "--pairs", 60, "--seed", 1);
     for (String pair : pairs(out)) {
       Set<String> keys = new HashSet<>();
       int sum = 0;
-      for (String factor : pair.split("\\+")) {
+      for (String factor : pair.split("\\+", -1)) {
         Map<String, String> alone =
-            Sites.changed(Sites.QUAYSIDE, out.resolve(factor).resolve("quayside-lots.toml"));
+            SiteFixtures.changed(
+                SiteFixtures.QUAYSIDE, out.resolve(factor).resolve("quayside-lots.toml"));
         keys.addAll(alone.keySet());
         sum += alone.size();
       }
       assertThat(keys).as(pair).hasSize(sum);
       assertThat(
-              Sites.changed(Sites.QUAYSIDE, out.resolve(pair).resolve("quayside-lots.toml"))
+              SiteFixtures.changed(
+                      SiteFixtures.QUAYSIDE, out.resolve(pair).resolve("quayside-lots.toml"))
                   .keySet())
           .as(pair)
           .isEqualTo(keys);
@@ -114,8 +119,8 @@
   }
 
   @Test
-  void whatChangesNothingIsToldInOneLine() {
-    Sites.Run run = Sites.generate(Sites.QUAYSIDE, temporary.resolve("out"));
+  void aSkippedFactorIsPrintedInOneLine() {
+    SiteFixtures.Run run = SiteFixtures.generate(SiteFixtures.QUAYSIDE, temporary.resolve("out"));
     assertThat(run.out())
         .contains("bypass: skipped, changes nothing on quayside-lots" + System.lineSeparator());
     assertThat(run.out().lines())
@@ -127,27 +132,28 @@
 
   @Test
   void theListWritesNothing() throws IOException {
-    Sites.Run run = Sites.generate(Sites.QUAYSIDE, temporary.resolve("out"), "--list");
+    SiteFixtures.Run run =
+        SiteFixtures.generate(SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--list");
     assertThat(run.code()).isZero();
     assertThat(run.out().lines()).hasSize(Factor.values().length);
     assertThat(run.out())
         .containsPattern("bypass +requests may go past the caches \\(changes nothing here\\)");
-    assertThat(Sites.generate("--list").out())
+    assertThat(SiteFixtures.generate("--list").out())
         .contains("no-weights")
         .doesNotContain("nothing here");
     assertThat(names(temporary)).isEmpty();
   }
 
   @Test
-  void anEmptyFolderIsTaken() throws IOException {
+  void anEmptyFolderIsAccepted() throws IOException {
     Path out = Files.createDirectory(temporary.resolve("out"));
-    assertThat(Sites.generate(Sites.QUAYSIDE, out).code()).isZero();
+    assertThat(SiteFixtures.generate(SiteFixtures.QUAYSIDE, out).code()).isZero();
     assertThat(names(out)).contains("unchanged");
   }
 
   @Test
   void badInputIsRefusedInOneLineAndLeavesNothing() throws IOException {
-    String site = Files.readString(Sites.QUAYSIDE);
+    String site = Files.readString(SiteFixtures.QUAYSIDE);
     Map<String, String> texts = new HashMap<>();
     texts.put("broken.toml", site.replace("[fam]", "[fam"));
     texts.put("nofam.toml", site.replaceAll("(?s)\\[fam].*", ""));
@@ -159,13 +165,13 @@
     texts.put("lines.toml", site.replace("quiet = [", "quiet = [\n"));
     for (Map.Entry<String, String> text : texts.entrySet()) {
       Files.writeString(temporary.resolve(text.getKey()), text.getValue());
-      refused(temporary.resolve(text.getKey()), temporary.resolve("out"));
+      assertRefused(temporary.resolve(text.getKey()), temporary.resolve("out"));
     }
-    refused(temporary.resolve("missing.toml"), temporary.resolve("out"));
-    refused(Sites.QUAYSIDE, temporary.resolve("out"), "--fast");
-    refused(Sites.QUAYSIDE, temporary.resolve("out"), "--pairs", 100_000);
-    refused(Sites.QUAYSIDE, temporary.resolve("none/out"));
-    refused(Sites.QUAYSIDE, temporary.resolve("empty.toml"));
+    assertRefused(temporary.resolve("missing.toml"), temporary.resolve("out"));
+    assertRefused(SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--fast");
+    assertRefused(SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--pairs", 100_000);
+    assertRefused(SiteFixtures.QUAYSIDE, temporary.resolve("none/out"));
+    assertRefused(SiteFixtures.QUAYSIDE, temporary.resolve("empty.toml"));
     assertThat(names(temporary)).isEqualTo(texts.keySet());
   }
 
@@ -173,32 +179,32 @@
   void aFolderThatHoldsSomethingIsLeftAsItIs() throws IOException {
     Path out = Files.createDirectory(temporary.resolve("out"));
     Files.writeString(out.resolve("kept.txt"), "kept");
-    refused(Sites.QUAYSIDE, out);
+    assertRefused(SiteFixtures.QUAYSIDE, out);
     assertThat(names(out)).containsExactly("kept.txt");
     assertThat(names(temporary)).containsExactly("out");
   }
 
   @Test
-  void wordsThatMakeNoCommandGetTheUsage() throws IOException {
-    for (Object[] words :
+  void wrongArgumentsPrintTheUsage() throws IOException {
+    for (Object[] arguments :
         new Object[][] {
           {},
-          {Sites.QUAYSIDE},
-          {Sites.QUAYSIDE, temporary.resolve("out"), "more"},
-          {Sites.QUAYSIDE, temporary.resolve("out"), "--pairs"},
-          {Sites.QUAYSIDE, temporary.resolve("out"), "--pairs", "-1"},
-          {Sites.QUAYSIDE, temporary.resolve("out"), "--seed", "x"}
+          {SiteFixtures.QUAYSIDE},
+          {SiteFixtures.QUAYSIDE, temporary.resolve("out"), "more"},
+          {SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--pairs"},
+          {SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--pairs", "-1"},
+          {SiteFixtures.QUAYSIDE, temporary.resolve("out"), "--seed", "x"}
         }) {
-      Sites.Run run = Sites.generate(words);
-      assertThat(run.code()).isEqualTo(Exit.USAGE);
+      SiteFixtures.Run run = SiteFixtures.generate(arguments);
+      assertThat(run.code()).isEqualTo(ExitCodes.USAGE);
       assertThat(run.errors()).contains("usage: generate.sh");
     }
     assertThat(names(temporary)).isEmpty();
   }
 
-  private static void refused(Object... words) {
-    Sites.Run run = Sites.generate(words);
-    assertThat(run.code()).as(run.errors()).isEqualTo(Exit.REFUSED);
+  private static void assertRefused(Object... arguments) {
+    SiteFixtures.Run run = SiteFixtures.generate(arguments);
+    assertThat(run.code()).as(run.errors()).isEqualTo(ExitCodes.INVALID_INPUT);
     assertThat(run.errors().lines()).hasSize(1);
     assertThat(run.out()).isEmpty();
   }
--- a/variants/src/test/java/tamarindroute/variants/Sites.java
+++ b/variants/src/test/java/tamarindroute/variants/SiteFixtures.java
@@ -1,5 +1,7 @@
 package tamarindroute.variants;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.ByteArrayOutputStream;
@@ -7,18 +9,19 @@
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * The sites that the tests vary, and what they read of written files, without the code under test.
+ * The sites of the tests, and a reader of written files that is independent of the code under test.
  */
-final class Sites {
+final class SiteFixtures {
 
   static final Path ATRIUM = Path.of("deploy/sites/atrium-reels/atrium-reels.toml");
   static final Path QUAYSIDE = Path.of("deploy/sites/quayside-lots/quayside-lots.toml");
 
-  private Sites() {}
+  private SiteFixtures() {}
 
   /** Every value of a file by its path, as text; {@code class[0].aim_ms = 300}. */
   static Map<String, String> values(Path file) throws IOException {
@@ -29,8 +32,8 @@
 
   private static void flatten(String path, JsonNode node, Map<String, String> to) {
     if (node.isObject()) {
-      node.fields()
-          .forEachRemaining(field -> flatten(path + "." + field.getKey(), field.getValue(), to));
+      node.properties()
+          .forEach(field -> flatten(path + "." + field.getKey(), field.getValue(), to));
     } else if (node.isArray() && node.path(0).isObject()) {
       for (int i = 0; i < node.size(); i++) {
         flatten(path + "[" + i + "]", node.get(i), to);
@@ -40,7 +43,7 @@
     }
   }
 
-  /** The values of a variant that the site has not, or otherwise. */
+  /** The values of a variant that the site lacks or has otherwise. */
   static Map<String, String> changed(Path site, Path variant) throws IOException {
     Map<String, String> before = values(site);
     Map<String, String> changed = values(variant);
@@ -51,17 +54,16 @@
     return changed;
   }
 
-  /** How a run of the generator ended. */
+  /** The result of a run of the generator. */
   record Run(int code, String out, String errors) {}
 
-  static Run generate(Object... words) {
+  static Run generate(Object... arguments) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream errors = new ByteArrayOutputStream();
-    String[] texts = new String[words.length];
-    for (int i = 0; i < words.length; i++) {
-      texts[i] = words[i].toString();
-    }
-    int code = Generate.run(new PrintStream(out, true), new PrintStream(errors, true), texts);
-    return new Run(code, out.toString(), errors.toString());
+    String[] texts = Arrays.stream(arguments).map(Object::toString).toArray(String[]::new);
+    int code =
+        GenerateCommand.run(
+            new PrintStream(out, true, UTF_8), new PrintStream(errors, true, UTF_8), texts);
+    return new Run(code, out.toString(UTF_8), errors.toString(UTF_8));
   }
 }
--- a/variants/src/test/java/tamarindroute/variants/TableTest.java
+++ b/variants/src/test/java/tamarindroute/variants/TableCommandTest.java
@@ -1,5 +1,6 @@
 package tamarindroute.variants;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.ByteArrayOutputStream;
@@ -7,12 +8,13 @@
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The table of the bench's reports. */
-class TableTest {
+class TableCommandTest {
 
   @TempDir Path folder;
 
@@ -25,12 +27,10 @@
     errors = new ByteArrayOutputStream();
   }
 
-  private int table(Object... words) {
-    String[] texts = new String[words.length];
-    for (int i = 0; i < words.length; i++) {
-      texts[i] = words[i].toString();
-    }
-    return Table.run(new PrintStream(out, true), new PrintStream(errors, true), texts);
+  private int table(Object... arguments) {
+    String[] texts = Arrays.stream(arguments).map(Object::toString).toArray(String[]::new);
+    return TableCommand.run(
+        new PrintStream(out, true, UTF_8), new PrintStream(errors, true, UTF_8), texts);
   }
 
   private void report(String name, String row) throws IOException {
@@ -48,7 +48,7 @@
     report("unchanged", "{\"served\": 1, \"gate\": 0.0}");
     Files.writeString(folder.resolve("notes.txt"), "no report");
     assertThat(table(folder)).isZero();
-    assertThat(out.toString().lines())
+    assertThat(out.toString(UTF_8).lines())
         .containsExactly(
             "| factor | served | floor | top | gate | score |",
             "| --- | ---: | ---: | ---: | --- | ---: |",
@@ -58,22 +58,22 @@
   }
 
   @Test
-  void whatIsNoReportIsRefused() throws IOException {
-    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
-    assertThat(table(folder.resolve("none"))).isEqualTo(Exit.REFUSED);
-    assertThat(table("--all")).isEqualTo(Exit.REFUSED);
+  void aFolderWithoutValidReportsIsRefused() throws IOException {
+    assertThat(table(folder)).isEqualTo(ExitCodes.INVALID_INPUT);
+    assertThat(table(folder.resolve("none"))).isEqualTo(ExitCodes.INVALID_INPUT);
+    assertThat(table("--all")).isEqualTo(ExitCodes.INVALID_INPUT);
     report("good", "{}");
     report("other", "3");
-    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
+    assertThat(table(folder)).isEqualTo(ExitCodes.INVALID_INPUT);
     Files.writeString(folder.resolve("bad.json"), "{");
-    assertThat(table(folder)).isEqualTo(Exit.REFUSED);
-    assertThat(errors.toString().lines()).hasSize(5);
-    assertThat(out.toString()).isEmpty();
+    assertThat(table(folder)).isEqualTo(ExitCodes.INVALID_INPUT);
+    assertThat(errors.toString(UTF_8).lines()).hasSize(5);
+    assertThat(out.toString(UTF_8)).isEmpty();
   }
 
   @Test
   void withoutAFolderTheUsageIsPrinted() {
-    assertThat(table()).isEqualTo(Exit.USAGE);
-    assertThat(errors.toString()).contains("usage: table.sh");
+    assertThat(table()).isEqualTo(ExitCodes.USAGE);
+    assertThat(errors.toString(UTF_8)).contains("usage: table.sh");
   }
 }
--- a/variants/src/test/java/tamarindroute/variants/TomlTextTest.java
+++ b/variants/src/test/java/tamarindroute/variants/TomlEditorTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Edits of a text by paths. */
-class TomlTextTest {
+class TomlEditorTest {
 
   private static final String TEXT =
       """
@@ -34,9 +34,9 @@
   }
 
   @Test
-  void aValueIsPutWhereItsPathLeads() throws Exception {
+  void aValueIsReplacedAtItsPath() throws Exception {
     String edited =
-        TomlText.edited(
+        TomlEditor.edited(
             TEXT,
             Map.of(
                 "tier[0].kind[1].cores",
@@ -55,7 +55,7 @@
   @Test
   void aKeyThatATableLacksIsAddedAtItsEnd() throws Exception {
     String edited =
-        TomlText.edited(
+        TomlEditor.edited(
             TEXT,
             Map.of(
                 "tier[0].weights",
@@ -73,6 +73,6 @@
 
   @Test
   void withoutChangesTheTextStays() {
-    assertThat(TomlText.edited(TEXT, Map.of())).isEqualTo(TEXT);
+    assertThat(TomlEditor.edited(TEXT, Map.of())).isEqualTo(TEXT);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
+++ b/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
@@ -3,17 +3,13 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.NavigableSet;
-import java.util.Optional;
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import tamarindroute.windows.MaintenanceWindow.Phase;
 import tamarindroute.windows.ModelWorld.Gateway;
 import tamarindroute.windows.ModelWorld.ModelCache;
@@ -60,10 +56,9 @@
    */
   record Result(int states, String breach) {}
 
-  private static final int LEASE_SECONDS = 2;
   private static final int WARM_UP_SECONDS = 2;
   private static final int RETURN_WARM_UP_SECONDS = 3;
-  private static final int WINDOWS = 2;
+  static final int WINDOWS = 2;
 
   /** Of so many states, one is played on without faults; that takes as long as some 100 steps. */
   private static final int RECOVERY_INTERVAL = 32;
@@ -72,52 +67,21 @@
 
   private final Machine machine;
   private final int horizon;
-  private String breach;
+  private final RuleChecks checks = new RuleChecks();
+  private final GatewayModel gatewayModel;
 
   CoordinatorModel(Machine machine, int horizon) {
     this.machine = machine;
     this.horizon = horizon;
+    gatewayModel = new GatewayModel(machine, checks);
   }
 
   static Duration seconds(int seconds) {
     return Duration.ofSeconds(seconds);
   }
 
-  private final CoverageAssessor assessor =
-      new CoverageAssessor() {
-        @Override
-        public Slot findSlot(
-            MaintenanceWindow requested, Collection<MaintenanceWindow> others, Duration now) {
-          Duration start = later(requested.earliest(), now);
-          for (MaintenanceWindow other : others) {
-            start = later(other.end().plus(seconds(WARM_UP_SECONDS)), start);
-          }
-          return new Slot.Found(start);
-        }
-
-        @Override
-        public Optional<Shortage> shortage(
-            NavigableSet<String> out, boolean withReserve, Duration now) {
-          int left = NAMES.size() - machine.counted(out).size();
-          int required = withReserve ? 2 : 1;
-          return left >= required
-              ? Optional.empty()
-              : Optional.of(
-                  new Shortage(Shortage.Kind.NO_EDGE, 0, out.first(), required, left, now));
-        }
-
-        @Override
-        public Set<String> caches() {
-          return new TreeSet<>(NAMES);
-        }
-      };
-
-  private static Duration later(Duration one, Duration other) {
-    return one.compareTo(other) > 0 ? one : other;
-  }
-
   Result explore(FaultBudget budget) {
-    List<Gateway> gateways = List.of(started(1, true), started(1, true));
+    List<Gateway> gateways = List.of(gatewayModel.started(1, true), gatewayModel.started(1, true));
     ModelCache cache = new ModelCache(1, true, 0, false, false);
     ModelWorld first =
         new ModelWorld(
@@ -125,7 +89,7 @@
     Set<ModelWorld> seen = new HashSet<>(Set.of(first));
     ArrayDeque<ModelWorld> open = new ArrayDeque<>(seen);
     int visited = 0;
-    while (!open.isEmpty() && breach == null) {
+    while (!open.isEmpty() && checks.hold()) {
       ModelWorld world = open.poll();
       if (visited % RECOVERY_INTERVAL == 0) {
         checkRecovery(world);
@@ -140,13 +104,13 @@
         }
       }
     }
-    return new Result(seen.size(), breach);
+    return new Result(seen.size(), checks.breach());
   }
 
   /** Without further faults all windows end, nothing stays drained, and both gateways know it. */
   private void checkRecovery(ModelWorld from) {
     ModelWorld world = from;
-    for (int step = 0; step < RECOVERY_STEPS && breach == null; step++) {
+    for (int step = 0; step < RECOVERY_STEPS && checks.hold(); step++) {
       List<WindowAction.Propose> proposals = new ArrayList<>(world.delayed());
       world = deliver(decide(recovered(world), proposals), proposals);
     }
@@ -156,8 +120,8 @@
         known && world.windows().values().stream().allMatch(window -> window.phase().ended());
     boolean drains =
         world.gateways().stream().anyMatch(gateway -> !gateway.state().draining().isEmpty());
-    if (breach == null && (!ended || drains)) {
-      breach = "unfinished window: " + world.windows();
+    if (checks.hold() && (!ended || drains)) {
+      checks.check(false, "unfinished window: " + world.windows());
     }
   }
 
@@ -167,8 +131,10 @@
     for (Gateway gateway : world.gateways()) {
       gateways.add(
           gateway.dead()
-              ? started(newest, false)
-              : gateway.withCutSteps(0).withRevision(requested(gateway.state(), newest), newest));
+              ? gatewayModel.started(newest, false)
+              : gateway
+                  .withCutSteps(0)
+                  .withRevision(gatewayModel.requested(gateway.state(), newest), newest));
     }
     return world.withGateways(gateways).withDelayed(List.of());
   }
@@ -191,7 +157,7 @@
     FaultBudget budget = world.budget();
     List<ModelWorld> faults = new ArrayList<>();
     if (gateway.dead()) {
-      return List.of(world.withGateway(index, started(gateway.revision(), false)));
+      return List.of(world.withGateway(index, gatewayModel.started(gateway.revision(), false)));
     }
     if (budget.allowsKill()) {
       faults.add(world.withGateway(index, gateway.killed()).withBudget(budget.afterKill()));
@@ -202,7 +168,7 @@
       faults.add(world.withGateway(index, gateway.withCutSteps(1)).withBudget(budget.afterCut()));
     }
     if (budget.allowsWithdrawal()) {
-      Gateway informed = gateway.withRevision(requested(gateway.state(), 2), 2);
+      Gateway informed = gateway.withRevision(gatewayModel.requested(gateway.state(), 2), 2);
       faults.add(world.withGateway(index, informed).withBudget(budget.afterWithdrawal()));
     }
     return faults;
@@ -242,123 +208,14 @@
     return steps;
   }
 
-  private Gateway started(int revision, boolean original) {
-    WindowEvent leads = new WindowEvent.LeadershipChanged(true);
-    CoordinatorState state =
-        machine.next(WindowCoordinator.initial(), leads, seconds(0), original, assessor).state();
-    return new Gateway(requested(state, revision), false, original, 0, revision);
-  }
-
-  /** Revision 1 requests both windows, revision 2 withdraws the first. */
-  private CoordinatorState requested(CoordinatorState state, int revision) {
-    Map<String, MaintenanceWindow> windows = new TreeMap<>();
-    for (int index = revision - 1; index < WINDOWS; index++) {
-      String id = "w" + index;
-      windows.put(
-          id,
-          MaintenanceWindow.requested(
-              id, 1, List.of(NAMES.get(index)), seconds(2), seconds(1), seconds(34)));
-    }
-    // What is proposed on this event is dropped, as if it were lost.
-    WindowEvent event = new WindowEvent.RequestsChanged(new RequestedWindows(revision, windows));
-    return machine.next(state, event, seconds(0), true, assessor).state();
-  }
-
   private ModelWorld decide(ModelWorld world, List<WindowAction.Propose> proposals) {
     List<Gateway> gateways = new ArrayList<>();
     for (Gateway gateway : world.gateways()) {
-      gateways.add(gateway.dead() ? gateway : decide(world, gateway, proposals));
+      gateways.add(gateway.dead() ? gateway : gatewayModel.decide(world, gateway, proposals));
     }
     return world.withGateways(gateways).withDelayed(List.of());
   }
 
-  private Gateway decide(ModelWorld world, Gateway gateway, List<WindowAction.Propose> proposals) {
-    Duration now = seconds(world.time());
-    CoordinatorState state = gateway.inContact() ? informed(world, gateway, now) : gateway.state();
-    WindowCoordinator.Transition transition =
-        machine.next(state, new WindowEvent.Tick(), now, gateway.original(), assessor);
-    for (WindowAction action : transition.actions()) {
-      if (action instanceof WindowAction.Propose proposal) {
-        checkProposal(world, gateway, proposal);
-        if (gateway.inContact()) {
-          proposals.add(proposal);
-        }
-      }
-    }
-    checkNotified(world, gateway, transition.state());
-    int cutSteps = gateway.inContact() ? 0 : Math.min(gateway.cutSteps() + 1, LEASE_SECONDS + 2);
-    return gateway.withState(transition.state()).withCutSteps(cutSteps);
-  }
-
-  private CoordinatorState informed(ModelWorld world, Gateway gateway, Duration now) {
-    SortedMap<String, CacheObservation> observations = new TreeMap<>();
-    for (int index = 0; index < NAMES.size(); index++) {
-      ModelCache cache = world.caches().get(index);
-      String name = NAMES.get(index);
-      boolean drained =
-          world.gateways().stream()
-              .allMatch(
-                  other ->
-                      other.dead()
-                          || !other.inContact()
-                          || other.state().draining().contains(name));
-      boolean warm = cache.inService(world.time());
-      observations.put(
-          name, new CacheObservation(cache.incarnation(), cache.up(), warm, drained, now));
-    }
-    Duration leaseEnd = seconds(world.time() + LEASE_SECONDS);
-    CoordinatorState observed =
-        takeNote(
-            gateway.state(), new WindowEvent.CachesObserved(observations), now, gateway.original());
-    return takeNote(
-        observed,
-        new WindowEvent.ViewUpdated(world.viewNumber(), world.windows(), leaseEnd),
-        now,
-        gateway.original());
-  }
-
-  /** Events of one moment count as one: proposals follow from the tick at their end. */
-  private CoordinatorState takeNote(
-      CoordinatorState state, WindowEvent event, Duration now, boolean original) {
-    CoordinatorState next =
-        machine.next(state.withLeader(false), event, now, original, assessor).state();
-    boolean newView = next.viewNumber() > state.viewNumber();
-    return next.withLeader(true)
-        .withProposedAt(newView ? null : state.proposedAt())
-        .withNotified(state.notified());
-  }
-
-  private void checkProposal(ModelWorld world, Gateway gateway, WindowAction.Propose proposal) {
-    check(gateway.cutSteps() <= LEASE_SECONDS, "a step while the view is too old: " + proposal);
-    MaintenanceWindow value = proposal.value();
-    boolean closes = value != null && value.phase() == Phase.CLOSED;
-    check(
-        !gateway.inContact() || !closes || isWarm(world, value) || isGivenUp(world, value),
-        "closed though not warm: " + proposal);
-  }
-
-  private void checkNotified(ModelWorld world, Gateway gateway, CoordinatorState state) {
-    boolean uncovered =
-        gateway.inContact()
-            && world.servingCaches() == 0
-            && world.windows().values().stream()
-                .anyMatch(window -> window.phase().withholdsCaches());
-    check(
-        !uncovered || state.notified().stream().anyMatch(key -> key.notice() == Notice.UNCOVERED),
-        "uncovered, and nobody was notified");
-  }
-
-  private static boolean isWarm(ModelWorld world, MaintenanceWindow window) {
-    return window.caches().stream()
-        .map(name -> world.caches().get(NAMES.indexOf(name)))
-        .allMatch(cache -> cache.inService(world.time()));
-  }
-
-  private static boolean isGivenUp(ModelWorld world, MaintenanceWindow window) {
-    Duration givenUpAt = window.end().plus(SETTINGS.returnTimeout());
-    return seconds(world.time()).compareTo(givenUpAt) >= 0;
-  }
-
   /** The proposals are accepted or rejected in their order; then time goes on. */
   private ModelWorld deliver(ModelWorld decided, List<WindowAction.Propose> proposals) {
     ModelWorld world = decided;
@@ -380,7 +237,7 @@
       windows.remove(id);
       return world.withNextView(windows, false);
     }
-    check(
+    checks.check(
         before == null || value.phase().compareTo(before.phase()) > 0,
         "a window that goes back: " + proposal);
     windows.put(id, value);
@@ -394,7 +251,7 @@
     }
     ModelWorld next = world.atNextTime(caches);
     long failed = caches.stream().filter(ModelCache::failed).count();
-    check(
+    checks.check(
         next.servingCaches() >= 2 - failed || failed > 1,
         "cover and reserve lost to windows: " + world.windows() + caches);
     return next;
@@ -414,10 +271,4 @@
     }
     return cache;
   }
-
-  private void check(boolean holds, String otherwise) {
-    if (!holds && breach == null) {
-      breach = otherwise;
-    }
-  }
 }
--- /dev/null
+++ b/windows/src/test/java/tamarindroute/windows/GatewayModel.java
@@ -0,0 +1,181 @@
+package tamarindroute.windows;
+
+import java.time.Duration;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import tamarindroute.windows.CoordinatorModel.Machine;
+import tamarindroute.windows.MaintenanceWindow.Phase;
+import tamarindroute.windows.ModelWorld.Gateway;
+import tamarindroute.windows.ModelWorld.ModelCache;
+
+/** What a gateway of the model learns and decides, with the rules on its decisions. */
+final class GatewayModel {
+  private static final int LEASE_SECONDS = 2;
+  private static final int WARM_UP_SECONDS = 2;
+
+  private final Machine machine;
+  private final RuleChecks checks;
+
+  GatewayModel(Machine machine, RuleChecks checks) {
+    this.machine = machine;
+    this.checks = checks;
+  }
+
+  private final CoverageAssessor assessor =
+      new CoverageAssessor() {
+        @Override
+        public Slot findSlot(
+            MaintenanceWindow requested, Collection<MaintenanceWindow> others, Duration now) {
+          Duration start = later(requested.earliest(), now);
+          for (MaintenanceWindow other : others) {
+            start = later(other.end().plus(CoordinatorModel.seconds(WARM_UP_SECONDS)), start);
+          }
+          return new Slot.Found(start);
+        }
+
+        @Override
+        public Optional<Shortage> shortage(
+            NavigableSet<String> out, boolean withReserve, Duration now) {
+          int left = CoordinatorModel.NAMES.size() - machine.counted(out).size();
+          int required = withReserve ? 2 : 1;
+          return left >= required
+              ? Optional.empty()
+              : Optional.of(
+                  new Shortage(Shortage.Kind.NO_EDGE, 0, out.first(), required, left, now));
+        }
+
+        @Override
+        public Set<String> caches() {
+          return new TreeSet<>(CoordinatorModel.NAMES);
+        }
+      };
+
+  private static Duration later(Duration one, Duration other) {
+    return one.compareTo(other) > 0 ? one : other;
+  }
+
+  Gateway started(int revision, boolean original) {
+    WindowEvent leads = new WindowEvent.LeadershipChanged(true);
+    CoordinatorState state =
+        machine
+            .next(
+                WindowCoordinator.initial(), leads, CoordinatorModel.seconds(0), original, assessor)
+            .state();
+    return new Gateway(requested(state, revision), false, original, 0, revision);
+  }
+
+  /** Revision 1 requests both windows, revision 2 withdraws the first. */
+  CoordinatorState requested(CoordinatorState state, int revision) {
+    Map<String, MaintenanceWindow> windows = new TreeMap<>();
+    for (int index = revision - 1; index < CoordinatorModel.WINDOWS; index++) {
+      String id = "w" + index;
+      windows.put(
+          id,
+          MaintenanceWindow.requested(
+              id,
+              1,
+              List.of(CoordinatorModel.NAMES.get(index)),
+              CoordinatorModel.seconds(2),
+              CoordinatorModel.seconds(1),
+              CoordinatorModel.seconds(34)));
+    }
+    // What is proposed on this event is dropped, as if it were lost.
+    WindowEvent event = new WindowEvent.RequestsChanged(new RequestedWindows(revision, windows));
+    return machine.next(state, event, CoordinatorModel.seconds(0), true, assessor).state();
+  }
+
+  Gateway decide(ModelWorld world, Gateway gateway, List<WindowAction.Propose> proposals) {
+    Duration now = CoordinatorModel.seconds(world.time());
+    CoordinatorState state = gateway.inContact() ? informed(world, gateway, now) : gateway.state();
+    WindowCoordinator.Transition transition =
+        machine.next(state, new WindowEvent.Tick(), now, gateway.original(), assessor);
+    for (WindowAction action : transition.actions()) {
+      if (action instanceof WindowAction.Propose proposal) {
+        checkProposal(world, gateway, proposal);
+        if (gateway.inContact()) {
+          proposals.add(proposal);
+        }
+      }
+    }
+    checkNotified(world, gateway, transition.state());
+    int cutSteps = gateway.inContact() ? 0 : Math.min(gateway.cutSteps() + 1, LEASE_SECONDS + 2);
+    return gateway.withState(transition.state()).withCutSteps(cutSteps);
+  }
+
+  private CoordinatorState informed(ModelWorld world, Gateway gateway, Duration now) {
+    SortedMap<String, CacheObservation> observations = new TreeMap<>();
+    for (int index = 0; index < CoordinatorModel.NAMES.size(); index++) {
+      ModelCache cache = world.caches().get(index);
+      String name = CoordinatorModel.NAMES.get(index);
+      boolean drained =
+          world.gateways().stream()
+              .allMatch(
+                  other ->
+                      other.dead()
+                          || !other.inContact()
+                          || other.state().draining().contains(name));
+      boolean warm = cache.inService(world.time());
+      observations.put(
+          name, new CacheObservation(cache.incarnation(), cache.up(), warm, drained, now));
+    }
+    Duration leaseEnd = CoordinatorModel.seconds(world.time() + LEASE_SECONDS);
+    CoordinatorState observed =
+        takeNote(
+            gateway.state(), new WindowEvent.CachesObserved(observations), now, gateway.original());
+    return takeNote(
+        observed,
+        new WindowEvent.ViewUpdated(world.viewNumber(), world.windows(), leaseEnd),
+        now,
+        gateway.original());
+  }
+
+  /** Events of one moment count as one: proposals follow from the tick at their end. */
+  private CoordinatorState takeNote(
+      CoordinatorState state, WindowEvent event, Duration now, boolean original) {
+    CoordinatorState next =
+        machine.next(state.withLeader(false), event, now, original, assessor).state();
+    boolean newView = next.viewNumber() > state.viewNumber();
+    return next.withLeader(true)
+        .withProposedAt(newView ? null : state.proposedAt())
+        .withNotified(state.notified());
+  }
+
+  private void checkProposal(ModelWorld world, Gateway gateway, WindowAction.Propose proposal) {
+    checks.check(
+        gateway.cutSteps() <= LEASE_SECONDS, "a step while the view is too old: " + proposal);
+    MaintenanceWindow value = proposal.value();
+    boolean closes = value != null && value.phase() == Phase.CLOSED;
+    checks.check(
+        !gateway.inContact() || !closes || isWarm(world, value) || isGivenUp(world, value),
+        "closed though not warm: " + proposal);
+  }
+
+  private void checkNotified(ModelWorld world, Gateway gateway, CoordinatorState state) {
+    boolean uncovered =
+        gateway.inContact()
+            && world.servingCaches() == 0
+            && world.windows().values().stream()
+                .anyMatch(window -> window.phase().withholdsCaches());
+    checks.check(
+        !uncovered || state.notified().stream().anyMatch(key -> key.notice() == Notice.UNCOVERED),
+        "uncovered, and nobody was notified");
+  }
+
+  private static boolean isWarm(ModelWorld world, MaintenanceWindow window) {
+    return window.caches().stream()
+        .map(name -> world.caches().get(CoordinatorModel.NAMES.indexOf(name)))
+        .allMatch(cache -> cache.inService(world.time()));
+  }
+
+  private static boolean isGivenUp(ModelWorld world, MaintenanceWindow window) {
+    Duration givenUpAt = window.end().plus(CoordinatorModel.SETTINGS.returnTimeout());
+    return CoordinatorModel.seconds(world.time()).compareTo(givenUpAt) >= 0;
+  }
+}
--- a/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerBenchmark.java
@@ -11,12 +11,19 @@
 import java.util.Set;
 
 /**
- * Prints label long plans take, label good they are, and a location's night in batches, one by one
- * and in random order.
+ * Prints how long planning takes, how good plans are, and the effect of a location's night in
+ * batches, one by one and in random order. Arguments: the number of small inputs; a second one of
+ * any value skips the times.
  */
 public final class PlannerBenchmark {
+  private static final int OUTAGE_BINS = 3;
+
+  /** An outage and the warm-up after it. */
+  private static final int ROUND_BINS = 5;
+
   private PlannerBenchmark() {}
 
+  /** Runs all measurements. */
   public static void main(String[] args) {
     if (args.length < 2) {
       time();
@@ -27,8 +34,10 @@
     }
   }
 
-  /** What the thread has used: other work on the machine doesn't count. */
-  private static long cpu() {
+  /**
+   * Processor time of the thread in nanoseconds, so that other work on the machine does not count.
+   */
+  private static long processorNanos() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
 
@@ -51,7 +60,7 @@
               1,
               Duration.ofMinutes(45),
               Duration.ZERO,
-              SampleInputs.BIN.multipliedBy(input.binCount())));
+              SampleInputs.bins(input.binCount())));
     }
     return requests;
   }
@@ -59,35 +68,35 @@
   private static void time() {
     PlanningInput input = large(1);
     List<MaintenanceRequest> requests = all(input);
-    double[] took = new double[15];
+    double[] millis = new double[15];
     Plan plan = null;
-    for (int i = 0; i < took.length; i++) {
-      long start = cpu();
+    for (int i = 0; i < millis.length; i++) {
+      long start = processorNanos();
       plan = Planner.plan(input, List.of(), requests);
-      took[i] = (cpu() - start) / 1e6;
+      millis[i] = (processorNanos() - start) / 1e6;
     }
-    double first = took[0];
-    Arrays.sort(took);
+    double first = millis[0];
+    Arrays.sort(millis);
     System.out.printf(
         "plan: %d caches, %d ranges, %d bins, processor time: first %.0f ms, median %.0f ms,"
             + " worst %.0f ms; %d batches,"
-            + " %d refusals%n",
+            + " %d rejections%n",
         input.caches().size(),
         input.ranges().size(),
         input.binCount(),
         first,
-        took[7],
-        took[14],
+        millis[7],
+        millis[14],
         plan.batches().size(),
         plan.rejections().size());
-    plan.rejections().forEach(r -> System.out.println("  refused: " + r));
+    plan.rejections().forEach(r -> System.out.println("  rejected: " + r));
   }
 
-  private static void quality(int worlds) {
+  private static void quality(int inputs) {
     List<Double> factors = new ArrayList<>();
-    int none = 0;
+    int infeasible = 0;
     int missed = 0;
-    for (int seed = 1; seed <= worlds; seed++) {
+    for (int seed = 1; seed <= inputs; seed++) {
       PlanningInput input = SampleInputs.small(seed);
       int length = 1 + seed % 2;
       List<String> edges = SampleInputs.edges(input, "l0");
@@ -95,7 +104,7 @@
       Plan plan =
           Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, length)));
       if (best == Integer.MAX_VALUE) {
-        none++;
+        infeasible++;
       } else if (!plan.rejections().isEmpty()) {
         missed++;
         System.out.println("missed: seed " + seed + ", best " + best + ": " + plan.rejections());
@@ -108,10 +117,10 @@
     }
     Collections.sort(factors);
     System.out.printf(
-        "quality: %d worlds: no plan %d, missed %d, planned %d: factor median %.2f, 95%% %.2f, worst %.2f,"
+        "quality: %d inputs: no plan %d, missed %d, planned %d: factor median %.2f, 95%% %.2f, worst %.2f,"
             + " best met %d%n",
-        worlds,
-        none,
+        inputs,
+        infeasible,
         missed,
         factors.size(),
         factors.get(factors.size() / 2),
@@ -135,45 +144,40 @@
             new CoverageRules(
                 Set.of(CoverageRules.Failure.values()), 0.2, 0.1, Duration.ofMinutes(30), true));
     List<String> edges = SampleInputs.edges(input, "l0");
-    Plan plan = Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, 3)));
+    Plan plan =
+        Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, OUTAGE_BINS)));
     List<ScheduledOutage> batches = NaiveChecker.outages(plan);
     report("batches", seed, input, batches);
-    List<ScheduledOutage> single = new ArrayList<>();
-    for (int i = 0; i < edges.size(); i++) {
-      single.add(
-          new ScheduledOutage(
-              edges.get(i),
-              SampleInputs.BIN.multipliedBy(5L * i),
-              SampleInputs.BIN.multipliedBy(5L * i + 3)));
-    }
-    report("one by one", seed, input, single);
-    // As many at once as the plan has on average, whoever they are, each batch after the one before
-    // is warm.
-    int rounds = (int) Math.ceil((PlannerBenchmark.end(plan) + 2) / 5.0);
+    report("one by one", seed, input, outages(edges, 1));
+    // As many caches at once as the plan has on average, in random order.
+    int rounds = (int) Math.ceil((end(plan) + 2) / (double) ROUND_BINS);
     int size = (int) Math.ceil((double) edges.size() / rounds);
     List<String> shuffled = new ArrayList<>(edges);
     Collections.shuffle(shuffled, new Random(seed));
-    List<ScheduledOutage> random = new ArrayList<>();
-    for (int i = 0; i < shuffled.size(); i++) {
-      long start = 5L * (i / size);
-      random.add(
+    report("random order", seed, input, outages(shuffled, size));
+  }
+
+  /** Outages of groups of some size, each after the previous group is warm. */
+  private static List<ScheduledOutage> outages(List<String> caches, int groupSize) {
+    List<ScheduledOutage> outages = new ArrayList<>();
+    for (int i = 0; i < caches.size(); i++) {
+      long start = (long) ROUND_BINS * (i / groupSize);
+      outages.add(
           new ScheduledOutage(
-              shuffled.get(i),
-              SampleInputs.BIN.multipliedBy(start),
-              SampleInputs.BIN.multipliedBy(start + 3)));
+              caches.get(i), SampleInputs.bins(start), SampleInputs.bins(start + OUTAGE_BINS)));
     }
-    report("random order", seed, input, random);
+    return outages;
   }
 
   private static void report(
       String label, long seed, PlanningInput input, List<ScheduledOutage> windows) {
     int end =
         windows.stream().mapToInt(w -> (int) w.end().dividedBy(SampleInputs.BIN)).max().orElse(0);
-    double room = 1;
+    double spare = 1;
     Map<String, Double> loads = NaiveChecker.loads(input, windows);
     for (Cache cache : input.caches()) {
-      double most = loads.getOrDefault(cache.name(), 0.0);
-      room = Math.min(room, 1 - most / cache.capacity());
+      double load = loads.getOrDefault(cache.name(), 0.0);
+      spare = Math.min(spare, 1 - load / cache.capacity());
     }
     int uncovered =
         (int)
@@ -181,7 +185,7 @@
                 .filter(breach -> breach.getKey().kind() == Shortage.Kind.NO_EDGE)
                 .count();
     System.out.printf(
-        "night, seed %d, %s: %.2f h, least room with one more failure %.2f, uncovered range-bins %d%n",
-        seed, label, end / 4.0, room, uncovered);
+        "night, seed %d, %s: %.2f h, least spare capacity with one further failure %.2f, uncovered range-bins %d%n",
+        seed, label, end / 4.0, spare, uncovered);
   }
 }
--- a/windows/src/test/java/tamarindroute/windows/PlannerTest.java
+++ b/windows/src/test/java/tamarindroute/windows/PlannerTest.java
@@ -33,9 +33,9 @@
                 MaintenanceRequest.forCaches(
                     "before",
                     some.subList(0, 2),
-                    SampleInputs.BIN.multipliedBy(3),
-                    SampleInputs.BIN.multipliedBy(seed % 3),
-                    SampleInputs.BIN.multipliedBy(28)))));
+                    SampleInputs.bins(3),
+                    SampleInputs.bins(seed % 3),
+                    SampleInputs.bins(28)))));
   }
 
   private static List<MaintenanceRequest> requests(PlanningInput input, long seed) {
@@ -43,18 +43,13 @@
     return List.of(
         SampleInputs.request(input, edges.subList(2, 7), 1 + (int) (seed % 2)),
         MaintenanceRequest.forShare(
-            "half",
-            "l1",
-            0.5,
-            Duration.ofMinutes(40),
-            Duration.ZERO,
-            SampleInputs.BIN.multipliedBy(28)),
+            "half", "l1", 0.5, Duration.ofMinutes(40), Duration.ZERO, SampleInputs.bins(28)),
         MaintenanceRequest.forCaches(
             "parents",
             List.of("p0", "p1"),
             SampleInputs.BIN,
             Duration.ofMinutes(20),
-            SampleInputs.BIN.multipliedBy(28)));
+            SampleInputs.bins(28)));
   }
 
   private static List<Map.Entry<NaiveChecker.Breach, Double>> harm(
@@ -114,6 +109,16 @@
     assertThat(found).as("cold returns, reserve, load, other windows").doesNotContain(0);
   }
 
+  private static Plan plan(PlanningInput input, MaintenanceRequest... requests) {
+    return Planner.plan(input, List.of(), List.of(requests));
+  }
+
+  /** A request for windows of one bin, from the start to the end of a bin. */
+  private static MaintenanceRequest oneBin(String id, List<String> caches, int latest) {
+    return MaintenanceRequest.forCaches(
+        id, caches, SampleInputs.BIN, Duration.ZERO, SampleInputs.bins(latest));
+  }
+
   private static PlanningInput with(PlanningInput input, CoverageRules rules, double load) {
     Map<String, double[]> loads = new HashMap<>();
     input.load().forEach((l, old) -> loads.put(l, Arrays.stream(old).map(x -> x * load).toArray()));
@@ -140,8 +145,7 @@
       List<String> edges = SampleInputs.edges(input, "l0");
       int length = 1 + seed % 2;
       int best = new BruteForce(input, edges, length).end();
-      Plan plan =
-          Planner.plan(input, List.of(), List.of(SampleInputs.request(input, edges, length)));
+      Plan plan = plan(input, SampleInputs.request(input, edges, length));
       if (best == Integer.MAX_VALUE) {
         infeasible++;
         assertThat(plan.rejections()).as("seed %d", seed).hasSize(1);
@@ -199,22 +203,11 @@
   @Test
   void placesOneAfterAnotherWithReserveAndWarmUp() {
     PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
-    Plan plan =
-        Planner.plan(
-            input,
-            List.of(),
-            List.of(
-                MaintenanceRequest.forCaches(
-                    "w",
-                    List.of("c0", "c1", "c2"),
-                    SampleInputs.BIN,
-                    Duration.ZERO,
-                    SampleInputs.BIN.multipliedBy(12))));
+    Plan plan = plan(input, oneBin("w", List.of("c0", "c1", "c2"), 12));
     assertThat(plan.rejections()).isEmpty();
     assertThat(plan.batches())
         .extracting(Plan.Batch::start)
-        .containsExactly(
-            Duration.ZERO, SampleInputs.BIN.multipliedBy(2), SampleInputs.BIN.multipliedBy(4));
+        .containsExactly(Duration.ZERO, SampleInputs.bins(2), SampleInputs.bins(4));
     assertThat(plan.batches())
         .allSatisfy(b -> assertThat(b.warmAt()).isEqualTo(b.end().plus(SampleInputs.BIN)));
   }
@@ -222,17 +215,7 @@
   @Test
   void aRejectionNamesTheShortageAndTheFeasibleEnd() {
     PlanningInput input = threeEdges(12, Set.of(CoverageRules.Failure.CACHE));
-    Plan plan =
-        Planner.plan(
-            input,
-            List.of(),
-            List.of(
-                MaintenanceRequest.forCaches(
-                    "w",
-                    List.of("c0", "c1", "c2"),
-                    SampleInputs.BIN,
-                    Duration.ZERO,
-                    SampleInputs.BIN.multipliedBy(4))));
+    Plan plan = plan(input, oneBin("w", List.of("c0", "c1", "c2"), 4));
     assertThat(plan.batches()).isEmpty();
     assertThat(plan.rejections())
         .singleElement()
@@ -242,20 +225,10 @@
               assertThat(r.shortage().range()).isZero();
               assertThat(r.shortage().required()).isEqualTo(1);
               assertThat(r.shortage().available()).isZero();
-              assertThat(r.feasibleEnd()).isEqualTo(SampleInputs.BIN.multipliedBy(5));
+              assertThat(r.feasibleEnd()).isEqualTo(SampleInputs.bins(5));
             });
     PlanningInput full = with(input, input.rules(), 1.2);
-    Plan none =
-        Planner.plan(
-            full,
-            List.of(),
-            List.of(
-                MaintenanceRequest.forCaches(
-                    "w",
-                    List.of("c0"),
-                    SampleInputs.BIN,
-                    Duration.ZERO,
-                    SampleInputs.BIN.multipliedBy(12))));
+    Plan none = plan(full, oneBin("w", List.of("c0"), 12));
     assertThat(none.rejections())
         .singleElement()
         .satisfies(
@@ -279,26 +252,16 @@
                 MaintenanceRequest.forCaches(
                     "short",
                     List.of("c0"),
-                    SampleInputs.BIN.multipliedBy(2),
+                    SampleInputs.bins(2),
                     SampleInputs.BIN,
-                    SampleInputs.BIN.multipliedBy(2)),
-                MaintenanceRequest.forCaches(
-                    "who",
-                    List.of("nobody"),
-                    SampleInputs.BIN,
-                    Duration.ZERO,
-                    SampleInputs.BIN.multipliedBy(12)),
+                    SampleInputs.bins(2)),
+                oneBin("unknown", List.of("nobody"), 12),
                 MaintenanceRequest.forShare(
-                    "some",
-                    "here",
-                    0.6,
-                    SampleInputs.BIN,
-                    Duration.ZERO,
-                    SampleInputs.BIN.multipliedBy(12))));
+                    "some", "here", 0.6, SampleInputs.BIN, Duration.ZERO, SampleInputs.bins(12))));
     assertThat(plan.rejections())
         .extracting(r -> r.shortage().kind())
         .containsExactly(Shortage.Kind.TIME, Shortage.Kind.UNKNOWN_CACHE);
-    assertThat(plan.rejections().get(0).feasibleEnd()).isEqualTo(SampleInputs.BIN.multipliedBy(3));
+    assertThat(plan.rejections().get(0).feasibleEnd()).isEqualTo(SampleInputs.bins(3));
     assertThat(plan.batches().stream().mapToInt(b -> b.caches().size()).sum()).isEqualTo(2);
   }
 
--- a/windows/src/test/java/tamarindroute/windows/SampleInputs.java
+++ b/windows/src/test/java/tamarindroute/windows/SampleInputs.java
@@ -18,8 +18,22 @@
 final class SampleInputs {
   static final Duration BIN = Duration.ofMinutes(15);
 
+  private static final int BINS_PER_DAY = 96;
+
   private SampleInputs() {}
 
+  /**
+   * The size of an input.
+   *
+   * @param locations number of locations
+   * @param edges edges of each location
+   * @param parents parents of all locations
+   * @param hubs over which the parents are spread
+   * @param ranges key ranges of all locations
+   * @param rankingLength edges and parents of each key range
+   * @param bins number of bins
+   * @param peak load of each tier's fullest cache at the peak, as a part of its capacity
+   */
   record Shape(
       int locations,
       int edges,
@@ -30,128 +44,133 @@
       int bins,
       double peak) {}
 
+  /** The length of some bins. */
+  static Duration bins(long count) {
+    return BIN.multipliedBy(count);
+  }
+
   static PlanningInput input(long seed, Shape shape, CoverageRules rules) {
-    Random random = new Random(seed);
-    List<Cache> caches = new ArrayList<>();
-    for (int l = 0; l < shape.locations; l++) {
-      for (int e = 0; e < shape.edges; e++) {
-        caches.add(
-            new Cache(
-                "e" + l + "-" + e,
-                "l" + l,
-                Cache.Tier.EDGE,
-                0.7 + random.nextDouble(),
-                "",
-                true,
-                Duration.ZERO));
-      }
-    }
-    for (int p = 0; p < shape.parents; p++) {
-      caches.add(
-          new Cache(
-              "p" + p,
-              "",
-              Cache.Tier.PARENT,
-              0.7 + random.nextDouble(),
-              "h" + p % shape.hubs,
-              true,
-              Duration.ZERO));
-    }
-    caches.add(new Cache("origin", "", Cache.Tier.ORIGIN, 1e9, "", true, Duration.ZERO));
+    List<Cache> caches = caches(shape, new Random(seed));
     List<KeyRange> ranges = new ArrayList<>();
-    for (int r = 0; r < shape.ranges; r++) {
-      String location = "l" + r % shape.locations;
-      double share = (double) shape.locations / shape.ranges;
-      List<Integer> fills =
-          new ArrayList<>(
-              ranked(caches, Cache.Tier.PARENT, "", r * 31L + seed, shape.rankingLength));
-      fills.add(caches.size() - 1);
-      ranges.add(
-          new KeyRange(
-              location,
-              Math.min(1, share),
-              ranked(caches, Cache.Tier.EDGE, location, r * 31L + seed, shape.rankingLength),
-              fills));
+    for (int range = 0; range < shape.ranges; range++) {
+      ranges.add(range(range, seed, shape, caches));
     }
     Map<String, double[]> load = new HashMap<>();
-    for (int l = 0; l < shape.locations; l++) {
-      int shift = l;
-      // Night at the start: 0.3 of the peak, which is in the middle of the day of 96 bins.
-      load.put(
-          "l" + l,
-          IntStream.range(0, shape.bins)
-              .mapToDouble(
-                  b -> 0.65 - 0.35 * Math.cos(2 * Math.PI * (b - shift) / Math.min(96, shape.bins)))
-              .toArray());
+    for (int location = 0; location < shape.locations; location++) {
+      load.put("l" + location, load(location, shape.bins));
     }
     return scaled(new PlanningInput(caches, ranges, load, Duration.ZERO, BIN, rules), shape.peak);
   }
 
-  /**
-   * Capacities scaled by tier, so that each tier's fullest cache would be at the given part of its
-   * own at the peak.
-   */
+  private static List<Cache> caches(Shape shape, Random random) {
+    List<Cache> caches = new ArrayList<>();
+    for (int location = 0; location < shape.locations; location++) {
+      for (int edge = 0; edge < shape.edges; edge++) {
+        String name = "e" + location + "-" + edge;
+        double capacity = 0.7 + random.nextDouble();
+        caches.add(cache(name, "l" + location, Cache.Tier.EDGE, capacity, ""));
+      }
+    }
+    for (int parent = 0; parent < shape.parents; parent++) {
+      double capacity = 0.7 + random.nextDouble();
+      caches.add(cache("p" + parent, "", Cache.Tier.PARENT, capacity, "h" + parent % shape.hubs));
+    }
+    caches.add(cache("origin", "", Cache.Tier.ORIGIN, 1e9, ""));
+    return caches;
+  }
+
+  private static Cache cache(
+      String name, String location, Cache.Tier tier, double capacity, String hub) {
+    return new Cache(name, location, tier, capacity, hub, true, Duration.ZERO);
+  }
+
+  private static KeyRange range(int range, long seed, Shape shape, List<Cache> caches) {
+    String location = "l" + range % shape.locations;
+    double share = (double) shape.locations / shape.ranges;
+    long key = range * 31L + seed;
+    List<Integer> fills =
+        new ArrayList<>(ranked(caches, Cache.Tier.PARENT, "", key, shape.rankingLength));
+    fills.add(caches.size() - 1);
+    List<Integer> edges = ranked(caches, Cache.Tier.EDGE, location, key, shape.rankingLength);
+    return new KeyRange(location, Math.min(1, share), edges, fills);
+  }
+
+  /** It is night at the start, with 0.3 of the peak in the middle of the day. */
+  private static double[] load(int location, int bins) {
+    int period = Math.min(BINS_PER_DAY, bins);
+    return IntStream.range(0, bins)
+        .mapToDouble(bin -> 0.65 - 0.35 * Math.cos(2 * Math.PI * (bin - location) / period))
+        .toArray();
+  }
+
+  /** Scales capacities by tier, so that each tier's fullest cache is at the peak's part. */
   private static PlanningInput scaled(PlanningInput input, double peak) {
+    Map<Cache.Tier, Double> loads = peakLoads(input);
+    List<Cache> caches =
+        input.caches().stream().map(cache -> scaled(cache, loads.get(cache.tier()), peak)).toList();
+    return new PlanningInput(
+        caches, input.ranges(), input.load(), input.start(), input.binLength(), input.rules());
+  }
+
+  private static Cache scaled(Cache cache, double load, double peak) {
+    return cache.tier() == Cache.Tier.ORIGIN
+        ? cache
+        : cache(
+            cache.name(),
+            cache.location(),
+            cache.tier(),
+            cache.capacity() * load / peak,
+            cache.hub());
+  }
+
+  /** The load of each tier's fullest cache when all locations are at their peaks. */
+  private static Map<Cache.Tier, Double> peakLoads(PlanningInput input) {
     Map<String, double[]> highest = new HashMap<>();
     input
         .load()
         .forEach(
-            (l, load) -> highest.put(l, new double[] {Arrays.stream(load).max().orElseThrow()}));
-    CoverageTimeline timeline =
-        new CoverageTimeline(
-            new PlanningInput(
-                input.caches(),
-                input.ranges(),
-                highest,
-                input.start(),
-                input.binLength(),
-                input.rules()),
-            List.of());
-    Map<Cache.Tier, Double> factor = new HashMap<>();
-    for (int c = 0; c < input.caches().size(); c++) {
-      Cache cache = input.caches().get(c);
-      factor.merge(cache.tier(), timeline.maxLoad(c, 0) / cache.capacity(), Math::max);
+            (location, load) ->
+                highest.put(location, new double[] {Arrays.stream(load).max().orElseThrow()}));
+    PlanningInput peakInput =
+        new PlanningInput(
+            input.caches(),
+            input.ranges(),
+            highest,
+            input.start(),
+            input.binLength(),
+            input.rules());
+    CoverageTimeline timeline = new CoverageTimeline(peakInput, List.of());
+    Map<Cache.Tier, Double> loads = new HashMap<>();
+    for (int index = 0; index < input.caches().size(); index++) {
+      Cache cache = input.caches().get(index);
+      loads.merge(cache.tier(), timeline.maxLoad(index, 0) / cache.capacity(), Math::max);
     }
-    return new PlanningInput(
-        input.caches().stream()
-            .map(
-                c ->
-                    c.tier() == Cache.Tier.ORIGIN
-                        ? c
-                        : new Cache(
-                            c.name(),
-                            c.location(),
-                            c.tier(),
-                            c.capacity() * factor.get(c.tier()) / peak,
-                            c.hub(),
-                            c.ready(),
-                            c.warmAt()))
-            .toList(),
-        input.ranges(),
-        input.load(),
-        input.start(),
-        input.binLength(),
-        input.rules());
-  }
-
-  static List<Integer> ranked(
-      List<Cache> caches, Cache.Tier tier, String location, long key, int rankingLength) {
-    record Scored(int place, double score) {}
+    return loads;
+  }
+
+  /** The first caches of a tier and location for a key, by weighted rendezvous hashing. */
+  private static List<Integer> ranked(
+      List<Cache> caches, Cache.Tier tier, String location, long key, int length) {
+    record Scored(int index, double score) {}
     return IntStream.range(0, caches.size())
-        .filter(c -> caches.get(c).tier() == tier && caches.get(c).location().equals(location))
-        .mapToObj(
-            c -> new Scored(c, -Math.log(uniform(key * 1_000_003L + c)) / caches.get(c).capacity()))
+        .filter(index -> caches.get(index).tier() == tier)
+        .filter(index -> caches.get(index).location().equals(location))
+        .mapToObj(index -> new Scored(index, score(key, index, caches.get(index).capacity())))
         .sorted(Comparator.comparingDouble(Scored::score))
-        .limit(rankingLength)
-        .map(Scored::place)
+        .limit(length)
+        .map(Scored::index)
         .toList();
   }
 
+  private static double score(long key, int index, double weight) {
+    return -Math.log(uniform(key * 1_000_003L + index)) / weight;
+  }
+
   private static double uniform(long key) {
-    long z = key * 0x9E3779B97F4A7C15L;
-    z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-    z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-    return ((z ^ z >>> 31) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
+    long mixed = key * 0x9E3779B97F4A7C15L;
+    mixed = (mixed ^ (mixed >>> 30)) * 0xBF58476D1CE4E5B9L;
+    mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
+    return ((mixed ^ (mixed >>> 31)) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
   }
 
   /** One location of a few edges, small enough for all plans to be tried. */
@@ -159,45 +178,38 @@
     Random random = new Random(seed * 7919);
     int edges = 4 + random.nextInt(2);
     boolean reserve = random.nextInt(3) > 0;
-    CoverageRules rules =
-        new CoverageRules(
-            reserve ? Set.of(CoverageRules.Failure.values()) : Set.of(),
-            0.2,
-            0.1,
-            BIN.multipliedBy(random.nextInt(3)),
-            random.nextBoolean());
+    Duration warmUp = bins(random.nextInt(3));
+    boolean siblingFill = random.nextBoolean();
+    CoverageRules rules = new CoverageRules(failures(reserve), 0.2, 0.1, warmUp, siblingFill);
     int rankingLength = reserve ? 3 + random.nextInt(2) : 2 + random.nextInt(2);
-    return input(
-        seed,
-        new Shape(
-            1,
-            edges,
-            3,
-            2,
-            4 + random.nextInt(8),
-            rankingLength,
-            12,
-            0.4 + random.nextDouble() / 2),
-        rules);
-  }
-
-  /** Some worlds of middle size, with two locations. */
-  static PlanningInput middle(long seed, Set<CoverageRules.Failure> reserve) {
+    int ranges = 4 + random.nextInt(8);
+    double peak = 0.4 + random.nextDouble() / 2;
+    return input(seed, new Shape(1, edges, 3, 2, ranges, rankingLength, 12, peak), rules);
+  }
+
+  private static Set<CoverageRules.Failure> failures(boolean reserve) {
+    return reserve ? Set.of(CoverageRules.Failure.values()) : Set.of();
+  }
+
+  /** Two locations. */
+  static PlanningInput middle(long seed, Set<CoverageRules.Failure> toleratedFailures) {
     return input(
         seed,
         new Shape(2, 7, 4, 2, 30, 3, 28, 0.9),
-        new CoverageRules(reserve, 0.2, 0.1, BIN.multipliedBy(2), seed % 2 == 0));
+        new CoverageRules(toleratedFailures, 0.2, 0.1, bins(2), seed % 2 == 0));
   }
 
+  /** The names of a location's edges. */
   static List<String> edges(PlanningInput input, String location) {
     return input.caches().stream()
-        .filter(c -> c.tier() == Cache.Tier.EDGE && c.location().equals(location))
+        .filter(cache -> cache.tier() == Cache.Tier.EDGE && cache.location().equals(location))
         .map(Cache::name)
         .toList();
   }
 
-  static MaintenanceRequest request(PlanningInput input, List<String> caches, int bins) {
+  /** A request for some caches at any time. */
+  static MaintenanceRequest request(PlanningInput input, List<String> caches, int length) {
     return MaintenanceRequest.forCaches(
-        "night", caches, BIN.multipliedBy(bins), Duration.ZERO, BIN.multipliedBy(input.binCount()));
+        "night", caches, bins(length), Duration.ZERO, bins(input.binCount()));
   }
 }
