--- a/rig/src/test/java/tamarindroute/rig/play/ClientLoad.java
+++ b/rig/src/test/java/tamarindroute/rig/play/ClientLoad.java
@@ -23,6 +23,10 @@
   private final Journal journal;
   private final List<GatewayConnection> connections;
   private final DeterministicRandom random;
+
+  /** Null before the start. */
+  private Future<?> sending;
+
   private volatile boolean finished;
   private int count;
 
@@ -38,8 +42,7 @@
   /** Sends so many requests per second. */
   void start(ScheduledExecutorService timer, double rate) {
     long intervalNanos = (long) (NANOS_PER_SECOND / rate);
-    Future<?> unused =
-        timer.scheduleAtFixedRate(this::sendNext, 0, intervalNanos, TimeUnit.NANOSECONDS);
+    sending = timer.scheduleAtFixedRate(this::sendNext, 0, intervalNanos, TimeUnit.NANOSECONDS);
   }
 
   private void sendNext() {
@@ -54,6 +57,7 @@
   /** Sends no more, and waits for the answers to open requests up to a timeout. */
   void finish(long timeoutMillis) throws InterruptedException {
     finished = true;
+    sending.cancel(false);
     long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     while (connections.stream().anyMatch(GatewayConnection::hasOpenRequests)
         && System.nanoTime() < endNanos) {
--- a/rig/src/test/java/tamarindroute/rig/play/ManagedProcess.java
+++ b/rig/src/test/java/tamarindroute/rig/play/ManagedProcess.java
@@ -35,6 +35,9 @@
   private Process process;
   private int incarnation;
 
+  /** The last scheduled signal; null before the first. */
+  private volatile Future<?> nextSignal;
+
   /** The process whose end is the rig's own action. */
   private volatile Process endedByRig;
 
@@ -155,7 +158,7 @@
   }
 
   private void schedule(Callable<Void> task, long delayMillis) {
-    Future<?> unused =
+    nextSignal =
         timer.schedule(
             () -> {
               try {
@@ -170,6 +173,9 @@
 
   /** Ends the process at the end of the run, whatever it does. */
   void end() throws InterruptedException {
+    if (nextSignal != null) {
+      nextSignal.cancel(false);
+    }
     if (process != null) {
       endedByRig = process;
       process.destroyForcibly().waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
