--- a/rig/play.sh
+++ b/rig/play.sh
@@ -1,9 +1,8 @@
 #!/bin/sh
-# Plays the schedules named, from any folder: builds what has changed, then starts the program as it would in service.
-# It must never do more.
+# Runs the named schedules, from any folder: builds what has changed, then starts the program as it would in service.
 here=$(cd "$(dirname "$0")/.." && pwd) || exit 1
 files=
 for file in "$@"; do
     files="$files $(realpath "$file")" || exit 1
 done
-cd "$here" && mvn -q -DskipTests package && exec java -cp rig/target/test-classes tamarindroute.rig.Schedules $files
+cd "$here" && mvn -q -DskipTests package && exec java -cp rig/target/test-classes tamarindroute.rig.ScheduleRunner $files
