--- a/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetworkTest.java
+++ b/rig/src/test/java/tamarindroute/rig/proxy/ProxyNetworkTest.java
@@ -180,6 +180,8 @@
   }
 
   @Test
+  // The close that resets the connection is the step under test.
+  @SuppressWarnings("try")
   void aRefusedConnectionAndAResetAreForwarded() throws Exception {
     int proxyPort;
     try (ServerSocket server = new ServerSocket(0, 1, LOOPBACK)) {
