--- a/bench/tamarindroute/bench/StandbyBenchmark.java
+++ b/bench/tamarindroute/bench/StandbyBenchmark.java
@@ -15,8 +15,8 @@
 import org.HdrHistogram.Histogram;
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.DatagramTransport;
-import tamarindroute.standby.VrrpEndpoint;
 import tamarindroute.vrrp.Election;
+import tamarindroute.vrrptransport.VrrpEndpoint;
 
 /**
  * Measures the takeover of an address: on sockets the time from one gateway's end to the other's
--- a/cli/src/test/java/tamarindroute/ArchitectureTest.java
+++ b/cli/src/test/java/tamarindroute/ArchitectureTest.java
@@ -34,7 +34,7 @@
     "tamarindroute.dns",
     "tamarindroute.resolver",
     "tamarindroute.vrrp",
-    "tamarindroute.standby"
+    "tamarindroute.vrrptransport"
   };
 
   private static String[] packages(String... names) {
--- a/router/src/main/java/tamarindroute/standby/SealedDatagrams.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/SealedDatagrams.java
@@ -1,4 +1,4 @@
-package tamarindroute.standby;
+package tamarindroute.vrrptransport;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
--- a/router/src/main/java/tamarindroute/standby/Witness.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/Witness.java
@@ -1,4 +1,4 @@
-package tamarindroute.standby;
+package tamarindroute.vrrptransport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/router/src/main/java/tamarindroute/standby/package-info.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/package-info.java
@@ -3,4 +3,4 @@
  * the elections. It must never decide who is active (package vrrp), nor act for an address itself:
  * whoever does asks mayAct first.
  */
-package tamarindroute.standby;
+package tamarindroute.vrrptransport;
--- a/router/src/test/java/tamarindroute/standby/VrrpEndpointTest.java
+++ b/router/src/test/java/tamarindroute/vrrptransport/VrrpEndpointTest.java
@@ -1,4 +1,4 @@
-package tamarindroute.standby;
+package tamarindroute.vrrptransport;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
