--- a/router/src/main/java/tamarindroute/vrrp/EffectivePriority.java
+++ b/router/src/main/java/tamarindroute/vrrp/EffectivePriority.java
@@ -3,66 +3,74 @@
 import java.time.Duration;
 
 /**
- * Owns how good a candidate a gateway is: the priority told, less what tracked facts cost. Falls
- * count at once, rises only when the fact has held for a while, so that a fact that comes and goes
- * does not make the address flap. A cold standby stays under every healthy one's priority and so
- * never preempts it. Immutable.
+ * The priority with which a gateway takes part in an election: its configured priority, lowered
+ * while the gateway is not fully able to serve. Immutable.
+ *
+ * <p>The priority falls at once and rises only after its reason has lasted for a while, so that a
+ * condition that comes and goes does not move the shared address back and forth. A cold standby
+ * stays below the priority of every healthy gateway and so never preempts one.
+ *
+ * @param configured configured priority, 1 to 255
+ * @param current priority to advertise, at most {@code configured}
+ * @param betterSince time since which the tracked state has justified a higher priority than the
+ *     current one; null if it does not
  */
 public record EffectivePriority(int configured, int current, Duration betterSince) {
 
   /**
-   * What is tracked.
+   * The conditions of a gateway that its priority depends on.
    *
-   * @param listReceived whether the list of caches is in and the feed not silent
-   * @param warm whether the code is compiled and the popularities are there
-   * @param reachableShare the part of the location's ready caches that answer from here
+   * @param listReceived whether the list of caches was received and the control feed is not silent
+   * @param warm whether the code is compiled and the popularity of objects is known
+   * @param reachableShare share of the location's ready caches that this gateway reaches, 0 to 1;
+   *     values beyond are taken as the nearest bound
    */
   public record TrackedState(boolean listReceived, boolean warm, double reachableShare) {}
 
   /**
-   * Without a list a gateway can't place a view: it is a candidate only where there is no other.
+   * A gateway without a list of caches can't route requests, so it should be active only if there
+   * is no other.
    */
   private static final int MAX_WITHOUT_LIST = 1;
 
-  /**
-   * A cold one comes after every healthy one of priorities as they are given, and before those
-   * without a list.
-   */
+  /** Below the usual configured priorities of healthy gateways, and above those without a list. */
   private static final int MAX_COLD = 20;
 
-  /**
-   * A fact must hold for so long before it raises the priority: several times what a list's lag or
-   * a probe takes.
-   */
+  /** Several times the delay of a list or the duration of a probe. */
   private static final Duration RAISE_DELAY = Duration.ofSeconds(10);
 
-  public static EffectivePriority of(int told) {
-    return new EffectivePriority(told, Math.min(told, MAX_WITHOUT_LIST), null);
+  /** Returns the priority of a gateway that has received no list of caches yet. */
+  public static EffectivePriority of(int configured) {
+    return new EffectivePriority(configured, Math.min(configured, MAX_WITHOUT_LIST), null);
   }
 
-  /** With the facts as they are at this time. */
-  public EffectivePriority with(TrackedState facts, Duration at) {
-    int worth = target(facts);
-    if (worth <= current) {
-      return new EffectivePriority(configured, worth, null);
+  /**
+   * Returns the priority for a tracked state.
+   *
+   * @param now monotonic time, not before that of earlier calls
+   */
+  public EffectivePriority withTrackedState(TrackedState trackedState, Duration now) {
+    int target = target(trackedState);
+    if (target <= current) {
+      return new EffectivePriority(configured, target, null);
     }
-    Duration since = betterSince == null ? at : betterSince;
-    boolean proven = at.minus(since).compareTo(RAISE_DELAY) >= 0;
-    return proven
-        ? new EffectivePriority(configured, worth, null)
+    Duration since = betterSince == null ? now : betterSince;
+    boolean delayOver = now.minus(since).compareTo(RAISE_DELAY) >= 0;
+    return delayOver
+        ? new EffectivePriority(configured, target, null)
         : new EffectivePriority(configured, current, since);
   }
 
-  private int target(TrackedState facts) {
-    if (configured == Advertisement.OWNER_PRIORITY && facts.listReceived) {
+  private int target(TrackedState trackedState) {
+    if (configured == Advertisement.OWNER_PRIORITY && trackedState.listReceived) {
       return configured;
     }
-    if (!facts.listReceived) {
+    if (!trackedState.listReceived) {
       return Math.min(configured, MAX_WITHOUT_LIST);
     }
-    int least = Math.min(configured, MAX_WITHOUT_LIST + 1);
-    int most = facts.warm ? configured : Math.min(configured, MAX_COLD);
-    double reached = Math.max(0, Math.min(1, facts.reachableShare));
-    return (int) Math.max(least, Math.round(most * reached));
+    int min = Math.min(configured, MAX_WITHOUT_LIST + 1);
+    int max = trackedState.warm ? configured : Math.min(configured, MAX_COLD);
+    double reachableShare = Math.max(0, Math.min(1, trackedState.reachableShare));
+    return (int) Math.max(min, Math.round(max * reachableShare));
   }
 }
--- a/router/src/main/java/tamarindroute/vrrp/Election.java
+++ b/router/src/main/java/tamarindroute/vrrp/Election.java
@@ -4,48 +4,63 @@
 import java.util.List;
 
 /**
- * Owns the state machine of one virtual router (RFC 9568, 6.4) as a function: a state, an event and
- * the time of a clock that never goes back give the next state and what is to be done. What it adds
- * to the standard is the lease: who is active may act only for the time in which no peer that heard
- * its last advertisement can have taken over. It must never keep anything between calls.
+ * The state machine of one virtual router (RFC 9568, 6.4), extended by a lease, as a pure function:
+ * {@link #next} maps a state, an event and the time to the next state and the actions to carry out.
  *
- * <p>The lease is three intervals from the last advertisement's sending: a peer that heard it waits
- * three intervals and its skew from then or later. Whoever acts asks mayAct first, on the thread
- * that acts: a process that was stopped finds out before it does anything, and not by a timer.
+ * <p>The lease limits for how long an active router may act after its last advertisement: three
+ * advertisement intervals from when it was sent. A peer that received the advertisement takes over
+ * only after three intervals and its skew time, counted from then or later, so the lease has ended
+ * by that time. The lease is checked with {@link #mayAct} by whoever acts for the address, on the
+ * same thread and right before the act, and not by a timer. A process that was suspended thereby
+ * notices the end of its lease before it does anything.
+ *
+ * <p>All times are of a monotonic clock.
  */
 public final class Election {
 
-  /** RFC 9568, 6.1: an active router is missed after so many intervals and the skew. */
-  private static final int MISSED_INTERVALS = 3;
-
-  private static final int PRIORITY_COUNT = 256;
+  /**
+   * An active router counts as down after this many intervals without an advertisement and the skew
+   * time (RFC 9568, 6.1).
+   */
+  static final int ACTIVE_DOWN_INTERVALS = 3;
 
+  /** The roles of a virtual router (RFC 9568, 6.3). */
   public enum Role {
+    /** Not started. */
     INITIALIZE,
+    /** Watches the active router. */
     BACKUP,
+    /** Sends advertisements; may act for the address until the lease ends. */
     ACTIVE
   }
 
   /**
-   * What a virtual router is told.
+   * The configuration of a virtual router.
    *
-   * @param tieBreaker this gateway's address as a number, by which ties are broken: the higher one
-   *     wins
-   * @param preemptDelay how long a better candidate watches a worse active one before it takes over
+   * @param tieBreaker number of this gateway; of two active routers of equal priority the one with
+   *     the higher number stays active
+   * @param interval time between two of its advertisements
+   * @param preempt whether it takes over from an active router of lower priority
+   * @param preemptDelay for how long it observes an active router of lower priority before it takes
+   *     over
    */
   public record Settings(
       long tieBreaker, Duration interval, boolean preempt, Duration preemptDelay) {}
 
   /**
-   * Where a virtual router is. Times are of the monotonic clock; null for none.
+   * The state of a virtual router.
    *
-   * @param activeInterval the active one's interval, as its advertisements tell it
-   * @param activeDownAt when the active one will be missed
-   * @param advertiseAt when the next advertisement is due
-   * @param leaseUntil until when this one may act
-   * @param preemptableSince since when a worse one has been heard active, while this one may
-   *     preempt
-   * @param lastEventAt when an event was last taken: a long gap means that the process was stopped
+   * @param role its role
+   * @param priority its priority, 1 to 255
+   * @param activeInterval advertisement interval of the active router, from its advertisements; its
+   *     own interval if it is active itself or has received none
+   * @param activeDownAt when the active router counts as down; null unless {@code BACKUP}
+   * @param advertiseAt when the next advertisement is due; null unless {@code ACTIVE}
+   * @param leaseUntil end of the lease; null unless {@code ACTIVE}
+   * @param preemptableSince since when advertisements of lower priority have been received while
+   *     preemption is enabled; null unless {@code BACKUP}, or if there are none
+   * @param lastEventAt when an event last changed the state, null after {@link #initial}; in a
+   *     backup a long gap shows that the process was suspended
    */
   public record State(
       Role role,
@@ -57,244 +72,104 @@
       Duration preemptableSince,
       Duration lastEventAt) {}
 
+  /** An input of the state machine. */
   public sealed interface Event {}
 
-  /** It begins; with the owner's priority it is active at once. */
+  /** The router starts. With the owner's priority it becomes active at once, else a backup. */
   public record Startup() implements Event {}
 
-  /** It stops in order, or resigns for now. */
+  /** The router stops in an orderly way, or gives up the address and will start again. */
   public record Shutdown() implements Event {}
 
-  /** Time has passed. */
+  /** Time has passed, at least up to {@link #nextDeadline}. Earlier ticks are harmless. */
   public record Tick() implements Event {}
 
-  /** An advertisement that was read, proven and meant for this virtual router. */
+  /**
+   * A valid advertisement for this virtual router was received.
+   *
+   * @param priority sender's priority; {@link Advertisement#RESIGN_PRIORITY} if it stops
+   * @param sender sender's number, comparable with {@link Settings#tieBreaker}
+   * @param interval sender's advertisement interval
+   */
   public record AdvertisementReceived(int priority, long sender, Duration interval)
       implements Event {}
 
-  /** How good a candidate this one is has changed. */
+  /**
+   * The priority of this gateway has changed.
+   *
+   * @param priority the new one, 1 to 255
+   */
   public record PriorityChanged(int priority) implements Event {}
 
+  /** An output of the state machine. */
   public sealed interface Action {}
 
-  /** Send an advertisement of this priority, now. */
+  /**
+   * Send an advertisement to all peers at once.
+   *
+   * @param priority priority to advertise
+   */
   public record SendAdvertisement(int priority) implements Action {}
 
-  /** Bind the address, announce it and serve. */
+  /** Bind the shared address, announce it and serve. */
   public record TakeAddress() implements Action {}
 
-  /** Unbind the address; answer what is open by what it still may. */
+  /** Unbind the shared address. Open requests may still be answered as far as that is allowed. */
   public record ReleaseAddress(ReleaseReason reason) implements Action {}
 
+  /** The reasons for which a router gives up the shared address. */
   public enum ReleaseReason {
+    /** The router was shut down or resigned. */
     STOPPED,
+    /** Another active router has a higher priority, or the same one and a higher number. */
     HIGHER_PRIORITY,
+    /** The lease, or the grants of a quorum, ended before they were renewed. */
     LEASE_EXPIRED
   }
 
-  /** The next state, and what is to be done, in this order. */
+  /**
+   * The result of an event.
+   *
+   * @param state next state
+   * @param actions actions to carry out, in this order
+   */
   public record Step(State state, List<Action> actions) {}
 
   private Election() {}
 
-  /** Before its start. */
+  /** Returns the state of a router that has not been started. */
   public static State initial(int priority, Settings settings) {
     return new State(Role.INITIALIZE, priority, settings.interval(), null, null, null, null, null);
   }
 
-  /** Whether whoever holds this state may act for the address, asked at the moment of acting. */
+  /**
+   * Whether a router in this state may act for the shared address. To be checked right before each
+   * act.
+   */
   public static boolean mayAct(State state, Duration now) {
     return state.role == Role.ACTIVE && now.compareTo(state.leaseUntil) < 0;
   }
 
-  /** When something is due though nothing is heard; null for never. */
+  /** Returns when a {@link Tick} is due if no other event occurs before; null for never. */
   public static Duration nextDeadline(State state) {
     return switch (state.role) {
       case INITIALIZE -> null;
       case BACKUP -> {
-        Duration look = state.lastEventAt.plus(state.activeInterval.dividedBy(2));
-        yield state.activeDownAt.compareTo(look) < 0 ? state.activeDownAt : look;
+        // Wakes twice per interval, so that a longer gap between events shows a suspended process.
+        Duration wakeAt = state.lastEventAt.plus(state.activeInterval.dividedBy(2));
+        yield state.activeDownAt.compareTo(wakeAt) < 0 ? state.activeDownAt : wakeAt;
       }
       case ACTIVE ->
           state.advertiseAt.compareTo(state.leaseUntil) < 0 ? state.advertiseAt : state.leaseUntil;
     };
   }
 
-  static Duration skewTime(int priority, Duration interval) {
-    return interval.multipliedBy(PRIORITY_COUNT - priority).dividedBy(PRIORITY_COUNT);
-  }
-
-  private static Duration activeDownInterval(int priority, Duration interval) {
-    return interval.multipliedBy(MISSED_INTERVALS).plus(skewTime(priority, interval));
-  }
-
-  public static Step next(State state, Event event, Duration now, Settings settings) {
-    // Whatever wakes an active one whose lease is over finds that first: it may have been stopped
-    // for long.
-    if (state.role == Role.ACTIVE && now.compareTo(state.leaseUntil) >= 0) {
-      State back = toBackup(state, settings.interval(), now);
-      List<Action> dropped = List.of(new ReleaseAddress(ReleaseReason.LEASE_EXPIRED));
-      Step after =
-          event instanceof Tick ? new Step(back, List.of()) : next(back, event, now, settings);
-      return new Step(after.state, concat(dropped, after.actions));
-    }
-    if (event instanceof Startup) {
-      return state.role != Role.INITIALIZE
-          ? new Step(state, List.of())
-          : state.priority == Advertisement.OWNER_PRIORITY
-              ? toActive(state, now, settings)
-              : new Step(toBackup(state, settings.interval(), now), List.of());
-    }
-    if (event instanceof Shutdown) {
-      List<Action> actions =
-          state.role == Role.ACTIVE
-              ? List.of(
-                  new ReleaseAddress(ReleaseReason.STOPPED),
-                  new SendAdvertisement(Advertisement.RESIGN_PRIORITY))
-              : List.of();
-      return new Step(initial(state.priority, settings), actions);
-    }
-    if (event instanceof PriorityChanged changed) {
-      // A waiting one's timer is not set anew: its next advertisement heard does that by the new
-      // priority.
-      return new Step(
-          new State(
-              state.role,
-              changed.priority,
-              state.activeInterval,
-              state.activeDownAt,
-              state.advertiseAt,
-              state.leaseUntil,
-              state.preemptableSince,
-              now),
-          List.of());
-    }
-    return switch (state.role) {
-      case INITIALIZE -> new Step(state, List.of());
-      case BACKUP ->
-          event instanceof AdvertisementReceived advertisement
-              ? receiveAsBackup(state, advertisement, now, settings)
-              : tickAsBackup(state, now, settings);
-      case ACTIVE ->
-          event instanceof AdvertisementReceived advertisement
-              ? receiveAsActive(state, advertisement, now, settings)
-              : now.compareTo(state.advertiseAt) >= 0
-                  ? advertise(state, now, settings)
-                  : new Step(state, List.of());
-    };
-  }
-
-  private static <T> List<T> concat(List<T> first, List<T> second) {
-    return java.util.stream.Stream.concat(first.stream(), second.stream()).toList();
-  }
-
-  private static State toBackup(State state, Duration interval, Duration now) {
-    return new State(
-        Role.BACKUP,
-        state.priority,
-        interval,
-        now.plus(activeDownInterval(state.priority, interval)),
-        null,
-        null,
-        null,
-        now);
-  }
-
-  private static Step toActive(State state, Duration now, Settings settings) {
-    Step step = advertise(state, now, settings);
-    return new Step(step.state, concat(step.actions, List.of(new TakeAddress())));
-  }
-
-  private static Step advertise(State state, Duration now, Settings settings) {
-    Duration lease = now.plus(settings.interval().multipliedBy(MISSED_INTERVALS));
-    return new Step(
-        new State(
-            Role.ACTIVE,
-            state.priority,
-            settings.interval(),
-            null,
-            now.plus(settings.interval()),
-            lease,
-            null,
-            now),
-        List.of(new SendAdvertisement(state.priority)));
-  }
-
   /**
-   * Nothing was heard. A process that was stopped has its advertisements still waiting to be read,
-   * and must not take them for missing: it listens for one interval more.
+   * Returns the next state and the actions to carry out.
+   *
+   * @param now time of the event, not before that of earlier events
    */
-  private static Step tickAsBackup(State state, Duration now, Settings settings) {
-    boolean stopped = now.minus(state.lastEventAt).compareTo(state.activeInterval) > 0;
-    if (now.compareTo(state.activeDownAt) >= 0 && !stopped) {
-      return toActive(state, now, settings);
-    }
-    Duration listening = now.plus(state.activeInterval);
-    Duration downAt =
-        stopped && state.activeDownAt.compareTo(listening) < 0 ? listening : state.activeDownAt;
-    return new Step(
-        new State(
-            Role.BACKUP,
-            state.priority,
-            state.activeInterval,
-            downAt,
-            null,
-            null,
-            state.preemptableSince,
-            now),
-        List.of());
-  }
-
-  private static Step receiveAsBackup(
-      State state, AdvertisementReceived advertisement, Duration now, Settings settings) {
-    if (advertisement.priority == Advertisement.RESIGN_PRIORITY) {
-      // It has stopped: only the skew is waited, so that the best of several comes first.
-      Duration soon = now.plus(skewTime(state.priority, state.activeInterval));
-      Duration at = state.activeDownAt.compareTo(soon) < 0 ? state.activeDownAt : soon;
-      return new Step(
-          new State(Role.BACKUP, state.priority, state.activeInterval, at, null, null, null, now),
-          List.of());
-    }
-    boolean worse = advertisement.priority < state.priority;
-    if (!settings.preempt() || !worse) {
-      return new Step(toBackup(state, advertisement.interval, now), List.of());
-    }
-    Duration since = state.preemptableSince == null ? now : state.preemptableSince;
-    if (now.minus(since).compareTo(settings.preemptDelay()) >= 0) {
-      return toActive(state, now, settings);
-    }
-    State watching = toBackup(state, advertisement.interval, now);
-    return new Step(
-        new State(
-            Role.BACKUP,
-            watching.priority,
-            watching.activeInterval,
-            watching.activeDownAt,
-            null,
-            null,
-            since,
-            now),
-        List.of());
-  }
-
-  private static Step receiveAsActive(
-      State state, AdvertisementReceived advertisement, Duration now, Settings settings) {
-    if (advertisement.priority == Advertisement.RESIGN_PRIORITY) {
-      return advertise(state, now, settings);
-    }
-    boolean better =
-        advertisement.priority > state.priority
-            || (advertisement.priority == state.priority
-                && advertisement.sender > settings.tieBreaker());
-    if (better) {
-      return new Step(
-          toBackup(state, advertisement.interval, now),
-          List.of(new ReleaseAddress(ReleaseReason.HIGHER_PRIORITY)));
-    }
-    // RFC 9568, 6.4.3: the worse one is told at once, so that both are active for one way and no
-    // longer.
-    return advertisement.sender == settings.tieBreaker()
-        ? new Step(state, List.of())
-        : advertise(state, now, settings);
+  public static Step next(State state, Event event, Duration now, Settings settings) {
+    return ElectionTransitions.next(state, event, now, settings);
   }
 }
--- a/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
+++ b/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
@@ -5,60 +5,98 @@
 import tamarindroute.protocol.MalformedMessageException;
 
 /**
- * What candidates and voters say to each other, both ways; always sealed. The mark is the
- * candidate's own and comes back as it went: the time of its asking, which no other reads.
+ * A message between a candidate and a voter and its codec. Such messages are always sent sealed.
+ *
+ * @param type kind of the message
+ * @param virtualId virtual router ID, 1 to 255
+ * @param grantDuration how long a grant lasts, over 0 and up to 130 s in whole milliseconds
+ * @param requestToken chosen by the candidate and returned unchanged by the voter, which does not
+ *     interpret it; candidates put the time of the request here
  */
-public record GrantMessage(MessageType type, int virtualId, Duration span, long requestToken) {
+public record GrantMessage(
+    MessageType type, int virtualId, Duration grantDuration, long requestToken) {
 
+  /** The kinds of messages. The ordinal is the code on the wire. */
   public enum MessageType {
+    /** From a candidate: asks for a grant. */
     REQUEST,
+    /** From a voter: the candidate has the grant. */
     GRANTED,
+    /** From a voter: another candidate has the grant. */
     DENIED,
+    /** From a candidate: gives its grant back early. */
     RELEASE
   }
 
-  /** No advertisement begins so. */
+  /** Differs from the first byte of every advertisement. */
   private static final byte FIRST_BYTE = 0x47;
 
+  /** First byte, type, virtual router ID, duration in milliseconds, request token. */
   private static final int MESSAGE_LENGTH = 1 + 1 + 1 + 4 + 8;
 
   /**
-   * Three times the longest interval of an advertisement; a longer span would keep a shared address
-   * from all.
+   * Three times the longest advertisement interval, rounded up. A longer grant would keep the
+   * shared address from all gateways for too long after its holder failed.
    */
-  private static final int MAX_SPAN_MILLIS = 130_000;
+  private static final int MAX_GRANT_MILLIS = 130_000;
 
-  /** Whether these bytes are of this kind, not an advertisement. */
+  /** Whether an opened message is a grant message and not an advertisement. */
   public static boolean isGrantMessage(byte[] message) {
     return message.length > 0 && message[0] == FIRST_BYTE;
   }
 
+  /** Returns the bytes of the message, not sealed. */
   public byte[] encode() {
     return ByteBuffer.allocate(MESSAGE_LENGTH)
         .put(FIRST_BYTE)
         .put((byte) type.ordinal())
         .put((byte) virtualId)
-        .putInt((int) span.toMillis())
+        .putInt((int) grantDuration.toMillis())
         .putLong(requestToken)
         .array();
   }
 
+  /**
+   * Decodes an opened message.
+   *
+   * @throws MalformedMessageException if the bytes are not exactly one valid message
+   */
   public static GrantMessage decode(byte[] bytes) throws MalformedMessageException {
-    ByteBuffer in = ByteBuffer.wrap(bytes);
-    if (bytes.length != MESSAGE_LENGTH || in.get() != FIRST_BYTE) {
-      throw new MalformedMessageException("no ballot");
+    if (bytes.length != MESSAGE_LENGTH) {
+      throw new MalformedMessageException(
+          "VRRP grant message is " + bytes.length + " bytes long, expected " + MESSAGE_LENGTH);
+    }
+    ByteBuffer buffer = ByteBuffer.wrap(bytes);
+    byte firstByte = buffer.get();
+    if (firstByte != FIRST_BYTE) {
+      throw new MalformedMessageException(
+          "VRRP grant message first byte is "
+              + Byte.toUnsignedInt(firstByte)
+              + ", expected "
+              + FIRST_BYTE);
+    }
+    int type = Byte.toUnsignedInt(buffer.get());
+    int virtualId = Byte.toUnsignedInt(buffer.get());
+    int grantMillis = buffer.getInt();
+    if (type >= MessageType.values().length) {
+      throw new MalformedMessageException(
+          "VRRP grant message type is "
+              + type
+              + ", allowed: 0 to "
+              + (MessageType.values().length - 1));
+    }
+    if (virtualId == 0) {
+      throw new MalformedMessageException(
+          "VRRP grant message virtual router ID is 0, allowed: 1 to 255");
     }
-    int kind = in.get();
-    int virtualId = in.get() & 0xFF;
-    int span = in.getInt();
-    if (kind < 0
-        || kind >= MessageType.values().length
-        || virtualId == 0
-        || span <= 0
-        || span > MAX_SPAN_MILLIS) {
-      throw new MalformedMessageException("a ballot with figures out of range");
+    if (grantMillis <= 0 || grantMillis > MAX_GRANT_MILLIS) {
+      throw new MalformedMessageException(
+          "VRRP grant message duration is "
+              + grantMillis
+              + " ms, allowed: 1 to "
+              + MAX_GRANT_MILLIS);
     }
     return new GrantMessage(
-        MessageType.values()[kind], virtualId, Duration.ofMillis(span), in.getLong());
+        MessageType.values()[type], virtualId, Duration.ofMillis(grantMillis), buffer.getLong());
   }
 }
--- a/router/src/main/java/tamarindroute/vrrp/Quorum.java
+++ b/router/src/main/java/tamarindroute/vrrp/Quorum.java
@@ -5,35 +5,46 @@
 import java.util.Map;
 
 /**
- * Owns a candidate's count of the grants it may count on: it may act while more than half of the
- * voters have granted it and none of those grants is over. Immutable.
+ * The grants that a candidate has received from voters. The candidate may act while it holds
+ * unexpired grants of more than half of the voters. Immutable.
  *
- * @param voters all voters, the candidate among them
- * @param validUntilByVoter until when each voter's grant counts, by the voter's number
+ * @param voters number of all voters, the candidate among them
+ * @param validUntilByVoter time at which each voter's grant expires for the candidate, by the
+ *     voter's number from 0; voters that never granted have no entry
  */
 public record Quorum(int voters, Map<Integer, Duration> validUntilByVoter) {
 
+  /** Copies the map. */
   public Quorum {
     validUntilByVoter = Map.copyOf(validUntilByVoter);
   }
 
+  /** Returns the quorum of a candidate without grants. */
   public static Quorum withoutGrants(int voters) {
     return new Quorum(voters, Map.of());
   }
 
   /**
-   * A voter has granted what was asked of it at this time; an older answer that comes late shortens
-   * nothing.
+   * Returns the quorum with one more grant. A late answer to an older request does not shorten the
+   * voter's grant.
+   *
+   * @param voter number of the voter
+   * @param requestedAt when the candidate sent the request
+   * @param grantDuration how long the grant lasts
    */
-  public Quorum granted(int voter, Duration asked, Duration span) {
-    Duration counts = VoterGrant.validUntil(asked, span);
-    Map<Integer, Duration> more = new HashMap<>(validUntilByVoter);
-    more.merge(voter, counts, (one, other) -> one.compareTo(other) > 0 ? one : other);
-    return new Quorum(voters, more);
+  public Quorum granted(int voter, Duration requestedAt, Duration grantDuration) {
+    Duration validUntil = VoterGrant.validUntil(requestedAt, grantDuration);
+    Map<Integer, Duration> merged = new HashMap<>(validUntilByVoter);
+    merged.merge(
+        voter, validUntil, (known, received) -> known.compareTo(received) > 0 ? known : received);
+    return new Quorum(voters, merged);
   }
 
+  /** Whether more than half of the voters' grants are unexpired. */
   public boolean isHeld(Duration now) {
-    return validUntilByVoter.values().stream().filter(end -> now.compareTo(end) < 0).count()
+    return validUntilByVoter.values().stream()
+            .filter(validUntil -> now.compareTo(validUntil) < 0)
+            .count()
         > voters / 2;
   }
 }
--- a/router/src/main/java/tamarindroute/vrrptransport/GrantService.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/GrantService.java
@@ -9,42 +9,52 @@
 import tamarindroute.vrrp.GrantMessage;
 import tamarindroute.vrrp.VoterGrant;
 
-/**
- * One voter's grants for all virtual routers that it knows of; a gateway has one, a witness is
- * nothing else.
- */
+/** Answers candidates as one voter, in a gateway or a witness. */
 final class GrantService {
 
   private final Set<Integer> virtualIds;
-  private final Duration span;
-  private final Map<Integer, VoterGrant> grants = new HashMap<>();
+  private final Duration grantDuration;
+  private final Map<Integer, VoterGrant> grantByVirtualId = new HashMap<>();
 
-  /** The span is the same at all voters and candidates, by the settings. */
-  GrantService(Set<Integer> virtualIds, Duration span) {
+  /**
+   * Starts a voter.
+   *
+   * @param virtualIds virtual routers to vote for
+   * @param grantDuration configured alike for all voters and candidates
+   */
+  GrantService(Set<Integer> virtualIds, Duration grantDuration) {
     this.virtualIds = Set.copyOf(virtualIds);
-    this.span = span;
-    virtualIds.forEach(id -> grants.put(id, VoterGrant.started(span, MonotonicClock.now())));
+    this.grantDuration = grantDuration;
+    virtualIds.forEach(
+        id -> grantByVirtualId.put(id, VoterGrant.started(grantDuration, MonotonicClock.now())));
   }
 
-  /** What is answered to a candidate; null for nothing. */
+  /**
+   * Handles a candidate's message.
+   *
+   * @return the answer; null if there is none, which also holds for messages with an unknown
+   *     virtual router or another grant duration
+   */
   GrantMessage onMessage(GrantMessage message, InetSocketAddress from) {
-    if (!virtualIds.contains(message.virtualId()) || !message.span().equals(span)) {
+    if (!virtualIds.contains(message.virtualId())
+        || !message.grantDuration().equals(grantDuration)) {
       return null;
     }
     long candidate = VrrpEndpoint.tieBreaker(from);
-    VoterGrant before = grants.get(message.virtualId());
+    VoterGrant grant = grantByVirtualId.get(message.virtualId());
     switch (message.type()) {
       case REQUEST -> {
-        VoterGrant.Response answer = before.request(candidate, span, MonotonicClock.now());
-        grants.put(message.virtualId(), answer.grant());
+        VoterGrant.Response response =
+            grant.request(candidate, grantDuration, MonotonicClock.now());
+        grantByVirtualId.put(message.virtualId(), response.grant());
         return new GrantMessage(
-            answer.granted() ? GrantMessage.MessageType.GRANTED : GrantMessage.MessageType.DENIED,
+            response.granted() ? GrantMessage.MessageType.GRANTED : GrantMessage.MessageType.DENIED,
             message.virtualId(),
-            span,
+            grantDuration,
             message.requestToken());
       }
       case RELEASE ->
-          grants.put(message.virtualId(), before.release(candidate, MonotonicClock.now()));
+          grantByVirtualId.put(message.virtualId(), grant.release(candidate, MonotonicClock.now()));
       default -> {}
     }
     return null;
--- a/router/src/main/java/tamarindroute/vrrptransport/SealedDatagrams.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/SealedDatagrams.java
@@ -8,25 +8,34 @@
 import tamarindroute.protocol.MessageAuthenticator;
 
 /**
- * One address's sending and opening of messages: the numbers of what it seals, and what it has
- * heard of each sender. Without a seal messages go and come as they are.
+ * Seals the messages sent from one local address and opens those received there. Without an
+ * authenticator, messages are sent and received in plain form.
  */
 final class SealedDatagrams {
 
   private final DatagramTransport datagrams;
-  private final InetSocketAddress own;
+  private final InetSocketAddress ownAddress;
   private final MessageAuthenticator authenticator;
   private final long incarnation;
   private final Map<InetSocketAddress, MessageAuthenticator.ReplayWindow> windowBySender =
       new HashMap<>();
-  private long sequenceNumber;
+  private long nextSequenceNumber;
 
+  /**
+   * Creates a channel.
+   *
+   * @param authenticator null for plain messages
+   * @param incarnation larger at each start of this process
+   */
   SealedDatagrams(
-      DatagramTransport datagrams, InetSocketAddress own, MessageAuthenticator seal, long run) {
+      DatagramTransport datagrams,
+      InetSocketAddress ownAddress,
+      MessageAuthenticator authenticator,
+      long incarnation) {
     this.datagrams = datagrams;
-    this.own = own;
-    this.authenticator = seal;
-    this.incarnation = run;
+    this.ownAddress = ownAddress;
+    this.authenticator = authenticator;
+    this.incarnation = incarnation;
   }
 
   boolean isSealed() {
@@ -35,14 +44,20 @@
 
   void send(InetSocketAddress to, byte[] message) {
     datagrams.send(
-        own,
+        ownAddress,
         to,
         authenticator == null
             ? message
-            : authenticator.seal(message, incarnation, sequenceNumber++));
+            : authenticator.seal(message, incarnation, nextSequenceNumber++));
   }
 
-  /** The message of a sender that is known to be one: strangers must not fill the table. */
+  /**
+   * Returns the message in a datagram. The caller must have checked that the sender is a configured
+   * one, so that unknown senders can't fill the table of replay windows.
+   *
+   * @throws MalformedMessageException if the seal is not valid, or the message was received before
+   *     or is too old
+   */
   byte[] open(byte[] bytes, InetSocketAddress from) throws MalformedMessageException {
     if (authenticator == null) {
       return bytes;
--- a/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
@@ -7,9 +7,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import tamarindroute.host.MonotonicClock;
 import tamarindroute.log.Log;
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.net.Scheduler;
@@ -18,325 +16,249 @@
 import tamarindroute.vrrp.Advertisement;
 import tamarindroute.vrrp.Election;
 import tamarindroute.vrrp.GrantMessage;
-import tamarindroute.vrrp.Quorum;
 
 /**
- * One gateway's address for advertisements and the virtual routers on it. Peers are those that the
- * settings tell, by address and port; what comes from others, is not sealed as told or makes no
- * sense is dropped with a log line. The addresses in the pseudo header are those of the UDP
- * addresses.
+ * One gateway's UDP address for advertisements and grant messages, with the virtual routers on it.
+ *
+ * <p>Peers and voters are configured by address and port. Datagrams from other senders, with an
+ * invalid seal or with malformed contents are dropped and logged. The pseudo header of an
+ * advertisement's checksum has the IP addresses of the UDP datagram. All methods are called on the
+ * event loop.
  */
 public final class VrrpEndpoint {
 
-  /** Who holds a virtual router's address; on the owner's thread. */
+  /** Takes and releases the shared address of a virtual router. Called on the event loop. */
   public interface AddressHolder {
 
-    /** Bind, announce, serve. */
+    /** This gateway may act for the address from now on: bind it, announce it and serve. */
     void onTaken();
 
-    /** Unbind; what is open gets the answer that it still may. */
-    void onReleased(Election.ReleaseReason why);
+    /**
+     * This gateway may not act for the address any more: unbind it. Open requests may still be
+     * answered as far as that is allowed.
+     */
+    void onReleased(Election.ReleaseReason reason);
   }
 
+  /** This gateway's number as a voter. The other voters follow from 1 on. */
+  static final int OWN_VOTER = 0;
+
+  /** Bytes of an address, its last ones, that are part of a gateway's number. */
+  private static final int TIE_BREAKER_ADDRESS_BYTES = 6;
+
   private final Scheduler scheduler;
   private final DatagramTransport datagrams;
-  private final InetSocketAddress own;
+  private final InetSocketAddress ownAddress;
   private final List<InetSocketAddress> peers;
   private final SealedDatagrams channel;
   private final Map<Integer, VirtualRouter> routers = new HashMap<>();
-  private final List<InetSocketAddress> voters = new ArrayList<>();
-  private Duration grantSpan;
+  private final List<InetSocketAddress> otherVoters = new ArrayList<>();
+
+  /** Null if no voters are required. */
+  private Duration grantDuration;
+
+  /** Null before the start, or if no voters are required. */
   private GrantService grantService;
 
   /**
-   * Without a seal the plain form of the standard is sent and taken; run is larger at each start of
-   * this gateway.
+   * Creates an endpoint without virtual routers.
+   *
+   * @param ownAddress local address to send from and to listen on
+   * @param peers addresses of the other gateways
+   * @param authenticator seals and opens the messages; null to send and accept advertisements in
+   *     the plain form of the standard
+   * @param incarnation larger at each start of this gateway
    */
   public VrrpEndpoint(
       Scheduler scheduler,
       DatagramTransport datagrams,
-      InetSocketAddress own,
+      InetSocketAddress ownAddress,
       List<InetSocketAddress> peers,
-      MessageAuthenticator seal,
-      long run) {
+      MessageAuthenticator authenticator,
+      long incarnation) {
     this.scheduler = scheduler;
     this.datagrams = datagrams;
-    this.own = own;
+    this.ownAddress = ownAddress;
     this.peers = List.copyOf(peers);
-    this.channel = new SealedDatagrams(datagrams, own, seal, run);
+    this.channel = new SealedDatagrams(datagrams, ownAddress, authenticator, incarnation);
   }
 
   /**
-   * From its start on, whoever is active acts only with the grants of more than half of the voters:
-   * these, witnesses among them, and this gateway itself. Needs a seal. The span is the same at
-   * all; three intervals are a lease's.
+   * Makes the active router act only with the grants of more than half of the voters, which are the
+   * given ones and this gateway. To be called before the start.
+   *
+   * @param otherVoters addresses of other gateways and of witnesses
+   * @param grantDuration configured alike for all voters and candidates; three advertisement
+   *     intervals match the lease
+   * @throws IllegalArgumentException if the endpoint has no authenticator
    */
-  public void requireVoters(List<InetSocketAddress> others, Duration each) {
+  public void requireVoters(List<InetSocketAddress> otherVoters, Duration grantDuration) {
     if (!channel.isSealed()) {
-      throw new IllegalArgumentException("voters need a seal");
+      throw new IllegalArgumentException(
+          "message authenticator is missing, but the voters "
+              + otherVoters
+              + " require sealed messages");
     }
-    voters.addAll(others);
-    grantSpan = each;
+    this.otherVoters.addAll(otherVoters);
+    this.grantDuration = grantDuration;
   }
 
-  /** Adds a virtual router, not yet started. */
+  /**
+   * Adds a virtual router, which is not started yet.
+   *
+   * @param virtualId virtual router ID, 1 to 255
+   * @param priority initial priority, 1 to 255
+   * @param addresses shared addresses; peers must have the same ones in the same order
+   * @throws IllegalArgumentException if the ID was added before
+   */
   public VirtualRouter add(
       int virtualId,
       int priority,
       List<InetAddress> addresses,
       Election.Settings settings,
       AddressHolder holder) {
-    VirtualRouter router = new VirtualRouter(virtualId, priority, addresses, settings, holder);
+    VirtualRouter router =
+        new VirtualRouter(this, virtualId, priority, addresses, settings, holder);
     if (routers.putIfAbsent(virtualId, router) != null) {
-      throw new IllegalArgumentException("the virtual router " + virtualId + " is there twice");
+      throw new IllegalArgumentException(
+          "virtual router ID is " + virtualId + ", expected one that was not added before");
     }
     return router;
   }
 
-  /** Listens, then starts all routers; on the owner's thread. */
+  /**
+   * Listens on the endpoint's address and starts all virtual routers.
+   *
+   * @throws IOException if the address cannot be listened on
+   */
   public void start() throws IOException {
-    grantService = grantSpan == null ? null : new GrantService(routers.keySet(), grantSpan);
-    datagrams.listen(own, (bytes, from, at, answer) -> onDatagram(bytes, from));
+    grantService = grantDuration == null ? null : new GrantService(routers.keySet(), grantDuration);
+    datagrams.listen(ownAddress, (bytes, from, receivedAt, reply) -> onDatagram(bytes, from));
     routers.values().forEach(router -> router.handle(new Election.Startup()));
   }
 
-  /** Stops all routers in order: peers hear of it and need not wait. */
+  /** Stops all virtual routers. Active ones notify their peers, which then take over sooner. */
   public void stop() {
     routers.values().forEach(router -> router.handle(new Election.Shutdown()));
   }
 
   /**
-   * A gateway's address as a number of which the higher wins a tie; unsigned bytes in their order,
-   * then the port.
+   * Returns the number of a gateway for {@link Election.Settings#tieBreaker}, from its IP address
+   * and its port, the address being the more significant part.
    */
   public static long tieBreaker(InetSocketAddress address) {
     byte[] bytes = address.getAddress().getAddress();
-    // The last six bytes tell peers of one network apart, in IPv6 too.
-    long order = 0;
-    for (int i = Math.max(0, bytes.length - 6); i < bytes.length; i++) {
-      order = (order << 8) | (bytes[i] & 0xFF);
+    // The last six bytes distinguish the peers of one network, in IPv6 too.
+    long number = 0;
+    for (int i = Math.max(0, bytes.length - TIE_BREAKER_ADDRESS_BYTES); i < bytes.length; i++) {
+      number = (number << 8) | (bytes[i] & 0xFF);
+    }
+    return number << 16 | address.getPort();
+  }
+
+  Scheduler scheduler() {
+    return scheduler;
+  }
+
+  /** Whether acting requires grants; false before the start. */
+  boolean hasVoters() {
+    return grantService != null;
+  }
+
+  /** The number of voters with this gateway. */
+  int voterCount() {
+    return otherVoters.size() + 1;
+  }
+
+  Duration grantDuration() {
+    return grantDuration;
+  }
+
+  /** Handles a message of this gateway as its own voter; returns the answer or null. */
+  GrantMessage voteLocally(GrantMessage message) {
+    return grantService.onMessage(message, ownAddress);
+  }
+
+  void sendToVoters(GrantMessage message) {
+    otherVoters.forEach(voter -> channel.send(voter, message.encode()));
+  }
+
+  void sendToPeers(Advertisement advertisement) {
+    for (InetSocketAddress peer : peers) {
+      channel.send(peer, advertisement.encode(ownAddress.getAddress(), peer.getAddress()));
     }
-    return order << 16 | address.getPort();
   }
 
   private void onDatagram(byte[] bytes, InetSocketAddress from) {
-    if (!peers.contains(from) && !voters.contains(from)) {
-      Log.infoWithFields("vrrp-stranger", "an advertisement from no peer", "from", from);
+    if (!peers.contains(from) && !otherVoters.contains(from)) {
+      Log.infoWithFields(
+          "vrrp-stranger", "datagram dropped: sender is neither a peer nor a voter", "from", from);
       return;
     }
     try {
       byte[] message = channel.open(bytes, from);
       if (channel.isSealed() && GrantMessage.isGrantMessage(message)) {
-        ballot(GrantMessage.decode(message), from);
-        return;
-      }
-      if (!peers.contains(from)) {
-        throw new MalformedMessageException("an advertisement from a voter that is no peer");
-      }
-      Advertisement told = Advertisement.decode(message, from.getAddress(), own.getAddress());
-      VirtualRouter router = routers.get(told.virtualId());
-      if (router == null || !router.addresses.equals(told.addresses())) {
-        throw new MalformedMessageException(
-            "virtual router "
-                + told.virtualId()
-                + " with "
-                + told.addresses()
-                + " is not one of ours");
+        onGrantMessage(GrantMessage.decode(message), from);
+      } else {
+        onAdvertisement(message, from);
       }
-      router.handle(
-          new Election.AdvertisementReceived(told.priority(), tieBreaker(from), told.interval()));
     } catch (MalformedMessageException e) {
-      Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
+      Log.infoWithFields("vrrp-unreadable", "datagram dropped: " + e.getMessage(), "from", from);
     }
   }
 
-  private void ballot(GrantMessage message, InetSocketAddress from)
+  private void onAdvertisement(byte[] message, InetSocketAddress from)
+      throws MalformedMessageException {
+    if (!peers.contains(from)) {
+      throw new MalformedMessageException(
+          "VRRP advertisement sender is the voter " + from + ", expected a peer");
+    }
+    Advertisement advertisement =
+        Advertisement.decode(message, from.getAddress(), ownAddress.getAddress());
+    VirtualRouter router = routers.get(advertisement.virtualId());
+    if (router == null) {
+      throw new MalformedMessageException(
+          "VRRP advertisement virtual router ID is "
+              + advertisement.virtualId()
+              + ", expected one of "
+              + routers.keySet());
+    }
+    if (!router.addresses().equals(advertisement.addresses())) {
+      throw new MalformedMessageException(
+          "VRRP advertisement addresses of virtual router "
+              + advertisement.virtualId()
+              + " are "
+              + advertisement.addresses()
+              + ", expected "
+              + router.addresses());
+    }
+    router.handle(
+        new Election.AdvertisementReceived(
+            advertisement.priority(), tieBreaker(from), advertisement.interval()));
+  }
+
+  private void onGrantMessage(GrantMessage message, InetSocketAddress from)
       throws MalformedMessageException {
     if (grantService == null) {
-      throw new MalformedMessageException("a ballot, and there are no voters here");
+      throw new MalformedMessageException(
+          "VRRP grant message type is "
+              + message.type()
+              + ", expected no grant messages because no voters are configured");
     }
     if (message.type() == GrantMessage.MessageType.REQUEST
         || message.type() == GrantMessage.MessageType.RELEASE) {
       GrantMessage answer = grantService.onMessage(message, from);
       if (answer != null) {
-        send(from, answer);
+        channel.send(from, answer.encode());
       }
     } else if (message.type() == GrantMessage.MessageType.GRANTED
         && routers.containsKey(message.virtualId())
-        && message.span().equals(grantSpan)
-        && voters.contains(from)) {
+        && message.grantDuration().equals(grantDuration)
+        && otherVoters.contains(from)) {
       routers
           .get(message.virtualId())
-          .onGranted(1 + voters.indexOf(from), Duration.ofNanos(message.requestToken()));
-    }
-  }
-
-  private void send(InetSocketAddress to, GrantMessage message) {
-    channel.send(to, message.encode());
-  }
-
-  /** One virtual router. */
-  public final class VirtualRouter {
-
-    private final int virtualId;
-    private final List<InetAddress> addresses;
-    private final Election.Settings settings;
-    private final AddressHolder holder;
-    private Election.State state;
-    private Runnable timer = () -> {};
-    private Runnable quorumTimer = () -> {};
-    private Quorum quorum;
-    private boolean addressTaken;
-
-    private VirtualRouter(
-        int virtualId,
-        int priority,
-        List<InetAddress> addresses,
-        Election.Settings settings,
-        AddressHolder holder) {
-      this.virtualId = virtualId;
-      this.addresses = List.copyOf(addresses);
-      this.settings = settings;
-      this.holder = holder;
-      this.state = Election.initial(priority, settings);
-    }
-
-    /**
-     * Whether this gateway may act for the address now; asked before each taking in and each write.
-     */
-    public boolean mayAct() {
-      if (!addressTaken) {
-        return false;
-      }
-      if (!Election.mayAct(state, MonotonicClock.now())) {
-        // It was stopped: all is put in order before whoever asked goes on.
-        handle(new Election.Tick());
-      }
-      updateAddress();
-      return addressTaken;
-    }
-
-    /** Takes the address when all that it needs is there, and drops it when any of it is gone. */
-    private void updateAddress() {
-      boolean may =
-          Election.mayAct(state, MonotonicClock.now())
-              && (quorum == null || quorum.isHeld(MonotonicClock.now()));
-      if (may && !addressTaken) {
-        addressTaken = true;
-        Log.infoWithFields("vrrp-taken", "the address is ours", "router", virtualId);
-        holder.onTaken();
-      } else if (!may && addressTaken) {
-        drop(Election.ReleaseReason.LEASE_EXPIRED);
-      }
-    }
-
-    private void drop(Election.ReleaseReason why) {
-      addressTaken = false;
-      Log.infoWithFields(
-          "vrrp-dropped", "the address is given up", "router", virtualId, "why", why);
-      holder.onReleased(why);
-    }
-
-    /** The grants asked for at this time; the answers come, or do not. */
-    private void requestGrants() {
-      Duration now = MonotonicClock.now();
-      quorum = quorum == null ? Quorum.withoutGrants(voters.size() + 1) : quorum;
-      GrantMessage ask =
-          new GrantMessage(GrantMessage.MessageType.REQUEST, virtualId, grantSpan, now.toNanos());
-      GrantMessage mine = grantService.onMessage(ask, own);
-      if (mine != null && mine.type() == GrantMessage.MessageType.GRANTED) {
-        onGranted(0, now);
-      }
-      voters.forEach(voter -> send(voter, ask));
-    }
-
-    private void onGranted(int voter, Duration asked) {
-      // A time that is none of ours would let a grant count for ever.
-      if (state.role() == Election.Role.ACTIVE
-          && quorum != null
-          && asked.compareTo(MonotonicClock.now()) <= 0) {
-        quorum = quorum.granted(voter, asked, grantSpan);
-        updateAddress();
-        quorumTimer.run();
-        quorumTimer = scheduler.schedule(grantSpan, this::updateAddress);
-      }
-    }
-
-    /** What was granted is given back, so that the next one need not wait for its end. */
-    private void releaseGrants() {
-      if (grantService != null) {
-        GrantMessage back =
-            new GrantMessage(GrantMessage.MessageType.RELEASE, virtualId, grantSpan, 0);
-        grantService.onMessage(back, own);
-        voters.forEach(voter -> send(voter, back));
-        quorum = Quorum.withoutGrants(voters.size() + 1);
-      }
-    }
-
-    public Election.State state() {
-      return state;
-    }
-
-    /** How good a candidate this gateway is has changed. */
-    public void setPriority(int now) {
-      if (now != state.priority()) {
-        Log.infoWithFields(
-            "vrrp-priority", "changed", "router", virtualId, "from", state.priority(), "to", now);
-        handle(new Election.PriorityChanged(now));
-      }
-    }
-
-    /** Gives the address up in order and waits as any other from then on. */
-    public void resign() {
-      handle(new Election.Shutdown());
-      handle(new Election.Startup());
-    }
-
-    private void handle(Election.Event event) {
-      Election.Role before = state.role();
-      Duration now = MonotonicClock.now();
-      Election.Step step = Election.next(state, event, now, settings);
-      state = step.state();
-      if (before != state.role()) {
-        // A topic for each role: the guard of one line a second must not hide that an address
-        // changed hands.
-        Log.infoWithFields(
-            "vrrp-" + state.role().name().toLowerCase(Locale.ROOT),
-            "was " + before,
-            "router",
-            virtualId,
-            "event",
-            event,
-            "priority",
-            state.priority());
-      }
-      timer.run();
-      Duration due = Election.nextDeadline(state);
-      if (due != null) {
-        timer = scheduler.schedule(due.minus(now), () -> handle(new Election.Tick()));
-      }
-      for (Election.Action action : step.actions()) {
-        if (action instanceof Election.SendAdvertisement advertise) {
-          advertise(advertise.priority());
-          if (grantService != null && advertise.priority() != Advertisement.RESIGN_PRIORITY) {
-            requestGrants();
-          }
-        } else if (action instanceof Election.ReleaseAddress release) {
-          if (addressTaken) {
-            drop(release.reason());
-          }
-          releaseGrants();
-        }
-      }
-      updateAddress();
-    }
-
-    private void advertise(int priority) {
-      Advertisement advertisement =
-          new Advertisement(virtualId, priority, settings.interval(), addresses);
-      for (InetSocketAddress peer : peers) {
-        channel.send(peer, advertisement.encode(own.getAddress(), peer.getAddress()));
-      }
+          .onGranted(
+              OWN_VOTER + 1 + otherVoters.indexOf(from), Duration.ofNanos(message.requestToken()));
     }
   }
 }
--- a/router/src/main/java/tamarindroute/vrrptransport/Witness.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/Witness.java
@@ -12,40 +12,56 @@
 import tamarindroute.vrrp.GrantMessage;
 
 /**
- * A third voter that carries nothing: it answers known candidates' sealed requests, and is never
- * active itself.
+ * A third voter for two gateways. It answers sealed requests of configured candidates, is never
+ * active itself and handles no traffic. All methods are called on the event loop.
  */
 public final class Witness {
 
   private final DatagramTransport datagrams;
-  private final InetSocketAddress own;
+  private final InetSocketAddress ownAddress;
   private final List<InetSocketAddress> candidates;
   private final SealedDatagrams channel;
   private final GrantService grantService;
 
+  /**
+   * Creates a witness, which grants nothing for one grant duration from now.
+   *
+   * @param ownAddress local address to listen on
+   * @param candidates addresses of the gateways
+   * @param virtualIds virtual router IDs to vote for
+   * @param grantDuration configured alike for all voters and candidates
+   * @param authenticator seals and opens the messages
+   * @param incarnation larger at each start of this witness
+   */
   public Witness(
       DatagramTransport datagrams,
-      InetSocketAddress own,
+      InetSocketAddress ownAddress,
       List<InetSocketAddress> candidates,
       Set<Integer> virtualIds,
-      Duration span,
-      MessageAuthenticator seal,
-      long run) {
+      Duration grantDuration,
+      MessageAuthenticator authenticator,
+      long incarnation) {
     this.datagrams = datagrams;
-    this.own = own;
+    this.ownAddress = ownAddress;
     this.candidates = List.copyOf(candidates);
-    this.channel = new SealedDatagrams(datagrams, own, seal, run);
-    this.grantService = new GrantService(virtualIds, span);
+    this.channel = new SealedDatagrams(datagrams, ownAddress, authenticator, incarnation);
+    this.grantService = new GrantService(virtualIds, grantDuration);
   }
 
+  /**
+   * Listens on its address.
+   *
+   * @throws IOException if the address cannot be listened on
+   */
   public void start() throws IOException {
-    datagrams.listen(own, (bytes, from, at, answer) -> onDatagram(bytes, from));
+    datagrams.listen(ownAddress, (bytes, from, receivedAt, reply) -> onDatagram(bytes, from));
   }
 
   private void onDatagram(byte[] bytes, InetSocketAddress from) {
     try {
       if (!candidates.contains(from)) {
-        throw new MalformedMessageException("no candidate");
+        throw new MalformedMessageException(
+            "sender is " + from + ", expected one of the candidates " + candidates);
       }
       GrantMessage answer =
           grantService.onMessage(GrantMessage.decode(channel.open(bytes, from)), from);
@@ -53,7 +69,7 @@
         channel.send(from, answer.encode());
       }
     } catch (MalformedMessageException e) {
-      Log.infoWithFields("vrrp-unreadable", e.getMessage(), "from", from);
+      Log.infoWithFields("vrrp-unreadable", "datagram dropped: " + e.getMessage(), "from", from);
     }
   }
 }
--- a/router/src/main/java/tamarindroute/vrrptransport/package-info.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Owns the carrying of VRRP over UDP: advertisements out and in, their seal, the timers that wake
- * the elections. It must never decide who is active (package vrrp), nor act for an address itself:
- * whoever does asks mayAct first.
+ * Transport of VRRP over UDP: sends and receives sealed advertisements and grant messages, and runs
+ * the timers of the elections. Package {@code tamarindroute.vrrp} decides who is active. Whoever
+ * acts for a shared address checks {@link tamarindroute.vrrptransport.VirtualRouter#mayAct} first.
  */
 package tamarindroute.vrrptransport;
--- a/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpTest.java
@@ -112,31 +112,37 @@
   void worthFallsAtOnceAndRisesOnlyWhenItHasHeld() {
     EffectivePriority candidacy = EffectivePriority.of(100);
     EffectivePriority.TrackedState well = new EffectivePriority.TrackedState(true, true, 1);
-    candidacy = candidacy.with(well, Duration.ZERO).with(well, Duration.ofSeconds(9));
+    candidacy =
+        candidacy
+            .withTrackedState(well, Duration.ZERO)
+            .withTrackedState(well, Duration.ofSeconds(9));
     assertThat(candidacy.current()).isEqualTo(1);
-    candidacy = candidacy.with(well, Duration.ofSeconds(10));
+    candidacy = candidacy.withTrackedState(well, Duration.ofSeconds(10));
     assertThat(candidacy.current()).isEqualTo(100);
     EffectivePriority cold =
         EffectivePriority.of(200)
-            .with(new EffectivePriority.TrackedState(true, false, 1), Duration.ZERO)
-            .with(new EffectivePriority.TrackedState(true, false, 1), Duration.ofSeconds(60));
+            .withTrackedState(new EffectivePriority.TrackedState(true, false, 1), Duration.ZERO)
+            .withTrackedState(
+                new EffectivePriority.TrackedState(true, false, 1), Duration.ofSeconds(60));
     assertThat(cold.current())
         .as("a cold standby, whatever it was told")
         .isLessThan(candidacy.current());
     candidacy =
-        candidacy.with(new EffectivePriority.TrackedState(true, true, 0.5), Duration.ofSeconds(11));
+        candidacy.withTrackedState(
+            new EffectivePriority.TrackedState(true, true, 0.5), Duration.ofSeconds(11));
     assertThat(candidacy.current()).isEqualTo(50);
     for (int i = 0; i < 100; i++) {
       // A fact that comes and goes each second never raises it.
       candidacy =
-          candidacy.with(
+          candidacy.withTrackedState(
               i % 2 == 0 ? well : new EffectivePriority.TrackedState(true, true, 0.5),
               Duration.ofSeconds(12 + i));
       assertThat(candidacy.current()).isEqualTo(50);
     }
     assertThat(
             candidacy
-                .with(new EffectivePriority.TrackedState(false, true, 1), Duration.ofSeconds(200))
+                .withTrackedState(
+                    new EffectivePriority.TrackedState(false, true, 1), Duration.ofSeconds(200))
                 .current())
         .isEqualTo(1);
   }
--- a/router/src/test/java/tamarindroute/vrrptransport/VrrpEndpointTest.java
+++ b/router/src/test/java/tamarindroute/vrrptransport/VrrpEndpointTest.java
@@ -41,7 +41,7 @@
     final DatagramTransport datagrams = new DatagramTransport(eventLoop);
     final List<String> done = java.util.Collections.synchronizedList(new ArrayList<>());
     VrrpEndpoint endpoint;
-    VrrpEndpoint.VirtualRouter router;
+    VirtualRouter router;
 
     void start(
         InetSocketAddress own,
