--- /dev/null
+++ b/router/src/main/java/tamarindroute/vrrptransport/GrantService.java
@@ -0,0 +1,62 @@
+package tamarindroute.vrrptransport;
+
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import tamarindroute.host.MonotonicClock;
+import tamarindroute.vrrp.GrantMessage;
+import tamarindroute.vrrp.VoterGrant;
+
+/** Answers candidates as one voter, in a gateway or a witness. */
+final class GrantService {
+
+  private final Set<Integer> virtualIds;
+  private final Duration grantDuration;
+  private final Map<Integer, VoterGrant> grantByVirtualId = new HashMap<>();
+
+  /**
+   * Starts a voter.
+   *
+   * @param virtualIds virtual routers to vote for
+   * @param grantDuration configured alike for all voters and candidates
+   */
+  GrantService(Set<Integer> virtualIds, Duration grantDuration) {
+    this.virtualIds = Set.copyOf(virtualIds);
+    this.grantDuration = grantDuration;
+    virtualIds.forEach(
+        id -> grantByVirtualId.put(id, VoterGrant.started(grantDuration, MonotonicClock.now())));
+  }
+
+  /**
+   * Handles a candidate's message.
+   *
+   * @return the answer; null if there is none, which also holds for messages with an unknown
+   *     virtual router or another grant duration
+   */
+  GrantMessage onMessage(GrantMessage message, InetSocketAddress from) {
+    if (!virtualIds.contains(message.virtualId())
+        || !message.grantDuration().equals(grantDuration)) {
+      return null;
+    }
+    long candidate = VrrpEndpoint.tieBreaker(from);
+    VoterGrant grant = grantByVirtualId.get(message.virtualId());
+    switch (message.type()) {
+      case REQUEST -> {
+        VoterGrant.Response response =
+            grant.request(candidate, grantDuration, MonotonicClock.now());
+        grantByVirtualId.put(message.virtualId(), response.grant());
+        return new GrantMessage(
+            response.granted() ? GrantMessage.MessageType.GRANTED : GrantMessage.MessageType.DENIED,
+            message.virtualId(),
+            grantDuration,
+            message.requestToken());
+      }
+      case RELEASE ->
+          grantByVirtualId.put(message.virtualId(), grant.release(candidate, MonotonicClock.now()));
+      default -> {}
+    }
+    return null;
+  }
+}
