--- a/membership/src/main/java/tamarindroute/membership/Accusers.java
+++ b/membership/src/main/java/tamarindroute/membership/Accusers.java
@@ -7,11 +7,14 @@
 import java.util.Optional;
 
 /**
- * Members that still regard this one as suspect or faulty long after it refuted that, with the time
- * of their last such message. Ordered by that time; drops the oldest when full.
+ * Members that still regard the local member as suspect or faulty although it refuted the suspicion
+ * long ago, each with the time of its last message that said so.
+ *
+ * <p>Ordered by that time, oldest first. Bounded: a full list drops its oldest entry.
  */
 final class Accusers {
 
+  /** Bound on the memory used; two accusers suffice to make the local member isolated. */
   private static final int MAX_ACCUSERS = 8;
 
   private final Map<Address, Long> lastAccusedNanos = new LinkedHashMap<>();
@@ -22,8 +25,9 @@
     return copy;
   }
 
+  /** Records that a member has just accused the local member, and makes it the newest entry. */
   void add(Address accuser, long nowNanos) {
-    // Removed first, so that it moves to the end of the order.
+    // A LinkedHashMap keeps the position of a key that is put again, so it is removed first.
     lastAccusedNanos.remove(accuser);
     lastAccusedNanos.put(accuser, nowNanos);
     if (lastAccusedNanos.size() > MAX_ACCUSERS) {
@@ -39,18 +43,19 @@
     lastAccusedNanos.clear();
   }
 
-  /** The accuser that has not been heard from for longest. */
+  /** Returns the accuser whose last accusation is the oldest, or empty if there is none. */
   Optional<Address> oldest() {
     return lastAccusedNanos.keySet().stream().findFirst();
   }
 
-  /** How many accused this member within the given time. */
+  /** Returns the number of members that accused the local member within the given time. */
   long countWithin(long maxAgeNanos, long nowNanos) {
     return lastAccusedNanos.values().stream()
         .filter(accusedNanos -> nowNanos - accusedNanos <= maxAgeNanos)
         .count();
   }
 
+  /** Returns the accusers with the ages of their accusations, without expired accusations. */
   List<Object> stateKey(long maxAgeNanos, long nowNanos) {
     List<Object> key = new ArrayList<>();
     lastAccusedNanos.forEach(
--- a/membership/src/main/java/tamarindroute/membership/Action.java
+++ b/membership/src/main/java/tamarindroute/membership/Action.java
@@ -1,35 +1,39 @@
 package tamarindroute.membership;
 
-/** What the caller has to do after a step; the actions of a step are performed in their order. */
+/**
+ * Result of a step that the caller has to act on. The actions of one step have to be performed in
+ * the order of the list.
+ */
 public sealed interface Action {
 
   /**
-   * Send a message; it may be lost.
+   * Send a message as a datagram. The protocol tolerates its loss.
    *
-   * @param to the receiver's address
-   * @param message what to send
+   * @param to address of the receiver
+   * @param message message to encode and send
    */
   record Send(Address to, Message message) implements Action {}
 
   /**
-   * The state of another member has changed in the local table.
+   * The state of another member has changed in the local member table.
    *
-   * @param member the other member
-   * @param state its new state
+   * @param member the member whose state changed, never the local one
+   * @param state the new state
    */
   record StateChanged(Member member, MemberState state) implements Action {}
 
   /**
-   * The own connectivity has changed.
+   * The connectivity of the local member has changed.
    *
-   * @param status the new one
+   * @param status the new status
    */
   record StatusChanged(LocalStatus status) implements Action {}
 
   /**
-   * The own incarnation was raised, because others remember a later one at this address.
+   * The incarnation of the local member was raised, because other members remember a later one at
+   * its address. The other members ignore messages of the previous incarnation from now on.
    *
-   * @param self this member from now on
+   * @param self the local member with its new incarnation
    */
   record IncarnationRaised(Member self) implements Action {}
 }
--- a/membership/src/main/java/tamarindroute/membership/Address.java
+++ b/membership/src/main/java/tamarindroute/membership/Address.java
@@ -1,11 +1,11 @@
 package tamarindroute.membership;
 
 /**
- * Network address under which a member is known. All members use the same spelling of the host,
- * whatever route leads there.
+ * Network address that identifies a member. All members have to use the same spelling of the host,
+ * even if they reach it by different routes, because addresses are compared as text.
  *
  * @param host numeric IPv4 or IPv6 address
- * @param port UDP port
+ * @param port UDP port, 1 to 65,535; not checked here
  */
 public record Address(String host, int port) implements Comparable<Address> {
 
--- a/membership/src/main/java/tamarindroute/membership/Connectivity.java
+++ b/membership/src/main/java/tamarindroute/membership/Connectivity.java
@@ -1,15 +1,15 @@
 package tamarindroute.membership;
 
-/** How a member stands to the others, in its own judgement. */
+/** Connectivity of the local member to the other members, as judged by the local member itself. */
 public enum Connectivity {
   /** Not admitted by any other member yet. */
   JOINING,
-  /** Answered by others and regarded as alive by them. */
+  /** Answered by other members and regarded as alive by them, or the only member. */
   CONNECTED,
-  /** Was not running for a while and has not been answered since. */
+  /** The process did not run for a while, and no other member has answered it since. */
   PAUSED,
-  /** Not answered by anybody, or regarded as faulty by others in spite of its refutation. */
+  /** No other member answers, or several still suspect the local member after its refutation. */
   ISOLATED,
-  /** Has left in order. */
+  /** The local member has announced that it leaves. */
   LEFT
 }
--- a/membership/src/main/java/tamarindroute/membership/ExchangePart.java
+++ b/membership/src/main/java/tamarindroute/membership/ExchangePart.java
@@ -1,15 +1,17 @@
 package tamarindroute.membership;
 
 /**
- * One part of the member table, selected by the members' hashes. Travels as the request id of an
- * exchange message: the index in the upper 32 bits, the count in the lower.
+ * One part of the member table in a state exchange. A member belongs to the part whose index is the
+ * member's hash modulo the number of parts.
  *
- * @param index which part, from 0
- * @param count how many parts the table is divided into
+ * <p>Sent as the request id of an exchange message: index in the upper 32 bits, count in the lower.
+ *
+ * @param index index of the part, 0 to {@code count - 1} if valid
+ * @param count number of parts of the table, 1 to {@link #MAX_COUNT} if valid
  */
 record ExchangePart(int index, int count) {
 
-  /** More parts than a full table needs. */
+  /** More than a full table with the default settings needs, which is about 500 parts. */
   static final int MAX_COUNT = 4_096;
 
   static ExchangePart fromRequestId(long requestId) {
@@ -20,6 +22,7 @@
     return (long) index << Integer.SIZE | count;
   }
 
+  /** Whether a received part is within the bounds of its components. */
   boolean isValid() {
     return count >= 1 && count <= MAX_COUNT && index >= 0 && index < count;
   }
--- a/membership/src/main/java/tamarindroute/membership/FailureDetector.java
+++ b/membership/src/main/java/tamarindroute/membership/FailureDetector.java
@@ -6,17 +6,27 @@
 import java.util.Map;
 
 /**
- * Probes other members directly and indirectly and reports those that do not answer. Reports nobody
- * while this member itself is not answered by others.
+ * SWIM failure detector: probes other members directly and indirectly and reports those that do not
+ * answer as suspect.
+ *
+ * <p>Reports no member while no other member answers the local one. Time in which the local process
+ * did not run does not count as missing answers, because it could not read them.
  */
 final class FailureDetector {
 
-  /** Bound on the open probes, those on behalf of others included. */
+  /**
+   * Bound on the open probes, including those on behalf of other members. A member of 5,000 probes
+   * only a few suspects per second in addition to its regular targets.
+   */
   private static final int MAX_OPEN_PROBES = 64;
 
-  /** A probe on behalf of another is sent twice, and given up after this stage. */
+  /**
+   * Last stage of a probe on behalf of another member. Such a probe is sent twice, one stage apart,
+   * and is given up one stage after this one.
+   */
   private static final int LAST_STAGE_ON_BEHALF = 2;
 
+  /** Value of {@link #earliestDueNanos} that has to be computed again. */
   private static final long UNKNOWN = -1;
 
   private final StepContext context;
@@ -58,12 +68,13 @@
     return key;
   }
 
+  /** Drops all open probes without reporting their targets. */
   void clear() {
     openProbes.clear();
     earliestDueNanos = UNKNOWN;
   }
 
-  /** Moves all deadlines by a time in which this process did not run. */
+  /** Moves the deadlines of all probes by a time in which the local process did not run. */
   void postpone(long delayNanos) {
     if (delayNanos > 0) {
       openProbes.values().forEach(probe -> probe.nextStageNanos += delayNanos);
@@ -71,7 +82,7 @@
     }
   }
 
-  /** When the first probe enters its next stage; {@link Long#MAX_VALUE} if none is open. */
+  /** Returns when the first probe enters its next stage; {@link Long#MAX_VALUE} if none is open. */
   long nextDueNanos() {
     if (earliestDueNanos < 0) {
       earliestDueNanos = Long.MAX_VALUE;
@@ -82,7 +93,7 @@
     return earliestDueNanos;
   }
 
-  /** Starts a probe, unless an own one of the same member is open. */
+  /** Starts a probe of a member unless the local member is already probing it for itself. */
   void probe(MemberEntry entry) {
     boolean alreadyProbing =
         openProbes.values().stream()
@@ -92,7 +103,10 @@
     }
   }
 
-  /** Starts the probe that an {@link Message.Kind#INDIRECT_PROBE} asks for. */
+  /**
+   * Starts a probe on behalf of the sender of an {@link Message.Kind#INDIRECT_PROBE} message. Does
+   * nothing if the target is not in the member table.
+   */
   void onIndirectProbe(Message message) {
     MemberEntry entry = context.memberTable.find(message.subject());
     if (entry != null) {
@@ -120,7 +134,7 @@
     outbound.send(Message.Kind.PROBE, probe.target, probe.id);
   }
 
-  /** Takes all probes to their next stage for which it is time. */
+  /** Advances each probe whose current stage has ended to its next stage. */
   void advanceDueProbes() {
     if (context.nowNanos < nextDueNanos()) {
       return;
@@ -130,7 +144,7 @@
       if (probe.nextStageNanos <= context.nowNanos) {
         probe.stage++;
         if (probe.isOwn()) {
-          advanceOwn(probe);
+          advanceLocal(probe);
         } else {
           advanceOnBehalf(probe);
         }
@@ -139,8 +153,11 @@
     }
   }
 
-  /** Probes again, directly and through others; in the last stage only waits. */
-  private void advanceOwn(Probe probe) {
+  /**
+   * Advances a probe that the local member started for itself. Sends it again, directly and through
+   * other members. In the last stage it only waits for answers.
+   */
+  private void advanceLocal(Probe probe) {
     if (probe.stage >= HealthScore.PROBE_STAGES) {
       openProbes.remove(probe.id);
       onFailure(probe);
@@ -160,7 +177,11 @@
     }
   }
 
-  /** Probes once more, and tells the requester that at least this member is alive. */
+  /**
+   * Advances a probe on behalf of another member. After the first stage, probes a second time and
+   * sends a NACK, which shows the requester that at least the local member is alive. Then only
+   * waits for an answer.
+   */
   private void advanceOnBehalf(Probe probe) {
     if (probe.stage == 1) {
       sendProbe(probe);
@@ -175,13 +196,17 @@
       context.healthScore.degrade();
     }
     MemberEntry entry = context.memberTable.find(probe.target);
-    boolean unchanged = entry != null && entry.isLive() && entry.refutation == probe.refutation;
-    if (unchanged && mayReport(probe)) {
+    boolean isSameLiveState =
+        entry != null && entry.isLive() && entry.refutation == probe.refutation;
+    if (isSameLiveState && mayReport(probe)) {
       suspicions.report(entry, context.self.address());
     }
   }
 
-  /** A member that was not answered by anybody meanwhile is more likely isolated itself. */
+  /**
+   * Whether the target of a failed probe may be reported. If no other member has answered since the
+   * probe was sent, the local member is more likely isolated than the target faulty.
+   */
   private boolean mayReport(Probe probe) {
     if (!context.settings.guards().localHealth()) {
       return true;
@@ -191,6 +216,10 @@
         && localHealth.answeredWithin(probeAgeNanos + context.periodNanos);
   }
 
+  /**
+   * Ends the probe that a message answers. Passes the answer on if the probe was on behalf of
+   * another member.
+   */
   void onAck(Message message) {
     Probe probe = openProbes.get(message.requestId());
     if (probe == null || !probe.target.equals(message.subject())) {
@@ -202,6 +231,7 @@
       outbound.send(Message.Kind.ACK, probe.requester, probe.requesterProbeId, probe.target);
       return;
     }
+    // After a second sending it is unknown which one was answered (Karn's algorithm, RFC 6298).
     if (probe.stage == 0) {
       context.healthScore.recordRoundTrip(context.nowNanos - probe.sentNanos);
     }
@@ -209,6 +239,7 @@
     localHealth.recordAnswer();
   }
 
+  /** Records that the helper of an indirect probe is alive although its probe was not answered. */
   void onNack(Message message) {
     Probe probe = openProbes.get(message.requestId());
     if (probe != null && probe.isOwn() && probe.target.equals(message.subject())) {
--- a/membership/src/main/java/tamarindroute/membership/GossipQueue.java
+++ b/membership/src/main/java/tamarindroute/membership/GossipQueue.java
@@ -7,15 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * Queue of membership updates awaiting dissemination, ordered by how often each was sent, of these
- * the newest first. Bounded; drops the update sent most often when full.
+ * Queue of membership updates that still have to be disseminated by gossip. Updates that were sent
+ * least often come first. Among updates sent equally often the newest comes first.
+ *
+ * <p>Bounded: a full queue drops the last update in that order. An update replaces earlier updates
+ * about the same member.
  */
 final class GossipQueue {
 
-  /** Each update is sent this often times the logarithm of the number of members. */
+  /**
+   * Each update is sent this number of times the natural logarithm of the number of members.
+   * Members that still miss it receive the state by a state exchange.
+   */
   private static final int TRANSMISSION_FACTOR = 3;
 
-  /** Holds a third of 5,000 members failing at once, each reported by two observers. */
+  /** Enough for a third of 5,000 members that fail at once, each reported by two observers. */
   private static final int MAX_QUEUED_UPDATES = 4_096;
 
   private record QueuedUpdate(MembershipUpdate update, int timesSent, long sequence)
@@ -58,8 +64,8 @@
   }
 
   /**
-   * Adds an update in place of earlier ones about the same member. Reports of the same suspicion by
-   * different observers are kept beside each other, as their number counts.
+   * Adds an update and removes earlier updates about the same member. Reports of the same suspicion
+   * by different observers are all kept, because the number of observers decides on a cut.
    */
   void enqueue(MembershipUpdate update) {
     Address address = update.member().address();
@@ -88,7 +94,7 @@
     byAddress.clear();
   }
 
-  /** Drops the suspicions reported by this observer. */
+  /** Removes the queued reports of suspects that were made by the given observer. */
   void dropReports(Address observer) {
     for (QueuedUpdate queued : List.copyOf(queue)) {
       MembershipUpdate update = queued.update;
@@ -99,10 +105,11 @@
   }
 
   /**
-   * Takes the updates for one message and counts them as sent.
+   * Returns the updates for one message and counts them as sent once more. Updates that were sent
+   * often enough leave the queue.
    *
-   * @param limit how many at most
-   * @param memberCount number of live members, which decides how often an update is sent
+   * @param limit maximum number of updates returned
+   * @param memberCount number of live members, which determines how often an update is sent
    */
   List<MembershipUpdate> takeForMessage(int limit, int memberCount) {
     int maxTransmissions = TRANSMISSION_FACTOR * (int) Math.ceil(Math.log(memberCount + 2));
--- a/membership/src/main/java/tamarindroute/membership/HealthScore.java
+++ b/membership/src/main/java/tamarindroute/membership/HealthScore.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * Lifeguard's local health multiplier and the round trip estimate of RFC 6298; together they give
- * the length of a probe's stages. A member in poor health waits longer before it suspects others.
+ * Length of the stages of a probe, from Lifeguard's local health multiplier and the round-trip time
+ * estimate of RFC 6298. A member in poor health waits longer before it suspects others.
+ *
+ * <p>A stage is never shorter than the configured probe timeout.
  */
 final class HealthScore {
 
-  /** Bound of Lifeguard's multiplier: at most nine times the usual wait. */
+  /** Maximum of Lifeguard's multiplier: a stage is at most nine times its usual length. */
   private static final int MAX_SCORE = 8;
 
-  /** Stages of a probe; all of them fit into a period. */
+  /** Number of stages of a probe. All of them fit into one probe period in good health. */
   static final int PROBE_STAGES = 6;
 
   private final MembershipSettings settings;
@@ -19,9 +21,10 @@
   private final long maxStageNanos;
   private int score;
 
-  /** Smoothed round trip time and its mean deviation; 0 before the first measurement. */
+  /** SRTT of RFC 6298; 0 before the first measurement. */
   private long smoothedRoundTripNanos;
 
+  /** RTTVAR of RFC 6298; 0 before the first measurement. */
   private long roundTripDeviationNanos;
 
   HealthScore(MembershipSettings settings) {
@@ -38,24 +41,30 @@
     return copy;
   }
 
-  /** The round trip estimate only counts by the stage length that it leads to. */
+  /**
+   * Returns the state that determines future behaviour, for a model checker. Contains the stage
+   * length in place of the round-trip estimate, which only affects the stage length.
+   */
   List<Object> stateKey() {
     return List.of(score, stageNanos());
   }
 
+  /** Records that a probe of the local member was answered. */
   void improve() {
     score = Math.max(0, score - 1);
   }
 
+  /** Records a sign of poor local health: a failed probe without a NACK, or a refuted suspicion. */
   void degrade() {
     score = settings.guards().localHealth() ? Math.min(MAX_SCORE, score + 1) : 0;
   }
 
-  /** 0 is healthy; greater is worse. */
+  /** Returns the local health score, 0 (healthy) to {@link #MAX_SCORE}. */
   int score() {
     return score;
   }
 
+  /** Updates the round-trip estimate with a measured time, with the weights of RFC 6298. */
   void recordRoundTrip(long roundTripNanos) {
     if (smoothedRoundTripNanos == 0) {
       roundTripDeviationNanos = roundTripNanos / 2;
@@ -67,9 +76,9 @@
     smoothedRoundTripNanos = (7 * smoothedRoundTripNanos + roundTripNanos) / 8;
   }
 
-  /** Length of one stage of a probe, never below the configured probe timeout. */
+  /** Returns the current length of one stage of a probe, at least the configured probe timeout. */
   long stageNanos() {
-    long estimate = smoothedRoundTripNanos + 4 * roundTripDeviationNanos;
-    return Math.min(maxStageNanos, Math.max(minStageNanos, estimate)) * (1 + score);
+    long estimateNanos = smoothedRoundTripNanos + 4 * roundTripDeviationNanos;
+    return Math.min(maxStageNanos, Math.max(minStageNanos, estimateNanos)) * (1 + score);
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/JoinProtocol.java
+++ b/membership/src/main/java/tamarindroute/membership/JoinProtocol.java
@@ -4,34 +4,45 @@
 import java.util.function.Predicate;
 
 /**
- * Asks seeds for admission, with exponential backoff, jitter and a bounded number of attempts. Once
- * admitted it still contacts seeds that are not in the table, so that groups which formed apart
- * merge.
+ * Requests admission from seeds, with exponential backoff, jitter and a bounded number of attempts.
+ *
+ * <p>After admission it regularly contacts seeds that are not live in the member table, so that
+ * groups that formed separately merge.
  */
 final class JoinProtocol {
 
-  /** The first backoff is this part of a period; it doubles with each attempt. */
+  /**
+   * The first backoff is this part of a period, because a reachable seed answers well within it.
+   * The backoff doubles with each attempt.
+   */
   private static final int FIRST_BACKOFF_DIVISOR = 2;
 
-  /** The longest backoff: a thousand members ask a seed 33 times a period at most. */
+  /** Longest backoff. A thousand members that wait for a seed send it 33 requests per period. */
   private static final int MAX_BACKOFF_PERIODS = 30;
 
-  /** Keeps the doubled backoff from overflowing; the longest backoff is reached before. */
+  /** Keeps the doubled backoff from overflowing. The longest backoff is reached earlier. */
   private static final int MAX_DOUBLINGS = 10;
 
-  /** Attempts that may be made in a row; one is added in each longest backoff. */
+  /**
+   * Attempts that may be made in a row. One attempt is added after each {@link
+   * #MAX_BACKOFF_PERIODS}, even if the backoff would allow more.
+   */
   private static final int MAX_ATTEMPT_TOKENS = 12;
 
-  /** Interval at which a member contacts an unknown seed. */
+  /** Interval in which an admitted member contacts a seed that is not live in its table. */
   private static final int SEED_CONTACT_PERIODS = 10;
 
+  /** Resolution of the jitter: number of equally long steps in half of a duration. */
   private static final int JITTER_STEPS = 1_000;
 
   private final StepContext context;
   private final OutboundMessages outbound;
   private final LocalHealthMonitor localHealth;
   private final List<Address> seeds;
+
+  /** Attempts since the last {@link #restart}, which determine the backoff. */
   private int attempts;
+
   private int attemptTokens = MAX_ATTEMPT_TOKENS;
   private long nextRefillNanos;
   private long nextAttemptNanos;
@@ -77,15 +88,16 @@
     return seeds.isEmpty() ? Long.MAX_VALUE : nextAttemptNanos;
   }
 
-  /** Starts over with the shortest backoff, within the attempts that are left. */
+  /** Starts joining again with the shortest backoff, but only with the attempts that are left. */
   void restart() {
     attempts = 0;
     nextAttemptNanos = context.nowNanos;
   }
 
+  /** Contacts a seed if the time of the next attempt has come. */
   void runIfDue() {
     if (!localHealth.isJoined() && seeds.stream().allMatch(context::isSelf)) {
-      // There is nobody to ask, so this member founds the group.
+      // There is no other seed to request admission from, so this member founds the group.
       localHealth.onJoined();
     }
     if (context.nowNanos < nextAttemptNanos || seeds.isEmpty()) {
@@ -93,7 +105,7 @@
     }
     refillAttempts();
     if (localHealth.isJoined()) {
-      contactNextSeed(this::isUnknown);
+      contactNextSeed(this::isNotLive);
       nextAttemptNanos = context.nowNanos + withJitter(SEED_CONTACT_PERIODS * context.periodNanos);
     } else if (attemptTokens > 0) {
       attemptTokens--;
@@ -121,7 +133,7 @@
     return MAX_BACKOFF_PERIODS * context.periodNanos;
   }
 
-  /** Sends a request to the next seed, round robin, that satisfies the condition, if any. */
+  /** Sends a join request to the next seed, round robin, that satisfies the condition, if any. */
   private void contactNextSeed(Predicate<Address> condition) {
     for (int i = 0; i < seeds.size(); i++) {
       seedIndex = (seedIndex + 1) % seeds.size();
@@ -133,13 +145,13 @@
     }
   }
 
-  private boolean isUnknown(Address seed) {
+  private boolean isNotLive(Address seed) {
     MemberEntry entry = context.memberTable.find(seed);
     return entry == null || !entry.isLive();
   }
 
-  /** A random duration between half of the given one and all of it. */
-  private long withJitter(long spanNanos) {
-    return spanNanos / 2 + spanNanos / 2 * context.random.nextInt(JITTER_STEPS) / JITTER_STEPS;
+  /** Returns a random duration from half of the given one up to all of it. */
+  private long withJitter(long maxNanos) {
+    return maxNanos / 2 + maxNanos / 2 * context.random.nextInt(JITTER_STEPS) / JITTER_STEPS;
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
+++ b/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
@@ -6,27 +6,39 @@
 import java.util.Optional;
 
 /**
- * Judges the connectivity of this member: whether it ran when a step was due, is answered by
- * others, and is regarded as alive by them. A member that is not answered knows nothing of the
- * others and must not act on their silence.
+ * Determines the connectivity of the local member: whether its process ran when a step was due,
+ * whether other members answer it, and whether they regard it as alive.
+ *
+ * <p>A member that gets no answers has no information about the others, so it must not declare them
+ * faulty because they are silent.
  */
 final class LocalHealthMonitor {
 
-  /** A step that is late by more than this part of a period counts as a pause. */
+  /**
+   * A step that is late by more than this part of a period counts as a pause. A quarter of a period
+   * is longer than a garbage collection of a small heap and shorter than a probe.
+   */
   private static final int PAUSE_THRESHOLD_DIVISOR = 4;
 
-  /** One accuser may be wrong itself; in the smallest groups two observers declare a fault. */
+  /**
+   * Number of accusers that make the local member isolated. A single one may itself be in error,
+   * and in the smallest groups two observers declare a member faulty.
+   */
   private static final int ISOLATING_ACCUSERS = 2;
 
   /**
-   * An accusation counts for this many silence timeouts: members on the far side of a partition ask
-   * each other only every few periods.
+   * An accusation expires after this many silence timeouts. It has to last several, because members
+   * on different sides of a partition contact each other only every few periods.
    */
   private static final int ACCUSATION_TIMEOUTS = 4;
 
-  /** Periods after which a refutation should have reached everybody. */
+  /**
+   * Periods after which a refutation has reached all members, unless it was not received at all. It
+   * takes little more than one period with 1,000 members.
+   */
   private static final int REFUTATION_PERIODS = 2;
 
+  /** Value of a time or duration that is not set. */
   private static final long NONE = -1;
 
   private final StepContext context;
@@ -34,12 +46,17 @@
   private boolean joined;
   private boolean left;
 
-  /** Length of the pause until something asked after it has been answered, or {@link #NONE}. */
+  /** Longest pause since the last answer of another member, or {@link #NONE}. */
   private long pausedForNanos = NONE;
 
   private long lastAnswerNanos;
+
+  /** Time of the last refutation in this incarnation, or {@link #NONE}. */
   private long lastRefutedNanos = NONE;
+
+  /** Time at which the next step is due; a later step shows that the process did not run. */
   private long nextStepNanos;
+
   private LocalStatus lastReported = LocalStatus.of(Connectivity.JOINING);
 
   LocalHealthMonitor(StepContext context) {
@@ -64,7 +81,10 @@
     return new LocalHealthMonitor(otherContext, this);
   }
 
-  /** Times are capped where more of them makes no difference, so that equal futures meet. */
+  /**
+   * Returns the state that determines future behaviour, for a model checker. Durations are capped
+   * at the value above which they make no difference, so that equivalent states have equal keys.
+   */
   List<Object> stateKey(long nowNanos) {
     long cappedNanos = silenceTimeoutNanos() + 1;
     long refutedAgeNanos =
@@ -81,7 +101,7 @@
     return key;
   }
 
-  /** How late the next step is by now. */
+  /** Returns by how much the next step is late, or 0. */
   long overdueNanos(long nowNanos) {
     return Math.max(0, nowNanos - nextStepNanos);
   }
@@ -90,14 +110,16 @@
     nextStepNanos = dueNanos;
   }
 
+  /** Whether the next step is so late that the process must have been paused. */
   boolean isPaused(long nowNanos) {
     return context.settings.guards().pauseDetection()
         && overdueNanos(nowNanos) > context.periodNanos / PAUSE_THRESHOLD_DIVISOR;
   }
 
   /**
-   * Notes a pause. Before admission there is no state that could be outdated, and a paused seed
-   * would admit nobody, so that members which start together would keep each other out.
+   * Records a pause. Pauses before admission are ignored, because there is no state yet that could
+   * be outdated. A paused seed admits no one, so seeds that start together on a busy machine would
+   * otherwise never admit each other.
    */
   void recordPause(long lengthNanos) {
     if (joined) {
@@ -105,7 +127,7 @@
     }
   }
 
-  /** Another member has answered a request of this one. */
+  /** Records that another member has answered a request of the local member. */
   void recordAnswer() {
     lastAnswerNanos = context.nowNanos;
     pausedForNanos = NONE;
@@ -128,6 +150,7 @@
     return left;
   }
 
+  /** Resets what depends on the incarnation; the local member has to join again. */
   void onNewIncarnation() {
     joined = false;
     lastRefutedNanos = NONE;
@@ -138,7 +161,10 @@
     lastRefutedNanos = context.nowNanos;
   }
 
-  /** Another member still accuses this one of what it has refuted. */
+  /**
+   * Records that another member accuses the local member of a suspicion it has refuted. Has no
+   * effect until the refutation has had time to reach all members.
+   */
   void recordAccusation(Address accuser) {
     if (lastRefutedNanos != NONE
         && context.nowNanos - lastRefutedNanos > REFUTATION_PERIODS * context.periodNanos) {
@@ -146,26 +172,32 @@
     }
   }
 
-  /** A message of this member did not accuse this one; it would have if it still did. */
+  /**
+   * Records a message that does not accuse the local member. A member that regards the receiver as
+   * suspect or faulty says so in each message to it, so this sender no longer does.
+   */
   void clearAccusation(Address sender) {
     accusers.remove(sender);
   }
 
-  /** The accuser heard from least recently, to be asked again. */
+  /** Returns the accuser with the oldest accusation, which has to be probed again. */
   Optional<Address> oldestAccuser() {
     return accusers.oldest();
   }
 
-  /** Whether somebody may still accuse this member, so that it has to repeat its refutation. */
+  /**
+   * Whether another member may still regard the local member as suspect or faulty, so that each
+   * message has to repeat the refutation.
+   */
   boolean isAccused(long nowNanos) {
-    boolean refutedLately =
+    boolean refutedRecently =
         lastRefutedNanos != NONE && nowNanos - lastRefutedNanos <= silenceTimeoutNanos();
-    return refutedLately || accusers.countWithin(accusationTimeoutNanos(), nowNanos) > 0;
+    return refutedRecently || accusers.countWithin(accusationTimeoutNanos(), nowNanos) > 0;
   }
 
-  /** Whether another member has answered within this time. */
-  boolean answeredWithin(long spanNanos) {
-    return context.nowNanos - lastAnswerNanos <= spanNanos;
+  /** Whether another member has answered within the given time. */
+  boolean answeredWithin(long maxAgeNanos) {
+    return context.nowNanos - lastAnswerNanos <= maxAgeNanos;
   }
 
   /** Whether there are no live members that could answer. */
@@ -173,6 +205,7 @@
     return context.memberTable.liveEntries().isEmpty();
   }
 
+  /** Returns the status at a time that may be later than the current step. */
   LocalStatus statusAt(long nowNanos) {
     if (left) {
       return LocalStatus.of(Connectivity.LEFT);
@@ -201,7 +234,10 @@
         || accusers.countWithin(accusationTimeoutNanos(), nowNanos) >= ISOLATING_ACCUSERS;
   }
 
-  /** No other member declares a silent one faulty sooner, so this member knows it before them. */
+  /**
+   * Returns the time without an answer after which the local member is isolated. No other member
+   * declares a silent member faulty earlier, so the local member detects its isolation first.
+   */
   private long silenceTimeoutNanos() {
     return context.settings.toleratedPause().toNanos() + context.periodNanos;
   }
@@ -211,9 +247,9 @@
   }
 
   /**
-   * Emits the connectivity if it has changed.
+   * Emits the status if the connectivity has changed since the last report.
    *
-   * @return whether it has just become {@link Connectivity#CONNECTED}
+   * @return whether the connectivity has changed to {@link Connectivity#CONNECTED}
    */
   boolean reportChange() {
     LocalStatus status = statusAt(context.nowNanos);
--- a/membership/src/main/java/tamarindroute/membership/LocalStatus.java
+++ b/membership/src/main/java/tamarindroute/membership/LocalStatus.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * A member's judgement of itself at one moment.
+ * Status of the local member at one moment, as judged by itself.
  *
- * @param connectivity how it stands to the others
- * @param pausedFor how long it did not run if {@link Connectivity#PAUSED}, otherwise zero
+ * @param connectivity connectivity to the other members
+ * @param pausedFor how long the process did not run if {@link Connectivity#PAUSED}, otherwise zero
  */
 public record LocalStatus(Connectivity connectivity, Duration pausedFor) {
 
--- a/membership/src/main/java/tamarindroute/membership/MemberEntry.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberEntry.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Mutable record of one member in the {@link MemberTable}; kept small, as there are thousands. */
+/** Entry of one member in the {@link MemberTable}. Kept small, as a table holds thousands. */
 final class MemberEntry {
 
   /** {@link #probeIndex} of an entry that is not live. */
@@ -19,13 +19,16 @@
   /** Greatest refutation number known of this incarnation. */
   long refutation;
 
-  /** Start of the state; moved forward while this process itself was paused or isolated. */
+  /**
+   * When the member entered its state. For a suspect, set to the present after the local member was
+   * paused or not connected, so that the whole time to refute starts again.
+   */
   long stateSinceNanos;
 
-  /** Observers that reported a suspect in this incarnation; null unless suspect. */
+  /** Observers that reported this suspect, the first one first; null unless suspect. */
   List<Address> reporters;
 
-  /** Members that declared this suspect faulty at first hand; null if none did. */
+  /** Members that have themselves declared this suspect faulty; null if none has. */
   List<Address> faultyReporters;
 
   /** Index in the table's list of live members. */
@@ -58,15 +61,15 @@
     return state == MemberState.ALIVE || state == MemberState.SUSPECT;
   }
 
-  /** Whether this observer has reported the member as suspect. */
+  /** Whether the given observer has reported the member as suspect. */
   boolean isReportedBy(Address observer) {
     return reporters != null && reporters.contains(observer);
   }
 
   /**
-   * The update that describes this entry.
+   * Returns an update with the state of this entry.
    *
-   * @param observer named as the source, except for a suspect, whose first reporter is named
+   * @param observer observer named in the update; for a suspect its first reporter is named instead
    */
   MembershipUpdate toUpdate(Address observer) {
     Address source = state == MemberState.SUSPECT ? reporters.get(0) : observer;
--- a/membership/src/main/java/tamarindroute/membership/MemberState.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberState.java
@@ -1,18 +1,18 @@
 package tamarindroute.membership;
 
 /**
- * State of a member in the view of another. Of two updates with the same refutation number the one
- * with the later constant takes precedence.
+ * State of a member in the view of another member. Of two updates with the same refutation number,
+ * the one whose state is declared later in this enum takes precedence.
  */
 public enum MemberState {
-  /** Has asked to join and has not sent anything as a member yet. */
+  /** Has requested admission and has not sent any message as a member yet. */
   JOINING,
   /** Answers probes. */
   ALIVE,
-  /** Reported by at least one observer for not answering; may still refute that. */
+  /** Reported by at least one observer because it does not answer. It may refute the suspicion. */
   SUSPECT,
-  /** Declared failed by several observers; comes back only by refuting it. */
+  /** Declared failed by several observers. It becomes alive again only by a refutation. */
   FAULTY,
-  /** Has left in order; final for this incarnation. */
+  /** Has announced that it leaves. Final for this incarnation. */
   LEFT
 }
--- a/membership/src/main/java/tamarindroute/membership/MemberTable.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberTable.java
@@ -10,16 +10,18 @@
 import java.util.Optional;
 
 /**
- * Table of the other members: the latest known incarnation for each address. Bounded; drops the
- * member that has been gone longest when full.
+ * Table of the other members, with the latest known incarnation for each address. Bounded: a full
+ * table drops the member that has been gone (faulty or left) for longest.
  *
- * <p>Live members stand in a list that is probed round robin and shuffled while it is walked.
+ * <p>Live members (alive or suspect) are also in a list that is probed round robin. The list is
+ * shuffled anew in each round, one position at a time (Fisher-Yates).
  */
 final class MemberTable {
 
-  /** Random picks give up after this many draws for each wanted member, plus a constant. */
+  /** Random selection makes at most this many draws per requested member, plus a constant. */
   private static final int DRAWS_PER_PICK = 4;
 
+  /** Draws in addition to those per requested member. */
   private static final int EXTRA_DRAWS = 8;
 
   private final int maxMembers;
@@ -27,12 +29,12 @@
   private final List<MemberEntry> liveEntries = new ArrayList<>();
   private final LinkedHashSet<Address> suspects = new LinkedHashSet<>();
 
-  /** Members that are faulty or have left, in the order in which they became so. */
+  /** Members that are faulty or have left, in the order of these state changes. */
   private final LinkedHashSet<Address> gone = new LinkedHashSet<>();
 
   private final LinkedHashSet<Address> joining = new LinkedHashSet<>();
 
-  /** Index in the live list of the member to be probed next. */
+  /** Index in the live list of the next member to probe; those before it were probed this round. */
   private int probePosition;
 
   MemberTable(int maxMembers) {
@@ -58,12 +60,12 @@
     return key;
   }
 
-  /** The entry of whatever incarnation is remembered at this address, or null. */
+  /** Returns the entry of the incarnation that is known at an address, or null if there is none. */
   MemberEntry find(Address address) {
     return entries.get(address);
   }
 
-  /** The entry of exactly this incarnation, or null if it is unknown or another is remembered. */
+  /** Returns the entry of exactly the given incarnation, or null if the table does not have it. */
   MemberEntry find(Member member) {
     MemberEntry entry = entries.get(member.address());
     return entry != null && entry.member.incarnation() == member.incarnation() ? entry : null;
@@ -74,9 +76,9 @@
   }
 
   /**
-   * Adds a member in place of any earlier incarnation at its address.
+   * Adds a member and removes any other incarnation at its address.
    *
-   * @return the new entry, or null if the table is full and nobody in it is gone
+   * @return the new entry, or null if the table is full and no member in it is gone
    */
   MemberEntry admit(
       Member member,
@@ -112,7 +114,7 @@
     return true;
   }
 
-  /** Changes the state and forgets the reports of the previous one. */
+  /** Changes the state of an entry and removes the reports that belong to its previous state. */
   void setState(MemberEntry entry, MemberState state, long nowNanos, DeterministicRandom random) {
     removeFromIndexes(entry);
     entry.state = state;
@@ -181,8 +183,8 @@
   }
 
   /**
-   * The next live member round robin. Each is returned once before any is returned again, in an
-   * order that is shuffled anew for each round.
+   * Returns the next live member in round-robin order, or empty if there is none. Each member is
+   * returned once before any is returned again. The order is shuffled anew for each round.
    */
   Optional<MemberEntry> nextToProbe(DeterministicRandom random) {
     if (liveEntries.isEmpty()) {
@@ -197,7 +199,11 @@
     return Optional.of(next);
   }
 
-  /** The live member that follows a hash on the ring and is not reported by this observer yet. */
+  /**
+   * Returns the live member that follows a hash on the ring, or empty if there is none. Skips
+   * members that the given observer has already reported as suspect, so that the observer goes on
+   * to the next member on the ring.
+   */
   Optional<MemberEntry> successor(int hash, Address observer) {
     MemberEntry next = null;
     for (MemberEntry entry : liveEntries) {
@@ -212,20 +218,21 @@
   }
 
   /**
-   * Picks members that are alive and not suspect, at random.
+   * Returns randomly selected members that are alive and not suspect.
    *
-   * @param count how many at most; fewer are returned if there are fewer or draws miss them
-   * @param excluded never picked; null for none
+   * @param count maximum number of members; fewer are returned if there are fewer or draws miss
+   *     them
+   * @param excluded member that is never selected; null for none
    */
   List<MemberEntry> randomAlive(int count, MemberEntry excluded, DeterministicRandom random) {
     List<MemberEntry> chosen = new ArrayList<>(count);
     int size = liveEntries.size();
     int start = random.nextInt(size);
     int maxDraws = Math.min(size, DRAWS_PER_PICK * count + EXTRA_DRAWS);
-    // Random draws would miss some of a short list, so that one is walked instead.
-    boolean walk = size <= maxDraws;
+    // Random draws would miss some members of a short list, so a short list is scanned in order.
+    boolean isShortList = size <= maxDraws;
     for (int i = 0; i < maxDraws && chosen.size() < count; i++) {
-      int index = walk ? (start + i) % size : random.nextInt(size);
+      int index = isShortList ? (start + i) % size : random.nextInt(size);
       MemberEntry entry = liveEntries.get(index);
       if (entry != excluded && entry.state == MemberState.ALIVE && !chosen.contains(entry)) {
         chosen.add(entry);
@@ -234,7 +241,7 @@
     return chosen;
   }
 
-  /** Picks a faulty member at random; members that left in order are not picked. */
+  /** Returns a randomly selected faulty member, never one that has left; empty if there is none. */
   Optional<MemberEntry> randomFaulty(DeterministicRandom random) {
     int skip = random.nextInt(gone.size());
     MemberEntry found = null;
@@ -262,12 +269,12 @@
     return result;
   }
 
-  /** Members that are alive or suspect; a view, not a copy. */
+  /** Returns the members that are alive or suspect. Not a copy: reflects later changes. */
   List<MemberEntry> liveEntries() {
     return liveEntries;
   }
 
-  /** How many other members are alive and not suspect. */
+  /** Returns the number of other members that are alive and not suspect. */
   int unsuspectedCount() {
     return liveEntries.size() - suspects.size();
   }
--- a/membership/src/main/java/tamarindroute/membership/Membership.java
+++ b/membership/src/main/java/tamarindroute/membership/Membership.java
@@ -7,20 +7,24 @@
 import java.util.Map;
 
 /**
- * One member's state machine. Each step checks first whether this process ran when it should have,
- * then handles the event, then what is due, then reports the own connectivity.
+ * State machine of the local member in the SWIM membership protocol. Each step first checks whether
+ * the local process ran when the step was due, then handles the event, then runs the tasks that are
+ * due, then reports a change of the local connectivity.
  *
- * <p>Reads no clock: equal events at equal times give equal actions. Not thread-safe. Before acting
- * on the states of others, ask {@link #localStatus}: it tells of a pause before any timer has run.
+ * <p>Reads no clock: equal events at equal times give equal actions. Not thread-safe.
+ *
+ * <p>Callers have to check {@link #localStatus} before they act on the states of other members. It
+ * reports a pause of the process even before any timer has run.
  */
 public final class Membership {
 
-  /** How many others a leaving member notifies; they pass it on. */
+  /** Number of members that a leaving member notifies. They disseminate it to the others. */
   private static final int LEAVE_FANOUT = 8;
 
-  /** Stands for never; leaves room for adding to it. */
+  /** Time of an event that never occurs. Half the maximum, so that additions do not overflow. */
   private static final long NEVER_NANOS = Long.MAX_VALUE / 2;
 
+  /** Request id limit that is never reached. */
   private static final long UNLIMITED_REQUEST_IDS = Long.MAX_VALUE / 2;
 
   private final StepContext context;
@@ -35,13 +39,15 @@
   private final PeriodicTasks periodicTasks;
 
   /**
-   * Starts a member.
+   * Starts the local member. It joins through the seeds in its first steps.
    *
-   * @param settings the same at all members
-   * @param self this member; its incarnation is only a proposal and may be raised
-   * @param seeds whom to ask for admission; may be empty, and may contain this member
-   * @param now the monotonic time
-   * @throws IllegalArgumentException if the incarnation is out of its bounds
+   * @param settings settings, which have to be the same at all members
+   * @param self the local member; its incarnation is only a proposal and may be raised
+   * @param seeds addresses from which to request admission; may contain the local one. The local
+   *     member founds a new group if there is no other seed.
+   * @param now time of the monotonic clock
+   * @throws IllegalArgumentException if the incarnation is not from 1 to {@link
+   *     MessageValidator#MAX_COUNTER}
    */
   public Membership(MembershipSettings settings, Member self, List<Address> seeds, Duration now) {
     this(
@@ -62,7 +68,12 @@
       long requestIdLimit) {
     if (!MessageValidator.isValidIncarnation(self.incarnation())) {
       throw new IllegalArgumentException(
-          "incarnation of " + self + " is out of bounds: 1 to " + MessageValidator.MAX_COUNTER);
+          "incarnation of member "
+              + self.address()
+              + " is "
+              + self.incarnation()
+              + ", allowed: 1 to "
+              + MessageValidator.MAX_COUNTER);
     }
     context = new StepContext(settings, self, random, requestIdLimit, now.toNanos());
     outbound = new OutboundMessages(context);
@@ -89,7 +100,7 @@
     updatePrecedence = new UpdatePrecedence(context, outbound, localHealth, suspicions);
     messageHandler = newMessageHandler();
     periodicTasks = newPeriodicTasks();
-    periodicTasks.startLike(other.periodicTasks);
+    periodicTasks.copySchedule(other.periodicTasks);
   }
 
   private MessageHandler newMessageHandler() {
@@ -114,25 +125,28 @@
         updatePrecedence);
   }
 
-  /** Independent copy of the state, for a model checker. */
+  /** Returns an independent copy, for a model checker. */
   Membership copy() {
     return new Membership(this);
   }
 
-  /** Drops queued updates and requests, so that a simulation starts with nothing under way. */
+  /**
+   * Drops queued updates and requests, so that a simulation starts as if all members had received
+   * them long ago.
+   */
   void clearPending() {
     context.gossipQueue.clear();
-    stateExchange.requestNothing();
+    stateExchange.cancelRequests();
   }
 
-  /** How many request ids were given out since this one. */
+  /** Returns the number of request ids that were assigned after the given one. */
   long requestIdAge(long requestId) {
     return context.requestIdAge(requestId);
   }
 
   /**
-   * The state that decides the future, with times relative to now. Members with equal keys behave
-   * alike from then on.
+   * Returns the state that determines future behaviour, with times relative to now. Two members
+   * with equal keys give equal actions for equal events from then on.
    */
   Object stateKey(Duration now) {
     long nowNanos = now.toNanos();
@@ -147,11 +161,11 @@
   }
 
   /**
-   * Handles a message.
+   * Handles a received message. Ignores it after the local member has left, or if it is invalid.
    *
-   * @param message decoded completely and authenticated as a member's
-   * @param now the monotonic time
-   * @return what to do, in this order
+   * @param message message that was decoded completely and authenticated as sent by a member
+   * @param now time of the monotonic clock
+   * @return actions to perform in this order
    */
   public List<Action> onMessage(Message message, Duration now) {
     beginStep(now);
@@ -162,9 +176,11 @@
   }
 
   /**
-   * Handles the passage of time; due after {@link #untilNextTick} at the latest.
+   * Runs the tasks that are due. Has to be called after {@link #untilNextTick} at the latest. A
+   * later call counts as a pause of the process.
    *
-   * @return what to do, in this order
+   * @param now time of the monotonic clock
+   * @return actions to perform in this order
    */
   public List<Action> tick(Duration now) {
     beginStep(now);
@@ -172,9 +188,10 @@
   }
 
   /**
-   * Leaves in order. Messages are ignored from then on.
+   * Announces to other members that the local member leaves. Messages are ignored from then on.
    *
-   * @return what to do, in this order
+   * @param now time of the monotonic clock
+   * @return actions to perform in this order
    */
   public List<Action> leave(Duration now) {
     beginStep(now);
@@ -195,7 +212,7 @@
     }
   }
 
-  /** Time until the next {@link #tick} is due; zero if it is overdue. */
+  /** Returns the time until the next {@link #tick} is due; zero if it is overdue. */
   public Duration untilNextTick(Duration now) {
     return Duration.ofNanos(Math.max(0, nextDueNanos() - now.toNanos()));
   }
@@ -219,7 +236,10 @@
     outbound.setAttachSelfUpdate(localHealth.isAccused(context.nowNanos));
   }
 
-  /** Voids what the pause has made doubtful, and probes others to hear of the present. */
+  /**
+   * Drops open probes and queued reports, which may be wrong after a pause. Restarts the timeouts
+   * of suspects and probes other members to update the member table.
+   */
   private void resumeAfterPause(long pauseNanos) {
     localHealth.recordPause(pauseNanos);
     failureDetector.clear();
@@ -246,26 +266,33 @@
     periodicTasks.runIfDue();
   }
 
-  /** All other members in the table with their states. */
+  /**
+   * Returns a copy of the table: all other known members, including gone ones, with their states.
+   */
   public Map<Member, MemberState> members() {
     Map<Member, MemberState> members = new LinkedHashMap<>();
     context.memberTable.entries().forEach(entry -> members.put(entry.member, entry.state));
     return members;
   }
 
-  /** The members that are alive or suspect, this one included. */
+  /** Returns the members that are alive or suspect; the first one is the local member. */
   public List<Member> liveMembers() {
     List<Member> live = new ArrayList<>(List.of(context.self));
     context.memberTable.liveEntries().forEach(entry -> live.add(entry.member));
     return live;
   }
 
-  /** This member with its current incarnation. */
+  /** Returns the local member with its current incarnation. */
   public Member self() {
     return context.self;
   }
 
-  /** The own status at this moment, whatever timers have run; to be asked before acting. */
+  /**
+   * Returns the status of the local member at the given time, even if no step has run since a
+   * pause. Has to be checked before acting on the states of other members.
+   *
+   * @param now time of the monotonic clock
+   */
   public LocalStatus localStatus(Duration now) {
     return localHealth.statusAt(Math.max(context.nowNanos, now.toNanos()));
   }
--- a/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
+++ b/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
@@ -3,22 +3,25 @@
 import java.time.Duration;
 
 /**
- * Settings of a membership; they have to be the same at all members.
+ * Settings of the membership protocol. They have to be the same at all members.
  *
- * @param probePeriod interval in which each member probes one other; at least 10 ms
- * @param probeTimeout time after which a probe is repeated until round trips are known; 1 ms to a
- *     sixth of the period
- * @param toleratedPause how long a member may stand still without being declared faulty; at least a
- *     period
- * @param indirectProbes how many others are asked for an indirect probe, 1 to 16
- * @param suspectProbers how many members probe a suspect out of turn, highWatermark to 64
- * @param lowWatermark number of reports from which on other suspects wait for this one
- * @param highWatermark number of reports that declare a member faulty; fewer, but at least two, in
- *     small groups
- * @param maxUpdatesPerMessage 4 to 64
- * @param maxBytesPerSecond bound on what is sent, at least 4,096
- * @param maxMembers bound on the table, members that are gone included; at least 2
- * @param guards all on, except in measurements
+ * @param probePeriod interval in which each member probes its next target; at least 10 ms
+ * @param probeTimeout shortest time after which a probe is repeated, used until round-trip times
+ *     are known; 1 ms to a sixth of the probe period
+ * @param toleratedPause longest pause of a process that does not make other members declare it
+ *     faulty; at least a probe period
+ * @param indirectProbes number of members that are requested to probe a silent member indirectly, 1
+ *     to 16
+ * @param suspectProbers minimum number of members that probe a suspect out of turn, {@code
+ *     highWatermark} to 64
+ * @param lowWatermark number of reports about a suspect from which on other suspects wait for it to
+ *     be declared faulty together, 1 to {@code highWatermark}
+ * @param highWatermark number of reports that declare a member faulty, at least 2. In small groups
+ *     fewer suffice, but never fewer than two.
+ * @param maxUpdatesPerMessage maximum number of updates in one message, 4 to 64
+ * @param maxBytesPerSecond bound on the estimated bytes sent per second, at least 4,096
+ * @param maxMembers bound on the size of the member table, including gone members; at least 2
+ * @param guards extensions of SWIM that are on; all are on except in measurements
  */
 public record MembershipSettings(
     Duration probePeriod,
@@ -34,28 +37,40 @@
     Guards guards) {
 
   /**
-   * Parts of the protocol that can be switched off to measure their effect.
+   * Extensions of SWIM against false failure reports. Each can be switched off to measure its
+   * effect.
    *
-   * @param localHealth waits longer while this member is in poor health
-   * @param confirmation needs several observers to declare a member faulty
-   * @param pauseDetection detects pauses of this process and tolerates those of others
+   * @param localHealth whether the local member waits longer and reports no one while it is in poor
+   *     health itself
+   * @param confirmation whether several observers are needed to declare a member faulty
+   * @param pauseDetection whether pauses of the local process are detected and those of other
+   *     members are tolerated
    */
   public record Guards(boolean localHealth, boolean confirmation, boolean pauseDetection) {
+    /** All extensions are on. */
     public static final Guards ALL = new Guards(true, true, true);
+
+    /** All extensions are off, for measurements. */
     public static final Guards NONE = new Guards(false, false, false);
   }
 
-  private static final Duration MIN_PERIOD = Duration.ofMillis(10);
-  private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
+  private static final Duration MIN_PROBE_PERIOD = Duration.ofMillis(10);
+  private static final Duration MIN_PROBE_TIMEOUT = Duration.ofMillis(1);
   private static final int MAX_INDIRECT_PROBES = 16;
   private static final int MAX_SUSPECT_PROBERS = 64;
   private static final int MIN_HIGH_WATERMARK = 2;
   private static final int MIN_UPDATES_PER_MESSAGE = 4;
+
+  /** More updates would not fit into one datagram of bounded length. */
   private static final int MAX_UPDATES_PER_MESSAGE = 64;
+
   private static final int MIN_BYTES_PER_SECOND = 4_096;
   private static final int MIN_MEMBERS = 2;
 
-  /** Tolerates pauses of 3 s; a failure is known to all within ten periods. */
+  /**
+   * Default settings. Members tolerate pauses of 3 s and probe once per second. A failure is known
+   * to all members within ten probe periods.
+   */
   public static final MembershipSettings DEFAULTS =
       new MembershipSettings(
           Duration.ofSeconds(1),
@@ -71,14 +86,19 @@
           Guards.ALL);
 
   /**
-   * Checks the bounds.
+   * Checks the bounds of all settings.
    *
-   * @throws IllegalArgumentException if a setting is out of its bounds
+   * @throws IllegalArgumentException if a setting is out of its bounds; the message names the
+   *     setting, its value and the allowed values
    */
   public MembershipSettings {
-    require(probePeriod.compareTo(MIN_PERIOD) >= 0, "probe period", probePeriod, "at least 10 ms");
     require(
-        probeTimeout.compareTo(MIN_TIMEOUT) >= 0
+        probePeriod.compareTo(MIN_PROBE_PERIOD) >= 0,
+        "probe period",
+        probePeriod,
+        "at least 10 ms");
+    require(
+        probeTimeout.compareTo(MIN_PROBE_TIMEOUT) >= 0
             && probeTimeout.multipliedBy(HealthScore.PROBE_STAGES).compareTo(probePeriod) <= 0,
         "probe timeout",
         probeTimeout,
@@ -93,19 +113,19 @@
     requireRange("low watermark", lowWatermark, 1, highWatermark);
     requireRange("suspect probers", suspectProbers, highWatermark, MAX_SUSPECT_PROBERS);
     requireRange(
-        "updates per message",
+        "maximum updates per message",
         maxUpdatesPerMessage,
         MIN_UPDATES_PER_MESSAGE,
         MAX_UPDATES_PER_MESSAGE);
     require(
         maxBytesPerSecond >= MIN_BYTES_PER_SECOND,
-        "bytes per second",
+        "maximum bytes per second",
         maxBytesPerSecond,
         "at least " + MIN_BYTES_PER_SECOND);
-    require(maxMembers >= MIN_MEMBERS, "members", maxMembers, "at least " + MIN_MEMBERS);
+    require(maxMembers >= MIN_MEMBERS, "maximum members", maxMembers, "at least " + MIN_MEMBERS);
   }
 
-  /** These settings with other guards. */
+  /** Returns a copy of these settings with the given guards. */
   public MembershipSettings withGuards(Guards replacement) {
     return new MembershipSettings(
         probePeriod,
@@ -125,8 +145,8 @@
     require(value >= min && value <= max, setting, value, min + " to " + max);
   }
 
-  private static void require(boolean holds, String setting, Object value, String allowed) {
-    if (!holds) {
+  private static void require(boolean isAllowed, String setting, Object value, String allowed) {
+    if (!isAllowed) {
       throw new IllegalArgumentException(setting + " " + value + " is not allowed: " + allowed);
     }
   }
--- a/membership/src/main/java/tamarindroute/membership/Message.java
+++ b/membership/src/main/java/tamarindroute/membership/Message.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * Message between members. The carrier bounds and decodes it before it is handed over.
+ * Message between members. The transport decodes a message completely and checks its size before
+ * {@link Membership#onMessage} receives it.
  *
- * @param kind what is asked or answered
+ * @param kind kind of request, answer or notification
  * @param from the sender
- * @param targetIncarnation incarnation of the receiver that the message is meant for, 0 if the
- *     sender does not know it; other incarnations ignore it
- * @param requestId matches an answer to its request; for {@link Kind#EXCHANGE} and {@link
- *     Kind#EXCHANGE_REPLY} an encoded {@link ExchangePart}, for {@link Kind#WELCOME} the number of
- *     parts of the sender's table
- * @param subject the target of an indirect probe, the remembered incarnation in {@link
- *     Kind#SUPERSEDED}, otherwise the sender
- * @param updates states of members, piggybacked on every kind
+ * @param targetIncarnation incarnation of the intended receiver, or 0 if the sender does not know
+ *     it. Another incarnation at the same address ignores the message. Only a {@link Kind#JOIN} may
+ *     have 0.
+ * @param requestId id that the answer repeats, so that the sender finds the request. For {@link
+ *     Kind#EXCHANGE} and {@link Kind#EXCHANGE_REPLY} an encoded {@link ExchangePart}, for {@link
+ *     Kind#WELCOME} the number of parts of the sender's table.
+ * @param subject the target of an indirect probe, the known incarnation in {@link Kind#SUPERSEDED},
+ *     otherwise the sender
+ * @param updates updates about members, piggybacked on messages of every kind
  */
 public record Message(
     Kind kind,
@@ -24,33 +26,35 @@
     Member subject,
     List<MembershipUpdate> updates) {
 
-  /** Kinds of messages. The constants have the names of those in {@code members.proto}. */
+  /** Kinds of messages. The names are the same as in {@code members.proto}. */
   public enum Kind {
-    /** Direct probe. */
+    /** Request that a live receiver answers with {@link #ACK}. */
     PROBE,
-    /** Answer to a probe; also relayed for an indirect probe, then about its target. */
+    /** Answer to a probe. The helper of an indirect probe relays it with the target as subject. */
     ACK,
-    /** Asks the receiver to probe the subject on behalf of the sender. */
+    /** Request to probe the subject on behalf of the sender. */
     INDIRECT_PROBE,
-    /** The receiver of an indirect probe has had no answer in time, but is alive itself. */
+    /** Notification that the target of an indirect probe has not answered its helper in time. */
     NACK,
-    /** Asks a seed for admission. */
+    /** Request for admission, sent to a seed. */
     JOIN,
-    /** Answer to {@link #JOIN}; carries some of the members. */
+    /** Admission, the answer to {@link #JOIN}. Carries updates about some of the live members. */
     WELCOME,
-    /** A later incarnation of the receiver is known: it has to take a greater one. */
+    /**
+     * Notification that a later incarnation of the receiver is known, so it has to raise its own.
+     */
     SUPERSEDED,
-    /** The sender's states of one part of the table; the receiver answers with the differences. */
+    /** Sender's states of one part of its table, answered with {@link #EXCHANGE_REPLY}. */
     EXCHANGE,
-    /** States of that part that differ from those in the request. */
+    /** States of the requested part that differ from those in the {@link #EXCHANGE} message. */
     EXCHANGE_REPLY,
-    /** The sender leaves in order. */
+    /** Notification that the sender leaves. */
     LEAVE,
-    /** Carries updates only; not answered. */
+    /** Carries only updates and is not answered. */
     GOSSIP
   }
 
-  /** Copies the updates. */
+  /** Copies the list of updates. */
   public Message {
     updates = List.copyOf(updates);
   }
--- a/membership/src/main/java/tamarindroute/membership/MessageHandler.java
+++ b/membership/src/main/java/tamarindroute/membership/MessageHandler.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Applies the updates of received messages and answers the messages by their kind. */
+/** Applies the updates of a received message to the member table, then handles its kind. */
 final class MessageHandler {
 
   private final StepContext context;
@@ -33,7 +33,10 @@
     this.validator = new MessageValidator(context);
   }
 
-  /** Ignores messages that are invalid or meant for another incarnation of this member. */
+  /**
+   * Handles a message. Ignores a message that is invalid, meant for another incarnation of the
+   * local member, or from a sender that is superseded or cannot be admitted.
+   */
   void onMessage(Message message) {
     if (!isForSelf(message) || !validator.isValid(message)) {
       return;
@@ -83,7 +86,7 @@
   }
 
   private void onJoin(Message message) {
-    // What a paused member knows of the others may be outdated.
+    // The member table may be outdated after a pause, so a paused member admits no one.
     if (localHealth.statusAt(context.nowNanos).connectivity() != Connectivity.PAUSED) {
       outbound.sendOnly(
           Message.Kind.WELCOME,
@@ -107,7 +110,10 @@
     }
   }
 
-  /** Takes a greater incarnation than the one others remember at this address, and joins anew. */
+  /**
+   * Raises the local incarnation above one that other members remember, and joins again. This is
+   * needed after a restart with a clock that was set back.
+   */
   private void onSuperseded(Member later) {
     if (!context.isSelf(later.address())
         || later.incarnation() < context.self.incarnation()
--- a/membership/src/main/java/tamarindroute/membership/OutboundMessages.java
+++ b/membership/src/main/java/tamarindroute/membership/OutboundMessages.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Builds outgoing messages and piggybacks updates on them. A message that exceeds the send rate is
- * dropped, as if lost on the network.
+ * Builds outgoing messages and piggybacks updates on them. A message that would exceed the send
+ * rate is dropped, as if it were lost on the network.
  */
 final class OutboundMessages {
 
-  /** Estimated bytes on the wire of a sealed message without updates, on the high side. */
+  /** Estimated size of an authenticated message without updates, rounded up, in bytes. */
   static final int MESSAGE_BYTES = 110;
 
-  /** Estimated bytes on the wire of one update, on the high side. */
+  /** Estimated size of one update with an address of usual length, rounded up, in bytes. */
   static final int UPDATE_BYTES = 56;
 
   private final StepContext context;
@@ -28,7 +28,10 @@
     return copy;
   }
 
-  /** Whether every message says that this member is alive, because others may doubt it. */
+  /**
+   * Sets whether each message carries an update that the local member is alive, because other
+   * members may regard it as suspect or faulty.
+   */
   void setAttachSelfUpdate(boolean attach) {
     attachSelfUpdate = attach;
   }
@@ -37,17 +40,17 @@
     return attachSelfUpdate;
   }
 
-  /** Sends a message about this member, filled up with queued updates. */
+  /** Sends a message with the local member as subject, filled up with queued updates. */
   void send(Message.Kind kind, Member recipient, long requestId) {
     send(kind, recipient, requestId, context.self);
   }
 
-  /** Sends a message about the given member, filled up with queued updates. */
+  /** Sends a message with the given subject, filled up with queued updates. */
   void send(Message.Kind kind, Member recipient, long requestId, Member subject) {
     sendFilledUp(kind, recipient, requestId, subject, List.of());
   }
 
-  /** Sends a message with the given updates, filled up with queued ones. */
+  /** Sends a message with the given subject and updates, filled up with queued updates. */
   void sendFilledUp(
       Message.Kind kind,
       Member recipient,
@@ -63,13 +66,13 @@
     emit(kind, recipient, requestId, subject, updates);
   }
 
-  /** Sends a message about this member with the given updates and no queued ones. */
+  /** Sends a message with the local member as subject, the given updates and no queued ones. */
   void sendOnly(
       Message.Kind kind, Member recipient, long requestId, List<MembershipUpdate> updates) {
     emit(kind, recipient, requestId, context.self, updatesFor(recipient, updates));
   }
 
-  /** Asks a seed, whose incarnation is not known, for admission. */
+  /** Requests admission from a seed, whose incarnation need not be known. */
   void sendJoin(Address seed) {
     long requestId = context.nextRequestId();
     if (tryAcquire(0, true)) {
@@ -79,17 +82,19 @@
     }
   }
 
-  private List<MembershipUpdate> updatesFor(Member recipient, List<MembershipUpdate> others) {
+  /** Returns updates about the recipient and the local member, if needed, before the given ones. */
+  private List<MembershipUpdate> updatesFor(
+      Member recipient, List<MembershipUpdate> furtherUpdates) {
     List<MembershipUpdate> updates = new ArrayList<>();
     MemberEntry entry = context.memberTable.find(recipient);
     if (entry != null && isAccusedState(entry.state)) {
-      // The accused hears of it first, and can refute it (Lifeguard's buddy system).
+      // Informs the suspected member first, so that it can refute (Lifeguard's buddy system).
       updates.add(entry.toUpdate(context.self.address()));
     }
     if (attachSelfUpdate) {
       updates.add(context.selfUpdate());
     }
-    updates.addAll(others);
+    updates.addAll(furtherUpdates);
     return updates;
   }
 
@@ -124,7 +129,7 @@
         estimatedBytes(updateCount), essential, context.nowNanos);
   }
 
-  /** Estimated bytes on the wire of a message with this many updates. */
+  /** Returns the estimated size in bytes of a message with the given number of updates. */
   static int estimatedBytes(int updateCount) {
     return MESSAGE_BYTES + UPDATE_BYTES * updateCount;
   }
--- a/membership/src/main/java/tamarindroute/membership/PeriodicTasks.java
+++ b/membership/src/main/java/tamarindroute/membership/PeriodicTasks.java
@@ -2,15 +2,25 @@
 
 import java.util.List;
 
-/** Runs what is due with time: probes once a period, gossip several times a period. */
+/**
+ * Periodic tasks: probes, a state exchange and cleanup once per probe period, and gossip rounds
+ * several times per period.
+ */
 final class PeriodicTasks {
 
-  /** Queued updates are sent this often a period. */
+  /**
+   * Number of gossip rounds in a period. Five were too few: in one of 100,000 cases a member missed
+   * a refutation.
+   */
   private static final int GOSSIP_ROUNDS_PER_PERIOD = 8;
 
+  /** Number of members that receive queued updates in each gossip round. */
   private static final int GOSSIP_FANOUT = 3;
 
-  /** The first period starts at a random one of this many offsets. */
+  /**
+   * Number of equally spaced offsets within a period, one of which is selected at random for the
+   * start of the first period.
+   */
   private static final int PERIOD_OFFSETS = 1_000;
 
   private final StepContext context;
@@ -40,15 +50,15 @@
     this.updatePrecedence = updatePrecedence;
   }
 
-  /** Starts with a gossip round at once and the first period at a random offset. */
+  /** Schedules the first gossip round for now and the first period at a random offset from now. */
   void start() {
     long offset = context.random.nextInt(PERIOD_OFFSETS);
     nextGossipNanos = context.nowNanos;
     nextPeriodNanos = context.nowNanos + offset * context.periodNanos / PERIOD_OFFSETS;
   }
 
-  /** Continues at the times of another instance. */
-  void startLike(PeriodicTasks other) {
+  /** Takes over the scheduled times of another instance. */
+  void copySchedule(PeriodicTasks other) {
     nextGossipNanos = other.nextGossipNanos;
     nextPeriodNanos = other.nextPeriodNanos;
   }
@@ -61,12 +71,16 @@
     return Math.min(nextGossipNanos, nextPeriodNanos);
   }
 
-  /** Probes random members at once, to hear of the present after a pause; delays the period. */
+  /**
+   * Probes random members immediately, to update the member table after a pause, and postpones the
+   * next period.
+   */
   void probeAfterPause() {
     randomGossipTargets().forEach(failureDetector::probe);
     nextPeriodNanos = context.nowNanos + context.periodNanos;
   }
 
+  /** Runs the tasks of a period and of a gossip round if their times have come. */
   void runIfDue() {
     if (context.nowNanos >= nextPeriodNanos) {
       nextPeriodNanos = context.nowNanos + context.periodNanos;
@@ -85,17 +99,20 @@
     stateExchange.exchangeRandomPart();
     updatePrecedence.expireJoining();
     if (localHealth.isAlone() && localHealth.isJoined()) {
-      // There is nobody whose answers could be missing.
+      // Without other members, missing answers do not indicate isolation.
       localHealth.recordAnswer();
     }
   }
 
-  /** Probes the next member round robin, the successor on the hash ring, and an accuser. */
+  /**
+   * Probes the next member in round-robin order, the successor on the hash ring, so that each
+   * member has a fixed observer, and the accuser with the oldest accusation.
+   */
   private void probeRegularTargets() {
     context.memberTable.nextToProbe(context.random).ifPresent(failureDetector::probe);
-    int ownHash = (int) DeterministicRandom.memberHash(context.self);
+    int localHash = (int) DeterministicRandom.memberHash(context.self);
     Address self = context.self.address();
-    context.memberTable.successor(ownHash, self).ifPresent(failureDetector::probe);
+    context.memberTable.successor(localHash, self).ifPresent(failureDetector::probe);
     localHealth
         .oldestAccuser()
         .map(context.memberTable::find)
@@ -103,7 +120,10 @@
         .ifPresent(failureDetector::probe);
   }
 
-  /** A faulty member may be back, or not know that it is regarded as faulty. */
+  /**
+   * Probes a faulty member. It may be reachable again, or it may receive messages without being
+   * received, and then learns from this message that it is regarded as faulty.
+   */
   private void probeFaultyMember() {
     context
         .memberTable
--- a/membership/src/main/java/tamarindroute/membership/Probe.java
+++ b/membership/src/main/java/tamarindroute/membership/Probe.java
@@ -2,28 +2,35 @@
 
 import java.util.List;
 
-/** A probe without an answer yet: one of this member's own, or one on behalf of another. */
+/**
+ * A probe that has not been answered yet. The local member started it either for itself or on
+ * behalf of another member that requested an indirect probe.
+ */
 final class Probe {
 
   final Member target;
   final long id;
   final long sentNanos;
 
-  /** The target's refutation number when it was probed; a later one makes a failure void. */
+  /**
+   * The target's refutation number when it was probed. If it has changed when the probe fails, the
+   * failure is ignored.
+   */
   final long refutation;
 
-  /** The member that asked for the probe, or null for an own one. */
+  /** Member that requested this indirect probe, or null if the probe is the local member's own. */
   final Member requester;
 
-  /** The requester's id of the probe; 0 for an own one. */
+  /** Request id of the indirect probe at the requester; 0 if there is no requester. */
   final long requesterProbeId;
 
-  /** Stages that have passed. */
+  /** Number of stages that have ended. */
   int stage;
 
+  /** End of the current stage. */
   long nextStageNanos;
 
-  /** Whether a member that was asked to probe indirectly has answered without success. */
+  /** Whether a helper has sent a NACK, which shows that the local member receives messages. */
   boolean nackReceived;
 
   Probe(MemberEntry target, long id, long sentNanos, Member requester, long requesterProbeId) {
@@ -51,6 +58,7 @@
     return new Probe(this);
   }
 
+  /** Whether the local member started the probe for itself. */
   boolean isOwn() {
     return requester == null;
   }
--- a/membership/src/main/java/tamarindroute/membership/SendRateLimiter.java
+++ b/membership/src/main/java/tamarindroute/membership/SendRateLimiter.java
@@ -1,12 +1,15 @@
 package tamarindroute.membership;
 
 /**
- * Token bucket that bounds the bytes sent a second. Half of its capacity is reserved for essential
- * messages: probes, their answers and admission.
+ * Token bucket that bounds the bytes sent per second. Its capacity is one second's worth of bytes.
+ * Half of the capacity is reserved for essential messages, which are all except gossip and state
+ * exchange requests.
  */
 final class SendRateLimiter {
 
+  /** This part of the capacity is reserved for essential messages. */
   private static final int RESERVED_DIVISOR = 2;
+
   private static final double SECONDS_PER_NANO = 1e-9;
 
   private final int bytesPerSecond;
@@ -25,7 +28,13 @@
     return copy;
   }
 
-  /** Takes the bytes if available; otherwise takes nothing and returns false. */
+  /**
+   * Takes the bytes from the bucket if they are available.
+   *
+   * @param bytes number of bytes to send
+   * @param essential whether the reserved part may be used
+   * @return whether the bytes were taken; if not, nothing was taken
+   */
   boolean tryAcquire(int bytes, boolean essential, long nowNanos) {
     double refill = (nowNanos - updatedNanos) * SECONDS_PER_NANO * bytesPerSecond;
     availableBytes = Math.min(bytesPerSecond, availableBytes + refill);
--- a/membership/src/main/java/tamarindroute/membership/StateExchange.java
+++ b/membership/src/main/java/tamarindroute/membership/StateExchange.java
@@ -7,18 +7,24 @@
 import java.util.Map;
 
 /**
- * Anti-entropy: exchanges the member table part by part, which repairs what gossip missed and fills
- * the table of a new member.
+ * Anti-entropy state exchange. Members exchange their tables part by part, which delivers updates
+ * that gossip missed and fills the table of a new member.
  */
 final class StateExchange {
 
-  /** Parts are selected by hash; with this headroom few exceed a message. */
+  /**
+   * Ratio of the updates that fit into a message to the average size of a part. Sizes vary, because
+   * members are assigned to parts by hash. With this ratio few parts exceed a message.
+   */
   private static final double PART_HEADROOM = 1.5;
 
-  /** A new member requests this many parts in each gossip round. */
+  /**
+   * Number of parts that a new member requests in each gossip round. It receives 5,000 members in
+   * about 15 seconds.
+   */
   private static final int PARTS_PER_ROUND = 4;
 
-  /** Updates of a message kept free for the receiver's own state and the sender's. */
+  /** Updates of a message that are reserved for the states of the receiver and of the sender. */
   private static final int RESERVED_UPDATES = 2;
 
   private final StepContext context;
@@ -27,7 +33,7 @@
   /** Parts that a new member has not received yet. */
   private final BitSet missingParts = new BitSet();
 
-  /** How many parts {@link #missingParts} refers to. */
+  /** Number of parts into which the requested table is divided. */
   private int requestedPartCount;
 
   StateExchange(StepContext context, OutboundMessages outbound) {
@@ -46,14 +52,18 @@
     return List.of(missingParts.toString(), requestedPartCount);
   }
 
-  /** Number of parts that the own table is divided into. */
+  /** Returns the number of parts into which the local table is divided. */
   int partCount() {
     double messages =
         context.memberTable.size() * PART_HEADROOM / context.settings.maxUpdatesPerMessage();
     return Math.min(ExchangePart.MAX_COUNT, 1 + (int) messages);
   }
 
-  /** Starts to request the whole table of others, in the announced number of parts. */
+  /**
+   * Starts to request the whole table from other members.
+   *
+   * @param announcedPartCount number of parts announced by a seed; bounded here
+   */
   void requestAll(long announcedPartCount) {
     long bounded = Math.min(ExchangePart.MAX_COUNT, announcedPartCount);
     requestedPartCount = (int) Math.max(1, bounded);
@@ -61,11 +71,12 @@
     missingParts.set(0, requestedPartCount);
   }
 
-  void requestNothing() {
+  /** Stops requesting missing parts. */
+  void cancelRequests() {
     missingParts.clear();
   }
 
-  /** Requests the next missing parts, starting at a random one. */
+  /** Requests the next missing parts from random members, starting at a random part. */
   void requestMissing() {
     if (missingParts.isEmpty()) {
       return;
@@ -83,7 +94,7 @@
     return next >= 0 ? next : missingParts.nextSetBit(0);
   }
 
-  /** Exchanges a random part with a random member. */
+  /** Starts an exchange of a random part with a random member. */
   void exchangeRandomPart() {
     int count = partCount();
     request(new ExchangePart(context.random.nextInt(count), count));
@@ -96,25 +107,25 @@
     }
   }
 
-  /** Answers with the states of the requested part that differ from those of the sender. */
+  /** Answers with the states of the requested part that differ from those in the request. */
   void onRequest(Message message) {
     ExchangePart part = ExchangePart.fromRequestId(message.requestId());
     if (!part.isValid()) {
       return;
     }
-    Map<Address, MembershipUpdate> theirs = new HashMap<>();
-    message.updates().forEach(update -> theirs.put(update.member().address(), update));
+    Map<Address, MembershipUpdate> statesOfSender = new HashMap<>();
+    message.updates().forEach(update -> statesOfSender.put(update.member().address(), update));
     outbound.sendOnly(
         Message.Kind.EXCHANGE_REPLY,
         message.from(),
         message.requestId(),
-        differencesOf(part, theirs));
+        differencesOf(part, statesOfSender));
   }
 
-  /** Marks the part as received; its updates have been applied already. */
+  /** Marks the part as received. Its updates have already been applied to the table. */
   void onReply(Message message) {
     ExchangePart part = ExchangePart.fromRequestId(message.requestId());
-    // A full reply may have left some states out, so that part is requested again.
+    // A full reply may lack some states, so its part is requested again to get the rest.
     boolean complete = message.updates().size() < maxUpdates();
     if (complete && part.isValid() && part.count() == requestedPartCount) {
       missingParts.clear(part.index());
@@ -122,18 +133,19 @@
   }
 
   private List<MembershipUpdate> differencesOf(
-      ExchangePart part, Map<Address, MembershipUpdate> theirs) {
+      ExchangePart part, Map<Address, MembershipUpdate> statesOfOther) {
     List<MembershipUpdate> updates = new ArrayList<>();
-    boolean keepEnd = context.random.nextInt(2) == 1;
+    boolean sendEnd = context.random.nextInt(2) == 1;
     for (MemberEntry entry : context.memberTable.entries()) {
       if (entry.state != MemberState.JOINING
           && part.contains(entry)
-          && !isSame(entry, theirs.get(entry.member.address()))) {
+          && !isSame(entry, statesOfOther.get(entry.member.address()))) {
         updates.add(entry.toUpdate(context.self.address()));
       }
     }
-    // Of a part that is too long either its beginning or its end is sent.
-    int start = keepEnd ? Math.max(0, updates.size() - maxUpdates()) : 0;
+    // If the part does not fit into a message, either its beginning or its end is sent, at random,
+    // so that repeated requests receive all of it.
+    int start = sendEnd ? Math.max(0, updates.size() - maxUpdates()) : 0;
     return updates.subList(start, Math.min(updates.size(), start + maxUpdates()));
   }
 
@@ -141,10 +153,10 @@
     return context.settings.maxUpdatesPerMessage() - RESERVED_UPDATES;
   }
 
-  private static boolean isSame(MemberEntry entry, MembershipUpdate theirs) {
-    return theirs != null
-        && theirs.member().incarnation() == entry.member.incarnation()
-        && theirs.state() == entry.state
-        && theirs.refutation() == entry.refutation;
+  private static boolean isSame(MemberEntry entry, MembershipUpdate update) {
+    return update != null
+        && update.member().incarnation() == entry.member.incarnation()
+        && update.state() == entry.state
+        && update.refutation() == entry.refutation;
   }
 }
--- a/membership/src/main/java/tamarindroute/membership/StepContext.java
+++ b/membership/src/main/java/tamarindroute/membership/StepContext.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * State shared by all parts of one {@link Membership}: its identity, the time of the current step,
- * the member table and the actions collected so far.
+ * State shared by all components of one {@link Membership}: the identity of the local member, the
+ * time of the current step, the member table and the actions collected in the step.
  */
 final class StepContext {
 
@@ -17,16 +17,19 @@
   final SendRateLimiter sendRateLimiter;
   final long periodNanos;
 
-  /** Request ids start again after this; small in a model checker, to bound its states. */
+  /**
+   * Greatest request id, after which ids start again at 1. Small in a model checker, to bound the
+   * number of its states.
+   */
   private final long requestIdLimit;
 
-  /** This member; its incarnation may be raised. */
+  /** The local member. Replaced when its incarnation is raised. */
   Member self;
 
-  /** Counter that this member raises to refute a suspicion of itself. */
+  /** Counter that the local member raises to refute a suspicion of itself. */
   long refutation;
 
-  /** Time of the current step. */
+  /** Time of the current step on the caller's monotonic clock. Never decreases. */
   long nowNanos;
 
   private long lastRequestId;
@@ -65,14 +68,15 @@
     lastRequestId = other.lastRequestId;
   }
 
-  /** Independent copy without the collected actions. */
+  /** Returns an independent copy without the collected actions. */
   StepContext copy() {
     return new StepContext(this);
   }
 
   /**
-   * State that decides the future, for a model checker. Leaves out the rate limiter, which is never
-   * exhausted there, and the last request id, which keys compare others to.
+   * Returns the state that determines future behaviour, for a model checker. Omits the rate
+   * limiter, which is refilled long before a small group exhausts it, and the last request id,
+   * because other ids are given relative to it.
    */
   List<Object> stateKey(long atNanos) {
     return List.of(
@@ -83,11 +87,12 @@
         healthScore.stateKey());
   }
 
-  /** How many request ids were given out since this one. */
+  /** Returns the number of request ids that were assigned after the given one. */
   long requestIdAge(long requestId) {
     return Math.floorMod(lastRequestId - requestId, requestIdLimit);
   }
 
+  /** Assigns and returns a new request id, from 1 to the limit. */
   long nextRequestId() {
     lastRequestId = lastRequestId % requestIdLimit + 1;
     return lastRequestId;
@@ -98,6 +103,7 @@
     pendingActions.add(action);
   }
 
+  /** Adds the report of a member's new state to the result of the current step. */
   void emitStateChange(MemberEntry entry) {
     emit(new Action.StateChanged(entry.member, entry.state));
   }
@@ -109,7 +115,7 @@
     return drained;
   }
 
-  /** This member's statement that it is alive. */
+  /** Returns an update that the local member is alive, with its current refutation number. */
   MembershipUpdate selfUpdate() {
     return new MembershipUpdate(self, MemberState.ALIVE, refutation, self.address());
   }
--- a/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
+++ b/membership/src/main/java/tamarindroute/membership/SuspicionTracker.java
@@ -4,34 +4,43 @@
 import java.util.List;
 
 /**
- * Collects reports of suspects and declares them faulty once enough observers agree and the time to
- * refute is over. Suspects that fail together are declared together. No member is declared faulty
- * on one observer's report, nor while this member itself is not connected.
+ * Collects the observers' reports about suspects and declares a suspect faulty when enough
+ * observers have reported it and its time to refute has ended. Members that fail together are
+ * declared together, as one cut.
+ *
+ * <p>With all guards on, no member is declared faulty on the report of a single observer, or while
+ * the local member itself is not connected.
  */
 final class SuspicionTracker {
 
-  /** Time to refute in periods if pauses are not tolerated, as in SWIM's example. */
+  /** Time to refute if pauses are not tolerated, as in the example of the SWIM paper. */
   private static final int UNGUARDED_TIMEOUT_PERIODS = 3;
 
-  /** Time in periods for a refutation to arrive after the longest tolerated pause. */
+  /**
+   * Minimum time for a refutation to arrive after the longest tolerated pause. One period has eight
+   * gossip rounds.
+   */
   private static final int REFUTATION_MARGIN_PERIODS = 1;
 
-  /** How long suspects that are due wait for others that soon will be. */
+  /** Longest time that a suspect waits to be declared faulty together with other suspects. */
   private static final int BATCH_WAIT_PERIODS = 1;
 
-  /** The smallest quorum: of two members neither can tell a failure of the other from its own. */
+  /**
+   * Smallest number of reports that declares a member faulty. With one, each of two members could
+   * declare the other faulty, although neither can distinguish a failed member from a cut link.
+   */
   private static final int MIN_REPORTS = 2;
 
   /** Bound on the reporters stored for one suspect. */
   private static final int MAX_REPORTERS = 16;
 
-  /** Missing reports lengthen the timeout by half a period each, up to this many. */
+  /** Each missing report extends the time to refute by half a period, up to this number of them. */
   private static final int MAX_MISSING_REPORTS = 2;
 
-  /** The share of members that probe a suspect doubles with each period, up to this many times. */
+  /** The number of members that probe a suspect doubles each period, at most this often. */
   private static final int MAX_SHARE_DOUBLINGS = 8;
 
-  /** Samples that decide on the share are drawn from 0 up to this. */
+  /** Number of different hash values that decide whether a member probes a suspect; 2^16. */
   private static final int SAMPLE_RANGE = 0x10000;
 
   private final StepContext context;
@@ -42,7 +51,7 @@
     this.localHealth = localHealth;
   }
 
-  /** Adds an observer's report that a member does not answer. */
+  /** Records an observer's report that a member does not answer, and disseminates a new report. */
   void report(MemberEntry entry, Address observer) {
     if (entry.state == MemberState.ALIVE) {
       setState(entry, MemberState.SUSPECT);
@@ -66,8 +75,9 @@
   }
 
   /**
-   * How many observers have to agree: a majority of the unsuspected members including this one, up
-   * to the high watermark.
+   * Returns the number of observers that have to report a suspect before it is declared faulty: a
+   * majority of the members that are not suspect, including the local one, but at least {@link
+   * #MIN_REPORTS} and at most the high watermark.
    */
   int requiredReports() {
     if (!context.settings.guards().confirmation()) {
@@ -79,9 +89,10 @@
   }
 
   /**
-   * Notes that another member has declared this suspect faulty at first hand. As many of these as a
-   * quorum make this member declare it as well: each has waited, so a member that was paused or is
-   * late need not wait again.
+   * Records that another member has itself declared a suspect faulty. When as many members as
+   * {@link #requiredReports} have done so, the local member declares it faulty without waiting:
+   * each of them has already waited for a refutation. A report of the local member counts as one of
+   * them.
    */
   void addFaultyReport(MemberEntry entry, Address reporter) {
     if (entry.state != MemberState.SUSPECT) {
@@ -99,11 +110,14 @@
     if (entry.faultyReporters == null) {
       return false;
     }
-    int ownReports = entry.reporters.contains(context.self.address()) ? 1 : 0;
-    return entry.faultyReporters.size() + ownReports >= required;
+    int localReports = entry.reporters.contains(context.self.address()) ? 1 : 0;
+    return entry.faultyReporters.size() + localReports >= required;
   }
 
-  /** Declares all suspects faulty that are due, unless others are about to become due. */
+  /**
+   * Declares faulty all suspects that are due. Waits up to {@link #BATCH_WAIT_PERIODS} if another
+   * suspect has some reports but not enough yet, so that both are declared together.
+   */
   void evaluate() {
     if (!localHealth.statusAt(context.nowNanos).isConnected()) {
       return;
@@ -132,6 +146,7 @@
     }
   }
 
+  /** Declares a member faulty and disseminates this. */
   void declareFaulty(MemberEntry entry) {
     setState(entry, MemberState.FAULTY);
     context.emitStateChange(entry);
@@ -142,7 +157,7 @@
     context.memberTable.setState(entry, state, context.nowNanos, context.random);
   }
 
-  /** Reports count if their observer is alive here and not suspect itself. */
+  /** Counts the reports whose observer is alive in the local table, so neither suspect nor gone. */
   private int countValidReports(MemberEntry entry) {
     if (!context.settings.guards().confirmation()) {
       return entry.reporters.size();
@@ -158,7 +173,10 @@
     return count;
   }
 
-  /** Time to refute; longer with few reports and in poor local health (Lifeguard). */
+  /**
+   * Returns the time that a suspect has to refute. It is longer with few reports and in poor local
+   * health, as in Lifeguard, and includes the tolerated pause.
+   */
   private long timeoutNanos(int reports, int required) {
     MembershipSettings settings = context.settings;
     long periodNanos = context.periodNanos;
@@ -176,14 +194,17 @@
         + context.healthScore.score() * periodNanos / 2;
   }
 
-  /** Gives all suspects their whole time again, after this member missed messages for a while. */
+  /**
+   * Restarts the time to refute of all suspects, because the local member may have missed their
+   * refutations for a while.
+   */
   void restartTimeouts() {
     for (MemberEntry entry : context.memberTable.suspects()) {
       entry.stateSinceNanos = context.nowNanos;
     }
   }
 
-  /** The suspects that this member is to probe out of turn and has not reported itself. */
+  /** Returns the suspects that the local member has to probe out of turn and has not reported. */
   List<MemberEntry> selectedForProbing() {
     List<MemberEntry> selected = new ArrayList<>();
     for (MemberEntry entry : context.memberTable.suspects()) {
@@ -195,8 +216,9 @@
   }
 
   /**
-   * Whether this member belongs to the observers of a suspect, which are selected by hash. Their
-   * share grows with time, so that some are left whatever has failed.
+   * Whether the local member is one of the members that probe a suspect out of turn. They are
+   * selected by hash. Their number grows with time, so that some of them are alive whichever
+   * members have failed.
    */
   private boolean isSelected(MemberEntry entry) {
     long suspectPeriods = (context.nowNanos - entry.stateSinceNanos) / context.periodNanos;
--- a/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
+++ b/membership/src/main/java/tamarindroute/membership/UpdatePrecedence.java
@@ -4,18 +4,21 @@
 import java.util.Optional;
 
 /**
- * Applies received updates to the member table: decides which incarnation an update is about and
- * which of two statements takes precedence. Updates about former incarnations change nothing.
+ * Applies received updates to the member table. Decides which incarnation an update describes and
+ * whether the update or the current entry takes precedence. Updates about former incarnations and
+ * updates with values out of bounds change nothing.
  */
 final class UpdatePrecedence {
 
-  /** Bound on the members being admitted at once; a refused one backs off and asks again. */
+  /**
+   * Bound on the members in state JOINING. A member that is not admitted retries after a backoff.
+   */
   private static final int MAX_JOINING = 64;
 
-  /** A joining member that sends nothing as a member is forgotten after this many periods. */
+  /** Time after which a joining member that has sent no message as a member is given up. */
   private static final int JOINING_TIMEOUT_PERIODS = 30;
 
-  /** Part of a welcome message that is filled with members. */
+  /** A welcome message carries updates up to this part of the limit for one message. */
   private static final int WELCOME_DIVISOR = 2;
 
   private final StepContext context;
@@ -23,7 +26,7 @@
   private final LocalHealthMonitor localHealth;
   private final SuspicionTracker suspicions;
 
-  /** Later incarnation at this member's address found in the current message, or null. */
+  /** Later incarnation at the local address found in the last message, or null. */
   private Member laterIncarnation;
 
   UpdatePrecedence(
@@ -38,10 +41,10 @@
   }
 
   /**
-   * Finds the sender of a message in the table, or admits it.
+   * Finds the sender of a message in the member table, or admits it.
    *
-   * @return the sender's entry, or null if the message must be ignored: the sender is a former
-   *     incarnation or has left, or there is no room for it
+   * @return the sender's entry, or null if the message has to be ignored, because the sender is a
+   *     former incarnation, has left, or does not fit into the table
    */
   MemberEntry resolveSender(Message message) {
     Member sender = message.from();
@@ -69,7 +72,9 @@
     return kind == Message.Kind.JOIN || kind == Message.Kind.PROBE || kind == Message.Kind.EXCHANGE;
   }
 
-  /** Whether a later incarnation than the sender is known, or the sender has left for good. */
+  /**
+   * Whether a later incarnation than the sender's is known, or the sender's incarnation has left.
+   */
   private static boolean isSuperseded(MemberEntry entry, Member sender) {
     boolean hasLeft =
         entry.member.incarnation() == sender.incarnation() && entry.state == MemberState.LEFT;
@@ -82,7 +87,11 @@
         : admit(sender, MemberState.JOINING, 0);
   }
 
-  /** Adds an unknown incarnation, which ends any earlier one; null if there is no room. */
+  /**
+   * Adds an unknown incarnation to the table, which replaces any earlier one at its address.
+   *
+   * @return the new entry, or null if the table is full
+   */
   private MemberEntry admit(Member member, MemberState state, long refutation) {
     MemberEntry previous = context.memberTable.find(member.address());
     if (previous != null && previous.isLive()) {
@@ -99,7 +108,10 @@
     return entry;
   }
 
-  /** Gives up joining members that never became active; their incarnations stay known. */
+  /**
+   * Marks joining members as faulty that have sent no message as a member in time. Their entries
+   * remain, so that their incarnations stay known.
+   */
   void expireJoining() {
     long timeoutNanos = JOINING_TIMEOUT_PERIODS * context.periodNanos;
     for (MemberEntry entry : context.memberTable.joining()) {
@@ -110,9 +122,10 @@
   }
 
   /**
-   * Applies all updates of a message.
+   * Applies all valid updates of a message.
    *
-   * @return whether one of them accuses this member, so that the answer has to refute it
+   * @return whether one of them describes the local member as suspect or worse, so that the answer
+   *     has to refute it
    */
   boolean applyAll(Message message) {
     boolean accused = false;
@@ -133,12 +146,12 @@
     return accused;
   }
 
-  /** A later incarnation of this member that the last message told of. */
+  /** Returns the later incarnation of the local member found in the last message, if any. */
   Optional<Member> laterIncarnation() {
     return Optional.ofNullable(laterIncarnation);
   }
 
-  /** Applies an update about this member; returns whether it is an accusation. */
+  /** Applies an update about the local member; returns whether it has to be refuted. */
   private boolean applyAboutSelf(MembershipUpdate update, Member sender) {
     long incarnation = update.member().incarnation();
     if (incarnation > context.self.incarnation()) {
@@ -204,7 +217,9 @@
     boolean firstHand = update.observer().equals(sender.address());
     if (entry.state == MemberState.FAULTY) {
       if (update.state() == MemberState.SUSPECT && firstHand) {
-        // The sender has missed that the member was declared faulty.
+        // The sender has not received that the member is faulty here. Its own declaration needs
+        // such
+        // messages from several members.
         List<MembershipUpdate> correction = List.of(entry.toUpdate(context.self.address()));
         outbound.sendOnly(Message.Kind.GOSSIP, sender, 0, correction);
       }
@@ -224,11 +239,11 @@
       setState(entry, MemberState.ALIVE);
       context.emitStateChange(entry);
     }
-    // A member itself is the source of being alive, whoever passes it on.
+    // Only the member itself can observe that it is alive, so it is named as the observer.
     context.gossipQueue.enqueue(entry.toUpdate(entry.member.address()));
   }
 
-  /** Marks a member as having left in order. */
+  /** Marks a member as having left and disseminates this. */
   void markLeft(MemberEntry entry, long refutation) {
     entry.refutation = Math.max(entry.refutation, refutation);
     setState(entry, MemberState.LEFT);
@@ -244,7 +259,7 @@
     context.gossipQueue.enqueue(entry.toUpdate(context.self.address()));
   }
 
-  /** Some live members, for the first message to a new one. */
+  /** Returns updates about some random live members, for the welcome message to a new member. */
   List<MembershipUpdate> welcomeUpdates() {
     int count = context.settings.maxUpdatesPerMessage() / WELCOME_DIVISOR;
     Address self = context.self.address();
