--- a/agreement/src/main/java/tamarindroute/agreement/Agreement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Agreement.java
@@ -12,44 +12,49 @@
  */
 public interface Agreement {
 
-  /** What became of a proposal. */
+  /** Outcome of a proposal. */
   enum ProposalStatus {
-    /** Committed; the result's view number is the first view that contains it. */
+    /** Committed. The result's view number is that of the first view that contains the change. */
     COMMITTED,
-    /** Reached its place in the log, but does not apply to the view there; nothing changed. */
+    /**
+     * Violates a limit, or was committed to the log but does not apply to the view at that log
+     * index. The view was not changed.
+     */
     REJECTED,
-    /** This voter is not the leader; nothing changed. */
+    /** Not proposed, as this voter is not the leader. The view was not changed. */
     NOT_LEADER,
     /**
-     * May be committed later or never. Proposing it again is safe: a command is applied at most
-     * once.
+     * The proposal may be committed later or never. Proposing the command again is safe, as a
+     * command is applied at most once.
      */
     UNKNOWN,
-    /** The leader has too many pending proposals; nothing changed. */
+    /** The leader has too many uncommitted proposals. The view was not changed. */
     BUSY
   }
 
   /**
    * Result of a proposal.
    *
-   * @param viewNumber number of the view after the command, or of the local view if not committed
-   * @param reason why it was not committed; empty if it was
-   * @param leader the leader, if known
+   * @param status outcome of the proposal
+   * @param viewNumber number of the view after the command, or of the voter's local view if the
+   *     command was not committed
+   * @param reason why the command was not committed; empty if it was
+   * @param leader the leader of the current term; empty if unknown
    */
   record ProposalResult(
       ProposalStatus status, long viewNumber, String reason, Optional<Member> leader) {}
 
   /**
-   * What a voter knows of its group.
+   * State of the voter group as last observed by one voter.
    *
-   * @param isLeader whether this voter leads
-   * @param leader the current leader, if one is known
-   * @param reachableVoters voters that the leader heard from recently, itself included; 0 for
-   *     followers
+   * @param isLeader whether the observing voter is the leader
+   * @param leader the leader; empty if none is known that reaches a quorum
+   * @param reachableVoters number of voters that the leader received a message from within the
+   *     heartbeat timeout, itself included; 0 if the observing voter is not the leader
    * @param voters voting members of the committed configuration, ordered by address
    * @param reconfiguring whether a change of the voters is in progress
-   * @param noQuorumSince since when the voter has been without a leader that reaches a quorum, on
-   *     the event loop's clock; empty while there is one
+   * @param noQuorumSince time on the event loop's clock since which the voter has been without a
+   *     leader that reaches a quorum; empty while there is such a leader
    */
   record GroupStatus(
       boolean isLeader,
@@ -63,15 +68,15 @@
   Member self();
 
   /**
-   * Proposes a command.
+   * Proposes a command to the group.
    *
-   * @param onResult called exactly once
+   * @param onResult called exactly once with the outcome
    */
   void propose(Command command, Consumer<ProposalResult> onResult);
 
   /**
-   * Reads the view linearizably: the result is at least as new as the view at the time of this
-   * call.
+   * Reads the view linearizably: the result is at least as new as the latest committed view at the
+   * time of this call.
    *
    * @param onView called exactly once, with an empty value if no quorum confirmed the read
    */
@@ -80,19 +85,20 @@
   /** Returns the view as last applied by this voter, which may be outdated. */
   MembershipView localView();
 
-  /** Returns what this voter knows of its group. */
+  /** Returns the group's state as last observed by this voter. */
   GroupStatus status();
 
-  /** Returns the highest election term known to this voter. */
+  /** Returns the highest Raft term known to this voter; a later leader has a higher term. */
   long term();
 
   /**
    * Adds or removes a voter. One change may be in progress at a time.
    *
-   * @param onResult called exactly once
+   * @param add true to add the voter, false to remove it
+   * @param onResult called exactly once with the outcome
    */
   void changeVoters(Member voter, boolean add, Consumer<ProposalResult> onResult);
 
-  /** Stops this voter without notifying the others. The store remains. */
+  /** Stops this voter without notifying the other voters. The stored state remains. */
   void close();
 }
--- a/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
@@ -9,19 +9,22 @@
 import tamarindroute.membership.Member;
 
 /**
- * Bootstrap of a voter group: how the configured addresses become one group of incarnations.
+ * State of one voter during the bootstrap of a voter group, which turns the configured addresses
+ * into one group of incarnations.
  *
- * <p>Each voter pledges itself, once and for good, to found the group with the incarnations that it
- * received offers from at all configured addresses. The group is established once all of them have
- * pledged to the same list. An incarnation therefore founds at most one group. A voter that lost
- * its store is a new incarnation and cannot found a second group beside a running one: it learns
- * the founders and waits to be admitted. A pledge must be persisted before it is offered.
- * Immutable.
+ * <p>Once a voter has received an offer from every other configured address, it pledges to found
+ * the group with the incarnations that sent the offers. A pledge is never changed. The group is
+ * established once all these incarnations have pledged to the same list. An incarnation therefore
+ * founds at most one group. A voter that lost its store is a new incarnation and cannot found a
+ * second group beside a running one: the new incarnation receives the founders of the running group
+ * and waits to be admitted. A pledge must be persisted before it is sent in an offer. Immutable.
  *
- * @param configuredVoters addresses of all voters, this one included, in order
+ * @param self identity of this voter
+ * @param configuredVoters addresses of all voters, including this voter, in ascending order
  * @param pledgedFounders the founders that this voter has pledged to; empty before its pledge
- * @param receivedOffers the last offer of each other voter
- * @param founders founders of the established group, whether or not this voter is among them
+ * @param receivedOffers the last offer of each other voter, by the voter's address
+ * @param founders founders of the established group, whether or not this voter is among them; empty
+ *     before the group is established
  */
 public record Bootstrap(
     Member self,
@@ -31,26 +34,34 @@
     Optional<List<Member>> founders) {
 
   /**
-   * What a voter sends to all others until it votes.
+   * Message that a voter sends to all other configured voters until it is a voter of the group.
    *
-   * @param pledgedFounders the sender's pledge, or the founders if the group is established
-   * @param founded whether the sender knows the group to be established
+   * @param self identity of the sender
+   * @param pledgedFounders the sender's pledge, or the founders if the group is established; empty
+   *     before the sender's pledge
+   * @param founded whether the group is established, as far as the sender has observed
    */
   public record Offer(Member self, List<Member> pledgedFounders, boolean founded) {
-    /** Copies the founders. */
+    /** Creates an offer with a copy of the founders. */
     public Offer {
       pledgedFounders = List.copyOf(pledgedFounders);
     }
   }
 
-  /** Copies the collections. */
+  /** Creates a state with copies of the collections. */
   public Bootstrap {
     configuredVoters = List.copyOf(configuredVoters);
     pledgedFounders = List.copyOf(pledgedFounders);
     receivedOffers = Map.copyOf(receivedOffers);
   }
 
-  /** Restores the state of a voter from its persisted pledge. */
+  /**
+   * Restores the state of a voter from its persisted pledge.
+   *
+   * @param configuredVoters addresses of all voters, in any order
+   * @param pledgedFounders the persisted pledge; empty if there is none
+   * @param founded whether the pledged founders have established the group
+   */
   public static Bootstrap of(
       Member self,
       Collection<Address> configuredVoters,
@@ -69,12 +80,17 @@
     return new Offer(self, founders.orElse(pledgedFounders), founders.isPresent());
   }
 
-  /** Returns whether the group is established without this voter. */
+  /** Returns whether the group is established and this voter is not one of its founders. */
   public boolean awaitsAdmission() {
     return founders.isPresent() && !founders.get().contains(self);
   }
 
-  /** Returns the state after an offer from this address. */
+  /**
+   * Returns the state after receiving an offer. Offers from an address that is not another
+   * configured voter's, or that name a sender at another address, are ignored.
+   *
+   * @param from authenticated address of the sender
+   */
   public Bootstrap onOffer(Address from, Offer offer) {
     if (founders.isPresent() || !isFromOtherVoter(from, offer)) {
       return this;
@@ -96,8 +112,9 @@
   }
 
   /**
-   * A voter that pledged to a different list stays out: that group may still be established by
-   * voters that this one cannot reach.
+   * Returns whether this voter may accept the offered group as the established one. A voter that
+   * has pledged to another list may not: the group of that other list may still be established by
+   * voters that this voter cannot reach.
    */
   private boolean canJoin(Offer offer) {
     boolean pledgedToSame = offer.pledgedFounders().equals(pledgedFounders);
@@ -110,18 +127,21 @@
     return receivedOffers.size() >= configuredVoters.size() - 1;
   }
 
-  /** Pledges to the incarnations seen at all addresses, unless one has pledged to another list. */
+  /**
+   * Pledges to the incarnations that sent the offers, once there is an offer from each other
+   * address and none of the senders has pledged to another list.
+   */
   private Bootstrap pledgeIfComplete() {
     if (!pledgedFounders.isEmpty() || !hasOffersOfAll()) {
       return this;
     }
-    List<Member> all = configuredVoters.stream().map(this::incarnationAt).toList();
+    List<Member> offeredFounders = configuredVoters.stream().map(this::incarnationAt).toList();
     boolean noOtherPledge =
         receivedOffers.values().stream()
             .map(Offer::pledgedFounders)
-            .allMatch(pledge -> pledge.isEmpty() || pledge.equals(all));
+            .allMatch(pledge -> pledge.isEmpty() || pledge.equals(offeredFounders));
     return noOtherPledge
-        ? new Bootstrap(self, configuredVoters, all, receivedOffers, founders)
+        ? new Bootstrap(self, configuredVoters, offeredFounders, receivedOffers, founders)
         : this;
   }
 
@@ -129,7 +149,7 @@
     return address.equals(self.address()) ? self : receivedOffers.get(address).self();
   }
 
-  /** Establishes the group once all others have made the same pledge. */
+  /** Establishes the group once all other voters have made the same pledge as this voter. */
   private Bootstrap establishIfAgreed() {
     boolean agreed =
         !pledgedFounders.isEmpty()
--- a/agreement/src/main/java/tamarindroute/agreement/ReplicatedEntry.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ReplicatedEntry.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * A value that a subsystem has replicated under a key. Opaque to this module except for its type
- * and the number of the view that last changed it. Immutable.
+ * A value that a subsystem has replicated under a key of the view. This module does not interpret
+ * the value. Immutable.
  */
 public final class ReplicatedEntry {
 
@@ -12,7 +12,12 @@
   private final byte[] value;
   private final long lastChangedNumber;
 
-  /** Creates an entry with a copy of the value. */
+  /**
+   * Creates an entry with a copy of the value.
+   *
+   * @param type name of the value's format, chosen by the subsystem
+   * @param lastChangedNumber number of the view that last changed the entry
+   */
   public ReplicatedEntry(String type, byte[] value, long lastChangedNumber) {
     this.type = type;
     this.value = value.clone();
--- a/agreement/src/main/java/tamarindroute/agreement/ViewLease.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewLease.java
@@ -7,21 +7,24 @@
 import tamarindroute.membership.Member;
 
 /**
- * A non-voting member's lease of the view. The leader reads the view after it received the request,
- * so the view was current at some moment after the request was sent, and the lease is counted from
- * that sending. Hence nobody acts on a view that was replaced longer than one lease ago, however
- * long messages took or the process was paused, provided that it calls {@link #validView} at the
- * moment of acting. All times are readings of the holder's monotonic clock. Immutable.
+ * View lease of a non-voting member.
  *
- * @param view the last view received; to be used through {@link #validView} only
+ * <p>The leader reads the view after it received the member's request. The view was therefore
+ * current at some moment after the request was sent, and the lease is counted from the time at
+ * which the request was sent. A member that calls {@link #validView} at the moment of acting does
+ * not act on a view that was replaced longer than one lease ago, however long messages were delayed
+ * or the process was paused. All times are readings of the member's monotonic clock. Immutable.
+ *
+ * @param view the last view received; empty if there is none. To be used through {@link #validView}
+ *     only
  * @param expiresAt when the lease ends
  * @param requestNumber number of the last request
- * @param requestSentAt when the last request was sent
+ * @param requestSentAt when the last request was sent; negative before the first request
  * @param awaitingResponse whether the last request is unanswered
- * @param nextVoterIndex index of the voter to ask next, modulo the number of voters
- * @param leaderHint address of the leader as last reported
- * @param requestsPerLease rate of requests: the next one is due this fraction of a lease after the
- *     last
+ * @param nextVoterIndex index of the voter that gets the next request, modulo the number of voters
+ * @param leaderHint address of the leader as last reported; empty if unknown
+ * @param requestsPerLease rate of requests: the next request is due when the lease duration divided
+ *     by this number has passed since the last request
  */
 public record ViewLease(
     Optional<MembershipView> view,
@@ -33,62 +36,85 @@
     Optional<Address> leaderHint,
     int requestsPerLease) {
 
-  /** Longest lease that is accepted. */
+  /**
+   * Longest lease that is accepted. A longer lease would let a member that lost contact act on a
+   * view that was replaced long ago.
+   */
   public static final Duration MAX_LEASE = Duration.ofMinutes(1);
 
-  /** The holder gives up this fraction of a lease to allow for differing clock rates. */
+  /**
+   * The member ends a lease early, by the lease duration divided by this number, as the clocks of
+   * member and leader may run at different rates.
+   */
   private static final long CLOCK_DRIFT_DIVISOR = 100;
 
-  /** Rate while the leader answers: two requests in a row may be lost. */
+  /** Rate while the leader responds: the lease outlasts the loss of two requests in a row. */
   private static final int REQUESTS_PER_LEASE = 4;
 
-  /** Rate while no leader answers: a lease must outlast the election of a new one. */
+  /** Rate while no leader responds: the lease must outlast the election of a new leader. */
   private static final int REQUESTS_PER_LEASE_UNANSWERED = 10;
 
-  /** Rate after a redirect to the leader; bounded, as two voters may redirect to each other. */
+  /**
+   * Rate after a redirect to the leader. It is limited, as two voters may redirect to each other.
+   */
   private static final int REQUESTS_PER_LEASE_REDIRECTED = 40;
 
-  /** Spreads the request numbers of successive incarnations. */
+  /** Distance between the first request numbers of successive incarnations; a prime. */
   private static final long REQUEST_NUMBERS_PER_INCARNATION = 1_000_003L;
 
-  private static final Duration NEVER = Duration.ofDays(-1);
+  /** Value of {@code requestSentAt} before the first request. */
+  private static final Duration NOT_SENT = Duration.ofDays(-1);
 
   /**
    * Returns the state of a member that holds no view. Request numbers start from the incarnation,
-   * so that a response to a previous incarnation's request is not counted from a later request.
+   * so that a response to a request of a previous incarnation is not taken for the response to a
+   * later request, from which its lease would be counted.
    */
   public static ViewLease initial(Member self) {
     return new ViewLease(
         Optional.empty(),
         Duration.ZERO,
         self.incarnation() * REQUEST_NUMBERS_PER_INCARNATION,
-        NEVER,
+        NOT_SENT,
         false,
         0,
         Optional.empty(),
         REQUESTS_PER_LEASE);
   }
 
-  /** Returns the view that may be acted on now; empty if the lease has expired. */
+  /**
+   * Returns the view that may be acted on at a time; empty if the lease has expired.
+   *
+   * @param now the current reading of the member's monotonic clock
+   */
   public Optional<MembershipView> validView(Duration now) {
     return now.compareTo(expiresAt) < 0 ? view : Optional.empty();
   }
 
-  /** Returns whether a request is due, for leases of this duration. */
+  /**
+   * Returns whether the next request is due.
+   *
+   * @param lease the lease duration that the requests are spaced by
+   */
   public boolean isRequestDue(Duration now, Duration lease) {
-    return requestSentAt.equals(NEVER)
+    return requestSentAt.equals(NOT_SENT)
         || now.compareTo(requestSentAt.plus(lease.dividedBy(requestsPerLease))) >= 0;
   }
 
-  /** Returns the voter to ask: the leader if known, otherwise the voters in turn. */
+  /**
+   * Returns the voter that gets the next request: the leader if known, otherwise one voter after
+   * the other.
+   *
+   * @param voters addresses of the configured voters, not empty
+   */
   public Address nextVoter(List<Address> voters) {
     return leaderHint.orElseGet(
         () -> voters.get((int) Math.floorMod(nextVoterIndex, (long) voters.size())));
   }
 
   /**
-   * Returns the state after sending the next request. If the previous one was not answered, the
-   * following request goes to another voter.
+   * Returns the state after sending the next request. If the previous request was not answered, the
+   * request after the one just sent goes to another voter.
    */
   public ViewLease requestSent(Duration now) {
     return new ViewLease(
@@ -103,8 +129,10 @@
   }
 
   /**
-   * Returns the state after a response. Responses to earlier requests are ignored. A view that does
-   * not follow from the held one, or is older than it within its group, ends the lease.
+   * Returns the state after a response. Responses to earlier requests are ignored. The lease ends
+   * if the response's commands do not apply to the held view, if the new view belongs to another
+   * group than the response names or is older than the held view of the same group, or if the lease
+   * duration is out of range.
    */
   public ViewLease onResponse(ViewResponse response) {
     if (!awaitingResponse || response.requestNumber() != requestNumber) {
@@ -154,7 +182,7 @@
         && next.number() < view.get().number();
   }
 
-  /** Applies the response's commands to the held view; empty if they do not apply to it. */
+  /** Returns the held view after the response's commands; empty if they do not apply to it. */
   private Optional<MembershipView> replay(ViewResponse response) {
     if (view.isEmpty() || view.get().groupId() != response.groupId()) {
       return Optional.empty();
--- a/agreement/src/main/java/tamarindroute/agreement/ViewLimits.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewLimits.java
@@ -5,25 +5,37 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Limits of views and commands, and their check. */
+/** Limits of views and commands, and the checks of single commands and addresses. */
 public final class ViewLimits {
 
-  /** Largest number of members. */
+  /** Largest number of members, which is the largest fleet that the membership supports. */
   public static final int MAX_MEMBERS = 5_000;
 
-  /** Largest number of voters. Each commit waits for a majority of them. */
+  /** Largest number of voters. Each commit waits for a majority, so more voters slow it down. */
   public static final int MAX_VOTERS = 7;
 
-  /** Largest number of entries. */
+  /**
+   * Largest number of entries: one with key prefix {@code window/} and one with {@code level/} for
+   * each of 1,000 caches, and as many entries again in reserve.
+   */
   public static final int MAX_ENTRIES = 4_096;
 
-  /** Largest size of one entry's value, in bytes. */
+  /**
+   * Largest size of one entry's value, in bytes. Holds a maintenance window of 1,000 caches with
+   * names of 12 bytes.
+   */
   public static final int MAX_VALUE_BYTES = 16 * 1024;
 
-  /** Largest size of all entries' values together, in bytes. */
+  /**
+   * Largest size of all entries' values together, in bytes. A gateway with 32 MB of memory must be
+   * able to hold all values beside its other data, and twice during a change.
+   */
   public static final int MAX_TOTAL_VALUE_BYTES = 1024 * 1024;
 
-  /** Largest length of a key, type or host name, in characters. */
+  /**
+   * Largest length of a key, type or host name, in characters. Keeps a view at all its limits below
+   * 4 MiB, the largest message.
+   */
   public static final int MAX_NAME_LENGTH = 128;
 
   private static final int MAX_PORT = 0xffff;
@@ -31,8 +43,9 @@
   private ViewLimits() {}
 
   /**
-   * Returns which limit a command violates, whatever view it is applied to; empty if none. Checked
-   * before a command is proposed, and again when it is decoded or applied.
+   * Returns a description of the limit that a command violates regardless of the view, with the
+   * value and what is allowed; empty if it violates none. Checked before a command is proposed, and
+   * again when it is decoded or applied.
    */
   public static Optional<String> findViolation(Command command) {
     if (command instanceof Command.MembershipChange change) {
@@ -75,11 +88,12 @@
     return findAddressViolation(setVoters.voters());
   }
 
-  private static Optional<String> findNameViolation(String what, String name) {
+  private static Optional<String> findNameViolation(String fieldName, String name) {
     int length = name.length();
     return length > 0 && length <= MAX_NAME_LENGTH
         ? Optional.empty()
-        : Optional.of(what + " of " + length + " characters, 1 to " + MAX_NAME_LENGTH + " allowed");
+        : Optional.of(
+            fieldName + " of " + length + " characters, 1 to " + MAX_NAME_LENGTH + " allowed");
   }
 
   private static Optional<String> findAddressViolation(List<Member> members) {
@@ -89,7 +103,10 @@
         .findFirst();
   }
 
-  /** Returns which limit a member's address violates; empty if none. */
+  /**
+   * Returns a description of the limit that a member's address violates, with the value and what is
+   * allowed; empty if it violates none.
+   */
   public static Optional<String> findViolation(Address address) {
     int port = address.port();
     if (port < 0 || port > MAX_PORT) {
--- a/agreement/src/main/java/tamarindroute/agreement/ViewResponse.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewResponse.java
@@ -10,12 +10,14 @@
  *
  * @param requestNumber number of the request
  * @param fromLeader whether the voter was the leader, confirmed by a quorum after the request
- *     arrived. If false, only {@code leader} is meaningful
- * @param leader the leader to ask instead, if known
- * @param lease how long the view may be used, counted from the sending of the request
- * @param groupId the group that the view belongs to
- * @param fullView the full view; empty if {@code commands} lead there from the requester's view
- * @param commands commands to apply to the requester's view, in order
+ *     arrived. If false, only {@code requestNumber} and {@code leader} are meaningful
+ * @param leader the responding leader itself, or the voter to send the next request to; empty if no
+ *     leader is known
+ * @param lease how long the view may be used, counted from the time at which the request was sent
+ * @param groupId identifier of the group that the view belongs to
+ * @param fullView the full view; empty if {@code commands} lead from the requester's view to it
+ * @param commands commands to apply to the requester's view, in order; empty if the requester's
+ *     view is current or {@code fullView} is present
  */
 public record ViewResponse(
     long requestNumber,
@@ -26,7 +28,7 @@
     Optional<MembershipView> fullView,
     List<Command> commands) {
 
-  /** Copies the commands. */
+  /** Creates a response with a copy of the commands. */
   public ViewResponse {
     commands = List.copyOf(commands);
   }
--- a/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
@@ -1,16 +1,20 @@
 package tamarindroute.agreement;
 
 import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Optional;
+import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
 /**
- * Applies commands to views, within {@link ViewLimits}. Pure and deterministic: every voter and
- * every member computes the same result.
+ * Applies commands to views, within {@link ViewLimits}. The functions are pure and deterministic:
+ * every voter and every member that applies the same commands computes the same view.
  */
 public final class ViewTransitions {
 
@@ -33,7 +37,10 @@
 
   private ViewTransitions() {}
 
-  /** Applies a command to a view. */
+  /**
+   * Applies a command to a view. A command is rejected if it violates a limit or was derived from
+   * an outdated state.
+   */
   public static Transition apply(MembershipView view, Command command) {
     Optional<String> violation = ViewLimits.findViolation(command);
     if (violation.isPresent()) {
@@ -58,8 +65,11 @@
     if (change.baseNumber() != view.number()) {
       return outdated(view, "membership change", change.baseNumber(), view.number());
     }
-    if (change.added().stream().anyMatch(change.removed()::contains)) {
-      return Transition.rejected(view, "a member is both removed and added");
+    Optional<Member> removedAndAdded =
+        change.added().stream().filter(change.removed()::contains).findFirst();
+    if (removedAndAdded.isPresent()) {
+      return Transition.rejected(
+          view, "member " + removedAndAdded.get() + " is both removed and added, one allowed");
     }
     TreeSet<Member> members = new TreeSet<>(MembershipView.MEMBER_ORDER);
     members.addAll(view.members());
@@ -70,11 +80,22 @@
           view, members.size() + " members, at most " + ViewLimits.MAX_MEMBERS + " allowed");
     }
     if (members.stream().map(Member::address).distinct().count() < members.size()) {
-      return Transition.rejected(view, "two incarnations at one address");
+      return Transition.rejected(
+          view, "two incarnations at address " + firstSharedAddress(members) + ", one allowed");
     }
     return nextView(view, new ArrayList<>(members), view.voters(), view.entries());
   }
 
+  /** Returns the first address of two members. Requires that there is one. */
+  private static Address firstSharedAddress(Collection<Member> members) {
+    Set<Address> seen = new HashSet<>();
+    return members.stream()
+        .map(Member::address)
+        .filter(address -> !seen.add(address))
+        .findFirst()
+        .orElseThrow();
+  }
+
   private static Transition put(MembershipView view, Command.Put put) {
     ReplicatedEntry current = view.entries().get(put.key());
     boolean upToDate =
@@ -118,15 +139,20 @@
 
   private static Transition setVoters(MembershipView view, Command.SetVoters setVoters) {
     if (setVoters.baseNumber() != view.number()) {
-      return outdated(view, "voters", setVoters.baseNumber(), view.number());
+      return outdated(view, "list of voters", setVoters.baseNumber(), view.number());
     }
     return nextView(view, view.members(), setVoters.voters(), view.entries());
   }
 
   private static Transition outdated(
-      MembershipView view, String what, long baseNumber, long currentNumber) {
+      MembershipView view, String commandDescription, long baseNumber, long currentNumber) {
     return Transition.rejected(
-        view, what + " derived from number " + baseNumber + ", current is " + currentNumber);
+        view,
+        commandDescription
+            + " has base number "
+            + baseNumber
+            + ", expected the current number "
+            + currentNumber);
   }
 
   private static Transition nextView(
