--- a/windows/src/main/java/tamarindroute/windows/Availability.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/Availability.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 /** Whether a cache counts as cover in a bin of time. */
 enum Availability {
--- a/windows/src/main/java/tamarindroute/windows/CacheTopology.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/CacheTopology.java
@@ -1,11 +1,11 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tamarindroute.windows.CoverageRules.Failure;
+import tamarindroute.maintenance.CoverageRules.Failure;
 
 /**
  * The caches and key ranges of a planning input as arrays of indexes, for the planner's inner
--- a/windows/src/main/java/tamarindroute/windows/Notice.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/Notice.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 /** What operators are notified of. */
 public enum Notice {
--- a/windows/src/main/java/tamarindroute/windows/PlacementSearch.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/PlacementSearch.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/windows/src/main/java/tamarindroute/windows/Planner.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/Planner.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import tamarindroute.windows.Plan.Batch;
-import tamarindroute.windows.Plan.Rejection;
+import tamarindroute.maintenance.Plan.Batch;
+import tamarindroute.maintenance.Plan.Rejection;
 
 /**
  * Places maintenance requests one after another, each whole or not at all. Every placement is
--- a/windows/src/main/java/tamarindroute/windows/WindowAction.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/WindowAction.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 /** What the caller carries out for the window coordinator. */
 public sealed interface WindowAction {
--- a/windows/src/main/java/tamarindroute/windows/WindowCoordinator.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/WindowCoordinator.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tamarindroute.windows.CoordinatorState.PhaseEntry;
+import tamarindroute.maintenance.CoordinatorState.PhaseEntry;
 
 /**
  * State machine of all maintenance windows: from state, event and time to state and actions.
--- a/windows/src/main/java/tamarindroute/windows/WindowTransitions.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/WindowTransitions.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import tamarindroute.windows.CoordinatorState.NoticeKey;
-import tamarindroute.windows.MaintenanceWindow.Phase;
+import tamarindroute.maintenance.CoordinatorState.NoticeKey;
+import tamarindroute.maintenance.MaintenanceWindow.Phase;
 
 /**
  * Decides the next step of each window on one state. At most one step is proposed at a time, and
--- a/windows/src/test/java/tamarindroute/windows/CoordinatorModel.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/CoordinatorModel.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import tamarindroute.windows.MaintenanceWindow.Phase;
-import tamarindroute.windows.ModelWorld.Gateway;
-import tamarindroute.windows.ModelWorld.ModelCache;
+import tamarindroute.maintenance.MaintenanceWindow.Phase;
+import tamarindroute.maintenance.ModelWorld.Gateway;
+import tamarindroute.maintenance.ModelWorld.ModelCache;
 
 /**
  * Explores all that can happen to two windows on three caches of one key range, with two gateways
--- a/windows/src/test/java/tamarindroute/windows/CoordinatorModelTest.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/CoordinatorModelTest.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tamarindroute.windows.CoordinatorState.NoticeKey;
+import tamarindroute.maintenance.CoordinatorState.NoticeKey;
 
 class CoordinatorModelTest {
   private static final int HORIZON = 14;
--- a/windows/src/test/java/tamarindroute/windows/FaultBudget.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/FaultBudget.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 /**
  * How many more faults of each kind may happen in the model, and how many in all.
--- a/windows/src/test/java/tamarindroute/windows/GatewayModel.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/GatewayModel.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -10,10 +10,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tamarindroute.windows.CoordinatorModel.Machine;
-import tamarindroute.windows.MaintenanceWindow.Phase;
-import tamarindroute.windows.ModelWorld.Gateway;
-import tamarindroute.windows.ModelWorld.ModelCache;
+import tamarindroute.maintenance.CoordinatorModel.Machine;
+import tamarindroute.maintenance.MaintenanceWindow.Phase;
+import tamarindroute.maintenance.ModelWorld.Gateway;
+import tamarindroute.maintenance.ModelWorld.ModelCache;
 
 /** What a gateway of the model learns and decides, with the rules on its decisions. */
 final class GatewayModel {
--- a/windows/src/test/java/tamarindroute/windows/LoadCurveTest.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/LoadCurveTest.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/windows/src/test/java/tamarindroute/windows/NaiveChecker.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/NaiveChecker.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import java.time.Duration;
 import java.util.ArrayList;
--- a/windows/src/test/java/tamarindroute/windows/RuleChecks.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/RuleChecks.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 /** Keeps the first breach of a rule. */
 final class RuleChecks {
--- a/windows/src/test/java/tamarindroute/windows/WindowCoordinatorTest.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/WindowCoordinatorTest.java
@@ -1,4 +1,4 @@
-package tamarindroute.windows;
+package tamarindroute.maintenance;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tamarindroute.windows.MaintenanceWindow.Phase;
+import tamarindroute.maintenance.MaintenanceWindow.Phase;
 
 class WindowCoordinatorTest {
   private static final MaintenanceWindow REQUESTED =
--- a/forms/src/main/java/tamarindroute/forms/PeerSupport.java
+++ b/versioning/src/main/java/tamarindroute/versioning/PeerSupport.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import java.time.Duration;
 
--- a/forms/src/main/java/tamarindroute/forms/PeerVersionRange.java
+++ b/versioning/src/main/java/tamarindroute/versioning/PeerVersionRange.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 /**
  * The schema versions that a cache or fill source has reported. A request and its answer have the
--- a/forms/src/main/java/tamarindroute/forms/RolloutAction.java
+++ b/versioning/src/main/java/tamarindroute/versioning/RolloutAction.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 /** What the caller carries out for a rollout. */
 public sealed interface RolloutAction {
--- a/forms/src/main/java/tamarindroute/forms/VersionNegotiation.java
+++ b/versioning/src/main/java/tamarindroute/versioning/VersionNegotiation.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import java.util.Collection;
 import java.util.OptionalInt;
--- a/forms/src/main/java/tamarindroute/forms/VersionSet.java
+++ b/versioning/src/main/java/tamarindroute/versioning/VersionSet.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/forms/src/main/java/tamarindroute/forms/package-info.java
+++ b/versioning/src/main/java/tamarindroute/versioning/package-info.java
@@ -7,4 +7,4 @@
  * {@code agreement}. Everything here is pure: no sockets, files, clocks or threads. No module uses
  * this one yet.
  */
-package tamarindroute.forms;
+package tamarindroute.versioning;
--- a/forms/src/test/java/tamarindroute/forms/RolloutModel.java
+++ b/versioning/src/test/java/tamarindroute/versioning/RolloutModel.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import tamarindroute.forms.RolloutState.Ability;
-import tamarindroute.forms.RolloutState.Budget;
-import tamarindroute.forms.RolloutState.Driver;
-import tamarindroute.forms.RolloutState.Proposal;
+import tamarindroute.versioning.RolloutState.Ability;
+import tamarindroute.versioning.RolloutState.Budget;
+import tamarindroute.versioning.RolloutState.Driver;
+import tamarindroute.versioning.RolloutState.Proposal;
 
 /**
  * Explores all that can happen to two drivers of a rollout within budgets: the leadership moves at
--- a/forms/src/test/java/tamarindroute/forms/VersionRolloutTest.java
+++ b/versioning/src/test/java/tamarindroute/versioning/VersionRolloutTest.java
@@ -1,11 +1,11 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tamarindroute.forms.RolloutModel.Defect;
-import tamarindroute.forms.RolloutModel.Result;
+import tamarindroute.versioning.RolloutModel.Defect;
+import tamarindroute.versioning.RolloutModel.Result;
 
 /** Two members that may both believe they lead and a cache that flaps, explored exhaustively. */
 class VersionRolloutTest {
--- a/forms/src/test/java/tamarindroute/forms/VersionsTest.java
+++ b/versioning/src/test/java/tamarindroute/versioning/VersionsTest.java
@@ -1,4 +1,4 @@
-package tamarindroute.forms;
+package tamarindroute.versioning;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -12,7 +12,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import tamarindroute.forms.FirstAttemptVersions.Knowledge;
+import tamarindroute.versioning.FirstAttemptVersions.Knowledge;
 
 class VersionsTest {
   private static final Duration RETENTION = Duration.ofSeconds(10);
