--- a/policy/src/main/java/tamarindroute/policy/AttemptFactory.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptFactory.java
@@ -7,18 +7,19 @@
 import tamarindroute.decision.Request;
 import tamarindroute.decision.RequestClass.Idempotency;
 
-/**
- * Creates attempts with the oldest acceptable copy and the time by which they are expected back.
- */
+/** Creates attempts with the maximum age of a copy and the time after which they are late. */
 final class AttemptFactory {
 
-  /** Rank of an answer that is not stored. */
+  /** Retention rank of an answer that is not stored. */
   private static final int RANK_NONE = 0;
 
-  /** Least time beyond the transfer before an attempt is late, in seconds. */
-  private static final double MIN_GRACE = 0.1;
+  /** Shortest time beyond the transfer before an attempt is late. */
+  private static final double MIN_GRACE_SECONDS = 0.1;
 
-  /** The grace is at least so many times the usual wait for a fill. */
+  /**
+   * Shortest time beyond the transfer before an attempt is late, as a multiple of the mean wait for
+   * a fill.
+   */
   private static final double GRACE_FILL_LATENCIES = 3;
 
   private final PurgeTracker purges;
@@ -31,17 +32,22 @@
     this.latencies = latencies;
   }
 
-  /** An attempt that is served from the edge's own copy or ends in a miss. */
+  /**
+   * Returns a cache lookup: an attempt that is served from the edge's own copy or ends in a miss.
+   */
   Attempt lookup(PlanningContext context, CacheState edge, int rank) {
     return atEdge(context, edge, edge, rank, false);
   }
 
-  /** An attempt for which the edge fetches the object from the source. */
+  /** Returns an attempt for which the edge fetches the object from the source. */
   Attempt fill(PlanningContext context, CacheState edge, CacheState source, int rank) {
     return atEdge(context, edge, source, rank, false);
   }
 
-  /** An attempt for which the edge fetches the object if the source holds it. */
+  /**
+   * Returns an attempt for which the edge fetches the object from the source only if the source
+   * holds a copy.
+   */
   Attempt fillIfCached(PlanningContext context, CacheState edge, CacheState source, int rank) {
     return atEdge(context, edge, source, rank, true);
   }
@@ -59,7 +65,7 @@
         expectedBy(context, edge));
   }
 
-  /** An attempt that goes past the edges to a parent or the origin. */
+  /** Returns an attempt that bypasses the edges and is sent to a parent or the origin. */
   Attempt bypass(PlanningContext context, CacheState target, CacheState origin) {
     return new Attempt(
         target.cache(),
@@ -71,13 +77,16 @@
         expectedBy(context, target));
   }
 
-  /** An attempt of an uncacheable request by way of an edge. */
+  /** Returns an attempt of an uncacheable request that the edge forwards to the source. */
   Attempt passThrough(PlanningContext context, CacheState edge, CacheState source) {
     return new Attempt(
         edge.cache(), source.cache(), RANK_NONE, null, false, false, expectedBy(context, edge));
   }
 
-  /** An attempt of an uncacheable request at the origin itself; it is never late. */
+  /**
+   * Returns an attempt of an uncacheable request that is sent to the origin directly. It is never
+   * late.
+   */
   Attempt direct(CacheState origin) {
     return new Attempt(origin.cache(), origin.cache(), RANK_NONE, null, false, false, null);
   }
@@ -86,12 +95,16 @@
     return purges.maxCopyAge(context.request(), context.now()).orElse(null);
   }
 
-  /** Returns when the attempt is late; null for requests that must not be sent twice. */
+  /**
+   * Returns the time after which the attempt is late: the time in which nine in ten transfers end
+   * at the current load of the cache, plus a grace of several waits for a fill. Returns null for
+   * requests that must not be sent twice.
+   */
   private Duration expectedBy(PlanningContext context, CacheState target) {
     Request request = context.request();
     double now = context.now();
     double transfer = transferTimes.upperTransferTime(request) * target.slowdown().factor(now);
-    double grace = Math.max(MIN_GRACE, GRACE_FILL_LATENCIES * latencies.fillLatency());
+    double grace = Math.max(MIN_GRACE_SECONDS, GRACE_FILL_LATENCIES * latencies.fillLatency());
     return request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
         ? null
         : toDuration(now + transfer + grace);
--- a/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptHistory.java
@@ -4,18 +4,26 @@
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.Request;
 
-/** What the earlier attempts of a request say about caches and sources for the next one. */
+/**
+ * Evaluates the earlier attempts of a request: which caches and sources its next attempt must not
+ * use.
+ */
 final class AttemptHistory {
 
   private final boolean sourcesReported;
 
-  /** Takes whether caches report where an answer came from. */
+  /**
+   * Creates an evaluation.
+   *
+   * @param sourcesReported whether caches report where an answer came from
+   */
   AttemptHistory(boolean sourcesReported) {
     this.sourcesReported = sourcesReported;
   }
 
   /**
-   * Whether an attempt of the request failed by the fault of this cache, or is outstanding there.
+   * Whether an attempt of the request is outstanding at this cache or has failed there. A miss and
+   * a failure of the source do not count.
    */
   boolean hasFailedAt(Request request, CacheState state) {
     return request.attempts.stream()
@@ -27,13 +35,16 @@
         || (attempt.outcome.result() != Result.MISS && !hasSourceFailed(attempt));
   }
 
-  /** Whether this source was tried in vain for the request, or is being tried. */
+  /**
+   * Whether the request has been tried with this source without success, or is outstanding there. A
+   * lookup at a parent that held no copy does not count.
+   */
   boolean wasTriedAsSource(Request request, CacheState source) {
     return request.attempts.stream()
-        .anyMatch(attempt -> attempt.source == source.cache() && isSpentFill(attempt, source));
+        .anyMatch(attempt -> attempt.source == source.cache() && isUsedFill(attempt, source));
   }
 
-  private boolean isSpentFill(Attempt attempt, CacheState source) {
+  private boolean isUsedFill(Attempt attempt, CacheState source) {
     boolean lookupAtParent = attempt.onlyIfCached && source.isParent();
     return !lookupAtParent && (attempt.outcome == null || hasFillEnded(attempt));
   }
@@ -46,8 +57,8 @@
   }
 
   /**
-   * Whether an attempt failed by the fault of its source: as reported, or assumed where nothing is
-   * reported.
+   * Whether the source caused the failure of the attempt: as the cache reported, or assumed if
+   * caches do not report sources.
    */
   private boolean hasSourceFailed(Attempt attempt) {
     if (attempt.source == attempt.cache || attempt.outcome.result() == Result.CONNECT_FAILED) {
--- a/policy/src/main/java/tamarindroute/policy/AttemptPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/AttemptPlanner.java
@@ -8,11 +8,11 @@
 import tamarindroute.decision.Decision;
 import tamarindroute.decision.Request;
 
-/** Plans the next attempt of a request, or gives the request up. */
+/** Plans the next attempt of a request, or ends the request. */
 final class AttemptPlanner {
 
-  /** Seconds before the deadline in which nothing is sent any more. */
-  private static final double MIN_TIME_LEFT = 0.002;
+  /** Time before the client's deadline within which no attempt is started. */
+  private static final double MIN_TIME_LEFT_SECONDS = 0.002;
 
   private final int maxAttempts;
   private final CacheTiers tiers;
@@ -42,12 +42,15 @@
     this.rejections = rejections;
   }
 
-  /** Whether enough of the client's time is left to send an attempt. */
+  /** Whether enough time is left before the client's deadline to send an attempt. */
   static boolean hasTimeLeft(Request request, double now) {
-    return seconds(request.deadline) - now >= MIN_TIME_LEFT;
+    return seconds(request.deadline) - now >= MIN_TIME_LEFT_SECONDS;
   }
 
-  /** Returns an attempt, accounted as sent, or the end of the request. */
+  /**
+   * Returns an attempt, which is counted as in flight and paid from the slow start budgets of its
+   * caches, or the final decision on the request.
+   */
   Decision next(Request request, double now) {
     PlanningContext context = new PlanningContext(request, transferTimes.classMean(request), now);
     Optional<Attempt> planned = mayAttempt(request, now) ? plan(context) : Optional.empty();
--- a/policy/src/main/java/tamarindroute/policy/BypassPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/BypassPlanner.java
@@ -3,10 +3,13 @@
 import java.util.Optional;
 import tamarindroute.decision.Attempt;
 
-/** Plans cacheable requests past the edges, where that is allowed and no edge can take them. */
+/**
+ * Plans attempts that send a cacheable request directly to a parent or the origin. They are used
+ * where bypassing the edges is allowed and no edge can be used or the selected edge is too busy.
+ */
 final class BypassPlanner {
 
-  /** Part of the latency objective that the attempt has to meet. */
+  /** Share of the time until the latency objective within which the attempt has to end. */
   private static final double OBJECTIVE_SHARE = 0.8;
 
   private final CacheTiers tiers;
@@ -28,7 +31,10 @@
     this.attempts = attempts;
   }
 
-  /** Returns an attempt at a parent or the origin; empty if none can take the request in time. */
+  /**
+   * Returns an attempt at a parent or the origin; empty if none of them can serve the request in
+   * time, or if the fills in flight already exceed the capacity of the edges.
+   */
   Optional<Attempt> plan(PlanningContext context) {
     if (admission.isOverCapacity(context.now()) && tiers.hasReadyEdge()) {
       return Optional.empty();
--- a/policy/src/main/java/tamarindroute/policy/CacheState.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheState.java
@@ -8,7 +8,7 @@
 import tamarindroute.decision.RequestClass;
 import tamarindroute.numeric.Hashing;
 
-/** What a gateway knows about one cache, mostly from its own attempts there. */
+/** The state that a gateway keeps of one cache, measured mostly by its own attempts there. */
 final class CacheState {
 
   private final Cache cache;
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Takes over the cache's fields; resets what describes the previous process if the start time has
-   * changed.
+   * Updates the state from the fields of the cache. If the start time has changed, outlier evidence
+   * and slow start budget of the previous process are cleared.
    */
   void onEndpointUpdate(double now) {
     boolean restarted = !Objects.equals(startedAt, cache.startedAt);
@@ -80,12 +80,15 @@
     return fillLatency;
   }
 
-  /** Returns the relative size used for capacity. */
+  /** Returns the size in capacity units, above 0. */
   double size() {
     return weight.size();
   }
 
-  /** Returns the hops between the own hub and the cache's. */
+  /**
+   * Returns the hops along the ring of hubs between this gateway's hub and that of a parent; 0 for
+   * other tiers.
+   */
   int hubDistance() {
     return hubDistance;
   }
@@ -111,21 +114,26 @@
   }
 
   /**
-   * Whether the request may be sent there: ready, not ejected, and within the share of a cold
-   * cache.
+   * Whether the request may be sent to the cache: it is ready, not ejected and, if cold, within its
+   * slow start budget.
    */
   boolean isUsable(PlanningContext context) {
     return isReady() && !isEjected() && slowStart.admits(context);
   }
 
-  /** Whether any request of this cost could be sent there without sampling. */
+  /**
+   * Whether a request of this cost may be sent to the cache without sampling.
+   *
+   * @param cost seconds of transfer
+   * @param now seconds since the start of the instance
+   */
   boolean isUsable(double cost, double now) {
     return isReady() && !isEjected() && slowStart.covers(cost, now);
   }
 
   /**
-   * Whether the request is now used to probe the cache, which is ejected; starts the wait for the
-   * next probe.
+   * Whether the request is used to probe the ejected cache. If so, the delay before the next probe
+   * starts. Only idempotent requests are used.
    */
   boolean tryProbe(PlanningContext context) {
     boolean due =
@@ -139,6 +147,7 @@
     return due;
   }
 
+  /** Updates the estimates with the values that the cache reported. */
   void onLoadReport(LoadReport report, double now) {
     slowdown.onLoadReport(report, now);
     concurrency.onLoadReport(report, now);
@@ -147,10 +156,10 @@
   /**
    * Records the duration of a hit.
    *
-   * @param duration seconds, without the wait that every hit has
-   * @param transferTime what the transfer takes on an idle cache, in seconds
-   * @param sizeKnown whether the transfer time follows from a known size
-   * @return the factor by which the transfer was expected to take longer
+   * @param duration seconds, without the shortest wait that every hit has
+   * @param transferTime duration of the transfer on an idle cache, in seconds
+   * @param sizeKnown whether the transfer time was computed from a known size
+   * @return the factor by which the transfer was expected to take longer than on an idle cache
    */
   double recordHit(double duration, double transferTime, boolean sizeKnown, double now) {
     double ratio = duration / transferTime;
@@ -163,7 +172,10 @@
     return expectedSlowdown;
   }
 
-  /** Computes the score by which {@link CacheTiers} ranks caches for a key, the lowest first. */
+  /**
+   * Computes the score by which {@link CacheTiers} ranks caches for a key. The lowest score is
+   * first.
+   */
   void updateRendezvousScore(long key) {
     rendezvousScore =
         -Math.log(Hashing.fraction(Hashing.mix(key ^ hashSeed))) / weight.placementWeight();
--- a/policy/src/main/java/tamarindroute/policy/CacheTiers.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheTiers.java
@@ -11,7 +11,10 @@
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.PolicySettings;
 
-/** The caches of the endpoint list by tier, with the state of each, and their ranking for a key. */
+/**
+ * The caches of the endpoint list by tier with the state of each, and their ranking for a placement
+ * key.
+ */
 final class CacheTiers {
 
   private final PolicySettings settings;
@@ -34,7 +37,7 @@
     this.random = random;
   }
 
-  /** Replaces the list; caches that stay on it retain their state. */
+  /** Replaces the endpoint list. Caches that were on the previous list keep their state. */
   void onEndpoints(List<Cache> caches, double now) {
     states.keySet().retainAll(Set.copyOf(caches));
     for (Cache cache : caches) {
@@ -53,12 +56,12 @@
     return caches.stream().filter(condition).map(states::get).toList();
   }
 
-  /** Returns the edges of the own zone. */
+  /** Returns the edges of this gateway's zone, in the order of the endpoint list. */
   List<CacheState> edges() {
     return edges;
   }
 
-  /** Returns the parents of all zones. */
+  /** Returns the parents of all zones, in the order of the endpoint list. */
   List<CacheState> parents() {
     return parents;
   }
@@ -72,12 +75,12 @@
     return states.values().stream().filter(state -> state.cache().tier == tier);
   }
 
-  /** Returns the state of a cache; empty if it is not on the list. */
+  /** Returns the state of a cache; empty if the cache is not on the endpoint list. */
   Optional<CacheState> find(Cache cache) {
     return Optional.ofNullable(states.get(cache));
   }
 
-  /** Returns the state of a cache that is on the list. */
+  /** Returns the state of a cache that is on the endpoint list; null for any other cache. */
   CacheState get(Cache cache) {
     return states.get(cache);
   }
@@ -95,8 +98,8 @@
   }
 
   /**
-   * Ranks caches for a key by weighted rendezvous hashing: all gateways rank alike, and a change of
-   * the list moves only the keys of the caches that changed.
+   * Returns the caches ranked for a key by weighted rendezvous hashing. All gateways compute the
+   * same ranking, and a change of the list moves only the keys of the caches that changed.
    */
   static List<CacheState> ranked(List<CacheState> caches, long key) {
     List<CacheState> ranked = new ArrayList<>(caches);
@@ -105,7 +108,7 @@
     return ranked;
   }
 
-  /** Returns the cache that would be the first to match in the ranking, without sorting. */
+  /** Returns the first cache of the ranking for a key that matches, without sorting the list. */
   static Optional<CacheState> firstRanked(
       List<CacheState> caches, long key, Predicate<CacheState> condition) {
     caches.forEach(state -> state.updateRendezvousScore(key));
@@ -114,7 +117,7 @@
         .min(Comparator.comparingDouble(CacheState::rendezvousScore));
   }
 
-  /** Returns the first match in the order given. */
+  /** Returns the first match in the order of the list. */
   static Optional<CacheState> first(List<CacheState> caches, Predicate<CacheState> condition) {
     return caches.stream().filter(condition).findFirst();
   }
--- a/policy/src/main/java/tamarindroute/policy/CacheWeight.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheWeight.java
@@ -2,9 +2,13 @@
 
 import tamarindroute.decision.PolicySettings.WeightMeaning;
 
-/** What the advertised weight of a cache means for placement and for capacity. */
+/**
+ * Interprets the advertised weight of one cache: its share of the objects in the placement hash,
+ * and its size for capacity limits.
+ */
 final class CacheWeight {
 
+  /** Smallest weight that is used. Scores and concurrencies are divided by it. */
   private static final double MIN_WEIGHT = 1e-6;
 
   private final WeightMeaning meaning;
@@ -16,19 +20,20 @@
   }
 
   /**
-   * Takes over an advertised weight.
+   * Updates both values from the weight in the endpoint list.
    *
-   * @param restarted whether the cache's process has changed since the last update
+   * @param advertised relative capacity, 1 for an average cache
+   * @param restarted whether the cache's process has been replaced since the last update
    */
   void update(double advertised, boolean restarted) {
     double weight = Math.max(MIN_WEIGHT, advertised);
     switch (meaning) {
       case OFF -> {
-        // All caches count alike.
+        // All caches have the same weight and size.
       }
       case LIVE -> {
-        // It shrinks with the load, which must neither move objects nor limit the cache a second
-        // time: the largest counts.
+        // A live weight falls with the load of the cache. The load must not move objects, and it is
+        // already limited by the concurrency, so that the largest weight seen is the size.
         size = restarted ? weight : Math.max(size, weight);
       }
       case NOMINAL, ROUGH -> {
@@ -38,12 +43,12 @@
     }
   }
 
-  /** Returns the weight in the placement hash. */
+  /** Returns the weight of the cache in the placement hash, above 0. */
   double placementWeight() {
     return placementWeight;
   }
 
-  /** Returns the number of capacity units. */
+  /** Returns the size in capacity units, above 0. Concurrency limits hold per unit. */
   double size() {
     return size;
   }
--- a/policy/src/main/java/tamarindroute/policy/CacheableRequestPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheableRequestPlanner.java
@@ -7,22 +7,25 @@
 import tamarindroute.decision.Request;
 
 /**
- * Plans attempts of cacheable requests: a hot object at the least busy edge, any other at its
- * hashed edge. A lookup goes first: a hit needs no source, and a miss is known before its fill
- * takes capacity.
+ * Plans attempts of cacheable requests. A hot object is served by the least busy edge, any other
+ * object by its hashed edge. The first attempt is a cache lookup: a hit needs no source, and a miss
+ * is known before its fill takes capacity.
  */
 final class CacheableRequestPlanner {
 
-  /** Retention rank of objects stored by one edge. */
+  /** Retention rank of objects that one edge stores. */
   private static final int RANK_SINGLE = 1;
 
-  /** Retention rank of hot objects, stored by several edges. */
+  /** Retention rank of hot objects, which several edges store. */
   private static final int RANK_HOT = 2;
 
-  /** Part of the latency objective that an attempt at an edge has to meet. */
+  /**
+   * Share of the time until the latency objective within which an attempt at an edge has to end.
+   */
   private static final double OBJECTIVE_SHARE = 0.8;
 
-  private static final double NO_WAIT = 0;
+  /** Wait before the transfer of a hit, in seconds. */
+  private static final double NO_WAIT_SECONDS = 0;
 
   private final boolean bypassAllowed;
   private final ObjectPlacement placements;
@@ -52,7 +55,9 @@
     this.attempts = attempts;
   }
 
-  /** Returns the next attempt; empty if the request cannot be served in time. */
+  /**
+   * Returns the next attempt; empty if no attempt would be answered within the latency objective.
+   */
   Optional<Attempt> plan(PlanningContext context) {
     Request request = context.request();
     ObjectPlacement.Placement placement = placements.place(request, context.now());
@@ -62,11 +67,11 @@
       return bypassAllowed ? bypass.plan(context) : Optional.empty();
     }
     double slowdown = edge.get().slowdown().factor(context.now());
-    if (!objective.isReachable(context, NO_WAIT, slowdown, OBJECTIVE_SHARE)) {
+    if (!objective.isReachable(context, NO_WAIT_SECONDS, slowdown, OBJECTIVE_SHARE)) {
       return mayBypassBusyEdge(request) ? bypass.plan(context) : Optional.empty();
     }
     int rank = placement.hot() ? RANK_HOT : RANK_SINGLE;
-    if (isLookupDue(context, edge.get())) {
+    if (isLookupNeeded(context, edge.get())) {
       return Optional.of(attempts.lookup(context, edge.get(), rank));
     }
     if (placement.hot() && home.isPresent() && mayFillFromHome(request, edge.get(), home.get())) {
@@ -76,17 +81,19 @@
   }
 
   /**
-   * A request that a busy edge cannot serve in time is not sent to the next edge, which would have
-   * to fetch the object.
+   * Whether a request that a busy edge cannot serve in time may bypass the edges. It is never sent
+   * to the next edge: it would be a miss there, and the fill would load the links and the caches
+   * upstream.
    */
   private boolean mayBypassBusyEdge(Request request) {
     return bypassAllowed && request.attempts.isEmpty();
   }
 
   /**
-   * A cold edge is empty, and a lookup would be counted against its budget like a whole request.
+   * Whether the edge has to be looked up before a fill. A cold edge is empty, and a lookup would
+   * cost as much of its slow start budget as a whole request.
    */
-  private static boolean isLookupDue(PlanningContext context, CacheState edge) {
+  private static boolean isLookupNeeded(PlanningContext context, CacheState edge) {
     return !context.request().isKnownMiss(edge.cache(), edge.cache())
         && !edge.isCold(context.now());
   }
--- a/policy/src/main/java/tamarindroute/policy/CopyRecorder.java
+++ b/policy/src/main/java/tamarindroute/policy/CopyRecorder.java
@@ -8,12 +8,12 @@
 import tamarindroute.decision.Request;
 
 /**
- * Records what an answer says about copies and waits: hits move the marginal density, fills the
- * latency of their source.
+ * Records what an answer shows about stored copies and waits. Hits update the marginal density and
+ * the hit latency. Fills update the latency of their source.
  */
 final class CopyRecorder {
 
-  /** Weight of a success for the origin if the source may have answered from a copy of its own. */
+  /** Weight of a success for the origin if the source may have answered from its own copy. */
   private static final double UNPROVEN_ORIGIN_WEIGHT = 0.5;
 
   private final CacheTiers tiers;
@@ -35,7 +35,7 @@
     this.latencies = latencies;
   }
 
-  /** Records a served attempt of a cacheable request. */
+  /** Records the outcome of a served attempt of a cacheable request. */
   void recordServed(Request request, Attempt attempt, double now) {
     Outcome outcome = attempt.outcome;
     ObjectStatistics object = popularity.statistics(request, now);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Whether the attempt was at the edge that a request without attempts would be sent to first. */
+  /** Whether the attempt was sent to the first usable edge in the object's placement hash. */
   private boolean isAtHome(Request request, Attempt attempt, double now) {
     double cost = transferTimes.classMean(request);
     return CacheTiers.firstRanked(
@@ -63,7 +63,10 @@
         .isPresent();
   }
 
-  /** A hit did not use its source, unless the copy is revalidated in the background. */
+  /**
+   * Returns the cost to the source's slow start budget, since a hit does not use the source. A copy
+   * that is revalidated in the background does use it.
+   */
   private void refundUnusedSource(Request request, Attempt attempt) {
     if (attempt.source != attempt.cache && !attempt.revalidate) {
       tiers
--- a/policy/src/main/java/tamarindroute/policy/EdgeFillPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/EdgeFillPlanner.java
@@ -6,8 +6,9 @@
 import tamarindroute.decision.Attempt;
 
 /**
- * Plans the fill of an edge from above. Waiting for slow sources must not take capacity from hits:
- * copies that parents hold are sought first, and only few fills may wait for the rest.
+ * Plans how an edge that misses an object fetches it from a parent or the origin. Fills that wait
+ * for a slow source must not take capacity from hits: copies that parents already hold are looked
+ * up first, because they arrive quickly, and only a limited number of fills may wait for the rest.
  */
 final class EdgeFillPlanner {
 
@@ -28,10 +29,13 @@
   }
 
   /**
-   * Returns an attempt at the edge; empty if there is no source, or no capacity for waiting for it.
+   * Returns an attempt at the edge. Returns empty if there is no source for the fill, or if a fill
+   * from the source that remains would exceed the capacity for fills.
    *
-   * @param slowdown slowdown of the edge
-   * @param rank retention rank of the copy
+   * @param edge the edge that serves the request and is filled
+   * @param slowdown factor by which a transfer from the edge takes longer than on an idle edge, at
+   *     least 1
+   * @param rank retention rank of the copy that the edge stores
    */
   Optional<Attempt> plan(PlanningContext context, CacheState edge, double slowdown, int rank) {
     Optional<CacheState> ejectedOrigin = first(tiers.origins(), CacheState::isEjected);
@@ -50,15 +54,15 @@
     }
     boolean admitted =
         admission.admits(context, source, slowdown, late)
-            && mayReachOrigin(context, ejectedOrigin, source);
+            && mayContactOrigin(context, ejectedOrigin, source);
     return admitted ? Optional.of(attempts.fill(context, edge, source, rank)) : Optional.empty();
   }
 
   /**
-   * Whether the fill may end at the origin: it is not ejected, or the request is now used to probe
-   * it.
+   * Whether the fill may cause a request to the origin. An ejected origin accepts it only as the
+   * fill source itself or as a probe.
    */
-  private static boolean mayReachOrigin(
+  private static boolean mayContactOrigin(
       PlanningContext context, Optional<CacheState> ejectedOrigin, CacheState source) {
     return ejectedOrigin.isEmpty()
         || ejectedOrigin.get() == source
--- a/policy/src/main/java/tamarindroute/policy/EdgeSelector.java
+++ b/policy/src/main/java/tamarindroute/policy/EdgeSelector.java
@@ -6,23 +6,28 @@
 import java.util.Optional;
 import tamarindroute.decision.Request;
 
-/** Chooses the edge for a cacheable request. */
+/** Selects the edge for a cacheable request. */
 final class EdgeSelector {
 
   private final boolean bypassAllowed;
   private final AttemptHistory history;
 
-  /** Takes whether requests may go past the edges, which is preferred to an ejected edge. */
+  /**
+   * Creates a selector.
+   *
+   * @param bypassAllowed whether requests may bypass the edges. Without it an ejected edge is used
+   *     if no other is left, since it is better than none
+   */
   EdgeSelector(boolean bypassAllowed, AttemptHistory history) {
     this.bypassAllowed = bypassAllowed;
     this.history = history;
   }
 
   /**
-   * Returns the edge to use; empty if none can be used.
+   * Returns the edge to use; empty if no edge can be used.
    *
-   * @param ranked the edges in the order of the object's hash
-   * @param spread whether any usable edge may be taken instead of the first, to balance load
+   * @param ranked the edges in the order of the object's placement hash
+   * @param spread whether the least busy usable edge is selected in place of the first one
    */
   Optional<CacheState> select(PlanningContext context, List<CacheState> ranked, boolean spread) {
     Optional<CacheState> edge =
@@ -48,7 +53,10 @@
     return isEligible(request, edge) && request.attempts.isEmpty() && edge.tryProbe(context);
   }
 
-  /** Whether an edge may be used although it is ejected, where nothing better is left. */
+  /**
+   * Whether the edge may be used although it may be ejected. This applies only if no other edge is
+   * left.
+   */
   private boolean isLastResort(PlanningContext context, CacheState edge) {
     return isEligible(context.request(), edge)
         && edge.isReady()
--- a/policy/src/main/java/tamarindroute/policy/FailureAttribution.java
+++ b/policy/src/main/java/tamarindroute/policy/FailureAttribution.java
@@ -5,17 +5,21 @@
 import tamarindroute.decision.PolicySettings;
 
 /**
- * Charges a failure to the cache that caused it. A fill follows a lookup that has just proved the
- * cache sound, so its failure is taken to be the source's, or the origin's behind it, unless caches
- * report sources and named none.
+ * Attributes a failed or late attempt to the cache that caused it. A fill follows a cache lookup
+ * that has just shown the cache to work. The failure of a fill therefore counts against its source,
+ * or against the origin behind that source. It counts against the cache itself if caches report
+ * fill sources but the answer names none.
  */
 final class FailureAttribution {
 
-  /** Part of a failure's weight that counts against the origin behind a parent. */
+  /** Share of a failure's weight that counts against the origin behind a parent. */
   private static final double ORIGIN_SHARE_OF_FAILURE = 0.5;
 
-  /** The same for an attempt without an answer. */
-  private static final double ORIGIN_SHARE_OF_SILENCE = 0.25;
+  /**
+   * Share of the weight of a late or timed-out attempt that counts against the origin behind a
+   * parent.
+   */
+  private static final double ORIGIN_SHARE_OF_TIMEOUT = 0.25;
 
   private final PolicySettings settings;
   private final CacheTiers tiers;
@@ -25,20 +29,31 @@
     this.tiers = tiers;
   }
 
-  /** Charges an attempt that was answered with a failure, or broke. */
+  /**
+   * Records an attempt that the cache answered with a failure or a rejection, or whose connection
+   * was lost.
+   *
+   * @param weight weight of the failure, 1 for a certain one
+   * @param now seconds since the start of the instance
+   */
   void recordFailure(Attempt attempt, double weight, double now) {
     Detail detail = attempt.outcome.detail();
     if (isFill(attempt) && (detail != Detail.UNKNOWN || !settings.reportsFillSource())) {
-      chargeSource(attempt, detail, weight, ORIGIN_SHARE_OF_FAILURE, now);
+      recordSourceFailure(attempt, detail, weight, ORIGIN_SHARE_OF_FAILURE, now);
     } else {
       tiers.get(attempt.cache).outliers().recordFailure(weight, now);
     }
   }
 
-  /** Charges an attempt that is late or timed out. */
-  void recordSilence(Attempt attempt, double weight, double now) {
+  /**
+   * Records an attempt that is late or timed out.
+   *
+   * @param weight weight of the event, relative to a failure
+   * @param now seconds since the start of the instance
+   */
+  void recordTimeout(Attempt attempt, double weight, double now) {
     if (isFill(attempt)) {
-      chargeSource(attempt, Detail.UNKNOWN, weight, ORIGIN_SHARE_OF_SILENCE, now);
+      recordSourceFailure(attempt, Detail.UNKNOWN, weight, ORIGIN_SHARE_OF_TIMEOUT, now);
     } else {
       tiers.get(attempt.cache).outliers().recordFailure(weight, now);
     }
@@ -48,15 +63,15 @@
     return attempt.source != attempt.cache;
   }
 
-  private void chargeSource(
+  private void recordSourceFailure(
       Attempt attempt, Detail detail, double weight, double originShare, double now) {
     CacheState cache = tiers.get(attempt.cache);
     CacheState source = cache.isParent() ? cache : tiers.get(attempt.source);
-    boolean mayAskOrigin = source.isParent() && !attempt.onlyIfCached;
-    if (mayAskOrigin && (detail == Detail.UNKNOWN || detail == Detail.ORIGIN_FAILED)) {
+    boolean mayHaveContactedOrigin = source.isParent() && !attempt.onlyIfCached;
+    if (mayHaveContactedOrigin && (detail == Detail.UNKNOWN || detail == Detail.ORIGIN_FAILED)) {
       tiers.origins().forEach(origin -> origin.outliers().recordFailure(weight * originShare, now));
     }
-    if (!mayAskOrigin || detail != Detail.ORIGIN_FAILED) {
+    if (!mayHaveContactedOrigin || detail != Detail.ORIGIN_FAILED) {
       source.outliers().recordFailure(weight, now);
     }
   }
--- a/policy/src/main/java/tamarindroute/policy/FillAdmission.java
+++ b/policy/src/main/java/tamarindroute/policy/FillAdmission.java
@@ -1,15 +1,15 @@
 package tamarindroute.policy;
 
 /**
- * Limits the fills in flight, so that they overload neither the location's link nor, when slow, the
- * edges.
+ * Limits the fills in flight, so that they do not overload the link of the location. Fills from
+ * slow sources must not take the capacity of the edges from hits either.
  */
 final class FillAdmission {
 
-  /** Part of the latency objective that a fill has to meet. */
+  /** Share of the time until the latency objective within which a fill has to end. */
   private static final double OBJECTIVE_SHARE = 0.8;
 
-  /** Share of the edges' capacity that fills from slow sources may take. */
+  /** Share of the capacity of the edges that fills from slow sources may take. */
   private static final double SLOW_FILL_SHARE = 0.55;
 
   private final LatencyObjective objective;
@@ -31,8 +31,10 @@
   /**
    * Whether one more fill may start.
    *
-   * @param edgeSlowdown slowdown of the edge to be filled
-   * @param late whether the fill cannot meet the latency objective
+   * @param source where the edge is filled from
+   * @param edgeSlowdown slowdown factor of the edge to be filled, at least 1
+   * @param late whether the fill cannot meet the latency objective. Such a fill is limited only by
+   *     the number of fills in flight
    */
   boolean admits(PlanningContext context, CacheState source, double edgeSlowdown, boolean late) {
     double now = context.now();
@@ -45,7 +47,7 @@
     return objective.isReachable(context, wait, slowdown, OBJECTIVE_SHARE);
   }
 
-  /** Whether the fills in flight exceed what the edges carry. */
+  /** Whether the fills in flight exceed the capacity of the edges. */
   boolean isOverCapacity(double now) {
     return inFlight.locationFills(now) > capacity.ofEdges();
   }
--- a/policy/src/main/java/tamarindroute/policy/FillLatency.java
+++ b/policy/src/main/java/tamarindroute/policy/FillLatency.java
@@ -3,18 +3,21 @@
 import tamarindroute.numeric.DecayingValue;
 
 /**
- * The wait for the first byte of a fill from one source; forgotten within seconds, so that the
- * source is tried again.
+ * Moving average of the time to the first byte of fills from one source. It decays to 0 within
+ * seconds, so that a slow source is tried again.
  */
 final class FillLatency {
 
-  private static final double TIME_CONSTANT = 10;
-  private static final double BLEND = 0.2;
+  /** Time constant of the decay. 10 s let a slow cache be tried again. */
+  private static final double TIME_CONSTANT_SECONDS = 10;
 
-  /** A sample counts at most so many times the estimate. */
+  /** Weight of a new sample in the moving average. */
+  private static final double SAMPLE_WEIGHT = 0.2;
+
+  /** A sample is limited to this multiple of the estimate. */
   private static final double MAX_SAMPLE_FACTOR = 4;
 
-  private final DecayingValue wait = new DecayingValue(TIME_CONSTANT, 0);
+  private final DecayingValue wait = new DecayingValue(TIME_CONSTANT_SECONDS, 0);
 
   /** Returns the expected wait in seconds; 0 if nothing was measured recently. */
   double estimate(double now) {
@@ -22,13 +25,13 @@
   }
 
   /**
-   * Records a wait.
+   * Records the wait of one fill.
    *
    * @param sample seconds
-   * @param typical the usual wait for fills of the location, in seconds
+   * @param typical mean wait for upstream fills of the location, in seconds
    */
   void record(double sample, double typical, double now) {
-    double mostCounted = MAX_SAMPLE_FACTOR * Math.max(typical, wait.valueAt(now));
-    wait.blendToward(Math.min(sample, mostCounted), BLEND, now);
+    double maxSample = MAX_SAMPLE_FACTOR * Math.max(typical, wait.valueAt(now));
+    wait.blendToward(Math.min(sample, maxSample), SAMPLE_WEIGHT, now);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
+++ b/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
@@ -8,18 +8,24 @@
 import tamarindroute.decision.Request;
 
 /**
- * Chooses where a miss is filled from: a hashed parent that is quick enough at the moment, else the
+ * Selects the source of a fill: the hashed parent if it is currently fast enough, otherwise the
  * origin.
  */
 final class FillSourceSelector {
 
-  /** Part of the latency objective that a preferred source has to meet. */
+  /**
+   * Share of the time until the latency objective within which a fill from a preferred source has
+   * to end.
+   */
   private static final double PREFERRED_OBJECTIVE_SHARE = 0.7;
 
-  private static final double FULL_OBJECTIVE = 1;
+  /** Share that allows all of the time until the latency objective. */
+  private static final double FULL_OBJECTIVE_SHARE = 1;
+
+  /** Slowdown factor of an idle cache. */
   private static final double NO_SLOWDOWN = 1;
 
-  /** Parents that are looked up for a copy before a slow source is waited for. */
+  /** Number of parents at which a copy is looked up before the request waits for a slow source. */
   private static final int MAX_LOOKUPS = 3;
 
   private final CacheTiers tiers;
@@ -35,13 +41,13 @@
   /**
    * Returns the source for a fill; empty if there is none.
    *
-   * @param upstreamSlow whether parents of all hubs are ranked alike, so that all gateways ask the
-   *     same one, and it the origin only once
+   * @param upstreamSlow whether the parents of all hubs are ranked by the placement hash alone. All
+   *     gateways then ask the same parent, which asks the origin only once
    */
   Optional<CacheState> select(PlanningContext context, boolean upstreamSlow) {
     return first(
             rankedParents(context.request(), upstreamSlow),
-            parent -> isAvailable(context, parent) && isQuick(context, parent))
+            parent -> isAvailable(context, parent) && isFast(context, parent))
         .or(
             () ->
                 first(
@@ -54,7 +60,7 @@
         && (parent.isUsable(context) || parent.tryProbe(context));
   }
 
-  private boolean isQuick(PlanningContext context, CacheState parent) {
+  private boolean isFast(PlanningContext context, CacheState parent) {
     double wait = parent.fillLatency().estimate(context.now());
     return objective.isReachable(context, wait, NO_SLOWDOWN, PREFERRED_OBJECTIVE_SHARE);
   }
@@ -65,7 +71,10 @@
         && (!origin.isEjected() || origin.tryProbe(context));
   }
 
-  /** Returns the parents by hash, the nearest hub's first unless all hubs are ranked alike. */
+  /**
+   * Returns the parents in the order of the object's placement hash. Parents of the nearest hub
+   * come first unless all hubs are ranked alike.
+   */
   private List<CacheState> rankedParents(Request request, boolean allHubsAlike) {
     List<CacheState> ranked = CacheTiers.ranked(tiers.parents(), ObjectPopularity.key(request));
     if (!allHubsAlike) {
@@ -74,23 +83,32 @@
     return ranked;
   }
 
-  /** Whether no ready parent would be in time for a transfer that takes so many times longer. */
+  /**
+   * Whether no ready parent could fill an edge within the latency objective.
+   *
+   * @param slowdown slowdown factor of the edge to be filled, at least 1
+   */
   boolean areParentsSlow(PlanningContext context, double slowdown) {
     return tiers.parents().stream()
         .noneMatch(parent -> parent.isReady() && isInTime(context, parent, slowdown));
   }
 
-  /** Whether a fill from the source would be in time. */
+  /**
+   * Whether a fill from the source would end within the latency objective.
+   *
+   * @param slowdown slowdown factor of the edge to be filled, at least 1
+   */
   boolean isInTime(PlanningContext context, CacheState source, double slowdown) {
     double wait = source.fillLatency().estimate(context.now());
-    return objective.isReachable(context, wait, slowdown, FULL_OBJECTIVE);
+    return objective.isReachable(context, wait, slowdown, FULL_OBJECTIVE_SHARE);
   }
 
   /**
-   * Returns a parent that may hold a copy and was not looked up yet; empty if enough were.
+   * Returns a parent at which a copy may be looked up and has not been yet. Returns empty if there
+   * is none or the number of lookups is exhausted.
    *
    * @param edge the edge to be filled
-   * @param selected the source otherwise waited for, already found usable
+   * @param selected the source that would be waited for otherwise, already found usable
    */
   Optional<CacheState> selectForLookup(
       PlanningContext context, CacheState edge, CacheState selected) {
--- a/policy/src/main/java/tamarindroute/policy/IdempotencyGuard.java
+++ b/policy/src/main/java/tamarindroute/policy/IdempotencyGuard.java
@@ -8,10 +8,10 @@
 import tamarindroute.decision.RequestClass.DeduplicationScope;
 import tamarindroute.decision.RequestClass.Idempotency;
 
-/** Ensures that no request takes effect twice. */
+/** Ensures that no request is executed twice with an effect each time. */
 final class IdempotencyGuard {
 
-  /** Part of the deduplication window within which a keyed request may be repeated. */
+  /** Share of the deduplication window within which a keyed request may be repeated. */
   private static final double SAFE_WINDOW_SHARE = 0.5;
 
   private IdempotencyGuard() {}
@@ -19,37 +19,42 @@
   /**
    * Whether an attempt of the request may start now.
    *
-   * @param excluded an attempt that does not count as possibly executed; null for none
+   * @param excluded an attempt to be treated as not executed; null for none
+   * @param now seconds since the start of the instance
    */
   static boolean mayStart(Request request, Attempt excluded, double now) {
     Attempt executed = request.firstPossiblyExecuted(excluded);
     if (executed == null) {
       return true;
     }
-    RequestClass terms = request.requestClass;
-    return switch (terms.idempotency()) {
+    RequestClass requestClass = request.requestClass;
+    return switch (requestClass.idempotency()) {
       case IDEMPOTENT -> true;
       case KEYED ->
-          now - seconds(executed.sentAt) < SAFE_WINDOW_SHARE * seconds(terms.deduplicationWindow());
+          now - seconds(executed.sentAt)
+              < SAFE_WINDOW_SHARE * seconds(requestClass.deduplicationWindow());
       case NON_IDEMPOTENT -> false;
     };
   }
 
-  /** Whether a repetition at this cache would be recognized as one. */
+  /**
+   * Whether the cache would recognize a repetition of an attempt that may have been executed
+   * elsewhere.
+   */
   static boolean isWithinScope(Request request, CacheState state) {
     Attempt executed = request.firstPossiblyExecuted(null);
-    RequestClass terms = request.requestClass;
+    RequestClass requestClass = request.requestClass;
     return executed == null
-        || terms.idempotency() == Idempotency.IDEMPOTENT
-        || terms.deduplicationScope().sharedBy(executed.cache, state.cache());
+        || requestClass.idempotency() == Idempotency.IDEMPOTENT
+        || requestClass.deduplicationScope().sharedBy(executed.cache, state.cache());
   }
 
-  /** Whether the client may send the request again by any gateway. */
+  /** Whether the client may safely send the request again through any gateway. */
   static boolean isSafeToRepeat(Request request) {
-    RequestClass terms = request.requestClass;
+    RequestClass requestClass = request.requestClass;
     return request.firstPossiblyExecuted(null) == null
-        || terms.idempotency() == Idempotency.IDEMPOTENT
-        || (terms.idempotency() == Idempotency.KEYED
-            && terms.deduplicationScope() == DeduplicationScope.ALL);
+        || requestClass.idempotency() == Idempotency.IDEMPOTENT
+        || (requestClass.idempotency() == Idempotency.KEYED
+            && requestClass.deduplicationScope() == DeduplicationScope.ALL);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
@@ -8,19 +8,23 @@
 import tamarindroute.decision.Request;
 
 /**
- * Decides about an attempt that is late. It counts against its cache and source; a second one is
- * sent where hedging is allowed, else it is cancelled once its cache or source is suspected for
- * other requests' failures.
+ * Decides what to do about a late attempt. It counts against its cache and source. Where hedging is
+ * allowed, a second attempt is sent if it can meet the latency objective. Elsewhere the late
+ * attempt is cancelled if other requests have already produced evidence against its cache or
+ * source.
  */
 final class LateAttemptPolicy {
 
-  /** Weight of a late attempt, relative to a failure. */
+  /** Weight of a late attempt in outlier detection, relative to a failure. */
   private static final double LATE_WEIGHT = 0.5;
 
-  /** A further attempt has to fit so many transfer times into the latency objective. */
-  private static final double MIN_TRANSFER_TIMES_LEFT = 1.2;
+  /**
+   * A further attempt is made only if this multiple of its transfer time is left before the latency
+   * objective.
+   */
+  private static final double MIN_TRANSFER_TIMES_BEFORE_OBJECTIVE = 1.2;
 
-  /** Evidence against a cache above which a late attempt is cancelled. */
+  /** Evidence of {@link OutlierDetector} above which a late attempt is cancelled. */
   private static final double CANCEL_EVIDENCE = 3;
 
   private final PolicySettings settings;
@@ -48,8 +52,13 @@
     this.planner = planner;
   }
 
+  /**
+   * Records the lateness and returns a second attempt, a cancellation or a wait.
+   *
+   * @param attempt an outstanding attempt of the request that is late
+   */
   Decision onLate(Request request, Attempt attempt, double now) {
-    failures.recordSilence(attempt, LATE_WEIGHT, now);
+    failures.recordTimeout(attempt, LATE_WEIGHT, now);
     recordWait(request, attempt, now);
     if (!mayRetry(request, now) || !isObjectiveReachable(request, now)) {
       return Decision.WAIT;
@@ -74,17 +83,19 @@
 
   private boolean isObjectiveReachable(Request request, double now) {
     double transferTime = transferTimes.transferTime(request);
-    return now + MIN_TRANSFER_TIMES_LEFT * transferTime <= transferTimes.objectiveTime(request);
+    return now + MIN_TRANSFER_TIMES_BEFORE_OBJECTIVE * transferTime
+        <= transferTimes.objectiveTime(request);
   }
 
   /**
-   * An uncacheable request has the one origin as its source wherever it is sent: there only the
-   * cache counts.
+   * Whether other requests have produced enough evidence against the cache or the source of the
+   * attempt. Each uncacheable request has the origin as its source, wherever it is sent, so that
+   * only its cache counts.
    */
   private boolean isSuspected(Request request, Attempt attempt, double now) {
-    double ofCache = tiers.get(attempt.cache).outliers().evidence(now);
+    double cacheEvidence = tiers.get(attempt.cache).outliers().evidence(now);
     boolean sourceCounts = request.requestClass.cacheable();
-    double ofSource = sourceCounts ? tiers.get(attempt.source).outliers().evidence(now) : 0;
-    return Math.max(ofCache, ofSource) > CANCEL_EVIDENCE;
+    double sourceEvidence = sourceCounts ? tiers.get(attempt.source).outliers().evidence(now) : 0;
+    return Math.max(cacheEvidence, sourceEvidence) > CANCEL_EVIDENCE;
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/LatencyEstimates.java
+++ b/policy/src/main/java/tamarindroute/policy/LatencyEstimates.java
@@ -1,37 +1,41 @@
 package tamarindroute.policy;
 
-/**
- * Slow running means of the wait for the first byte, for the location as a whole. All in seconds.
- */
+/** Running means of the time to the first byte over the whole location, in seconds. */
 final class LatencyEstimates {
 
-  private static final double INITIAL_HIT_LATENCY = 0.005;
-  private static final double INITIAL_FILL_LATENCY = 0.05;
-  private static final double MIN_LATENCY = 0.0005;
+  /** Mean wait of hits until the first one is measured. */
+  private static final double INITIAL_HIT_LATENCY_SECONDS = 0.005;
 
-  /** Growth of the minimum per hit, so that it follows a rising latency. */
-  private static final double MINIMUM_GROWTH = 1.01;
+  /** Mean wait of upstream fills until the first one is measured. */
+  private static final double INITIAL_FILL_LATENCY_SECONDS = 0.05;
 
-  private static final double STEP = 0.05;
+  /** Shortest wait that is recorded. */
+  private static final double MIN_LATENCY_SECONDS = 0.0005;
 
-  /** A sample counts at most so many times the mean. */
+  /** Factor by which the minimum grows with each hit, so that it follows a rising latency. */
+  private static final double MINIMUM_GROWTH_FACTOR = 1.01;
+
+  /** Weight of a new sample in the running means. */
+  private static final double SAMPLE_WEIGHT = 0.05;
+
+  /** A sample is limited to this multiple of the mean. */
   private static final double MAX_SAMPLE_FACTOR = 4;
 
-  private double hitLatency = INITIAL_HIT_LATENCY;
-  private double fillLatency = INITIAL_FILL_LATENCY;
-  private double minHitLatency = INITIAL_HIT_LATENCY;
+  private double hitLatency = INITIAL_HIT_LATENCY_SECONDS;
+  private double fillLatency = INITIAL_FILL_LATENCY_SECONDS;
+  private double minHitLatency = INITIAL_HIT_LATENCY_SECONDS;
 
-  /** Returns the wait for hits and copies of siblings; d of the paper. */
+  /** Returns the mean wait for hits and for copies of sibling edges, d in the ratio test. */
   double hitLatency() {
     return hitLatency;
   }
 
-  /** Returns the wait for fills from parents and the origin; D of the paper. */
+  /** Returns the mean wait for fills from parents and the origin, D in the ratio test. */
   double fillLatency() {
     return fillLatency;
   }
 
-  /** Returns the shortest wait for a hit of late. */
+  /** Returns the shortest recent wait for a hit. */
   double minHitLatency() {
     return minHitLatency;
   }
@@ -39,27 +43,31 @@
   /**
    * Records the wait for a hit.
    *
-   * @param atHome whether it was at the edge that the object is hashed to; only these count for the
+   * @param wait seconds
+   * @param atHome whether the hit was at the hashed edge of the object. Only these hits change the
    *     mean
    */
   void recordHit(double wait, boolean atHome) {
-    minHitLatency = Math.min(Math.max(MIN_LATENCY, wait), MINIMUM_GROWTH * minHitLatency);
+    minHitLatency =
+        Math.min(Math.max(MIN_LATENCY_SECONDS, wait), MINIMUM_GROWTH_FACTOR * minHitLatency);
     if (atHome) {
       hitLatency = blend(hitLatency, wait);
     }
   }
 
-  /** Records the wait for a fill from a sibling. */
+  /** Records the wait for a fill from a sibling edge, in seconds. */
   void recordSiblingFill(double wait) {
     hitLatency = blend(hitLatency, wait);
   }
 
-  /** Records the wait for a fill from a parent or the origin. */
+  /** Records the wait for a fill from a parent or the origin, in seconds. */
   void recordUpstreamFill(double wait) {
     fillLatency = blend(fillLatency, wait);
   }
 
   private static double blend(double mean, double sample) {
-    return mean + STEP * (Math.max(MIN_LATENCY, Math.min(sample, MAX_SAMPLE_FACTOR * mean)) - mean);
+    return mean
+        + SAMPLE_WEIGHT
+            * (Math.max(MIN_LATENCY_SECONDS, Math.min(sample, MAX_SAMPLE_FACTOR * mean)) - mean);
   }
 }
--- a/policy/src/main/java/tamarindroute/policy/LatencyObjective.java
+++ b/policy/src/main/java/tamarindroute/policy/LatencyObjective.java
@@ -4,7 +4,7 @@
 
 import tamarindroute.decision.Request;
 
-/** Decides whether a request sent now would be answered in time. */
+/** Estimates whether a request that is sent now is answered in time. */
 final class LatencyObjective {
 
   private final TransferTimes transferTimes;
@@ -14,12 +14,12 @@
   }
 
   /**
-   * Whether an answer would arrive within a share of the latency objective, or, for requests of an
-   * underserved size, before the client's deadline.
+   * Whether the answer would arrive within a share of the latency objective. For requests of an
+   * underserved size the limit is the client's deadline.
    *
    * @param wait seconds before the transfer starts
-   * @param slowdown factor by which the transfer takes longer than on an idle cache
-   * @param share part of the time from arrival to the objective that may be used
+   * @param slowdown factor by which the transfer takes longer than on an idle cache, at least 1
+   * @param share share of the time from arrival to the objective that may be used, 0 to 1
    */
   boolean isReachable(PlanningContext context, double wait, double slowdown, double share) {
     Request request = context.request();
--- a/policy/src/main/java/tamarindroute/policy/ObjectPlacement.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectPlacement.java
@@ -3,15 +3,19 @@
 import java.util.List;
 import tamarindroute.decision.Request;
 
-/** Decides which edges keep an object: its hashed edge alone, or, if it is hot, several. */
+/**
+ * Decides which edges store an object: its hashed edge alone or, if the object is hot, several
+ * edges.
+ */
 final class ObjectPlacement {
 
   /**
    * The placement of one object.
    *
-   * @param ranked the edges in the order of the object's hash
-   * @param hot whether several edges keep it
-   * @param spread whether any edge may serve it now
+   * @param ranked the edges in the order of the object's placement hash
+   * @param hot whether several edges store the object
+   * @param spread whether any edge may serve the object now. After a purge a hot object is not
+   *     spread until its hashed edge has stored it again
    */
   record Placement(List<CacheState> ranked, boolean hot, boolean spread) {}
 
@@ -28,6 +32,7 @@
     this.purges = purges;
   }
 
+  /** Returns the current placement of the requested part of an object. */
   Placement place(Request request, double now) {
     ObjectStatistics object = popularity.statistics(request, now);
     List<CacheState> ranked = CacheTiers.ranked(tiers.edges(), ObjectPopularity.key(request));
@@ -36,8 +41,9 @@
   }
 
   /**
-   * After a purge no edge holds the object: until the hashed edge has proved to hold it again, it
-   * alone fetches it.
+   * Whether the hashed edge has stored the object since its last purge. A purge removes every copy
+   * at once. The hashed edge alone fetches the object first, and the other edges follow once it
+   * holds a copy.
    */
   private boolean isStoredSincePurge(ObjectStatistics object, Request request) {
     return object.lastStoredAtHome() > purges.lastPurge(request);
--- a/policy/src/main/java/tamarindroute/policy/ObjectPopularity.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectPopularity.java
@@ -6,16 +6,18 @@
 import tamarindroute.numeric.Hashing;
 
 /**
- * A bounded table of the most recently requested parts of objects, with their popularity and their
- * bytes.
+ * A bounded table of the most recently requested parts of objects, with their popularity and size.
+ * The least recently requested part is evicted.
  */
 final class ObjectPopularity {
 
+  /** Largest number of parts in the table. */
   private static final int MAX_ENTRIES = 20_000;
+
   private static final int INITIAL_CAPACITY = 1024;
   private static final float LOAD_FACTOR = 0.75f;
 
-  /** Spreads parts of an object over the key space. */
+  /** Prime factor that spreads the parts of objects over the key space. */
   private static final int PART_STRIDE = 1000003;
 
   private final Map<Long, ObjectStatistics> table =
@@ -34,8 +36,8 @@
   }
 
   /**
-   * Returns the statistics of the requested part, brought up to date; adds it to the table if
-   * necessary.
+   * Returns the statistics of the requested part, updated to the current window. A part that is not
+   * in the table is added to it.
    */
   ObjectStatistics statistics(Request request, double now) {
     long key = key(request);
@@ -59,7 +61,7 @@
     }
   }
 
-  /** Marks an object as hot or not. */
+  /** Marks an object as hot or not, and updates the size of the hot objects. */
   void setHot(ObjectStatistics object, boolean hot) {
     if (hot != object.isHot()) {
       hotKilobytes += hot ? object.kilobytes() : -object.kilobytes();
@@ -67,12 +69,12 @@
     }
   }
 
-  /** Returns the size of all objects in the table, in kB. */
+  /** Returns the total size of the parts in the table, in kB. */
   double totalKilobytes() {
     return totalKilobytes;
   }
 
-  /** Returns the size of the hot objects in the table, in kB. */
+  /** Returns the total size of the hot parts in the table, in kB. */
   double hotKilobytes() {
     return hotKilobytes;
   }
--- a/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
+++ b/policy/src/main/java/tamarindroute/policy/ObjectStatistics.java
@@ -1,27 +1,37 @@
 package tamarindroute.policy;
 
-/** The popularity of one part of an object, smoothed from window to window. */
+/**
+ * The popularity of one part of an object, an exponential moving average over windows of fixed
+ * length.
+ */
 final class ObjectStatistics {
 
-  /** Seconds per window. */
+  /** Length of a window. */
   static final double WINDOW_SECONDS = 5;
 
-  /** Weight of the newest window in the smoothed popularity. */
+  /** Weight of the newest window in the moving average. */
   private static final double SMOOTHING = 0.4;
 
+  /** A time before any request, in seconds since the start of the instance. */
   private static final double NEVER = -1;
 
   private final double kilobytes;
+
+  /** Requests per second as of the end of the last complete window. */
   private double popularity;
+
   private int requestsInWindow;
+
+  /** Number of the window in which requests are counted. */
   private long window;
+
   private boolean hot;
   private double storedAtHome = NEVER;
 
   /**
-   * Starts without requests.
+   * Creates statistics without requests.
    *
-   * @param kilobytes size; 0 if unknown, which counts as 1
+   * @param kilobytes size of the part; 0 if unknown, which is counted as 1 kB
    * @param window number of the current window
    */
   ObjectStatistics(double kilobytes, long window) {
@@ -29,20 +39,24 @@
     this.window = window;
   }
 
+  /** Returns the size of the part in kB; 1 if unknown. */
   double kilobytes() {
     return kilobytes;
   }
 
-  /** Whether it passed the latest ratio test. */
+  /** Whether the object passed its latest ratio test. */
   boolean isHot() {
     return hot;
   }
 
-  void setHot(boolean nowHot) {
-    hot = nowHot;
+  void setHot(boolean newHot) {
+    hot = newHot;
   }
 
-  /** Returns when its hashed edge last proved to hold it; negative if never. */
+  /**
+   * Returns when the hashed edge last proved to hold the object, in seconds since the start of the
+   * instance; negative if never.
+   */
   double lastStoredAtHome() {
     return storedAtHome;
   }
@@ -55,12 +69,15 @@
     requestsInWindow++;
   }
 
-  /** Returns requests per second over size, as of the end of the last whole window. */
+  /** Returns the density: requests per second and kB, as of the end of the last complete window. */
   double density() {
     return popularity / kilobytes;
   }
 
-  /** Brings the popularity to the end of the window before this one. */
+  /**
+   * Updates the popularity to the end of the window before the current one and clears the request
+   * count if a new window has begun.
+   */
   void advanceTo(long currentWindow) {
     if (currentWindow > window) {
       popularity = (1 - SMOOTHING) * popularity + SMOOTHING * requestsInWindow / WINDOW_SECONDS;
--- a/policy/src/main/java/tamarindroute/policy/OutcomeRecorder.java
+++ b/policy/src/main/java/tamarindroute/policy/OutcomeRecorder.java
@@ -8,19 +8,19 @@
 import tamarindroute.decision.Request;
 
 /**
- * Records the outcomes of attempts with the caches, sources and classes that they say something
- * about.
+ * Records the outcomes of attempts in the state of the caches, sources and request classes that
+ * they concern.
  */
 final class OutcomeRecorder {
 
-  /** Weight of an attempt that timed out, relative to a failure. */
+  /** Weight in outlier detection of an attempt that timed out, relative to a failure. */
   private static final double TIMEOUT_WEIGHT = 0.5;
 
-  /** Weight of a rejected fill for its source. */
+  /** Weight in outlier detection of a rejected fill, for its source. */
   private static final double REJECTED_FILL_WEIGHT = 0.3;
 
-  /** Shortest duration of a hit beyond the common wait, in seconds. */
-  private static final double MIN_HIT_DURATION = 1e-6;
+  /** Shortest duration of a hit that is recorded, after the shortest wait is subtracted. */
+  private static final double MIN_HIT_DURATION_SECONDS = 1e-6;
 
   private final CacheTiers tiers;
   private final TransferTimes transferTimes;
@@ -47,7 +47,7 @@
     this.copies = copies;
   }
 
-  /** Records the outcome of an attempt that was accounted as sent. */
+  /** Records the outcome of an attempt that was counted as in flight. */
   void recordOutcome(Request request, Attempt attempt, double now) {
     inFlight.onEnded(attempt, now);
     retries.recordEnded(now);
@@ -55,7 +55,7 @@
       case SERVED -> recordServed(request, attempt, now);
       case MISS -> tiers.get(attempt.source).outliers().recordSuccess(1, now);
       case FAILED, CONNECTION_LOST -> failures.recordFailure(attempt, 1, now);
-      case TIMED_OUT -> failures.recordSilence(attempt, TIMEOUT_WEIGHT, now);
+      case TIMED_OUT -> failures.recordTimeout(attempt, TIMEOUT_WEIGHT, now);
       case CONNECT_FAILED -> {
         tiers.get(attempt.cache).outliers().recordFailure(1, now);
         refund(request, attempt);
@@ -63,7 +63,7 @@
       case REJECTED -> recordRejected(attempt, now);
       case NOT_SENT -> refund(request, attempt);
       case CANCELLED, DEADLINE_EXCEEDED -> {
-        // Says nothing about the cache.
+        // These results neither confirm nor question the health of the cache.
       }
     }
   }
@@ -82,7 +82,7 @@
 
   private void recordHit(Request request, CacheState cache, Outcome outcome, double now) {
     double duration =
-        Math.max(MIN_HIT_DURATION, seconds(outcome.duration()) - latencies.minHitLatency());
+        Math.max(MIN_HIT_DURATION_SECONDS, seconds(outcome.duration()) - latencies.minHitLatency());
     boolean sizeKnown = transferTimes.isSizeKnown(request);
     double expectedSlowdown =
         cache.recordHit(duration, transferTimes.transferTime(request), sizeKnown, now);
@@ -96,7 +96,7 @@
     }
   }
 
-  /** What never reached the caches takes nothing of their budgets. */
+  /** Refunds the cost of an attempt that did not reach its caches to their slow start budgets. */
   private void refund(Request request, Attempt attempt) {
     double cost = transferTimes.classMean(request);
     for (Cache cache : attempt.contactedCaches()) {
--- a/policy/src/main/java/tamarindroute/policy/QueuedAttemptCheck.java
+++ b/policy/src/main/java/tamarindroute/policy/QueuedAttemptCheck.java
@@ -7,7 +7,8 @@
 import tamarindroute.decision.Request;
 
 /**
- * Decides whether an attempt that waited for its connection could still be decided like this now.
+ * Checks whether an attempt that waited for its connection may still be sent. Events since the
+ * decision, and the time that has passed, apply to it as to a new attempt.
  */
 final class QueuedAttemptCheck {
 
@@ -17,6 +18,7 @@
     this.purges = purges;
   }
 
+  /** Whether the attempt may be sent now. */
   boolean mayStillSend(Request request, Attempt attempt, double now) {
     return attempt.cache.isReady()
         && attempt.source.isReady()
@@ -26,11 +28,16 @@
         && IdempotencyGuard.mayStart(request, attempt, now);
   }
 
+  /** Whether neither the cache nor the source has restarted since the decision. */
   private static boolean isForSameProcesses(Attempt attempt) {
     return Objects.equals(attempt.cache.startedAt, attempt.cacheStartedAt)
         && Objects.equals(attempt.source.startedAt, attempt.sourceStartedAt);
   }
 
+  /**
+   * Whether the maximum copy age of the attempt also excludes copies from before purges that
+   * arrived since the decision.
+   */
   private boolean excludesPurgedCopies(Request request, Attempt attempt, double now) {
     if (!request.requestClass.cacheable()) {
       return true;
--- a/policy/src/main/java/tamarindroute/policy/QuotaGrants.java
+++ b/policy/src/main/java/tamarindroute/policy/QuotaGrants.java
@@ -10,11 +10,15 @@
 
   private final Map<Cache.Tier, QuotaGrant> byTier = new EnumMap<>(Cache.Tier.class);
 
+  /** Replaces the grant of the tier. */
   void put(Cache.Tier tier, QuotaGrant grant) {
     byTier.put(tier, grant);
   }
 
-  /** Returns {@link QuotaGrant#NONE} where nothing was granted. */
+  /**
+   * Returns the latest grant of the tier, which may have expired; {@link QuotaGrant#NONE} if there
+   * was none.
+   */
   QuotaGrant get(Cache.Tier tier) {
     return byTier.getOrDefault(tier, QuotaGrant.NONE);
   }
--- a/policy/src/main/java/tamarindroute/policy/RandomSequence.java
+++ b/policy/src/main/java/tamarindroute/policy/RandomSequence.java
@@ -2,7 +2,10 @@
 
 import tamarindroute.numeric.Hashing;
 
-/** The policy's pseudo-random numbers, one sequence for all uses, repeatable from its seed. */
+/**
+ * The pseudo-random numbers of one policy. All uses draw from this one sequence, which its seed
+ * determines.
+ */
 final class RandomSequence {
 
   private final long seed;
--- a/policy/src/main/java/tamarindroute/policy/RatioTest.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTest.java
@@ -3,27 +3,35 @@
 import tamarindroute.decision.PolicySettings;
 
 /**
- * The ratio test of the collaborative caching algorithm: an object is hot, and stored by several
- * edges, if its density exceeds the marginal density by more than what a copy less costs over what
- * a further copy saves.
+ * The ratio test of the collaborative caching algorithm. An object is hot, and stored by several
+ * edges, if its density exceeds the marginal density by more than a factor. The factor is the cost
+ * of one copy less, of an object of marginal density, divided by the saving of one further copy of
+ * the object.
  */
 final class RatioTest {
 
-  /** Hits before the marginal density is used. */
+  /** Number of hits before the marginal density is used. */
   private static final int MIN_SAMPLES = 50;
 
-  /** Hits for which the marginal density moves in large steps. */
+  /** Number of hits for which the marginal density moves in large steps. */
   private static final int FAST_SAMPLES = 200;
 
+  /** Step of the marginal density for the first hits, on a logarithmic scale. */
   private static final double FAST_STEP = 0.3;
+
+  /** Step of the marginal density for later hits, on a logarithmic scale. */
   private static final double SLOW_STEP = 0.05;
 
-  /** Steps down and up: a tenth of the hits are of lower density than the marginal. */
-  private static final double DOWN = 0.9;
+  /**
+   * Weight of a step down. With a weight of 0.1 for a step up, the marginal density settles where a
+   * tenth of the hits are of lower density.
+   */
+  private static final double STEP_DOWN_WEIGHT = 0.9;
 
-  private static final double UP = 0.1;
+  /** Weight of a step up. */
+  private static final double STEP_UP_WEIGHT = 0.1;
 
-  /** Share of the bytes of known objects that copies of hot objects may take. */
+  /** Largest share of the bytes of all known objects that the copies of hot objects may take. */
   private static final double MAX_HOT_SHARE = 0.5;
 
   private final PolicySettings settings;
@@ -44,7 +52,10 @@
     this.popularity = popularity;
   }
 
-  /** Tests an object and marks it as hot or not. */
+  /**
+   * Returns whether the object is hot, and marks it accordingly. An object that was not hot becomes
+   * so only if the copies of hot objects do not exceed their share of the bytes.
+   */
   boolean test(ObjectStatistics object) {
     long edgeCount = tiers.readyEdgeCount();
     boolean hot = passes(object, edgeCount) && (object.isHot() || fitsHotShare(object, edgeCount));
@@ -72,8 +83,10 @@
   }
 
   /**
-   * Records a hit of an object of this density; moves the marginal density toward the quantile, so
-   * that it ages.
+   * Records a hit of an object of this density. The marginal density moves a step toward its
+   * quantile, so that old hits lose their weight.
+   *
+   * @param density requests per second and kB; a density of 0 is ignored
    */
   void recordHit(double density) {
     if (density <= 0) {
@@ -84,7 +97,8 @@
     if (samples == 1) {
       marginalDensity = density;
     } else {
-      double exponent = density < marginalDensity ? -step * DOWN : step * UP;
+      double exponent =
+          density < marginalDensity ? -step * STEP_DOWN_WEIGHT : step * STEP_UP_WEIGHT;
       marginalDensity *= Math.exp(exponent);
     }
   }
--- a/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
@@ -18,17 +18,20 @@
 import tamarindroute.decision.RoutingPolicy;
 
 /**
- * A routing policy that keeps one copy of an object at its hashed edge and spreads objects over all
- * edges that pass the ratio test of density against latency ({@link RatioTest}). One instance per
- * gateway; not thread-safe.
+ * A routing policy that stores one copy of an object at its hashed edge and spreads objects over
+ * all edges if they pass the ratio test of density against latency ({@link RatioTest}). Each
+ * gateway has one instance. Not thread-safe.
  */
 public final class RatioTestPolicy implements RoutingPolicy {
 
-  /** Weight of a health check that timed out; one that failed counts 1. */
+  /** Weight in outlier detection of a health check that timed out; a failed one has weight 1. */
   private static final double TIMEOUT_WEIGHT = 0.5;
 
-  /** Part of a cold cache's share that is offered to fronts without requests. */
-  private static final double ADVERTISED_SHARE = 0.7;
+  /**
+   * Share of this gateway's rate for a cold cache that is reported to fronts that carry no requests
+   * themselves.
+   */
+  private static final double REPORTED_COLD_SHARE = 0.7;
 
   private final boolean cancelAllowed;
   private final CacheTiers tiers;
@@ -41,7 +44,12 @@
   private final LateAttemptPolicy lateAttempts;
   private final OutcomeRecorder outcomes;
 
-  /** Creates a policy that knows no cache yet. */
+  /**
+   * Creates a policy without endpoints. {@link #onEndpoints} has to be called before the first
+   * request.
+   *
+   * @param settings the settings of the gateway, fixed for the life of the policy
+   */
   public RatioTestPolicy(PolicySettings settings) {
     SharedState shared = SharedState.create(settings);
     FailureAttribution failures = new FailureAttribution(settings, shared.tiers());
@@ -115,7 +123,8 @@
 
   @Override
   public void onQuotaGrant(Cache.Tier tier, double share, Duration expiresAt, Duration now) {
-    // Until now tokens accrue at the rate of the previous grant.
+    // Tokens of the time until now accrue at the rate of the previous grant. What was saved up must
+    // not grow or shrink each time the granted share changes.
     tiers.all(tier).forEach(state -> state.slowStart().accrue(seconds(now)));
     quotaGrants.put(tier, new QuotaGrant(Math.max(0, Math.min(1, share)), seconds(expiresAt)));
   }
@@ -132,7 +141,9 @@
         cold,
         state.isEjected(),
         state.outliers().evidence(now),
-        cold ? ADVERTISED_SHARE * state.slowStart().evenShareRate(now) : Double.POSITIVE_INFINITY,
+        cold
+            ? REPORTED_COLD_SHARE * state.slowStart().evenShareRate(now)
+            : Double.POSITIVE_INFINITY,
         state.slowdown().cpuUtilization(now),
         state.cache().weight);
   }
@@ -157,7 +168,7 @@
       case FAILED, CONNECTION_LOST, CONNECT_FAILED -> outliers.recordFailure(1, now);
       case TIMED_OUT -> outliers.recordFailure(TIMEOUT_WEIGHT, now);
       case REJECTED, CANCELLED, NOT_SENT, DEADLINE_EXCEEDED, MISS -> {
-        // Says nothing about the health of the cache.
+        // These results neither confirm nor question the health of the cache.
       }
     }
   }
--- a/policy/src/main/java/tamarindroute/policy/RejectionPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RejectionPolicy.java
@@ -8,24 +8,28 @@
 import tamarindroute.decision.Request;
 
 /**
- * Ends requests that are not sent any more; the advised retry delay is jittered, so that clients do
- * not return together.
+ * Chooses the final decision for a request that is not sent again. The advised retry delay is
+ * jittered, so that clients do not return all at once.
  */
 final class RejectionPolicy {
 
-  /** Smallest part of the longest retry delay that is advised. */
+  /** Smallest share of the longest retry delay that is advised. */
   private static final double MIN_DELAY_SHARE = 0.5;
 
   private final Duration maxRetryAfter;
   private final RandomSequence random;
 
-  /** Takes the longest retry delay that may be advised; null if none may be. */
+  /**
+   * Creates the policy.
+   *
+   * @param maxRetryAfter the longest retry delay that may be advised; null if none may be advised
+   */
   RejectionPolicy(Duration maxRetryAfter, RandomSequence random) {
     this.maxRetryAfter = maxRetryAfter;
     this.random = random;
   }
 
-  /** Returns a rejection where a repetition is safe, else a failure. */
+  /** Returns a rejection if the client may safely send the request again, otherwise a failure. */
   Decision giveUp(Request request) {
     return IdempotencyGuard.isSafeToRepeat(request)
         ? new Decision.Reject(retryAfter())
--- a/policy/src/main/java/tamarindroute/policy/SharedState.java
+++ b/policy/src/main/java/tamarindroute/policy/SharedState.java
@@ -3,20 +3,21 @@
 import tamarindroute.decision.PolicySettings;
 
 /**
- * The measurements and counters that the components of one policy share.
+ * The measurements and counters that the components of one policy share, and the construction of
+ * these components.
  *
- * @param settings the gateway's settings
- * @param random the policy's pseudo-random numbers
- * @param quotaGrants the grants in force
- * @param limit the concurrency limit per unit of a cache's size
- * @param tiers the listed caches with their state
- * @param transferTimes expected transfer times by class
- * @param latencies waits for hits and fills in the location
- * @param popularity the popularity of objects
- * @param ratioTest the test for hot objects
+ * @param settings the settings of the gateway
+ * @param random the pseudo-random numbers of the policy
+ * @param quotaGrants the latest quota grant of each tier
+ * @param limit the concurrency limit per unit of size, common to all caches
+ * @param tiers the caches of the endpoint list with their state
+ * @param transferTimes expected transfer times by request class
+ * @param latencies mean waits for hits and fills in the location
+ * @param popularity the popularity of recently requested objects
+ * @param ratioTest the test that decides whether an object is hot
  * @param purges recent purges
- * @param inFlight attempts in flight
- * @param retries recent rejections
+ * @param inFlight the attempts in flight
+ * @param retries the limit on retries, with recent rejections
  */
 record SharedState(
     PolicySettings settings,
@@ -32,7 +33,7 @@
     InFlightTracker inFlight,
     RetryPolicy retries) {
 
-  /** Creates the state of a policy that has seen nothing yet. */
+  /** Returns the state of a policy that has handled no request. */
   static SharedState create(PolicySettings settings) {
     RandomSequence random = new RandomSequence(settings.seed());
     QuotaGrants quotaGrants = new QuotaGrants();
@@ -55,7 +56,7 @@
         new RetryPolicy());
   }
 
-  /** Creates the planner of attempts. */
+  /** Returns a new planner of attempts. */
   AttemptPlanner newPlanner() {
     AttemptHistory history = new AttemptHistory(settings.reportsFillSource());
     LatencyObjective objective = new LatencyObjective(transferTimes);
@@ -88,13 +89,13 @@
         rejections);
   }
 
-  /** Creates the policy for late attempts. */
+  /** Returns a new policy for late attempts. */
   LateAttemptPolicy newLateAttemptPolicy(FailureAttribution failures, AttemptPlanner planner) {
     return new LateAttemptPolicy(
         settings, tiers, transferTimes, latencies, retries, failures, planner);
   }
 
-  /** Creates the recorder of outcomes. */
+  /** Returns a new recorder of outcomes. */
   OutcomeRecorder newOutcomeRecorder(FailureAttribution failures) {
     CopyRecorder copies = new CopyRecorder(tiers, transferTimes, popularity, ratioTest, latencies);
     return new OutcomeRecorder(
--- a/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
+++ b/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
@@ -10,22 +10,31 @@
 import tamarindroute.decision.Request;
 
 /**
- * A token bucket that limits what this gateway sends to a cold cache to its share of what overloads
- * the cache. Tokens are seconds of transfer. Where a request costs more than the bucket may ever
- * hold, requests are admitted at random in proportion to what has accrued, so that gateways which
- * each saved up one request do not send them at the same time.
+ * A token bucket that limits what this gateway sends to a cold cache. The bucket is filled by this
+ * gateway's share of the load that overloads the cache. Tokens are seconds of transfer.
+ *
+ * <p>Where a request costs more than the bucket can hold, requests are admitted at random, with a
+ * probability in proportion to the tokens that have accrued. Otherwise gateways that have each
+ * saved up the cost of one request would send their requests at the same time.
  */
 final class SlowStartBudget {
 
-  /** Share of the rate that accrues. */
+  /**
+   * Share of this gateway's rate at which tokens accrue. Within one overload window 0.65 of the
+   * gateway's share accrues and at most 0.35 has been saved up, so that no window exceeds the whole
+   * share.
+   */
   private static final double ACCRUAL_SHARE = 0.65;
 
-  /** Share of an overload window that may be saved up. */
+  /** Largest share of an overload window that may be saved up. */
   private static final double BURST_SHARE = 0.3;
 
-  /** Share of an overload window that may be saved up if one request needs it. */
+  /**
+   * Largest share of an overload window that may be saved up if a single request costs that much.
+   */
   private static final double SINGLE_REQUEST_SHARE = 0.35;
 
+  /** Value of the sampling credit before its first use. */
   private static final double NOT_SEEDED = -1;
 
   private final Cache cache;
@@ -35,13 +44,20 @@
   private final AdaptiveConcurrencyLimit limit;
   private final QuotaGrants quotaGrants;
   private final RandomSequence random;
+
+  /**
+   * Seconds of transfer that may be sent now. Negative while more has been sent than has accrued.
+   */
   private double tokens;
+
   private double accruedAt;
+
+  /** When the current process of the cache was first seen, in seconds since the start. */
   private double processSeenAt;
 
   /**
-   * Sum of the admission probabilities since the last sampled request; a request is admitted at
-   * each whole number.
+   * Sum of the admission probabilities since the last admitted request. A request is admitted when
+   * the sum reaches 1. It starts at a random value, so that gateways do not admit at the same time.
    */
   private double samplingCredit = NOT_SEEDED;
 
@@ -64,7 +80,12 @@
     this.random = random;
   }
 
-  /** Empties the bucket for a new process of the cache. */
+  /**
+   * Empties the bucket because the cache has a new process, which owes nothing for the previous
+   * one.
+   *
+   * @param now seconds since the start of the instance
+   */
   void reset(double now) {
     processSeenAt = now;
     accruedAt = now;
@@ -72,7 +93,9 @@
     sampleAdmitted = false;
   }
 
-  /** Whether the cache has started recently enough to be limited. */
+  /**
+   * Whether the cache has started so recently that its load is limited. The origin is never cold.
+   */
   boolean isCold(double now) {
     return cache.startedAt != null
         && cache.tier != Cache.Tier.ORIGIN
@@ -87,16 +110,20 @@
     double age = Math.max(0, now - seconds(cache.startedAt));
     double initial = coldStart.initialCapacity();
     double warmth = initial + (1 - initial) * age / seconds(coldStart.warmAfter());
-    return coldStart.overloadMultiple() * warmth * weight.size() * limit.provenLimit() / sharers();
+    return coldStart.overloadMultiple()
+        * warmth
+        * weight.size()
+        * limit.provenLimit()
+        / sharingGateways();
   }
 
-  private int sharers() {
+  private int sharingGateways() {
     return settings.gatewaysSharing(cache.tier);
   }
 
   /**
-   * Whether the request may be sent there now; samples once per request where it costs more than
-   * the bucket holds.
+   * Whether the budget allows an attempt of the request now. If the request costs more than the
+   * bucket can hold, admission is sampled once per request.
    */
   boolean admits(PlanningContext context) {
     if (!isCold(context.now())) {
@@ -106,7 +133,7 @@
     return capacity >= context.cost() ? tokens >= context.cost() : sample(context);
   }
 
-  /** Whether the bucket covers this cost now. */
+  /** Whether the tokens cover this cost now; always true for a cache that is not cold. */
   boolean covers(double cost, double now) {
     if (!isCold(now)) {
       return true;
@@ -115,17 +142,20 @@
     return tokens >= cost;
   }
 
-  /** Brings the bucket up to date by the grant that holds now. */
+  /** Adds the tokens that have accrued until now, by the quota grant in force. */
   void accrue(double now) {
     if (isCold(now)) {
       accrue(0, now);
     }
   }
 
-  /** Returns the capacity of the bucket for a request of this cost. */
+  /**
+   * Adds the tokens that have accrued and returns the capacity of the bucket for a request of this
+   * cost.
+   */
   private double accrue(double cost, double now) {
     QuotaGrant grant = quotaGrants.get(cache.tier);
-    double rate = evenShareRate(now) * grant.toEvenShares(sharers(), now, accruedAt);
+    double rate = evenShareRate(now) * grant.toEvenShares(sharingGateways(), now, accruedAt);
     double windowShare = rate * seconds(coldStart.overloadWindow());
     double capacity =
         Math.max(Math.min(SINGLE_REQUEST_SHARE * windowShare, cost), BURST_SHARE * windowShare);
@@ -134,6 +164,10 @@
     return capacity;
   }
 
+  /**
+   * Returns the admission of the request, which is drawn on its first call. A refused request
+   * forfeits the tokens that have accrued, and its probability is added to the credit.
+   */
   private boolean sample(PlanningContext context) {
     if (sampledRequest != context.request()) {
       sampledRequest = context.request();
@@ -148,7 +182,9 @@
     return sampleAdmitted;
   }
 
-  /** Takes the cost of an attempt that is sent; a sampled one takes all that has accrued. */
+  /**
+   * Pays the cost of an attempt that is sent. A sampled attempt takes all tokens that have accrued.
+   */
   void spend(PlanningContext context) {
     if (sampleAdmitted && sampledRequest == context.request()) {
       samplingCredit = Math.max(0, samplingCredit + tokens / context.cost() - 1);
@@ -160,8 +196,8 @@
   }
 
   /**
-   * Returns the cost of an attempt that did not reach the cache, unless its process has changed
-   * since.
+   * Refunds the cost of an attempt that did not reach the cache. Nothing is refunded if the cache
+   * has a new process since the attempt was sent.
    */
   void refund(double cost, Duration sentAt) {
     double sent = seconds(sentAt);
--- a/policy/src/main/java/tamarindroute/policy/TransferTimes.java
+++ b/policy/src/main/java/tamarindroute/policy/TransferTimes.java
@@ -9,8 +9,8 @@
 import tamarindroute.decision.RequestClass;
 
 /**
- * Expected transfer times of requests, by their size or their class, and what follows from them.
- * All in seconds.
+ * Expected transfer times of requests by size or request class, and the values derived from them.
+ * All times are in seconds.
  */
 final class TransferTimes {
 
@@ -28,14 +28,14 @@
         requestClass -> new ClassStatistics(seconds(requestClass.latencyObjective())));
   }
 
-  /** Whether the transfer time of the request follows from its size. */
+  /** Whether the transfer time of the request can be computed from its size. */
   boolean isSizeKnown(Request request) {
     return request.kilobytes > 0 && settings.transferRateKbPerSecond() > 0;
   }
 
   /**
-   * Returns the time of an undisturbed transfer: by size if that is known, else the mean of the
-   * class.
+   * Returns the duration of the transfer on an idle cache: computed from the size if it is known,
+   * otherwise the mean of the class.
    */
   double transferTime(Request request) {
     return isSizeKnown(request)
@@ -48,27 +48,25 @@
     return statistics(request).meanTransferTime();
   }
 
-  /** Returns the time within which nine in ten hits of this request would end on an idle cache. */
+  /** Returns the time within which nine in ten hits of this size would end on an idle cache. */
   double upperTransferTime(Request request) {
     return statistics(request).scatter() * transferTime(request);
   }
 
-  /**
-   * Returns when the answer is due by the latency objective, in seconds since the start of the
-   * instance.
-   */
+  /** Returns the time of the latency objective, in seconds since the start of the instance. */
   double objectiveTime(Request request) {
     return seconds(request.latencyObjectiveTime(toDuration(transferTime(request))));
   }
 
   /**
-   * Whether requests of this class and size are served so rarely that they go first, in time or
-   * not.
+   * Whether requests of this class and size are served so rarely that they are admitted even if
+   * they miss the latency objective.
    */
   boolean isUnderserved(Request request) {
     return statistics(request).isUnderserved(transferTime(request));
   }
 
+  /** Records the transfer time of a new request if its size is known. */
   void recordArrival(Request request) {
     if (isSizeKnown(request)) {
       statistics(request).recordTransfer(transferTime(request));
@@ -78,9 +76,9 @@
   /**
    * Records a hit.
    *
-   * @param duration seconds
-   * @param expectedSlowdown the factor by which it was expected to take longer than its transfer
-   *     time
+   * @param duration seconds, without the shortest wait that every hit has
+   * @param expectedSlowdown the factor by which the hit was expected to take longer than on an idle
+   *     cache
    */
   void recordHit(Request request, double duration, double expectedSlowdown) {
     statistics(request).recordHit(duration, transferTime(request) * expectedSlowdown);
@@ -89,7 +87,7 @@
     }
   }
 
-  /** Records the end of a request. */
+  /** Records the end of a request and whether it was served. */
   void recordEnd(Request request, boolean served) {
     statistics(request).recordEnd(transferTime(request), served);
   }
--- a/policy/src/main/java/tamarindroute/policy/UncacheableRequestPlanner.java
+++ b/policy/src/main/java/tamarindroute/policy/UncacheableRequestPlanner.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import tamarindroute.decision.Attempt;
 
-/** Plans attempts of uncacheable requests: at the origin, directly where that is allowed. */
+/**
+ * Plans attempts of uncacheable requests. They are executed at the origin: sent there directly
+ * where bypassing the edges is allowed, otherwise through the least busy edge.
+ */
 final class UncacheableRequestPlanner {
 
   private final boolean bypassAllowed;
@@ -25,7 +28,7 @@
     this.attempts = attempts;
   }
 
-  /** Returns the next attempt; empty if no cache can take the request. */
+  /** Returns the next attempt; empty if no cache can accept the request. */
   Optional<Attempt> plan(PlanningContext context) {
     Optional<CacheState> origin = tiers.firstReadyOrigin();
     if (origin.isPresent() && bypassAllowed) {
