--- a/decision/src/main/java/tamarindroute/decision/Attempt.java
+++ b/decision/src/main/java/tamarindroute/decision/Attempt.java
@@ -4,47 +4,59 @@
 import java.util.List;
 
 /**
- * The sending of a request to a cache. The gateway sets {@link #sentAt} and {@link #outcome}; the
- * rest is fixed.
+ * One attempt to serve a request: it is sent to one cache. The gateway sets {@link #sentAt} and
+ * {@link #outcome}. All other fields are fixed when the attempt is decided.
  */
 public final class Attempt implements Decision {
 
+  /** The cache that the attempt is sent to. */
   public final Cache cache;
 
-  /** Where the cache fetches the object from on a miss; the cache itself if it must not. */
+  /**
+   * The cache or origin from which {@link #cache} fetches the object on a miss; {@link #cache}
+   * itself if it must not fetch the object.
+   */
   public final Cache source;
 
-  /** Retention rank of the copy the cache keeps, 1 to 3; 0 keeps none. */
+  /** Retention rank of the copy that the cache stores, 1 to 3; 0 if no copy is stored. */
   public final int rank;
 
-  /** Oldest copy that may be served; null for the maximum age of the request class. */
+  /**
+   * Maximum age of a copy that may be served; null if the maximum age of the request class applies.
+   */
   public final Duration maxCopyAge;
 
-  /** Whether the source answers from its own copies only. */
+  /** Whether the source answers only from copies that it holds. */
   public final boolean onlyIfCached;
 
-  /** Whether a copy past its maximum age is revalidated in the background. */
+  /** Whether the cache revalidates a copy past its maximum age in the background. */
   public final boolean revalidate;
 
   /**
-   * When the gateway requests a further decision if the attempt is still outstanding; null for
-   * never.
+   * Time after which the attempt is late and the gateway requests a further decision; null if the
+   * attempt is never late.
    */
   public final Duration expectedBy;
 
-  /** {@link Cache#startedAt} of the cache when the attempt was decided. */
+  /**
+   * Value of {@link Cache#startedAt} of the cache at the decision; null if the start time was
+   * unknown.
+   */
   public final Duration cacheStartedAt;
 
-  /** {@link Cache#startedAt} of the source when the attempt was decided. */
+  /**
+   * Value of {@link Cache#startedAt} of the source at the decision; null if the start time was
+   * unknown.
+   */
   public final Duration sourceStartedAt;
 
-  /** When the gateway sent the attempt; null before. */
+  /** Time at which the gateway sent the attempt; null before that. */
   public Duration sentAt;
 
-  /** How it ended; null while it is outstanding. */
+  /** How the attempt ended; null while it is outstanding. */
   public Outcome outcome;
 
-  /** Creates an attempt that is not sent yet; the parameters are the fields of the same names. */
+  /** Creates an attempt that has not been sent. The parameters are the fields of the same names. */
   public Attempt(
       Cache cache,
       Cache source,
@@ -64,14 +76,12 @@
     this.sourceStartedAt = source.startedAt;
   }
 
-  /** Whether it is outstanding and was expected to end by now. */
+  /** Whether the attempt is outstanding and its expected time has passed. */
   public boolean isLate(Duration now) {
     return outcome == null && expectedBy != null && expectedBy.compareTo(now) <= 0;
   }
 
-  /**
-   * Returns the caches that the attempt puts load on: its own, and its source if that is another.
-   */
+  /** Returns the caches that carry load of the attempt: its cache and, if different, its source. */
   public List<Cache> contactedCaches() {
     return source == cache ? List.of(cache) : List.of(cache, source);
   }
--- a/decision/src/main/java/tamarindroute/decision/Cache.java
+++ b/decision/src/main/java/tamarindroute/decision/Cache.java
@@ -3,47 +3,62 @@
 import java.time.Duration;
 
 /**
- * A cache server of any tier as the endpoint list last described it. The front creates one instance
- * per server, updates it before each {@link RoutingPolicy#onEndpoints} and is the only writer.
- * Compared by identity.
+ * A cache server of any tier, as the endpoint list last described it. The front creates one
+ * instance per server, updates it before each {@link RoutingPolicy#onEndpoints} and is the only
+ * writer. Instances are compared by identity.
  */
 public final class Cache {
 
   /**
-   * Where the cache stands in the hierarchy: an edge is filled by parents, a parent by the origin.
+   * Position of a cache in the hierarchy. An edge is filled from parents, a parent from the origin.
    */
   public enum Tier {
+    /** Serves the requests of its zone. */
     EDGE,
+    /** Fills edges of all zones. */
     PARENT,
+    /** Holds every object and executes uncacheable requests. */
     ORIGIN
   }
 
-  /** Whether the cache takes new requests. */
+  /** Whether the cache accepts new requests. */
   public enum Availability {
-    /** Takes new requests. */
+    /** Accepts new requests. */
     READY,
-    /** Completes what it has and takes nothing new. */
+    /** Completes the requests in flight and accepts no new ones. */
     DRAINING,
-    /** Not on the endpoint list any more. */
+    /** No longer on the endpoint list. */
     GONE
   }
 
-  /** Input of the placement hash: the same at every gateway and across restarts. */
+  /**
+   * Identifier in the placement hash. It is the same at every gateway and does not change with a
+   * restart.
+   */
   public final long stableId;
 
+  /** Position of the cache in the hierarchy. */
   public Tier tier = Tier.EDGE;
+
+  /** Whether the cache accepts new requests. */
   public Availability availability = Availability.READY;
 
-  /** Index of the zone; zones are the outer failure domain. */
+  /** Index of the zone. Zones are the outer failure domains. */
   public int zone;
 
-  /** Index of the cell; cells are failure domains within a zone. */
+  /** Index of the cell. Cells are failure domains within a zone. */
   public int cell;
 
-  /** Start of the cache's process; null if it started long ago. */
+  /**
+   * Start of the cache's process, since the start of the instance; null if the process started long
+   * ago.
+   */
   public Duration startedAt;
 
-  /** Relative capacity; its meaning is set by {@link PolicySettings.WeightMeaning}. */
+  /**
+   * Relative capacity, above 0. {@link PolicySettings.WeightMeaning} states how it is to be
+   * interpreted.
+   */
   public double weight = 1;
 
   /** Creates a ready edge of weight 1. */
@@ -51,7 +66,7 @@
     this.stableId = stableId;
   }
 
-  /** Whether new requests may be sent there. */
+  /** Whether new requests may be sent to the cache. */
   public boolean isReady() {
     return availability == Availability.READY;
   }
--- a/decision/src/main/java/tamarindroute/decision/Decision.java
+++ b/decision/src/main/java/tamarindroute/decision/Decision.java
@@ -2,30 +2,33 @@
 
 import java.time.Duration;
 
-/** What a gateway does next with a request. */
+/** The next action of a gateway on a request. */
 public sealed interface Decision
     permits Attempt, Decision.Wait, Decision.Cancel, Decision.Reject, Decision.Fail {
 
-  /** The decision to do nothing for now. */
+  /** The decision that nothing is to be done now. */
   Decision WAIT = new Wait();
 
-  /** Do nothing for now and keep the request. */
+  /** Does nothing now. The request stays open. */
   record Wait() implements Decision {}
 
   /**
-   * Stop waiting for an attempt. Its outcome is still reported.
+   * Cancels an attempt. Its outcome is still reported to the policy.
    *
    * @param attempt the outstanding attempt to cancel
    */
   record Cancel(Attempt attempt) implements Decision {}
 
   /**
-   * End the request and report to the client that sending it again is harmless.
+   * Ends the request with the answer that the client may safely send it again.
    *
-   * @param retryAfter how long the client is advised to wait first; null for no advice
+   * @param retryAfter advised delay before the client sends the request again; null for no advice
    */
   record Reject(Duration retryAfter) implements Decision {}
 
-  /** End the request without a promise: it may have been executed. */
+  /**
+   * Ends the request with an answer that promises nothing, since the request may have been
+   * executed.
+   */
   record Fail() implements Decision {}
 }
--- a/decision/src/main/java/tamarindroute/decision/Outcome.java
+++ b/decision/src/main/java/tamarindroute/decision/Outcome.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * How an attempt ended.
+ * The end of an attempt.
  *
- * @param result the kind of end
- * @param detail where the answer came from, as the cache reported
- * @param duration from sending to the end
- * @param sourceWait wait for the first byte of the fill source; null if not reported
+ * @param result how the attempt ended
+ * @param detail origin of the answer or cause of the failure, as the cache reported it
+ * @param duration time from sending the attempt to its end
+ * @param sourceWait time to the first byte of the fill source; null if not reported
  * @param requestCompleted whether the request has its final answer
  */
 public record Outcome(
@@ -18,25 +18,25 @@
     Duration sourceWait,
     boolean requestCompleted) {
 
-  /** The kinds of end of an attempt. */
+  /** How an attempt ended. */
   public enum Result {
     /** Answered with the requested content. */
     SERVED(false),
     /** The cache reported an error. */
     FAILED(false),
-    /** The cache refused the request before executing it. */
+    /** The cache refused the request before it executed it. */
     REJECTED(true),
-    /** The gateway stopped waiting because the time of the request was over. */
+    /** The gateway stopped waiting at the deadline of the request. */
     TIMED_OUT(false),
-    /** No connection to the cache was established. */
+    /** No connection to the cache could be established. */
     CONNECT_FAILED(true),
-    /** The connection was lost after the request had been written. */
+    /** The connection was lost after the request had been written to it. */
     CONNECTION_LOST(false),
     /** The gateway cancelled the attempt. */
     CANCELLED(false),
     /** The attempt was never written to a connection. */
     NOT_SENT(true),
-    /** The request reached the cache after its time was over and was not executed. */
+    /** The request reached the cache after its deadline and was not executed. */
     DEADLINE_EXCEEDED(true),
     /** The cache, or the source named in the attempt, does not hold the object. */
     MISS(true);
@@ -50,19 +50,20 @@
   }
 
   /**
-   * Where an answer came from, or what failed behind the cache. The order is that of the codes on
-   * the simulator's wire; the constants from {@link #SOURCE_REFUSED} on report a fault.
+   * Where the answer came from, or which failure behind the cache prevented it. The order of the
+   * constants is the order of their codes in the protocol of the simulator. The constants from
+   * {@link #SOURCE_REFUSED} on report a failure.
    */
   public enum Detail {
-    /** Not reported. */
+    /** Not reported by the cache. */
     UNKNOWN,
     /** Served from the cache's own copy. */
     HIT,
     /** Filled from the source. */
     FILLED,
-    /** Filled from the source, which itself had to fetch it from the origin. */
+    /** Filled from the source, which had to fetch the object from the origin. */
     FROM_ORIGIN,
-    /** Joined a fill of the same object that was already under way. */
+    /** Served by a fill of the same object that was already in flight. */
     COALESCED,
     /** Served from a copy past its maximum age. */
     STALE,
--- a/decision/src/main/java/tamarindroute/decision/PolicySettings.java
+++ b/decision/src/main/java/tamarindroute/decision/PolicySettings.java
@@ -8,22 +8,23 @@
  *
  * @param seed seed of the policy's pseudo-random numbers
  * @param zone index of the gateway's own zone
- * @param gatewayCount gateways in all zones
- * @param zoneGatewayCount gateways in the own zone
- * @param hubByZone the hub of each zone; hubs form a ring
- * @param transferRateKbPerSecond rate of one undisturbed transfer, in kB/s; 0 if unknown
+ * @param gatewayCount number of gateways in all zones
+ * @param zoneGatewayCount number of gateways in the gateway's own zone
+ * @param hubByZone index of the hub of each zone, in the order of zones. Hubs form a ring
+ * @param transferRateKbPerSecond rate of a transfer on an idle cache, in kB/s; 0 if unknown
  * @param inboundLinkKbPerSecond rate of the location's link for fills, in kB/s; 0 if unknown
- * @param edgeBypassAllowed whether requests may go to parents and the origin directly
+ * @param edgeBypassAllowed whether requests may be sent to parents and the origin directly
  * @param siblingFillAllowed whether an edge may be filled from another edge
  * @param reportsFillSource whether caches report where an answer came from
  * @param hedgingAllowed whether a second attempt may be sent while the first is outstanding
  * @param cancelAllowed whether outstanding attempts may be cancelled
- * @param maxRetryAfter longest retry delay that may be advised; null if none may be
- * @param maxAttempts attempts per request
- * @param edgeColdStart capacity of a restarted edge
- * @param parentColdStart capacity of a restarted parent
+ * @param maxRetryAfter longest retry delay that may be advised to clients; null if none may be
+ *     advised
+ * @param maxAttempts largest number of attempts per request
+ * @param edgeColdStart capacity of an edge after a restart
+ * @param parentColdStart capacity of a parent after a restart
  * @param purgePropagationTime time within which a purge reaches all caches
- * @param weightMeaning what the weights of caches say
+ * @param weightMeaning how the weights of caches are to be interpreted
  */
 public record PolicySettings(
     long seed,
@@ -46,8 +47,8 @@
     WeightMeaning weightMeaning) {
 
   /**
-   * Returns how many undisturbed transfers the location's link for fills carries at once; 0 if
-   * unknown.
+   * Returns the number of transfers that the location's link for fills carries at once without
+   * slowing each other down; 0 if unknown.
    */
   public double inboundLinkCapacity() {
     return transferRateKbPerSecond > 0 && inboundLinkKbPerSecond > 0
@@ -55,7 +56,7 @@
         : 0;
   }
 
-  /** Returns the hops along the ring of hubs from the own zone to a hub. */
+  /** Returns the hops along the ring of hubs from the hub of the gateway's zone to another hub. */
   public int hubDistance(int hub) {
     int ownHub = zone < hubByZone.size() ? hubByZone.get(zone) : hub;
     int hubCount = hubByZone.stream().max(Integer::compare).orElse(0) + 1;
@@ -64,37 +65,37 @@
   }
 
   /**
-   * Returns how many gateways send to each cache of a tier: parents serve all zones, edges their
-   * own.
+   * Returns the number of gateways that send to each cache of a tier. Parents serve the gateways of
+   * all zones, edges those of their own zone.
    */
   public int gatewaysSharing(Cache.Tier tier) {
     return tier == Cache.Tier.PARENT ? gatewayCount : zoneGatewayCount;
   }
 
-  /** Returns the cold start of caches of a tier; the origin's is not used. */
+  /** Returns the cold start of caches of a tier. The value for the origin is not used. */
   public ColdStart coldStart(Cache.Tier tier) {
     return tier == Cache.Tier.PARENT ? parentColdStart : edgeColdStart;
   }
 
-  /** What {@link Cache#weight} says. */
+  /** How {@link Cache#weight} is to be interpreted. */
   public enum WeightMeaning {
-    /** Nothing: it is 1 for every cache. */
+    /** The weight is 1 for every cache and carries no information. */
     OFF,
-    /** The registered size, whatever the machine can take at the moment. */
+    /** The registered size, independent of the current load of the machine. */
     NOMINAL,
-    /** Approximately the size. */
+    /** The approximate size. */
     ROUGH,
-    /** The size divided by one more than the requests that each core had some time ago. */
+    /** The size divided by one more than the number of requests per core, as of some time ago. */
     LIVE
   }
 
   /**
-   * The capacity of a cache after its start, and the load that would overload it.
+   * The capacity of a cache after its start, and the load that overloads it.
    *
    * @param initialCapacity share of the full capacity right after the start, 0 to 1
-   * @param warmAfter time until the full capacity is reached, linearly
+   * @param warmAfter time until the full capacity is reached. The capacity grows linearly
    * @param overloadMultiple multiple of the current capacity that overloads a cold cache
-   * @param overloadWindow how long that load has to last
+   * @param overloadWindow duration of that load after which the cache is overloaded
    */
   public record ColdStart(
       double initialCapacity,
--- a/decision/src/main/java/tamarindroute/decision/Purge.java
+++ b/decision/src/main/java/tamarindroute/decision/Purge.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * An order not to serve copies that were made before a point in time.
+ * A purge: copies that were made before a point in time must not be served.
  *
- * @param objectId the purged object; null if a whole group is purged
- * @param group the purged group, where no object is named
- * @param issuedAt copies made before this are out of date
+ * @param objectId the purged object; null if a whole purge group is purged
+ * @param group index of the purged group; used only if {@code objectId} is null
+ * @param issuedAt time of the purge, since the start of the instance. Older copies are out of date
  */
 public record Purge(Long objectId, int group, Duration issuedAt) {}
--- a/decision/src/main/java/tamarindroute/decision/QuotaGrant.java
+++ b/decision/src/main/java/tamarindroute/decision/QuotaGrant.java
@@ -1,24 +1,26 @@
 package tamarindroute.decision;
 
 /**
- * A lease on a share of what the cold caches of one tier may be sent, in place of the even share of
- * each gateway.
+ * A quota grant: a lease on a share of the load that the cold caches of one tier may get. It
+ * replaces the even share of each gateway until it expires.
  *
- * @param share share of the whole, 0 to 1
+ * @param share share of the load of all gateways, 0 to 1
  * @param expiresAt end of the lease, in seconds since the start of the instance
  */
 public record QuotaGrant(double share, double expiresAt) {
 
-  /** No lease: the even share holds. */
+  /** No grant: the even share applies. */
   public static final QuotaGrant NONE = new QuotaGrant(0, 0);
 
   /**
-   * Converts the grant to a multiple of the even share. If the lease expired since the last check,
-   * the smaller of the granted and the even share counts for the time in between.
+   * Returns the grant as a multiple of the even share; 1 after its end. If the lease has expired
+   * since the last check, the smaller of the granted and the even share applies to the time in
+   * between.
    *
-   * @param gatewayCount gateways that share evenly without a lease
+   * @param gatewayCount number of gateways that share evenly without a lease
    * @param now seconds since the start of the instance
-   * @param lastCheckedAt when the holder last called this, in the same seconds
+   * @param lastCheckedAt time of the holder's previous call, in seconds since the start of the
+   *     instance
    */
   public double toEvenShares(int gatewayCount, double now, double lastCheckedAt) {
     double evenShares = share * gatewayCount;
--- a/decision/src/main/java/tamarindroute/numeric/Seconds.java
+++ b/decision/src/main/java/tamarindroute/numeric/Seconds.java
@@ -9,12 +9,12 @@
 
   private Seconds() {}
 
-  /** Converts a duration to seconds. */
+  /** Returns the duration in seconds. */
   public static double seconds(Duration duration) {
     return duration.getSeconds() + duration.getNano() / NANOS_PER_SECOND;
   }
 
-  /** Converts seconds to a duration, rounded to the nearest nanosecond. */
+  /** Returns the seconds as a duration, rounded to the nearest nanosecond. */
   public static Duration toDuration(double seconds) {
     return Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
   }
--- a/decision/src/main/java/tamarindroute/numeric/package-info.java
+++ b/decision/src/main/java/tamarindroute/numeric/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Numeric helpers without any tuned value, used by the routing policy: decaying values, hashing,
- * times in seconds.
+ * Numeric helpers of the routing policy: decaying values, hashing and times in seconds. The package
+ * contains no tuned constants.
  */
 package tamarindroute.numeric;
