--- a/router/src/test/java/tamarindroute/vrrptransport/VrrpEndpointTest.java
+++ b/router/src/test/java/tamarindroute/vrrptransport/VrrpEndpointTest.java
@@ -1,19 +1,23 @@
 package tamarindroute.vrrptransport;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static tamarindroute.vrrptransport.Conditions.assertNever;
+import static tamarindroute.vrrptransport.Conditions.await;
 
+import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
+import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -21,103 +25,28 @@
 import tamarindroute.host.EventLoop;
 import tamarindroute.net.DatagramTransport;
 import tamarindroute.protocol.MessageAuthenticator;
-import tamarindroute.vrrp.Election;
-
-/** Two and three gateways' elections over UDP on loopback, each with a thread of its own. */
+import tamarindroute.vrrp.Advertisement;
+
+/**
+ * Elections of two and three gateways over UDP on loopback, each gateway with a thread of its own.
+ * Guards against two gateways that act for the shared address at the same time, and against an
+ * address that no gateway acts for, when a gateway stops, is suspended or is cut off, or when
+ * others send to its port.
+ */
 @Timeout(60)
 class VrrpEndpointTest {
 
-  /**
-   * Long enough that a busy machine's pauses take nobody for dead; an address is missed after 3.6
-   * of it.
-   */
-  private static final Duration INTERVAL = Duration.ofMillis(100);
-
-  private static final Map<Integer, byte[]> KEYS = Map.of(1, new byte[] {1, 2, 3, 4});
-
-  /** One gateway: its thread, its endpoint, and what it did with the address. */
-  private static final class Gateway {
-    final EventLoop eventLoop = new EventLoop();
-    final DatagramTransport datagrams = new DatagramTransport(eventLoop);
-    final List<String> done = java.util.Collections.synchronizedList(new ArrayList<>());
-    VrrpEndpoint endpoint;
-    VirtualRouter router;
-
-    void start(
-        InetSocketAddress own,
-        List<InetSocketAddress> peers,
-        int priority,
-        MessageAuthenticator seal)
-        throws Exception {
-      onOwner(
-          () -> {
-            endpoint = new VrrpEndpoint(eventLoop, datagrams, own, peers, seal, System.nanoTime());
-            router =
-                endpoint.add(
-                    9,
-                    priority,
-                    List.of(InetAddress.getByName("127.0.9.9")),
-                    new Election.Settings(
-                        VrrpEndpoint.tieBreaker(own), INTERVAL, true, Duration.ZERO),
-                    new VrrpEndpoint.AddressHolder() {
-                      @Override
-                      public void onTaken() {
-                        done.add("take");
-                      }
-
-                      @Override
-                      public void onReleased(Election.ReleaseReason why) {
-                        done.add("drop " + why);
-                      }
-                    });
-            if (!voters.isEmpty()) {
-              endpoint.requireVoters(voters, INTERVAL.multipliedBy(3));
-            }
-            endpoint.start();
-            return null;
-          });
-    }
-
-    List<InetSocketAddress> voters = List.of();
+  /** Index of the witness's address. */
+  private static final int WITNESS = 2;
 
-    <T> T onOwner(java.util.concurrent.Callable<T> task) throws Exception {
-      AtomicReference<T> result = new AtomicReference<>();
-      AtomicReference<Exception> failed = new AtomicReference<>();
-      CountDownLatch over = new CountDownLatch(1);
-      eventLoop.execute(
-          () -> {
-            try {
-              result.set(task.call());
-            } catch (Exception e) {
-              failed.set(e);
-            }
-            over.countDown();
-          });
-      assertThat(over.await(20, TimeUnit.SECONDS)).isTrue();
-      if (failed.get() != null) {
-        throw failed.get();
-      }
-      return result.get();
-    }
-
-    boolean active() throws Exception {
-      return onOwner(() -> router.mayAct());
-    }
-
-    void stop() throws Exception {
-      onOwner(
-          () -> {
-            endpoint.stop();
-            return null;
-          });
-    }
-  }
+  /** Less than three intervals, after which a router counts as down at the earliest. */
+  private static final long MAX_HANDOVER_MILLIS = 290;
 
   private final List<InetSocketAddress> addresses = new ArrayList<>();
-  private final List<Gateway> gateways = new ArrayList<>();
+  private final List<TestGateway> gateways = new ArrayList<>();
 
   @BeforeEach
-  void addresses() throws Exception {
+  void findFreeAddresses() throws Exception {
     for (int i = 0; i < 3; i++) {
       try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
         addresses.add(new InetSocketAddress(free.getLocalAddress(), free.getLocalPort()));
@@ -126,288 +55,226 @@
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (Gateway gateway : gateways) {
+  void closeSockets() throws Exception {
+    for (TestGateway gateway : gateways) {
       gateway.datagrams.shutDown();
     }
   }
 
-  private Gateway gateway(int place, int priority, MessageAuthenticator seal) throws Exception {
-    Gateway gateway = new Gateway();
+  private static MessageAuthenticator authenticator() {
+    return new MessageAuthenticator(Map.of(1, new byte[] {1, 2, 3, 4}), 1);
+  }
+
+  /** Starts a gateway that has all other addresses as peers. */
+  private TestGateway startGateway(int index, int priority) throws Exception {
+    TestGateway gateway = new TestGateway();
     gateways.add(gateway);
     List<InetSocketAddress> peers = new ArrayList<>(addresses);
-    peers.remove(place);
-    gateway.start(addresses.get(place), peers, priority, seal);
+    peers.remove(index);
+    gateway.start(addresses.get(index), peers, List.of(), priority, authenticator());
     return gateway;
   }
 
-  /**
-   * A gateway at the end of two ways that can be cut: to the other one and to the witness at place
-   * 2.
-   */
-  private Gateway withWitness(int place, int priority, Cut peer, Cut witness) throws Exception {
-    Gateway gateway = new Gateway();
+  /** Starts a gateway that reaches its peer and the witness only through links. */
+  private TestGateway startGatewayWithWitness(
+      int index, int priority, TestLink linkToPeer, TestLink linkToWitness) throws Exception {
+    TestGateway gateway = new TestGateway();
     gateways.add(gateway);
-    gateway.voters = List.of(peer.of(place), witness.of(place));
-    gateway.start(addresses.get(place), List.of(peer.of(place)), priority, seal());
+    InetSocketAddress peer = linkToPeer.remoteAddressSeenBy(index);
+    InetSocketAddress witness = linkToWitness.remoteAddressSeenBy(index);
+    gateway.start(
+        addresses.get(index), List.of(peer), List.of(peer, witness), priority, authenticator());
     return gateway;
   }
 
-  /**
-   * A way between two addresses that can be cut in each direction. Each end sees the other at an
-   * address of the way's own, as through a router that translates.
-   */
-  private final class Cut implements AutoCloseable {
-    final int one;
-    final int other;
-    final DatagramSocket atOne = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    final DatagramSocket atOther = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    volatile boolean fromOne = true;
-    volatile boolean fromOther = true;
-
-    Cut(int one, int other) throws java.io.IOException {
-      this.one = one;
-      this.other = other;
-      carry(atOne, atOther, other, () -> fromOne);
-      carry(atOther, atOne, one, () -> fromOther);
-    }
-
-    /** Where the gateway at this place finds the other end. */
-    InetSocketAddress of(int place) {
-      DatagramSocket socket = place == one ? atOne : atOther;
-      return new InetSocketAddress(socket.getLocalAddress(), socket.getLocalPort());
-    }
-
-    private void carry(
-        DatagramSocket in, DatagramSocket out, int to, java.util.function.BooleanSupplier open) {
-      Thread thread =
-          new Thread(
-              () -> {
-                try {
-                  while (true) {
-                    DatagramPacket packet = new DatagramPacket(new byte[2000], 2000);
-                    in.receive(packet);
-                    if (open.getAsBoolean()) {
-                      out.send(
-                          new DatagramPacket(
-                              packet.getData(), packet.getLength(), addresses.get(to)));
-                    }
-                  }
-                } catch (java.io.IOException e) {
-                  // Closed by the test.
-                }
-              });
-      thread.setDaemon(true);
-      thread.start();
-    }
-
-    void cut() {
-      fromOne = false;
-      fromOther = false;
-    }
-
-    void mend() {
-      fromOne = true;
-      fromOther = true;
-    }
-
-    @Override
-    public void close() {
-      atOne.close();
-      atOther.close();
-    }
+  private void startWitness(
+      EventLoop eventLoop, DatagramTransport datagrams, List<InetSocketAddress> candidates)
+      throws Exception {
+    CountDownLatch listening = new CountDownLatch(1);
+    eventLoop.execute(
+        () -> {
+          try {
+            new Witness(
+                    datagrams,
+                    addresses.get(WITNESS),
+                    candidates,
+                    Set.of(TestGateway.VIRTUAL_ID),
+                    TestGateway.GRANT_DURATION,
+                    authenticator(),
+                    System.nanoTime())
+                .start();
+            listening.countDown();
+          } catch (IOException e) {
+            throw new UncheckedIOException(e);
+          }
+        });
+    assertThat(listening.await(5, TimeUnit.SECONDS)).isTrue();
   }
 
+  /**
+   * First the gateways are cut off from each other, and the witness grants to the active one only.
+   * Then the active one is cut off from the witness, too, and must stop before the other starts.
+   */
   @Test
-  void withAThirdVoterAPartitionLeavesOneActiveAndTheCutOffOneFindsOut() throws Exception {
+  void witnessKeepsOneGatewayActiveInPartitions() throws Exception {
     EventLoop eventLoop = new EventLoop();
     DatagramTransport datagrams = new DatagramTransport(eventLoop);
-    try (Cut between = new Cut(0, 1);
-        Cut first = new Cut(0, 2);
-        Cut second = new Cut(1, 2)) {
-      CountDownLatch listening = new CountDownLatch(1);
-      eventLoop.execute(
-          () -> {
-            try {
-              new Witness(
-                      datagrams,
-                      addresses.get(2),
-                      List.of(first.of(2), second.of(2)),
-                      java.util.Set.of(9),
-                      INTERVAL.multipliedBy(3),
-                      seal(),
-                      System.nanoTime())
-                  .start();
-              listening.countDown();
-            } catch (java.io.IOException e) {
-              throw new java.io.UncheckedIOException(e);
-            }
-          });
-      assertThat(listening.await(5, TimeUnit.SECONDS)).isTrue();
-      Gateway best = withWitness(0, 200, between, first);
-      Gateway next = withWitness(1, 100, between, second);
-      await(() -> best.active() && !next.active());
-      // The two can't see each other, both see the witness: the one that has its word keeps the
-      // address.
-      between.cut();
-      // Asked in this order: who begins later must not be seen beside who ended before.
-      never(() -> next.active() && best.active(), 1500);
-      assertThat(best.active()).isTrue();
-      // Now the best one is alone: it stops to act by itself, and only then the other begins.
-      first.cut();
+    try (TestLink betweenGateways = new TestLink(addresses, 0, 1);
+        TestLink highToWitness = new TestLink(addresses, 0, WITNESS);
+        TestLink lowToWitness = new TestLink(addresses, 1, WITNESS)) {
+      startWitness(
+          eventLoop,
+          datagrams,
+          List.of(
+              highToWitness.remoteAddressSeenBy(WITNESS),
+              lowToWitness.remoteAddressSeenBy(WITNESS)));
+      TestGateway high = startGatewayWithWitness(0, 200, betweenGateways, highToWitness);
+      TestGateway low = startGatewayWithWitness(1, 100, betweenGateways, lowToWitness);
+      await(() -> high.mayAct() && !low.mayAct());
+      betweenGateways.interrupt();
+      // The one that would start later is queried first. In the other order, a handover between the
+      // two queries would look like an overlap.
+      assertNever(() -> low.mayAct() && high.mayAct(), 1500);
+      assertThat(high.mayAct()).isTrue();
+      highToWitness.interrupt();
       long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-      while (!next.active()) {
+      while (!low.mayAct()) {
         assertThat(System.nanoTime()).isLessThan(end);
       }
-      assertThat(best.active()).isFalse();
-      assertThat(best.done).contains("drop LEASE_EXPIRED");
-      first.mend();
-      between.mend();
-      await(() -> best.active() && !next.active());
+      assertThat(high.mayAct()).isFalse();
+      assertThat(high.addressLog).contains("drop LEASE_EXPIRED");
+      highToWitness.restore();
+      betweenGateways.restore();
+      await(() -> high.mayAct() && !low.mayAct());
     } finally {
       datagrams.shutDown();
     }
   }
 
-  private static void never(Condition condition, long millis) throws Exception {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (System.nanoTime() < end) {
-      assertThat(condition.holds()).isFalse();
-      TimeUnit.MILLISECONDS.sleep(5);
-    }
-  }
-
-  private static MessageAuthenticator seal() {
-    return new MessageAuthenticator(KEYS, 1);
-  }
-
-  private interface Condition {
-    boolean holds() throws Exception;
-  }
-
-  private static long await(Condition condition) throws Exception {
-    long from = System.nanoTime();
-    while (!condition.holds()) {
-      assertThat(System.nanoTime() - from).isLessThan(TimeUnit.SECONDS.toNanos(15));
-      TimeUnit.MILLISECONDS.sleep(5);
-    }
-    return System.nanoTime() - from;
-  }
-
   @Test
-  void theBestOfThreeIsActiveAndTheNextTakesOverWhenItStopsInOrder() throws Exception {
-    Gateway worst = gateway(0, 50, seal());
-    Gateway middle = gateway(1, 100, seal());
-    Gateway best = gateway(2, 200, seal());
-    await(() -> best.active() && !middle.active() && !worst.active());
-    best.stop();
-    long nanos = await(middle::active);
-    assertThat(nanos)
-        .as("a stop in order is not waited for")
-        .isLessThan(TimeUnit.MILLISECONDS.toNanos(290));
-    assertThat(worst.active()).isFalse();
-    assertThat(best.done).contains("take", "drop STOPPED");
+  void highestPriorityIsActiveAndItsOrderlyStopIsNotWaitedFor() throws Exception {
+    TestGateway lowest = startGateway(0, 50);
+    TestGateway middle = startGateway(1, 100);
+    TestGateway highest = startGateway(2, 200);
+    await(() -> highest.mayAct() && !middle.mayAct() && !lowest.mayAct());
+    highest.stop();
+    long handoverNanos = await(middle::mayAct);
+    assertThat(handoverNanos)
+        .as("an orderly stop is not waited for")
+        .isLessThan(TimeUnit.MILLISECONDS.toNanos(MAX_HANDOVER_MILLIS));
+    assertThat(lowest.mayAct()).isFalse();
+    assertThat(highest.addressLog).contains("take", "drop STOPPED");
   }
 
   @Test
-  void aTieGoesToTheHigherAddressAndBothAreNeverActiveForLong() throws Exception {
-    Gateway one = gateway(0, 100, seal());
-    Gateway other = gateway(1, 100, seal());
-    Gateway higher =
+  void equalPrioritiesLeaveOneGatewayActive() throws Exception {
+    TestGateway first = startGateway(0, 100);
+    TestGateway second = startGateway(1, 100);
+    TestGateway higher =
         VrrpEndpoint.tieBreaker(addresses.get(0)) > VrrpEndpoint.tieBreaker(addresses.get(1))
-            ? one
-            : other;
-    Gateway lower = higher == one ? other : one;
-    await(() -> one.active() || other.active());
+            ? first
+            : second;
+    TestGateway lower = higher == first ? second : first;
+    await(() -> first.mayAct() || second.mayAct());
     TimeUnit.MILLISECONDS.sleep(300);
-    assertThat(one.active() ^ other.active()).isTrue();
-    if (lower.active()) {
-      // It was first, and a tie does not preempt.
+    assertThat(first.mayAct() ^ second.mayAct()).isTrue();
+    if (lower.mayAct()) {
+      // It was active before the other one, and equal priorities do not preempt.
       lower.stop();
     }
-    await(higher::active);
+    await(higher::mayAct);
   }
 
+  /**
+   * The event loop is blocked, as in a long garbage collection. The first check afterwards must
+   * find the lease ended although no timer has run.
+   */
   @Test
-  void aStoppedGatewayFindsOutBeforeItActsAndTheOtherHasTheAddress() throws Exception {
-    Gateway first = gateway(0, 200, seal());
-    Gateway second = gateway(1, 100, seal());
-    await(first::active);
-    // The owner's thread stands still, as in a long collection; what it asks first when it goes on
-    // is the lease.
-    boolean[] may = new boolean[2];
-    CountDownLatch over = new CountDownLatch(1);
+  void suspendedGatewayFindsItsLeaseEndedBeforeItActs() throws Exception {
+    TestGateway first = startGateway(0, 200);
+    TestGateway second = startGateway(1, 100);
+    await(first::mayAct);
+    boolean[] mayActBeforeAndAfter = new boolean[2];
+    CountDownLatch resumed = new CountDownLatch(1);
     first.eventLoop.execute(
         () -> {
-          may[0] = first.router.mayAct();
+          mayActBeforeAndAfter[0] = first.router.mayAct();
           long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(900);
           while (System.nanoTime() < end) {
-            java.util.concurrent.locks.LockSupport.parkNanos(end - System.nanoTime());
+            LockSupport.parkNanos(end - System.nanoTime());
           }
-          may[1] = first.router.mayAct();
-          over.countDown();
+          mayActBeforeAndAfter[1] = first.router.mayAct();
+          resumed.countDown();
         });
-    await(second::active);
-    assertThat(over.await(5, TimeUnit.SECONDS)).isTrue();
-    assertThat(may).containsExactly(true, false);
-    assertThat(first.done).contains("drop LEASE_EXPIRED");
-    await(() -> first.active() && !second.active());
+    await(second::mayAct);
+    assertThat(resumed.await(5, TimeUnit.SECONDS)).isTrue();
+    assertThat(mayActBeforeAndAfter).containsExactly(true, false);
+    assertThat(first.addressLog).contains("drop LEASE_EXPIRED");
+    await(() -> first.mayAct() && !second.mayAct());
   }
 
+  /**
+   * Random bytes, plain advertisements and ones with a wrong seal from a peer's address, and sealed
+   * ones from an unknown address must not make the active gateway give way. A valid one does so
+   * once, but not when it is replayed.
+   */
   @Test
-  void strangersForgersAndReplaysChangeNothing() throws Exception {
-    Gateway first = gateway(0, 100, seal());
-    await(first::active);
+  void unknownForgedAndReplayedDatagramsAreIgnored() throws Exception {
+    TestGateway first = startGateway(0, 100);
+    await(first::mayAct);
     Random random = new Random(5);
-    byte[] better =
-        new tamarindroute.vrrp.Advertisement(
-                9, 255, INTERVAL, List.of(InetAddress.getByName("127.0.9.9")))
+    byte[] higherPriority =
+        new Advertisement(
+                TestGateway.VIRTUAL_ID,
+                255,
+                TestGateway.INTERVAL,
+                List.of(InetAddress.getByName(TestGateway.SHARED_ADDRESS)))
             .encode(addresses.get(1).getAddress(), addresses.get(0).getAddress());
     try (DatagramSocket peer = new DatagramSocket(addresses.get(1));
-        DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+        DatagramSocket unknown = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
       for (int i = 0; i < 300; i++) {
         byte[] noise = new byte[random.nextInt(200)];
         random.nextBytes(noise);
-        byte[] wrongKey = new MessageAuthenticator(Map.of(1, new byte[] {9}), 1).seal(better, 1, i);
-        for (byte[] bytes : new byte[][] {noise, better, wrongKey}) {
+        byte[] wrongKey =
+            new MessageAuthenticator(Map.of(1, new byte[] {9}), 1).seal(higherPriority, 1, i);
+        for (byte[] bytes : new byte[][] {noise, higherPriority, wrongKey}) {
           peer.send(new DatagramPacket(bytes, bytes.length, addresses.get(0)));
         }
-        byte[] sealed = seal().seal(better, 1, i);
-        stranger.send(new DatagramPacket(sealed, sealed.length, addresses.get(0)));
+        byte[] sealed = authenticator().seal(higherPriority, 1, i);
+        unknown.send(new DatagramPacket(sealed, sealed.length, addresses.get(0)));
       }
       TimeUnit.MILLISECONDS.sleep(200);
-      assertThat(first.active()).isTrue();
-      assertThat(first.done).containsExactly("take");
-      byte[] good = seal().seal(better, 1, 7);
-      peer.send(new DatagramPacket(good, good.length, addresses.get(0)));
-      await(() -> !first.active());
-      // The same again, from then on, keeps nobody down: it is heard once.
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-      while (!first.active() && System.nanoTime() < until) {
-        peer.send(new DatagramPacket(good, good.length, addresses.get(0)));
+      assertThat(first.mayAct()).isTrue();
+      assertThat(first.addressLog).containsExactly("take");
+      byte[] valid = authenticator().seal(higherPriority, 1, 7);
+      peer.send(new DatagramPacket(valid, valid.length, addresses.get(0)));
+      await(() -> !first.mayAct());
+      long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+      while (!first.mayAct() && System.nanoTime() < end) {
+        peer.send(new DatagramPacket(valid, valid.length, addresses.get(0)));
         TimeUnit.MILLISECONDS.sleep(20);
       }
-      assertThat(first.active()).isTrue();
+      assertThat(first.mayAct()).isTrue();
     }
   }
 
   @Test
-  void resigningGivesTheAddressToTheNextAndABetterOneComesBack() throws Exception {
-    Gateway first = gateway(0, 150, seal());
-    Gateway second = gateway(1, 100, seal());
-    await(first::active);
-    first.onOwner(
+  void resignationHandsOverUntilThePriorityIsHigherAgain() throws Exception {
+    TestGateway first = startGateway(0, 150);
+    TestGateway second = startGateway(1, 100);
+    await(first::mayAct);
+    first.runOnEventLoop(
         () -> {
           first.router.setPriority(10);
           first.router.resign();
           return null;
         });
-    await(() -> second.active() && !first.active());
-    first.onOwner(
+    await(() -> second.mayAct() && !first.mayAct());
+    first.runOnEventLoop(
         () -> {
           first.router.setPriority(150);
           return null;
         });
-    await(() -> first.active() && !second.active());
+    await(() -> first.mayAct() && !second.mayAct());
   }
 }
