--- a/membership/src/test/java/tamarindroute/membership/FailureRecorder.java
+++ b/membership/src/test/java/tamarindroute/membership/FailureRecorder.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Records which killed members are known as faulty to whom, and false declarations. */
+/**
+ * Records which members have declared each killed member faulty, and counts the declarations of
+ * members that were not killed.
+ */
 final class FailureRecorder implements SimulationObserver {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -19,9 +22,10 @@
   private long falseDeclarations;
 
   /**
-   * Starts to record.
+   * Starts to record the actions of a simulation.
    *
-   * @param ignoresFirst whether declarations of the first member, which is cut off, are ignored
+   * @param ignoresFirst whether declarations by and about the first member are ignored, because the
+   *     links from it are cut
    */
   FailureRecorder(MembershipSimulator simulator, boolean ignoresFirst) {
     this.simulator = simulator;
@@ -50,16 +54,17 @@
     }
   }
 
-  /** Virtual time of the last declaration of a killed member; 0 if there was none. */
+  /** Returns the virtual time of the last declaration of a killed member; 0 if there was none. */
   double lastDeclaredSeconds() {
     return lastDeclaredSeconds;
   }
 
+  /** Returns how often a member that was not killed was declared faulty. */
   long falseDeclarations() {
     return falseDeclarations;
   }
 
-  /** How many of the other members declared a killed one faulty. */
+  /** Returns the number of members that declared a killed member faulty. */
   long observerCount(int killed) {
     return observersByKilled.getOrDefault(killed, Set.of()).stream()
         .filter(observer -> !ignoresFirst || observer != 0)
--- a/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
+++ b/membership/src/test/java/tamarindroute/membership/FaultSchedule.java
@@ -16,25 +16,27 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a schedule from a text file: which faults happen when, and what is expected at which time.
- * The same file is played with the system under test and with seeded defects.
+ * Runs a fault schedule from a text file: which faults are injected when, and which states are
+ * expected at which time. The same file is run with the real system and with seeded defects.
  *
  * <p>The first line is {@code members COUNT [joining]}. Each further line is {@code SECONDS COMMAND
- * ARGUMENTS}, with members as {@code 3}, {@code 0-7} or {@code *}:
+ * ARGUMENTS}, with members given as {@code 3}, {@code 0-7} or {@code *}:
  *
  * <ul>
- *   <li>{@code loss PROBABILITY}, {@code duplicate PROBABILITY}, {@code delay MILLISECONDS}: of all
- *       messages from then on
+ *   <li>{@code loss PROBABILITY}, {@code duplicate PROBABILITY}, {@code delay MILLISECONDS}:
+ *       probabilities and maximum delay of all messages from then on
  *   <li>{@code kill MEMBERS}, {@code leave MEMBERS}, {@code start MEMBERS INCARNATION}, {@code
  *       pause MEMBERS SECONDS}
- *   <li>{@code cut MEMBERS MEMBERS}: from the first to the second; {@code suppress MEMBER MEMBER}:
- *       the first never receives that the second is alive; {@code heal} ends all of these
- *   <li>{@code may-fail MEMBERS}: may be declared faulty from now on; {@code unaware MEMBERS}: may
- *       regard themselves as connected nevertheless
- *   <li>{@code record KIND MEMBER INCARNATION to INCARNATION MEMBER INCARNATION}: a message with
- *       its sender, target incarnation and subject; {@code replay MEMBER MEMBER} sends it
- *   <li>{@code status MEMBERS CONNECTIVITY}, {@code state MEMBERS MEMBERS STATE}: expected of the
- *       first members
+ *   <li>{@code cut MEMBERS MEMBERS}: cuts the links from the first to the second members; {@code
+ *       suppress MEMBER MEMBER}: the first member never receives a message or update that shows
+ *       that the second is alive; {@code heal} ends all cuts and suppressions
+ *   <li>{@code may-fail MEMBERS}: the members may be declared faulty from now on; {@code unaware
+ *       MEMBERS}: these may regard themselves as connected although others declare them faulty
+ *   <li>{@code record KIND MEMBER INCARNATION to INCARNATION MEMBER INCARNATION}: builds a message
+ *       with the given sender, target incarnation and subject; {@code replay MEMBER MEMBER} sends
+ *       it from the first to the second member
+ *   <li>{@code status MEMBERS CONNECTIVITY}: expected connectivity of the members; {@code state
+ *       MEMBERS MEMBERS STATE}: expected state of the second members in the tables of the first
  *   <li>{@code end}: only lets time pass
  * </ul>
  */
@@ -42,7 +44,10 @@
 
   private static final Path FOLDER = Path.of("membership/src/test/resources/schedules");
   private static final String EXTENSION = ".txt";
-  private static final int MAX_UNMET = 20;
+
+  /** Bound on the stored lines, which keeps the message of a failed test short. */
+  private static final int MAX_UNMET_EXPECTATIONS = 20;
+
   private static final int MILLIS_PER_SECOND = 1_000;
 
   private record Link(int from, int to) {}
@@ -50,21 +55,22 @@
   /**
    * Result of a run.
    *
-   * @param checker the invariants' violations
-   * @param unmet lines whose expectation did not hold
+   * @param checker checker that observed the run, with the violations of invariants
+   * @param unmetExpectations lines of the schedule whose expectation did not hold
    */
-  record Outcome(InvariantChecker checker, List<String> unmet) {}
+  record Outcome(InvariantChecker checker, List<String> unmetExpectations) {}
 
   private final List<String[]> lines = new ArrayList<>();
   private final Set<Link> cutLinks = new HashSet<>();
-  private final List<String> unmet = new ArrayList<>();
+  private final List<String> unmetExpectations = new ArrayList<>();
   private MembershipSimulator simulator;
   private InvariantChecker checker;
   private Message recordedMessage;
 
-  /** Settings of each member; they are the same for all unless a defect is seeded. */
+  /** Settings of a member by index. They are the same for all members unless a defect is seeded. */
   IntFunction<MembershipSettings> settingsOf = index -> MembershipSettings.DEFAULTS;
 
+  /** Reads the schedule with the given name, without the extension of its file. */
   FaultSchedule(String name) {
     try {
       for (String line : Files.readAllLines(FOLDER.resolve(name + EXTENSION))) {
@@ -77,7 +83,7 @@
     }
   }
 
-  /** Names of all schedules. */
+  /** Returns the names of all schedules in alphabetical order. */
   static List<String> names() throws IOException {
     try (Stream<Path> files = Files.list(FOLDER)) {
       return files
@@ -87,7 +93,8 @@
     }
   }
 
-  Outcome play(long seed, UnaryOperator<SystemUnderTest> defect) {
+  /** Runs all lines of the schedule with the given seed and defect. */
+  Outcome run(long seed, UnaryOperator<SystemUnderTest> defect) {
     for (String[] line : lines) {
       if (line[0].equals("members")) {
         start(Integer.parseInt(line[1]), line.length > 2, seed, defect);
@@ -96,7 +103,7 @@
         execute(line);
       }
     }
-    return new Outcome(checker, unmet);
+    return new Outcome(checker, unmetExpectations);
   }
 
   private void start(int count, boolean joining, long seed, UnaryOperator<SystemUnderTest> defect) {
@@ -115,24 +122,32 @@
   private void execute(String[] line) {
     List<Integer> members = line.length > 2 ? parseMembers(line[2]) : List.of();
     switch (line[1]) {
-      case "loss" -> simulator.loss = Double.parseDouble(line[2]);
-      case "duplicate" -> simulator.duplication = Double.parseDouble(line[2]);
-      case "delay" -> simulator.maxDelayNanos = Duration.ofMillis(parse(line[2])).toNanos();
+      case "loss" -> simulator.lossProbability = Double.parseDouble(line[2]);
+      case "duplicate" -> simulator.duplicationProbability = Double.parseDouble(line[2]);
+      case "delay" -> simulator.maxDelayNanos = Duration.ofMillis(parseInteger(line[2])).toNanos();
       case "kill" -> members.forEach(simulator::kill);
       case "leave" -> members.forEach(simulator::leave);
       case "start" -> members.forEach(member -> simulator.start(member, Long.parseLong(line[3])));
       case "pause" -> members.forEach(member -> pause(member, parseSeconds(line[3])));
       case "cut" -> cut(members, parseMembers(line[3]));
-      case "suppress" -> suppress(parse(line[2]), parse(line[3]));
+      case "suppress" -> suppress(parseInteger(line[2]), parseInteger(line[3]));
       case "heal" -> heal();
-      case "may-fail" -> members.forEach(checker::excuse);
-      case "unaware" -> members.forEach(checker::excuseFromKnowing);
+      case "may-fail" -> members.forEach(checker::permitFaulty);
+      case "unaware" -> members.forEach(checker::permitUndetectedIsolation);
       case "record" -> recordedMessage = parseMessage(line);
-      case "replay" -> simulator.transmit(parse(line[2]), parse(line[3]), recordedMessage);
+      case "replay" ->
+          simulator.transmit(parseInteger(line[2]), parseInteger(line[3]), recordedMessage);
       case "status" -> members.forEach(member -> expectStatus(line, member));
       case "state" -> members.forEach(member -> expectStates(line, member));
       case "end" -> {}
-      default -> throw new IllegalArgumentException("unknown command: " + String.join(" ", line));
+      default ->
+          throw new IllegalArgumentException(
+              "command is "
+                  + line[1]
+                  + " in \""
+                  + String.join(" ", line)
+                  + "\", expected a command"
+                  + " of the class comment");
     }
   }
 
@@ -176,7 +191,8 @@
   }
 
   private Member parseMember(String index, String incarnation) {
-    return new Member(simulator.nodes.get(parse(index)).address, Long.parseLong(incarnation));
+    return new Member(
+        simulator.nodes.get(parseInteger(index)).address, Long.parseLong(incarnation));
   }
 
   private void expectStatus(String[] line, int member) {
@@ -186,15 +202,15 @@
 
   private void expectStates(String[] line, int observer) {
     for (int subject : parseMembers(line[3])) {
-      boolean judged = observer != subject && !simulator.nodes.get(observer).killed;
+      boolean hasState = observer != subject && !simulator.nodes.get(observer).killed;
       MemberState expected = MemberState.valueOf(line[4]);
-      expect(line, !judged || simulator.stateOf(observer, subject).equals(Optional.of(expected)));
+      expect(line, !hasState || simulator.stateOf(observer, subject).equals(Optional.of(expected)));
     }
   }
 
-  private void expect(String[] line, boolean holds) {
-    if (!holds && unmet.size() < MAX_UNMET) {
-      unmet.add(String.join(" ", line));
+  private void expect(String[] line, boolean isMet) {
+    if (!isMet && unmetExpectations.size() < MAX_UNMET_EXPECTATIONS) {
+      unmetExpectations.add(String.join(" ", line));
     }
   }
 
@@ -206,8 +222,8 @@
       return List.of();
     }
     int dash = range.indexOf('-');
-    int first = parse(dash < 0 ? range : range.substring(0, dash));
-    int last = parse(range.substring(dash + 1));
+    int first = parseInteger(dash < 0 ? range : range.substring(0, dash));
+    int last = parseInteger(range.substring(dash + 1));
     return IntStream.rangeClosed(first, last).boxed().toList();
   }
 
@@ -215,7 +231,7 @@
     return Duration.ofMillis((long) (MILLIS_PER_SECOND * Double.parseDouble(seconds)));
   }
 
-  private static int parse(String number) {
+  private static int parseInteger(String number) {
     return Integer.parseInt(number);
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/FaultScheduleTest.java
+++ b/membership/src/test/java/tamarindroute/membership/FaultScheduleTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every schedule with two seeds each. */
+/**
+ * Runs each fault schedule with two seeds. Guards against false failure reports, missed failures
+ * and failed recovery in the situations that the schedules describe.
+ */
 class FaultScheduleTest {
 
   static List<String> schedules() throws IOException {
@@ -18,8 +21,8 @@
   @MethodSource("schedules")
   void scheduleHolds(String name) {
     for (long seed : List.of(1L, 2L)) {
-      FaultSchedule.Outcome outcome = new FaultSchedule(name).play(seed, system -> system);
-      assertThat(outcome.unmet()).as("%s, seed %d", name, seed).isEmpty();
+      FaultSchedule.Outcome outcome = new FaultSchedule(name).run(seed, system -> system);
+      assertThat(outcome.unmetExpectations()).as("%s, seed %d", name, seed).isEmpty();
       assertThat(outcome.checker().violations).as("%s, seed %d", name, seed).isEmpty();
     }
   }
--- a/membership/src/test/java/tamarindroute/membership/HeartbeatSimulation.java
+++ b/membership/src/test/java/tamarindroute/membership/HeartbeatSimulation.java
@@ -3,21 +3,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Heartbeats every period from each member to all others; a member is declared faulty after five
- * missing ones. Each pair is simulated by itself.
+ * Simulates a protocol in which each member sends a heartbeat to all others every period, for
+ * comparison with the membership protocol. A member is declared faulty after five missing
+ * heartbeats, which takes about as long as with probes. Each ordered pair of members is simulated
+ * independently.
  */
 final class HeartbeatSimulation {
 
-  private static final int MISSING_HEARTBEATS = 5;
+  /** A member is declared faulty when this number of heartbeats in a row is missing. */
+  private static final int MAX_MISSING_HEARTBEATS = 5;
+
+  /** One member out of this number is paused. */
   private static final int PAUSED_DIVISOR = 10;
 
   private final int count;
   private final MembershipBenchmark.Workload workload;
   private final SplittableRandom random;
   private final int failing;
-  private long falseFaulty;
+  private long falseDeclarations;
   private double secondsUntilKnown;
-  private long unknown;
+  private long missedDeclarations;
 
   HeartbeatSimulation(int count, MembershipBenchmark.Workload workload, int seed) {
     this.count = count;
@@ -37,12 +42,12 @@
     }
     return new MembershipBenchmark.Result(
         secondsUntilKnown,
-        unknown,
-        falseFaulty * 3_600.0 / MembershipBenchmark.TOTAL_SECONDS / count,
+        missedDeclarations,
+        falseDeclarations * 3_600.0 / MembershipBenchmark.TOTAL_SECONDS / count,
         (count - 1.0) * OutboundMessages.MESSAGE_BYTES);
   }
 
-  /** Simulates the heartbeats of one member at one other. */
+  /** Simulates the heartbeats of one member as received by one other member. */
   private void simulatePair(int subject) {
     boolean fails = subject >= 1 && subject <= failing;
     double lastHeard = 0;
@@ -51,7 +56,7 @@
       boolean failed = fails && time >= MembershipBenchmark.SETTLE_SECONDS;
       boolean sent = !failed && !isPaused(subject, time);
       boolean arrived = sent && random.nextDouble() >= workload.loss();
-      if (time - lastHeard >= MISSING_HEARTBEATS && !faulty) {
+      if (time - lastHeard >= MAX_MISSING_HEARTBEATS && !faulty) {
         faulty = true;
         onDeclaredFaulty(failed, lastHeard);
       }
@@ -59,7 +64,7 @@
       faulty = faulty && !arrived;
     }
     if (fails && !faulty) {
-      unknown++;
+      missedDeclarations++;
     }
   }
 
@@ -76,10 +81,10 @@
 
   private void onDeclaredFaulty(boolean failed, double lastHeard) {
     if (failed) {
-      double declared = lastHeard + MISSING_HEARTBEATS - MembershipBenchmark.SETTLE_SECONDS;
+      double declared = lastHeard + MAX_MISSING_HEARTBEATS - MembershipBenchmark.SETTLE_SECONDS;
       secondsUntilKnown = Math.max(secondsUntilKnown, declared);
     } else {
-      falseFaulty++;
+      falseDeclarations++;
     }
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
@@ -9,20 +9,21 @@
 import java.util.Set;
 
 /**
- * Checks the invariants of a simulation by what is delivered to nodes and by their actions,
- * compared to the faults injected. Reads no state of a member but its local status.
+ * Checks the invariants of a simulation. Compares the messages delivered to nodes and the actions
+ * of nodes with the injected faults. The only state of a member that it reads is its local status,
+ * as callers of the member do.
  */
 final class InvariantChecker implements SimulationObserver {
 
-  /** What has to hold in every simulation. */
+  /** Condition that has to hold in every simulation. */
   enum Invariant {
-    /** A paused process notices its pause before anything else. */
+    /** The first action of a process after a pause is the report of the pause. */
     PAUSE_IS_NOTICED,
-    /** No member is declared faulty that runs and can be reached. */
+    /** No running and reachable member is declared faulty. */
     NO_FALSE_FAULT,
     /** A member that others declare faulty does not regard itself as connected. */
     ISOLATION_IS_NOTICED,
-    /** Messages of and for former incarnations have no effect. */
+    /** Messages from and to former incarnations have no effect. */
     FORMER_INCARNATIONS_ARE_IGNORED,
     /** No member is declared faulty on the report of a single observer. */
     SEVERAL_OBSERVERS_AGREE,
@@ -31,18 +32,24 @@
   }
 
   /**
-   * One violation.
+   * Violation of an invariant.
    *
-   * @param invariant what was violated
-   * @param at virtual time
-   * @param description by whom and how
+   * @param invariant the violated invariant
+   * @param at virtual time of the violation
+   * @param description which member violated it, and how
    */
   record Violation(Invariant invariant, Duration at, String description) {}
 
-  /** Longer pauses have to be noticed; the detection's own bound is a quarter of a period. */
+  /**
+   * A member has to notice pauses longer than this. It detects a pause from a quarter of a probe
+   * period, which is 250 ms by default.
+   */
   private static final Duration NOTICEABLE_PAUSE = Duration.ofMillis(300);
 
+  /** Bound on the stored violations, which keeps the message of a failed test short. */
   private static final int MAX_VIOLATIONS = 50;
+
+  /** Number of observers that have to report a member before it is declared faulty. */
   private static final int MIN_OBSERVERS = 2;
 
   private record ObserverAndSubject(int observer, Member subject) {}
@@ -53,20 +60,28 @@
   private final Map<ObserverAndSubject, Set<Address>> reporters = new HashMap<>();
   private final Map<ObserverAndSubject, Integer> faultyDeclarations = new HashMap<>();
   private final Map<Integer, Map<Address, Long>> knownIncarnations = new HashMap<>();
-  private final Set<Integer> excused = new HashSet<>();
-  private final Set<Integer> excusedFromKnowing = new HashSet<>();
+
+  /** Nodes that may be declared faulty. */
+  private final Set<Integer> mayBeFaulty = new HashSet<>();
+
+  private final Set<Integer> mayMissIsolation = new HashSet<>();
+
+  /** Nodes that were paused and have to report it in their next step. */
   private final Set<Integer> mustNoticePause = new HashSet<>();
 
-  /** Message of the current delivery by node if it must have no effect there. */
+  /** Message that is being delivered to a node and must have no effect, by node. */
   private final Map<Integer, Message> staleMessages = new HashMap<>();
 
   final List<Violation> violations = new ArrayList<>();
+
+  /** Number of declarations that a member is faulty, by all nodes. */
   int faultyCount;
 
   /**
    * Starts to observe a simulation.
    *
-   * @param toleratedPause the longest pause without consequences, whatever the members' settings
+   * @param toleratedPause longest pause after which a member must not be declared faulty; does not
+   *     depend on the settings of the members, which may contain a seeded defect
    */
   InvariantChecker(MembershipSimulator simulator, Duration toleratedPause) {
     this.simulator = simulator;
@@ -77,27 +92,36 @@
     simulator.observers.add(this);
   }
 
-  /** Most members can't reach this one; it may be declared faulty once it knows its isolation. */
-  void excuse(int index) {
-    excused.add(index);
+  /**
+   * Permits that a member is declared faulty once it has detected its own isolation, because most
+   * members cannot reach it.
+   */
+  void permitFaulty(int index) {
+    mayBeFaulty.add(index);
   }
 
-  /** This member can't know its isolation: nothing of those that declare it faulty reaches it. */
-  void excuseFromKnowing(int index) {
-    excusedFromKnowing.add(index);
+  /**
+   * Permits that a member regards itself as connected although others declare it faulty, because no
+   * message of these others reaches it.
+   */
+  void permitUndetectedIsolation(int index) {
+    mayMissIsolation.add(index);
   }
 
-  /** The network changes: a member declared faulty before may be so again. */
+  /**
+   * Starts a phase after a change of the network, in which a member may be declared faulty again.
+   */
   void beginPhase() {
     faultyDeclarations.clear();
   }
 
+  /** Records that a process is about to be paused. */
   void onPause(int index, Duration duration) {
     if (duration.compareTo(NOTICEABLE_PAUSE) > 0) {
       mustNoticePause.add(index);
     }
     if (duration.compareTo(toleratedPause) > 0) {
-      excuse(index);
+      permitFaulty(index);
     }
   }
 
@@ -140,7 +164,7 @@
       reportIf(
           !isPauseReport(actions.get(0)),
           Invariant.PAUSE_IS_NOTICED,
-          node + " went on without noticing its pause");
+          "member " + node + " continued after a pause without reporting it");
     }
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
@@ -151,7 +175,7 @@
         reportIf(
             staleMessage != null,
             Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
-            node + " raised its incarnation because of a message for a former one");
+            "member " + node + " raised its incarnation because of a message for a former one");
       }
     }
   }
@@ -175,7 +199,7 @@
             && send.to().equals(staleMessage.from().address())
             && message.requestId() == staleMessage.requestId(),
         Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
-        node + " answered " + staleMessage);
+        "member " + node + " answered a message from or to a former incarnation: " + staleMessage);
   }
 
   private void onStateChanged(int node, Action.StateChanged change) {
@@ -184,7 +208,7 @@
     reportIf(
         known > member.incarnation() && change.state().compareTo(MemberState.FAULTY) < 0,
         Invariant.FORMER_INCARNATIONS_ARE_IGNORED,
-        node + " regards the former incarnation " + member + " as " + change.state());
+        "member " + node + " regards the former incarnation " + member + " as " + change.state());
     if (change.state() == MemberState.FAULTY) {
       faultyCount++;
       onDeclaredFaulty(node, member);
@@ -197,28 +221,35 @@
     long subjectIncarnation = subject.membership.self().incarnation();
     boolean ended = subject.killed || subjectIncarnation != member.incarnation();
     reportIf(
-        !ended && !excused.contains(subjectIndex),
+        !ended && !mayBeFaulty.contains(subjectIndex),
         Invariant.NO_FALSE_FAULT,
-        node + " declared " + member + " faulty");
+        "member " + node + " declared " + member + " faulty, which is alive and reachable");
     boolean regardsItselfAsConnected =
         !ended && !subject.paused && simulator.localStatus(subjectIndex).isConnected();
     reportIf(
         regardsItselfAsConnected
-            && excused.contains(subjectIndex)
-            && !excusedFromKnowing.contains(subjectIndex),
+            && mayBeFaulty.contains(subjectIndex)
+            && !mayMissIsolation.contains(subjectIndex),
         Invariant.ISOLATION_IS_NOTICED,
-        subjectIndex + " regards itself as connected while " + node + " declares it faulty");
+        "member " + subjectIndex + " is connected while " + node + " declares it faulty");
     ObserverAndSubject key = new ObserverAndSubject(node, member);
     int observers = reporters.getOrDefault(key, Set.of()).size();
     boolean replaced = subjectIncarnation > member.incarnation();
     reportIf(
         observers < MIN_OBSERVERS && !replaced,
         Invariant.SEVERAL_OBSERVERS_AGREE,
-        node + " declared " + member + " faulty on " + observers + " observers' reports");
+        "member "
+            + node
+            + " declared "
+            + member
+            + " faulty, reported by "
+            + observers
+            + " observers, expected at least "
+            + MIN_OBSERVERS);
     reportIf(
         faultyDeclarations.merge(key, 1, Integer::sum) > 1,
         Invariant.NO_FLAPPING,
-        node + " declared " + member + " faulty again");
+        "member " + node + " declared " + member + " faulty again in the same phase");
   }
 
   private void reportIf(boolean violated, Invariant invariant, String description) {
--- a/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantCheckerTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each invariant is violated by a seeded defect; {@link FaultScheduleTest} shows that the correct
- * implementation violates none.
+ * Tests that the invariant checker detects members with a seeded defect, one for each invariant.
+ * Guards against a checker that accepts everything. {@link FaultScheduleTest} shows that members
+ * without a defect violate no invariant.
  */
 class InvariantCheckerTest {
 
-  /** Raised with each return made up for a faulty member. */
+  /** Last refutation number that a seeded defect has invented for a faulty member. */
   private final AtomicLong lastRefutation = new AtomicLong(100);
 
   @Test
@@ -33,7 +34,7 @@
   @Test
   void memberThatToleratesLessThanConfiguredIsCaught() {
     MembershipSettings settings = toleratingPause(Duration.ofSeconds(1));
-    MembershipSettings impatient =
+    MembershipSettings lowHighWatermark =
         new MembershipSettings(
             settings.probePeriod(),
             settings.probeTimeout(),
@@ -49,7 +50,7 @@
     assertCaught(
         "tolerated-pause",
         InvariantChecker.Invariant.NO_FALSE_FAULT,
-        index -> impatient,
+        index -> lowHighWatermark,
         system -> system);
   }
 
@@ -72,7 +73,7 @@
         system -> system);
   }
 
-  /** Accepts messages for any incarnation, and ignores that it was superseded. */
+  /** The defective member accepts messages for any incarnation and is never superseded by one. */
   @Test
   void memberThatIgnoresIncarnationsIsCaught() {
     assertCaught(
@@ -98,7 +99,7 @@
                         message.updates())));
   }
 
-  /** Regards every message of a faulty member as its return. */
+  /** The defective member regards each message of a faulty member as a refutation. */
   @Test
   void memberThatFlapsIsCaught() {
     assertCaught(
@@ -133,9 +134,9 @@
       InvariantChecker.Invariant invariant,
       IntFunction<MembershipSettings> settings,
       UnaryOperator<SystemUnderTest> defect) {
-    FaultSchedule played = new FaultSchedule(schedule);
-    played.settingsOf = settings;
-    InvariantChecker checker = played.play(1, defect).checker();
+    FaultSchedule faultSchedule = new FaultSchedule(schedule);
+    faultSchedule.settingsOf = settings;
+    InvariantChecker checker = faultSchedule.run(1, defect).checker();
     assertThat(checker.hasViolation(invariant))
         .as("%s in %s: %s", invariant, schedule, checker.violations)
         .isTrue();
--- a/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MemberHashFixtureTest.java
@@ -6,24 +6,29 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hashes that all members have to compute alike, as they select the parts of an exchange. */
+/**
+ * Compares hashes and random numbers with fixed values. All members have to compute the same
+ * hashes, because the hashes assign members to the parts of a state exchange. Members of versions
+ * with different hashes would exchange different parts.
+ */
 class MemberHashFixtureTest {
 
-  private static final Member ONE = new Member(new Address("127.0.0.1", 9001), 17);
-  private static final Member OTHER = new Member(new Address("127.0.0.1", 9002), 18);
+  private static final Member FIRST_MEMBER = new Member(new Address("127.0.0.1", 9001), 17);
+  private static final Member SECOND_MEMBER = new Member(new Address("127.0.0.1", 9002), 18);
 
   @Test
-  void hashOfAMemberAndMixOfTwo() {
-    assertThat(DeterministicRandom.memberHash(ONE)).isEqualTo(4_159_021_764L);
+  void memberHashAndMixHaveFixedValues() {
+    assertThat(DeterministicRandom.memberHash(FIRST_MEMBER)).isEqualTo(4_159_021_764L);
     assertThat(
             DeterministicRandom.mix(
-                DeterministicRandom.memberHash(ONE), DeterministicRandom.memberHash(OTHER)))
+                DeterministicRandom.memberHash(FIRST_MEMBER),
+                DeterministicRandom.memberHash(SECOND_MEMBER)))
         .isEqualTo(427_753_566_010_787_572L);
   }
 
   @Test
-  void randomNumbersFromTheSeedOfAMember() {
-    DeterministicRandom random = new DeterministicRandom(DeterministicRandom.seedFor(ONE));
+  void randomNumbersFromMemberSeedHaveFixedValues() {
+    DeterministicRandom random = new DeterministicRandom(DeterministicRandom.seedFor(FIRST_MEMBER));
     List<Integer> numbers = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       numbers.add(random.nextInt(1_000));
--- a/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipBenchmark.java
@@ -6,32 +6,33 @@
 import java.util.Locale;
 
 /**
- * Compares three protocols in virtual time: this membership, the same without its guards, and
- * heartbeats from all to all. Prints how long it takes until a failure is known to all, false
- * declarations per member and hour, bytes a second and the size of the state.
+ * Compares three protocols in virtual time: the membership protocol, the same protocol without its
+ * guards, and heartbeats from each member to all others. Prints the time until all members have
+ * declared the failed ones faulty, missed declarations, false declarations per member and hour,
+ * bytes sent per second and member, and the size of a member's state.
  *
- * <p>Arguments: number of seeds, number of members; optionally the protocols, separated by commas,
- * and a part of the workloads' names.
+ * <p>Arguments: number of random seeds and number of members, then optionally the protocols,
+ * separated by commas, and a text that the names of the selected workloads contain.
  */
 final class MembershipBenchmark {
 
   /**
-   * A workload.
+   * Faults in addition to the failures that are measured.
    *
-   * @param name printed
-   * @param loss probability that a message is lost
-   * @param pauseSeconds length of one pause of a tenth of the members; 0 for none
-   * @param oneWayCut whether everything from one member is lost
+   * @param name name in the output
+   * @param loss probability that a message is lost, 0 to 1
+   * @param pauseSeconds length of the pause that a tenth of the members have once each; 0 for none
+   * @param oneWayCut whether all messages from the first member are lost
    */
   record Workload(String name, double loss, double pauseSeconds, boolean oneWayCut) {}
 
   /**
    * Result of one run.
    *
-   * @param secondsUntilKnown time from the failures until the last declaration
-   * @param missed declarations that were missing at the end
+   * @param secondsUntilKnown time from the failures until the last declaration of a failed member
+   * @param missed number of pairs of observer and failed member without a declaration at the end
    * @param falsePerMemberHour false declarations per member and hour
-   * @param bytesPerSecond bytes sent a second and member
+   * @param bytesPerSecond bytes sent per second and member
    */
   record Result(
       double secondsUntilKnown, double missed, double falsePerMemberHour, double bytesPerSecond) {}
@@ -49,14 +50,21 @@
           new Workload("20%, pauses 10 s", 0.2, 10, false),
           new Workload("20%, one cut one way", 0.2, 0, true));
 
-  /** Time before the failures. */
+  /** Time from the start to the failures. */
   static final int SETTLE_SECONDS = 10;
 
+  /** Time from the failures to the end. */
   private static final int OBSERVE_SECONDS = 20;
+
   static final int TOTAL_SECONDS = SETTLE_SECONDS + OBSERVE_SECONDS;
   private static final int CUT_AFTER_SECONDS = 2;
+
+  /** One member out of this number is killed. */
   private static final int FAILING_DIVISOR = 100;
+
+  /** One member out of this number is paused. */
   private static final int PAUSED_DIVISOR = 10;
+
   private static final int MAX_DELAY_MILLIS = 40;
 
   private MembershipBenchmark() {}
@@ -92,7 +100,10 @@
     }
   }
 
-  /** Heap bytes of one member that knows this many, sharing no objects with others. */
+  /**
+   * Returns the heap bytes of one member with a table for a group of the given size. Members share
+   * no objects in the measurement.
+   */
   private static long stateBytes(int count) {
     List<Membership> retained = new ArrayList<>();
     int copies = Math.max(1, 20_000 / count);
@@ -126,14 +137,15 @@
         count,
         name,
         protocol,
-        spread(results.stream().mapToDouble(Result::secondsUntilKnown).sorted().toArray()),
-        spread(results.stream().mapToDouble(Result::missed).sorted().toArray()),
-        spread(results.stream().mapToDouble(Result::falsePerMemberHour).sorted().toArray()),
-        spread(results.stream().mapToDouble(Result::bytesPerSecond).sorted().toArray()),
+        medianAndRange(results.stream().mapToDouble(Result::secondsUntilKnown).sorted().toArray()),
+        medianAndRange(results.stream().mapToDouble(Result::missed).sorted().toArray()),
+        medianAndRange(results.stream().mapToDouble(Result::falsePerMemberHour).sorted().toArray()),
+        medianAndRange(results.stream().mapToDouble(Result::bytesPerSecond).sorted().toArray()),
         results.size());
   }
 
-  private static String spread(double[] sorted) {
+  /** Returns median, minimum and maximum as text. */
+  private static String medianAndRange(double[] sorted) {
     return String.format(
         Locale.ROOT,
         "%.4g (%.4g to %.4g)",
@@ -142,7 +154,7 @@
         sorted[sorted.length - 1]);
   }
 
-  /** How many members are killed: one in a hundred. */
+  /** Returns the number of members that are killed: a hundredth, but at least one. */
   static int failingMembers(int count) {
     return Math.max(1, count / FAILING_DIVISOR);
   }
@@ -150,7 +162,7 @@
   private static Result runMembership(
       int count, Workload workload, int seed, MembershipSettings settings) {
     MembershipSimulator simulator = new MembershipSimulator(settings, count, seed).startJoined();
-    simulator.loss = workload.loss;
+    simulator.lossProbability = workload.loss;
     simulator.maxDelayNanos = Duration.ofMillis(MAX_DELAY_MILLIS).toNanos();
     FailureRecorder recorder = new FailureRecorder(simulator, workload.oneWayCut);
     int failing = failingMembers(count);
@@ -170,7 +182,7 @@
         known == 0 ? 0 : known - SETTLE_SECONDS,
         missedDeclarations(recorder, count, failing, workload.oneWayCut ? 1 : 0),
         recorder.falseDeclarations() * 3_600.0 / TOTAL_SECONDS / count,
-        simulator.bytes / (double) TOTAL_SECONDS / count);
+        simulator.sentBytes / (double) TOTAL_SECONDS / count);
   }
 
   private static double missedDeclarations(
@@ -182,7 +194,7 @@
     return missed;
   }
 
-  /** Pauses a tenth of the members once each, spread over the whole time. */
+  /** Schedules one pause for each of a tenth of the members, evenly spread over the whole time. */
   private static void schedulePauses(
       MembershipSimulator simulator, Workload workload, int failing) {
     int count = simulator.nodes.size();
--- a/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
@@ -8,30 +8,37 @@
 import java.util.function.BiFunction;
 
 /**
- * Explores all behaviours of three members within a budget of faults, from event to event. Each
- * message may arrive, be lost, or arrive a second time later; at each timer a member may be paused
- * or killed and restarted with an earlier incarnation, or links may be cut for a while.
+ * Explicit-state model checker: explores all behaviours of three members within a budget of faults,
+ * breadth first. Each message may arrive, be lost, or arrive a second time later. At each timer, a
+ * member may be paused, a member may be killed and later restarted with an earlier incarnation, or
+ * links may be cut for a while.
  *
- * <p>States are compared by keys with times relative to now, so that equal futures are explored
- * once. Random choices are left out: with three members all others are asked anyway.
+ * <p>States are compared by keys whose times are relative to now, so that states with equal future
+ * behaviour are explored once. Random choices always take the first alternative. With three members
+ * this loses little, as both other members are selected anyway.
  */
 final class MembershipModelChecker {
 
   /**
    * Result of an exploration.
    *
-   * @param states number of distinct states
-   * @param violations descriptions of violated invariants
-   * @param faultyCount how often a member was declared faulty
+   * @param states number of distinct states reached
+   * @param violations descriptions of the violated invariants
+   * @param faultyCount number of times that a member was declared faulty
    */
   record Exploration(int states, List<String> violations, int faultyCount) {}
 
-  /** Of this many states one is checked for healing, which takes long. */
-  private static final int HEALING_CHECK_INTERVAL = 256;
+  /** One state out of this number is checked for recovery, because the check is slow. */
+  private static final int RECOVERY_CHECK_INTERVAL = 256;
 
-  private static final int HEALING_PERIODS = 60;
+  /** Time without faults after which all members have to be connected again. */
+  private static final int RECOVERY_PERIODS = 60;
+
+  /** Time from the admission of all members to the initial state. */
   private static final int SETTLING_PERIODS = 10;
-  static final MembershipSettings SMALL =
+
+  /** Settings of a group so small that its states can be enumerated. */
+  static final MembershipSettings SMALL_SETTINGS =
       new MembershipSettings(
           Duration.ofMillis(1_000),
           Duration.ofMillis(100),
@@ -44,14 +51,23 @@
           1_000_000,
           8,
           MembershipSettings.Guards.ALL);
-  static final long PERIOD_NANOS = SMALL.probePeriod().toNanos();
-  static final long PAUSE_NANOS = SMALL.toleratedPause().toNanos();
+
+  static final long PERIOD_NANOS = SMALL_SETTINGS.probePeriod().toNanos();
+  static final long PAUSE_NANOS = SMALL_SETTINGS.toleratedPause().toNanos();
   private final ModelTransitions transitions;
 
+  /** Creates a checker of members without a defect, with pauses of the tolerated length. */
   MembershipModelChecker(MembershipSettings settings, List<Partition> partitions) {
     this(settings, partitions, PAUSE_NANOS, (member, message) -> message);
   }
 
+  /**
+   * Creates a checker.
+   *
+   * @param partitions partitions that may occur
+   * @param pauseNanos length of each pause
+   * @param defect function that changes each message before the given member handles it
+   */
   MembershipModelChecker(
       MembershipSettings settings,
       List<Partition> partitions,
@@ -60,7 +76,10 @@
     transitions = new ModelTransitions(settings, partitions, pauseNanos, defect);
   }
 
-  /** Explores until all states are visited, there are too many, or an invariant is violated. */
+  /**
+   * Explores until all states are visited or an invariant is violated. More states than the maximum
+   * count as a violation.
+   */
   Exploration explore(FaultBudget budget, int maxStates) {
     ModelState initial = initialState(budget);
     List<String> violations = transitions.violations();
@@ -71,27 +90,30 @@
       for (ModelState successor : transitions.successors(state)) {
         if (visited.add(successor.stateKey())) {
           open.add(successor);
-          if (visited.size() % HEALING_CHECK_INTERVAL == 0 && !heals(successor)) {
-            violations.add("does not heal");
+          if (visited.size() % RECOVERY_CHECK_INTERVAL == 0 && !recovers(successor)) {
+            violations.add(
+                "members do not all become alive and connected within "
+                    + RECOVERY_PERIODS
+                    + " periods after the last fault");
           }
         }
       }
       if (visited.size() > maxStates) {
-        violations.add("more than " + maxStates + " states");
+        violations.add("explored " + visited.size() + " states, more than the limit " + maxStates);
       }
     }
     return new Exploration(visited.size(), violations, transitions.faultyCount());
   }
 
-  /** All members joined, with nothing queued, some periods after that. */
+  /** Returns a state in which all members joined some periods ago and have no queued updates. */
   private ModelState initialState(FaultBudget budget) {
     ModelState state = new ModelState();
     state.budget = FaultBudget.NONE;
-    for (int i = 0; i < ModelState.MEMBERS; i++) {
+    for (int i = 0; i < ModelState.MEMBER_COUNT; i++) {
       state.nowNanos = (1 + 37L * i) * ModelTransitions.NANOS_PER_MILLI;
       state.members[i] =
           transitions.newMember(i, ModelTransitions.FIRST_INCARNATION, state.nowNanos);
-      for (int other = 0; other < ModelState.MEMBERS; other++) {
+      for (int other = 0; other < ModelState.MEMBER_COUNT; other++) {
         if (other != i) {
           Member from =
               new Member(ModelTransitions.address(other), ModelTransitions.FIRST_INCARNATION);
@@ -108,25 +130,25 @@
       }
       state.members[i].clearPending();
     }
-    long until = state.nowNanos + SETTLING_PERIODS * PERIOD_NANOS;
-    while (state.nowNanos < until) {
+    long endNanos = state.nowNanos + SETTLING_PERIODS * PERIOD_NANOS;
+    while (state.nowNanos < endNanos) {
       state = transitions.successors(state).get(0);
     }
     state.budget = budget;
     return state;
   }
 
-  /** Whether without further faults all members end up alive to each other and connected. */
-  private boolean heals(ModelState start) {
+  /** Whether without further faults all members become connected and regard each other as alive. */
+  private boolean recovers(ModelState start) {
     ModelState state = start.copy(ModelState.UNCHANGED);
-    for (int i = 0; i < ModelState.MEMBERS; i++) {
+    for (int i = 0; i < ModelState.MEMBER_COUNT; i++) {
       state.members[i] = state.members[i] == null ? null : state.members[i].copy();
     }
     state.budget = FaultBudget.NONE;
     state.partition = null;
-    state.partitionUntilNanos = -1;
-    long until = state.nowNanos + HEALING_PERIODS * PERIOD_NANOS;
-    while (state.nowNanos < until) {
+    state.partitionUntilNanos = ModelState.NONE;
+    long endNanos = state.nowNanos + RECOVERY_PERIODS * PERIOD_NANOS;
+    while (state.nowNanos < endNanos) {
       state = transitions.successors(state).get(0);
     }
     for (Membership member : state.members) {
--- a/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelCheckerTest.java
@@ -8,14 +8,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All behaviours of three members within budgets of faults; and that seeded defects are
- * exploration.
+ * Explores all behaviours of three members within a budget of faults, and checks that no reachable
+ * state violates an invariant and that the members recover from each checked state.
+ *
+ * <p>Guards against faults that occur only with a particular order of messages, losses, pauses and
+ * restarts, which randomized simulations miss. The tests with a seeded defect show that the
+ * exploration would find such a fault.
  */
 class MembershipModelCheckerTest {
 
   private static final List<Partition> ALL_PARTITIONS = List.of(Partition.values());
 
-  /** Each row has the budget of faults and the least number of states to be expected. */
+  /**
+   * Each row has a budget of faults (losses, duplicates, pauses, kills, partitions) and a number of
+   * states. An exploration of fewer states would not have covered the model.
+   */
   @ParameterizedTest
   @CsvSource({
     "2, 0, 0, 0, 0, 1000",
@@ -27,18 +34,19 @@
   void noInvariantIsViolatedAndEveryStateHeals(
       int losses, int duplicates, int pauses, int kills, int partitions, int minStates) {
     MembershipModelChecker.Exploration exploration =
-        new MembershipModelChecker(MembershipModelChecker.SMALL, ALL_PARTITIONS)
+        new MembershipModelChecker(MembershipModelChecker.SMALL_SETTINGS, ALL_PARTITIONS)
             .explore(new FaultBudget(losses, duplicates, pauses, kills, partitions), 150_000);
     assertThat(exploration.violations()).isEmpty();
     assertThat(exploration.states()).isGreaterThan(minStates);
-    // Shows that the invariants had something to judge.
+    // Killed and isolated members are declared faulty, so the invariants were actually evaluated.
     assertThat(exploration.faultyCount() > 0).isEqualTo(kills + partitions > 0);
   }
 
   @Test
   void findsAMemberThatMissesItsOwnPause() {
     MembershipSettings unguarded =
-        MembershipModelChecker.SMALL.withGuards(new MembershipSettings.Guards(true, true, false));
+        MembershipModelChecker.SMALL_SETTINGS.withGuards(
+            new MembershipSettings.Guards(true, true, false));
     assertViolated(
         new MembershipModelChecker(unguarded, ALL_PARTITIONS),
         new FaultBudget(0, 0, 1, 0, 0),
@@ -49,7 +57,7 @@
   void findsAMemberDeclaredFaultyThoughAlive() {
     MembershipModelChecker longerPauses =
         new MembershipModelChecker(
-            MembershipModelChecker.SMALL,
+            MembershipModelChecker.SMALL_SETTINGS,
             ALL_PARTITIONS,
             4 * MembershipModelChecker.PAUSE_NANOS,
             (member, message) -> message);
@@ -58,9 +66,9 @@
 
   @Test
   void findsAMemberThatAcceptsMessagesForAFormerIncarnation() {
-    MembershipModelChecker careless =
+    MembershipModelChecker acceptsAnyIncarnation =
         new MembershipModelChecker(
-            MembershipModelChecker.SMALL,
+            MembershipModelChecker.SMALL_SETTINGS,
             ALL_PARTITIONS,
             MembershipModelChecker.PAUSE_NANOS,
             (member, message) ->
@@ -71,7 +79,7 @@
                     message.requestId(),
                     message.subject(),
                     message.updates()));
-    assertViolated(careless, new FaultBudget(0, 0, 0, 1, 0), "former incarnation of");
+    assertViolated(acceptsAnyIncarnation, new FaultBudget(0, 0, 0, 1, 0), "former incarnation of");
   }
 
   private static void assertViolated(
--- a/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipPropertyTest.java
@@ -11,12 +11,13 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties that hold under any faults within bounds, and for arbitrary messages. */
+/** Tests of properties that have to hold for random faults within bounds and random messages. */
 class MembershipPropertyTest {
 
   /**
-   * Faults are loss up to a fifth, duplication, reordering, a tolerated pause, a cut link, and a
-   * kill and restart with an earlier incarnation.
+   * Injects loss of up to a fifth of the messages, duplication, reordering, a tolerated pause, a
+   * cut link, and a kill with a restart with an earlier incarnation. After the last fault all
+   * members have to agree.
    */
   @Property(tries = 12, seed = "28")
   void noInvariantIsViolatedAndAllAgreeInTheEnd(
@@ -29,8 +30,8 @@
         new MembershipSimulator(MembershipSettings.DEFAULTS, count, seed).startJoined();
     InvariantChecker checker =
         new InvariantChecker(simulator, MembershipSettings.DEFAULTS.toleratedPause());
-    simulator.loss = loss;
-    simulator.duplication = 0.1;
+    simulator.lossProbability = loss;
+    simulator.duplicationProbability = 0.1;
     simulator.maxDelayNanos = Duration.ofMillis(delay).toNanos();
     int cutFrom = random.nextInt(count);
     simulator.linkFilter = (from, to) -> from == cutFrom && to == (cutFrom + 1) % count;
@@ -51,7 +52,7 @@
         () -> simulator.start(killed, 1 + random.nextInt(900)));
     simulator.run(Duration.ofSeconds(25));
     simulator.linkFilter = (from, to) -> false;
-    simulator.loss = 0;
+    simulator.lossProbability = 0;
     simulator.run(Duration.ofSeconds(25));
     assertThat(checker.violations).isEmpty();
     assertAllAgree(simulator);
@@ -70,7 +71,10 @@
     }
   }
 
-  /** No message causes an exception, and both the table and the bytes sent stay bounded. */
+  /**
+   * No message may cause an exception, or make the member table or the sent bytes exceed their
+   * bounds.
+   */
   @Property(tries = 20, seed = "29")
   void arbitraryMessagesAreToleratedWithinBounds(@ForAll @IntRange(max = 1_000_000) int seed) {
     Random random = new Random(seed);
@@ -112,7 +116,7 @@
             (long) (smallSettings.maxBytesPerSecond() * (1 + now.toMillis() / 1_000.0)));
   }
 
-  // Any constant is as good as another here.
+  // The ordinal only selects a random constant; its value has no meaning.
   @SuppressWarnings("EnumOrdinal")
   private static Message randomMessage(Random random, Member self) {
     List<MembershipUpdate> updates = new ArrayList<>();
--- a/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Simulates members in virtual time, over links that lose, delay, duplicate and reorder messages or
- * are cut. Processes can be paused, killed and restarted.
+ * Discrete-event simulation of members in virtual time. Links lose, delay, duplicate and reorder
+ * messages or are cut. Processes can be paused, killed and restarted.
  */
 final class MembershipSimulator {
 
@@ -35,7 +35,9 @@
     }
   }
 
-  /** A delivery if it has a message, a task if it has one, otherwise a tick of the node. */
+  /**
+   * A message's arrival if it has a message, a task if it has one, otherwise a tick of the node.
+   */
   private record Event(long atNanos, long sequence, int node, Message message, Runnable task)
       implements Comparable<Event> {
     @Override
@@ -46,13 +48,13 @@
     }
   }
 
-  /** Node of an event that is a task. */
+  /** Value of {@link Event#node} for a task. */
   private static final int NO_NODE = -1;
 
-  /** Bound on the messages that a paused process finds afterwards, as of a socket's buffer. */
+  /** Messages kept for a paused process, bounded like those in a socket's receive buffer. */
   private static final int MAX_PENDING_MESSAGES = 1_000;
 
-  private static final int SEEDS = 3;
+  private static final int SEED_COUNT = 3;
   private static final long FIRST_INCARNATION = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -64,19 +66,19 @@
   private final SplittableRandom random;
   private long nowNanos;
   private long lastSequence;
-  double loss;
-  double duplication;
+  double lossProbability;
+  double duplicationProbability;
   long minDelayNanos = NANOS_PER_MILLI / 2;
   long maxDelayNanos = 5 * NANOS_PER_MILLI;
   LinkFilter linkFilter = (from, to) -> false;
   IntFunction<MembershipSettings> settingsOf;
 
-  /** Drops messages to a node, in addition to cut links and loss. */
+  /** Whether a message to a node is dropped, in addition to cut links and random loss. */
   BiPredicate<Integer, Message> isDropped = (to, message) -> false;
 
   UnaryOperator<SystemUnderTest> defect = system -> system;
-  long messages;
-  long bytes;
+  long sentMessages;
+  long sentBytes;
 
   MembershipSimulator(MembershipSettings settings, int count, long seed) {
     this.settings = settings;
@@ -89,7 +91,7 @@
     }
   }
 
-  /** Starts all members within the given time; the first few are the seeds of all. */
+  /** Starts all members at random times within the given time; the first three are the seeds. */
   MembershipSimulator startJoining(Duration within) {
     for (int i = 0; i < nodes.size(); i++) {
       int index = i;
@@ -100,41 +102,42 @@
     return this;
   }
 
-  /** Starts all members as if they had joined long ago: each knows all others. */
+  /** Starts all members as if they had joined long ago, so that each knows all others. */
   MembershipSimulator startJoined() {
-    List<MembershipUpdate> all = new ArrayList<>();
+    List<MembershipUpdate> aliveUpdates = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
       Member member = new Member(nodes.get(i).address, FIRST_INCARNATION + i);
-      all.add(new MembershipUpdate(member, MemberState.ALIVE, 0, member.address()));
+      aliveUpdates.add(new MembershipUpdate(member, MemberState.ALIVE, 0, member.address()));
     }
     for (int i = 0; i < nodes.size(); i++) {
       start(i, FIRST_INCARNATION + i);
-      Member welcoming = all.get(i == 0 ? 1 : 0).member();
-      welcome(nodes.get(i), welcoming, all);
+      Member sender = aliveUpdates.get(i == 0 ? 1 : 0).member();
+      welcome(nodes.get(i), sender, aliveUpdates);
       scheduleTick(i);
     }
     return this;
   }
 
-  private void welcome(Node node, Member from, List<MembershipUpdate> all) {
+  private void welcome(Node node, Member from, List<MembershipUpdate> aliveUpdates) {
     long incarnation = node.membership.self().incarnation();
     int limit = settings.maxUpdatesPerMessage();
-    for (int start = 0; start < all.size(); start += limit) {
-      List<MembershipUpdate> updates = all.subList(start, Math.min(all.size(), start + limit));
+    for (int start = 0; start < aliveUpdates.size(); start += limit) {
+      List<MembershipUpdate> updates =
+          aliveUpdates.subList(start, Math.min(aliveUpdates.size(), start + limit));
       node.membership.onMessage(
           new Message(Message.Kind.WELCOME, from, incarnation, 1, from, updates), localTime(node));
     }
     node.membership.clearPending();
   }
 
-  /** Starts a process, or restarts it. */
+  /** Starts or restarts the process of a node. */
   void start(int index, long incarnation) {
     Node node = nodes.get(index);
     node.killed = false;
     node.paused = false;
     node.pendingMessages.clear();
     node.startedNanos = nowNanos - random.nextInt(1_000_000);
-    List<Address> seeds = nodes.stream().limit(SEEDS).map(other -> other.address).toList();
+    List<Address> seeds = nodes.stream().limit(SEED_COUNT).map(other -> other.address).toList();
     node.membership =
         new Membership(
             settingsOf.apply(index), new Member(node.address, incarnation), seeds, localTime(node));
@@ -143,13 +146,13 @@
     scheduleTick(index);
   }
 
-  /** Ends a process without a word. */
+  /** Ends a process without a leave message. */
   void kill(int index) {
     nodes.get(index).killed = true;
     nodes.get(index).pendingMessages.clear();
   }
 
-  /** Stops a process for a while; messages to it wait. */
+  /** Pauses a process for the given time, then delivers the messages it received meanwhile. */
   void pause(int index, Duration duration) {
     nodes.get(index).paused = true;
     schedule(duration, () -> resume(index));
@@ -168,7 +171,7 @@
     scheduleTick(index);
   }
 
-  /** Makes a member leave in order and ends its process. */
+  /** Makes a member announce that it leaves, then ends its process. */
   void leave(int index) {
     Node node = nodes.get(index);
     perform(index, node.membership.leave(localTime(node)));
@@ -184,15 +187,15 @@
     return Duration.ofNanos(nowNanos);
   }
 
-  /** A node's own monotonic time; nodes start at different ones. */
+  /** Returns the time of a node's monotonic clock. The clocks of nodes differ. */
   Duration localTime(Node node) {
     return Duration.ofNanos(nowNanos - node.startedNanos);
   }
 
-  /** Runs all events of the given time. */
+  /** Advances the virtual time by the given duration and runs all events up to then. */
   void run(Duration duration) {
-    long until = nowNanos + duration.toNanos();
-    while (!events.isEmpty() && events.peek().atNanos <= until) {
+    long endNanos = nowNanos + duration.toNanos();
+    while (!events.isEmpty() && events.peek().atNanos <= endNanos) {
       Event event = events.poll();
       nowNanos = event.atNanos;
       if (event.task != null) {
@@ -203,7 +206,7 @@
         tick(event);
       }
     }
-    nowNanos = until;
+    nowNanos = endNanos;
   }
 
   private void tick(Event event) {
@@ -241,10 +244,10 @@
 
   private void scheduleTick(int index) {
     Node node = nodes.get(index);
-    long at = nowNanos + node.membership.untilNextTick(localTime(node)).toNanos();
-    if (at < node.nextTickNanos) {
-      node.nextTickNanos = at;
-      events.add(new Event(at, lastSequence++, index, null, null));
+    long atNanos = nowNanos + node.membership.untilNextTick(localTime(node)).toNanos();
+    if (atNanos < node.nextTickNanos) {
+      node.nextTickNanos = atNanos;
+      events.add(new Event(atNanos, lastSequence++, index, null, null));
     }
   }
 
@@ -255,37 +258,37 @@
     observers.forEach(observer -> observer.onActions(index, actions));
     for (Action action : actions) {
       if (action instanceof Action.Send send) {
-        messages++;
-        bytes += OutboundMessages.estimatedBytes(send.message().updates().size());
+        sentMessages++;
+        sentBytes += OutboundMessages.estimatedBytes(send.message().updates().size());
         transmit(index, indexByAddress.get(send.to()), send.message());
       }
     }
   }
 
-  /** Puts a message on its link; it need not be one that the sender has just sent. */
+  /** Sends a message over a link; it may also be an old one that a test replays. */
   void transmit(int from, int to, Message message) {
     if (linkFilter.isCut(from, to) || isDropped.test(to, message)) {
       return;
     }
-    int times = random.nextDouble() < duplication ? 2 : 1;
+    int times = random.nextDouble() < duplicationProbability ? 2 : 1;
     for (int i = 0; i < times; i++) {
-      if (random.nextDouble() >= loss) {
-        long at =
+      if (random.nextDouble() >= lossProbability) {
+        long atNanos =
             nowNanos
                 + minDelayNanos
                 + (long) (random.nextDouble() * (maxDelayNanos - minDelayNanos));
-        events.add(new Event(at, lastSequence++, to, message, null));
+        events.add(new Event(atNanos, lastSequence++, to, message, null));
       }
     }
   }
 
-  /** A node's judgement of itself. */
+  /** Returns the status that a node's member reports of itself. */
   LocalStatus localStatus(int index) {
     Node node = nodes.get(index);
     return node.membership.localStatus(localTime(node));
   }
 
-  /** State of a node in the table of another; empty if unknown there. */
+  /** Returns the state of a node in the table of another; empty if it is not in the table. */
   Optional<MemberState> stateOf(int observer, int subject) {
     Address address = nodes.get(subject).address;
     return nodes.get(observer).membership.members().entrySet().stream()
--- a/membership/src/test/java/tamarindroute/membership/MembershipTest.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipTest.java
@@ -7,12 +7,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A single member: its local status, and the bounds on what it sends and stores. */
+/**
+ * Tests of a single member: its local status after a pause, its reaction to messages for another
+ * incarnation, the bounds on its join attempts and table, and the table of a new member.
+ */
 class MembershipTest {
 
   private static final Address SELF_ADDRESS = new Address("10.0.0.1", 7_000);
   private static final Member PEER = new Member(new Address("10.0.0.2", 7_000), 900);
 
+  /** A paused process checks its status before it acts, when none of its timers has run yet. */
   @Test
   void statusReportsAPauseBeforeAnyEventIsHandled() {
     Membership membership =
@@ -45,7 +49,10 @@
     assertThat(membership.self().incarnation()).isEqualTo(51);
   }
 
-  /** With a seed that never answers, over ten minutes. */
+  /**
+   * The only seed does not answer for ten minutes. Neither the number of requests nor their rate
+   * may exceed its bound.
+   */
   @Test
   void joinAttemptsStayWithinTheirBudget() {
     Membership membership =
@@ -71,6 +78,7 @@
     assertThat(membership.localStatus(now).connectivity()).isEqualTo(Connectivity.JOINING);
   }
 
+  /** A joining member that does not fit into the table is neither stored nor answered. */
   @Test
   void fullTableAdmitsNobodyUntilAMemberHasLeft() {
     MembershipSettings defaults = MembershipSettings.DEFAULTS;
@@ -110,7 +118,7 @@
     assertThat(membership.members()).hasSize(2).containsKey(joining).doesNotContainKey(departed);
   }
 
-  /** Of 2,000 members, at 20% loss. */
+  /** The new member receives 2,000 members in parts of bounded size, of which a fifth is lost. */
   @Test
   void newMemberLearnsOfAllOthersByStateExchange() {
     MembershipSimulator simulator =
@@ -136,7 +144,7 @@
       simulator.nodes.get(node).membership.clearPending();
     }
     simulator.kill(11);
-    simulator.loss = 0.2;
+    simulator.lossProbability = 0.2;
     simulator.start(11, 5_000);
     simulator.run(Duration.ofSeconds(20));
     others.removeAll(simulator.nodes.get(11).membership.members().keySet());
--- a/membership/src/test/java/tamarindroute/membership/MessageInFlight.java
+++ b/membership/src/test/java/tamarindroute/membership/MessageInFlight.java
@@ -1,13 +1,12 @@
 package tamarindroute.membership;
 
 /**
- * A message under way, or received by a paused process and not read yet.
+ * A message that the network has not delivered yet, or that a paused process has not read yet.
  *
  * @param from index of the sender
  * @param to index of the receiver
- * @param arrivesNanos virtual time of its arrival
- * @param message the message
- * @param queuedAtPaused whether it was received while the process was paused
+ * @param arrivesNanos virtual time of the arrival
+ * @param queuedWhilePaused whether it was received while the process was paused
  */
 record MessageInFlight(
-    int from, int to, long arrivesNanos, Message message, boolean queuedAtPaused) {}
+    int from, int to, long arrivesNanos, Message message, boolean queuedWhilePaused) {}
--- a/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
+++ b/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
@@ -13,11 +13,14 @@
 
   static final long FIRST_INCARNATION = 1_000;
   static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** Incarnation of a restarted member, as after a restart with a clock that was set back. */
   private static final long EARLIER_INCARNATION = 500;
+
   private static final long PERIOD_NANOS = MembershipModelChecker.PERIOD_NANOS;
   private static final long PARTITION_NANOS = 9 * PERIOD_NANOS;
   private static final long DOWNTIME_NANOS = 2 * PERIOD_NANOS;
-  private static final long DELAY_NANOS = 10 * NANOS_PER_MILLI;
+  private static final long MESSAGE_DELAY_NANOS = 10 * NANOS_PER_MILLI;
   private static final long DUPLICATE_DELAY_NANOS = 3 * PERIOD_NANOS;
   private static final int REQUEST_ID_LIMIT = 6;
 
@@ -25,7 +28,7 @@
   private final List<Partition> partitions;
   private final long pauseNanos;
 
-  /** Changes messages before they are handled, to seed a defect. */
+  /** Changes each message before the given member handles it, to seed a defect. */
   private final BiFunction<Membership, Message, Message> defect;
 
   private final List<String> violations = new ArrayList<>();
@@ -42,24 +45,24 @@
     this.defect = defect;
   }
 
-  /** Violations found so far; may be added to. */
+  /** Returns the violations found so far. The model checker adds its own to this list. */
   List<String> violations() {
     return violations;
   }
 
-  /** How often a member was declared faulty so far. */
+  /** Returns the number of times that a member was declared faulty so far. */
   int faultyCount() {
     return faultyCount;
   }
 
-  /** Starts a member; one with an earlier incarnation than the first has to join again. */
+  /** Starts a member. A restarted one, with an earlier incarnation, has to join again. */
   Membership newMember(int index, long incarnation, long nowNanos) {
     List<Address> seeds =
         incarnation == FIRST_INCARNATION
             ? List.of()
             : List.of(
-                address((index + 1) % ModelState.MEMBERS),
-                address((index + 2) % ModelState.MEMBERS));
+                address((index + 1) % ModelState.MEMBER_COUNT),
+                address((index + 2) % ModelState.MEMBER_COUNT));
     return new Membership(
         settings,
         new Member(address(index), incarnation),
@@ -77,12 +80,14 @@
     return address.host().charAt(1) - '0';
   }
 
-  /** All states after the next event. */
+  /**
+   * Returns all states that can follow the next event: an arrival, a timer or a partition's end.
+   */
   List<ModelState> successors(ModelState state) {
     long atNanos = Long.MAX_VALUE;
     int timerIndex = -1;
-    for (int i = 0; i < ModelState.MEMBERS; i++) {
-      long due = nextDueNanos(state, i);
+    for (int i = 0; i < ModelState.MEMBER_COUNT; i++) {
+      long due = state.nextDueNanos(i);
       if (due < atNanos) {
         atNanos = due;
         timerIndex = i;
@@ -90,7 +95,7 @@
     }
     MessageInFlight next = null;
     for (MessageInFlight flight : state.inFlight) {
-      if (!flight.queuedAtPaused()
+      if (!flight.queuedWhilePaused()
           && flight.arrivesNanos() <= atNanos
           && (next == null || flight.arrivesNanos() < next.arrivesNanos())) {
         next = flight;
@@ -101,7 +106,7 @@
       ModelState healed = state.copy(ModelState.UNCHANGED);
       healed.nowNanos = Math.max(state.nowNanos, state.partitionUntilNanos);
       healed.partition = null;
-      healed.partitionUntilNanos = -1;
+      healed.partitionUntilNanos = ModelState.NONE;
       return List.of(healed);
     }
     return next != null
@@ -109,17 +114,6 @@
         : timerSuccessors(state, timerIndex, atNanos);
   }
 
-  private static long nextDueNanos(ModelState state, int index) {
-    if (state.restartNanos[index] >= 0) {
-      return state.restartNanos[index];
-    }
-    if (state.pausedUntilNanos[index] >= 0) {
-      return state.pausedUntilNanos[index];
-    }
-    return state.nowNanos
-        + state.members[index].untilNextTick(Duration.ofNanos(state.nowNanos)).toNanos();
-  }
-
   private List<ModelState> arrivalSuccessors(ModelState state, MessageInFlight flight) {
     List<ModelState> successors = new ArrayList<>();
     ModelState delivered = state.copy(ModelState.UNCHANGED);
@@ -157,7 +151,8 @@
 
   private ModelState deliver(ModelState state, MessageInFlight flight) {
     ModelState successor = state.copy(flight.to());
-    long incarnation = knownIncarnation(successor, flight.to(), flight.message().from().address());
+    Address sender = flight.message().from().address();
+    long incarnation = successor.knownIncarnation(flight.to(), sender);
     Membership member = successor.members[flight.to()];
     boolean forOtherIncarnation =
         flight.message().targetIncarnation() != 0
@@ -167,14 +162,20 @@
             defect.apply(member, flight.message()), Duration.ofNanos(successor.nowNanos));
     if (forOtherIncarnation && actions.stream().anyMatch(ModelTransitions::isAcceptance)) {
       violations.add(
-          "message for a former incarnation of "
+          "message for a former incarnation of member "
               + flight.to()
               + " was accepted: "
               + flight.message());
     }
     apply(successor, flight.to(), actions);
-    if (knownIncarnation(successor, flight.to(), flight.message().from().address()) < incarnation) {
-      violations.add(flight.to() + " accepts the former incarnation " + flight.message().from());
+    if (successor.knownIncarnation(flight.to(), sender) < incarnation) {
+      violations.add(
+          "member "
+              + flight.to()
+              + " replaced incarnation "
+              + incarnation
+              + " by the former incarnation "
+              + flight.message().from());
     }
     return successor;
   }
@@ -186,20 +187,12 @@
     return action instanceof Action.IncarnationRaised;
   }
 
-  private static long knownIncarnation(ModelState state, int observer, Address subject) {
-    return state.members[observer].members().keySet().stream()
-        .filter(member -> member.address().equals(subject))
-        .mapToLong(Member::incarnation)
-        .findFirst()
-        .orElse(0);
-  }
-
   private List<ModelState> timerSuccessors(ModelState state, int index, long atNanos) {
     List<ModelState> successors = new ArrayList<>();
     ModelState due = state.copy(ModelState.UNCHANGED);
     due.nowNanos = Math.max(state.nowNanos, atNanos);
     if (due.restartNanos[index] >= 0) {
-      due.restartNanos[index] = -1;
+      due.restartNanos[index] = ModelState.NONE;
       due.members[index] = newMember(index, EARLIER_INCARNATION, due.nowNanos);
       return List.of(due);
     }
@@ -236,19 +229,19 @@
       partitioned.budget = state.budget.minus(0, 0, 0, 0, 1);
       partitioned.partition = partition;
       partitioned.partitionUntilNanos = state.nowNanos + PARTITION_NANOS;
-      partitioned.excused |= partition.excused < 0 ? 0 : 1 << partition.excused;
+      partitioned.mayBeFaulty |= partition.mayBeFaulty < 0 ? 0 : 1 << partition.mayBeFaulty;
       faults.add(partitioned);
     }
     return faults;
   }
 
-  /** Delivers what has queued up; the first action has to be the report of the pause. */
+  /** Delivers the messages received during a pause. The first action has to report the pause. */
   private ModelState resume(ModelState state, int index) {
     ModelState successor = state.copy(index);
-    successor.pausedUntilNanos[index] = -1;
+    successor.pausedUntilNanos[index] = ModelState.NONE;
     List<MessageInFlight> queued =
         successor.inFlight.stream()
-            .filter(flight -> flight.queuedAtPaused() && flight.to() == index)
+            .filter(flight -> flight.queuedWhilePaused() && flight.to() == index)
             .toList();
     successor.inFlight.removeAll(queued);
     Duration now = Duration.ofNanos(successor.nowNanos);
@@ -258,7 +251,7 @@
     actions.addAll(successor.members[index].tick(now));
     if (!(actions.get(0) instanceof Action.StatusChanged change)
         || change.status().connectivity() != Connectivity.PAUSED) {
-      violations.add(index + " did not notice its pause");
+      violations.add("member " + index + " did not notice its pause");
     }
     apply(successor, index, actions);
     return successor;
@@ -269,7 +262,8 @@
       if (action instanceof Action.Send send) {
         int to = indexOf(send.to());
         state.inFlight.add(
-            new MessageInFlight(index, to, state.nowNanos + DELAY_NANOS, send.message(), false));
+            new MessageInFlight(
+                index, to, state.nowNanos + MESSAGE_DELAY_NANOS, send.message(), false));
       } else if (action instanceof Action.StateChanged change
           && change.state() == MemberState.FAULTY) {
         onFaulty(state, index, change.member());
@@ -284,14 +278,18 @@
     if (subject == null || !subject.self().equals(declared)) {
       return;
     }
-    if ((state.excused & 1 << subjectIndex) == 0) {
+    if ((state.mayBeFaulty & 1 << subjectIndex) == 0) {
       violations.add(
-          observer + " declared " + subjectIndex + " faulty, which is alive and reachable");
+          "member "
+              + observer
+              + " declared "
+              + subjectIndex
+              + " faulty, which is alive and reachable");
     } else if (state.partition != null
         && state.pausedUntilNanos[subjectIndex] < 0
         && subject.localStatus(Duration.ofNanos(state.nowNanos)).isConnected()) {
       violations.add(
-          subjectIndex + " regards itself as connected while " + observer + " declares it faulty");
+          "member " + subjectIndex + " is connected while " + observer + " declares it faulty");
     }
   }
 }
--- a/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
+++ b/membership/src/test/java/tamarindroute/membership/SimultaneousJoinTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Members that all start together on a busy machine, each delayed before its first step. */
+/**
+ * Tests members that start together on a busy machine, where the first step of each is delayed.
+ * Guards against seeds that regard themselves as paused and therefore never admit each other.
+ */
 class SimultaneousJoinTest {
 
   @Test
@@ -19,7 +22,7 @@
             members.add(
                 new Membership(
                     MembershipSettings.DEFAULTS, new Member(address, 1), seeds, Duration.ZERO)));
-    // The first step is so late that each member regards itself as paused.
+    // The first step is more than a quarter of a period late, which each member detects as a pause.
     for (int millis = 400; millis < 5_000; millis += 20) {
       Duration now = Duration.ofMillis(millis);
       List<Action> actions = new ArrayList<>();
--- a/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
+++ b/membership/src/test/java/tamarindroute/membership/ThousandMembersTest.java
@@ -9,7 +9,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A thousand members at 20% loss; ten are killed, twenty paused for up to the tolerated time. */
+/**
+ * Runs a thousand members with 20% loss. Ten are killed and twenty are paused for up to the
+ * tolerated time. Guards against failures that are detected too late and against false failure
+ * reports in large groups.
+ */
 class ThousandMembersTest {
 
   @Test
@@ -17,8 +21,8 @@
     int count = 1_000;
     MembershipSimulator simulator =
         new MembershipSimulator(MembershipSettings.DEFAULTS, count, 28).startJoined();
-    simulator.loss = 0.2;
-    simulator.duplication = 0.05;
+    simulator.lossProbability = 0.2;
+    simulator.duplicationProbability = 0.05;
     simulator.maxDelayNanos = Duration.ofMillis(60).toNanos();
     InvariantChecker checker =
         new InvariantChecker(simulator, MembershipSettings.DEFAULTS.toleratedPause());
