--- a/agreement/src/main/java/tamarindroute/agreement/raft/BootstrapCoordinator.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/BootstrapCoordinator.java
@@ -10,7 +10,10 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** A voter's {@link Bootstrap}, with its pledge kept in the store, and the offers that it sends. */
+/**
+ * Runs the bootstrap of one voter: sends and receives offers, and persists the voter's pledge
+ * before it is sent.
+ */
 final class BootstrapCoordinator {
 
   private final VoterTransport transport;
@@ -25,25 +28,26 @@
   }
 
   /**
-   * Restores the bootstrap from the store.
+   * Restores the bootstrap state from the store.
    *
-   * @param fresh this voter's identity if the store is new
-   * @throws IOException if the store belongs to another address, in which case it is closed, or
-   *     cannot be written
+   * @param newIdentity this voter's identity if the store is new
+   * @throws IOException if the store belongs to another address, in which case the store is closed,
+   *     or cannot be written
    */
   static BootstrapCoordinator restore(
       VoterTransport transport,
       PersistentRaftStore store,
-      Member fresh,
+      Member newIdentity,
       Collection<Address> configuredVoters)
       throws IOException {
     if (store.pledgedSelf().isEmpty()) {
-      store.pledge(fresh, List.of());
+      store.pledge(newIdentity, List.of());
     }
     Member self = store.pledgedSelf().get();
-    if (!self.address().equals(fresh.address())) {
+    if (!self.address().equals(newIdentity.address())) {
       store.close();
-      throw new IOException("store belongs to " + self + ", not to " + fresh.address());
+      throw new IOException(
+          "store belongs to " + self + ", expected address " + newIdentity.address());
     }
     Bootstrap restored =
         Bootstrap.of(self, configuredVoters, store.pledgedFounders(), store.hasGroup());
@@ -58,7 +62,7 @@
     return bootstrap.configuredVoters();
   }
 
-  /** Returns the founders of the established group; empty until there is one. */
+  /** Returns the founders of the established group; empty if no group is established yet. */
   Optional<List<Member>> founders() {
     return bootstrap.founders();
   }
@@ -79,7 +83,10 @@
         AgreementMessageCodec.encodeOffer(offer.self(), offer.pledgedFounders(), offer.founded()));
   }
 
-  /** Handles an offer. A pledge that follows from it is recorded before it is offered. */
+  /**
+   * Handles an offer. A pledge or the founders of an established group that follow from the offer
+   * are persisted before this voter sends its next offer.
+   */
   void onOffer(Address from, DecodedMessage.BootstrapOffer message) throws IOException {
     Bootstrap.Offer offer =
         new Bootstrap.Offer(message.self(), message.pledgedFounders(), message.founded());
--- a/agreement/src/main/java/tamarindroute/agreement/raft/DeterministicRandom.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/DeterministicRandom.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Random numbers computed from a seed and a counter, for MicroRaft's election timeouts. The
- * sequence does not depend on the Java version.
+ * Pseudorandom numbers for MicroRaft's election timeouts, computed as CRC-32 of a seed and a
+ * counter. The sequence does not depend on the Java version.
  */
 final class DeterministicRandom extends Random {
 
--- a/agreement/src/main/java/tamarindroute/agreement/raft/EnvelopeTransport.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EnvelopeTransport.java
@@ -7,7 +7,10 @@
 import tamarindroute.agreement.wire.AgreementMessageCodec;
 import tamarindroute.membership.Member;
 
-/** Sends MicroRaft's messages, each in an envelope for one incarnation of a voter. */
+/**
+ * Sends MicroRaft's messages while the voter is running, each in an envelope that is addressed to
+ * one incarnation of a voter.
+ */
 final class EnvelopeTransport implements Transport {
 
   private final long groupId;
--- a/agreement/src/main/java/tamarindroute/agreement/raft/EventLoop.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoop.java
@@ -6,11 +6,11 @@
 public interface EventLoop {
 
   /**
-   * Runs a task on the event loop's thread after the current one; tasks run in submission order.
+   * Runs a task on the event loop's thread after the current task. Tasks run in submission order.
    */
   void execute(Runnable task);
 
-  /** Runs a task on the event loop's thread after a delay. */
+  /** Runs a task on the event loop's thread once a delay has passed. */
   void schedule(Runnable task, Duration delay);
 
   /** Returns the monotonic time since an arbitrary origin. */
--- a/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopClock.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopClock.java
@@ -7,13 +7,13 @@
 import java.time.ZoneOffset;
 
 /**
- * The event loop's monotonic time as the clock that MicroRaft asks for. The library only compares
- * its readings to each other.
+ * Supplies the event loop's monotonic time to MicroRaft as a {@link Clock}. The library only
+ * compares the clock's readings to each other, so they need not be wall-clock time.
  */
 final class EventLoopClock extends Clock {
 
-  /** Offset of all readings, as the library takes 0 for "never". */
-  private static final long START_MILLIS = 1_000_000L;
+  /** Added to all readings, as MicroRaft treats a reading of 0 as "never". */
+  private static final long CLOCK_OFFSET_MILLIS = 1_000_000L;
 
   private final EventLoop eventLoop;
 
@@ -21,9 +21,9 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Converts a time of the event loop to a reading of this clock. */
+  /** Converts a time of the event loop to a reading of this clock in milliseconds. */
   static long toClockMillis(Duration eventLoopTime) {
-    return START_MILLIS + eventLoopTime.toMillis();
+    return CLOCK_OFFSET_MILLIS + eventLoopTime.toMillis();
   }
 
   @Override
--- a/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopExecutor.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/EventLoopExecutor.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Runs MicroRaft's tasks on the event loop while the voter is running. An exception of a task is
- * reported, not propagated.
+ * Runs MicroRaft's tasks on the event loop while the voter is running. An exception that a task
+ * throws is passed to a callback instead of the event loop.
  */
 final class EventLoopExecutor implements RaftNodeExecutor {
 
--- a/agreement/src/main/java/tamarindroute/agreement/raft/GroupId.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/GroupId.java
@@ -7,23 +7,24 @@
 import tamarindroute.membership.Member;
 
 /**
- * Identifies a voter group by its founders, so that messages of different groups are told apart.
+ * Computes the identifier of a voter group from its founders, so that messages of different groups
+ * are distinguished.
  */
 final class GroupId {
 
   private GroupId() {}
 
-  /** Computes the identifier, which is positive and independent of the founders' order. */
+  /** Returns the identifier, which is positive and independent of the order of the founders. */
   static long of(List<Member> founders) {
-    CRC32 low = new CRC32();
-    CRC32 high = new CRC32();
+    CRC32 lowChecksum = new CRC32();
+    CRC32 highChecksum = new CRC32();
     List<Member> ordered = founders.stream().sorted(Comparator.comparing(Member::address)).toList();
     for (Member founder : ordered) {
       byte[] encoded = ViewCodec.toProto(founder).toByteArray();
-      low.update(encoded);
-      high.update(encoded.length);
-      high.update(encoded);
+      lowChecksum.update(encoded);
+      highChecksum.update(encoded.length);
+      highChecksum.update(encoded);
     }
-    return Math.max(1, high.getValue() << 31 ^ low.getValue());
+    return Math.max(1, highChecksum.getValue() << 31 ^ lowChecksum.getValue());
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/GroupStatusMonitor.java
@@ -12,7 +12,7 @@
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.membership.Member;
 
-/** Derives a voter's {@link GroupStatus} from MicroRaft's reports. */
+/** Derives a voter's {@link GroupStatus} from the reports of its MicroRaft node. */
 final class GroupStatusMonitor {
 
   private final EventLoop eventLoop;
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Continues from a previous monitor's status, so that one loss of the quorum is reported once.
+   * Takes over the status of the node that this monitor's node replaces, so that one loss of the
+   * quorum is reported once.
    */
   void continueFrom(GroupStatus previous) {
     status = previous;
@@ -42,7 +43,7 @@
   /**
    * Updates the status from a report.
    *
-   * @param leader leader of the current term, if known
+   * @param leader leader of the current term; empty if unknown
    * @return whether the status has changed
    */
   boolean update(RaftNodeReport report, Optional<Member> leader) {
@@ -66,7 +67,7 @@
     return changed;
   }
 
-  /** Records that the voter has stopped. */
+  /** Records that the voter has stopped, and so no longer observes a leader or a quorum. */
   void onStopped(RaftGroupMembers members) {
     status =
         new GroupStatus(
@@ -74,7 +75,8 @@
   }
 
   /**
-   * Returns whether there has been no quorum for so long, counted from this start at the earliest.
+   * Returns whether this voter is not the leader and has observed no quorum for the whole timeout.
+   * The time is counted from the creation of this monitor at the earliest.
    */
   boolean isLeaderlessFor(Duration timeout) {
     Duration now = eventLoop.now();
@@ -88,7 +90,10 @@
     return status.noQuorumSince().orElseGet(eventLoop::now);
   }
 
-  /** Counts the voters that this one, as leader, has heard from recently, itself included. */
+  /**
+   * Returns the number of voters that this leader received a message from within the heartbeat
+   * timeout, itself included.
+   */
   private int reachableVoters(RaftNodeReport report) {
     int reachable = 1;
     for (RaftEndpoint voter : report.getEffectiveMembers().getVotingMembers()) {
--- a/agreement/src/main/java/tamarindroute/agreement/raft/PersistentRaftStore.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/PersistentRaftStore.java
@@ -21,13 +21,13 @@
 import tamarindroute.membership.Member;
 
 /**
- * A voter's durable state, as records of a {@link RecordLog}: its pledge, identity, group, term and
- * vote, log entries and snapshot chunks. Compacts the log when it has grown.
+ * Persists a voter's state as records of a {@link RecordLog}: its pledge, identity, group, term and
+ * vote, log entries and snapshot chunks. Compacts the record log when it has grown.
  */
 final class PersistentRaftStore implements RaftStore {
 
-  /** The log is compacted once it has grown by so many bytes since the last compaction. */
-  private static final long MAX_GROWTH_BYTES = 4L * 1024 * 1024;
+  /** Growth of the record log since the last compaction, in bytes, that causes a compaction. */
+  private static final long COMPACTION_GROWTH_BYTES = 4L * 1024 * 1024;
 
   private final RecordLog log;
   private final StoredRaftState state = new StoredRaftState();
@@ -40,8 +40,8 @@
   /**
    * Opens the store and reads its records.
    *
-   * @throws IOException if it cannot be read, or is damaged in a way that no crash explains; the
-   *     voter must not vote then
+   * @throws IOException if the store cannot be read, or is damaged in a way that no crash explains.
+   *     The voter must not vote then, as it may have forgotten a vote
    */
   static PersistentRaftStore open(StorageMedium medium) throws IOException {
     RecordLog log = new RecordLog(medium);
@@ -57,11 +57,13 @@
     try {
       return StoreRecordProto.parseFrom(storeRecord);
     } catch (InvalidProtocolBufferException malformed) {
-      throw new IOException("malformed store record", malformed);
+      throw new IOException(
+          "store record of " + storeRecord.length + " bytes is not a valid StoreRecordProto",
+          malformed);
     }
   }
 
-  /** Returns the identity that this voter has in its group; empty before the group was begun. */
+  /** Returns the identity that this voter has in its group; empty if the store has no group. */
   Optional<Member> self() {
     return state.self();
   }
@@ -76,7 +78,11 @@
     return state.pledgedFounders();
   }
 
-  /** Durably records the voter's identity and pledge. To be called before they are sent. */
+  /**
+   * Durably records the voter's identity and pledge. To be called before they are sent in an offer.
+   *
+   * @param founders the founders pledged to; empty if the voter has not pledged yet
+   */
   void pledge(Member self, List<Member> founders) throws IOException {
     BootstrapOfferProto.Builder pledge =
         BootstrapOfferProto.newBuilder().setSelf(ViewCodec.toProto(self));
@@ -90,18 +96,21 @@
     return state.groupId();
   }
 
-  /** Returns whether a group was begun completely. */
+  /**
+   * Returns whether the store has a group: the group's identifier, the voter's own endpoint and the
+   * initial members are all recorded.
+   */
   boolean hasGroup() {
     return state.hasGroup();
   }
 
-  /** Discards everything but the pledge, and starts with a new group. */
+  /** Discards everything but the pledge, and records the identifier of a new group. */
   void beginGroup(long groupId) throws IOException {
     state.beginGroup(groupId);
     compact();
   }
 
-  /** Returns the state to restart MicroRaft from. Requires a group. */
+  /** Returns the state to restart MicroRaft from. Requires {@link #hasGroup}. */
   RestoredRaftState restoredState() {
     return state.restoredState();
   }
@@ -172,7 +181,7 @@
 
   @Override
   public void flush() throws IOException {
-    if (log.sizeBytes() - compactedSizeBytes > MAX_GROWTH_BYTES) {
+    if (log.sizeBytes() - compactedSizeBytes > COMPACTION_GROWTH_BYTES) {
       compact();
     } else {
       log.force();
@@ -188,7 +197,10 @@
     compactedSizeBytes = log.sizeBytes();
   }
 
-  /** Returns whether a write has failed. The voter must not send anything from then on. */
+  /**
+   * Returns whether a write has failed. The voter must not send anything from then on, as the state
+   * that it would promise to keep may not be durable.
+   */
   boolean hasFailed() {
     return log.hasFailed();
   }
@@ -197,7 +209,10 @@
     log.close();
   }
 
-  /** Closes the store, ignoring failures: whatever must last was forced when it was written. */
+  /**
+   * Closes the store and ignores failures. Nothing is lost by them, as everything that must be
+   * durable was forced when it was written.
+   */
   void closeQuietly() {
     try {
       close();
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftAgreement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftAgreement.java
@@ -21,17 +21,17 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** A voter of an established group, over MicroRaft. Runs on the event loop. */
+/** A voter of an established group, implemented by a MicroRaft node. Runs on the event loop. */
 final class RaftAgreement implements Agreement {
 
   /**
-   * A voter without a leader for so long restarts MicroRaft from the store, as after a crash.
-   * Version 0.7 never stands for election again once a pre-vote was overtaken by the leader's
-   * return, and two such voters would remain leaderless.
+   * A voter that has had no leader for this time restarts MicroRaft from the store, as after a
+   * crash. In MicroRaft 0.7, a node whose pre-vote was interrupted by the return of the leader
+   * never becomes a candidate again, so two such voters would remain without a leader for good.
    */
   private static final Duration LEADERLESS_RESTART_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Between two looks at the node's report. */
+  /** Period at which the node's report is read. */
   private static final Duration REPORT_PERIOD = RaftSettings.HEARTBEAT_PERIOD;
 
   private final EventLoop eventLoop;
@@ -50,17 +50,21 @@
   private Optional<String> taskFailure = Optional.empty();
 
   /**
-   * Continues from the store, or begins the group if the store has none.
+   * Starts a MicroRaft node from the stored state, or as a founder of a new group if the store has
+   * none.
    *
-   * @param fresh this voter's identity if the store has no group
-   * @param queryPolicy how reads are confirmed
+   * @param newIdentity this voter's identity if the store has no group
+   * @param founders founders of the group, which its identifier is computed from
+   * @param onStatusChange called with the group's status whenever it has changed
+   * @param queryPolicy how MicroRaft confirms reads
+   * @throws IOException if the store cannot be written
    */
-  @SuppressWarnings("FutureReturnValueIgnored") // Starts by a task of the event loop.
+  @SuppressWarnings("FutureReturnValueIgnored") // The node starts by a task of the event loop.
   RaftAgreement(
       EventLoop eventLoop,
       VoterTransport transport,
       PersistentRaftStore store,
-      Member fresh,
+      Member newIdentity,
       List<Member> founders,
       Consumer<GroupStatus> onStatusChange,
       QueryPolicy queryPolicy)
@@ -69,7 +73,7 @@
     this.transport = transport;
     this.store = store;
     this.onStatusChange = onStatusChange;
-    this.self = store.self().orElse(fresh);
+    this.self = store.self().orElse(newIdentity);
     this.groupId = GroupId.of(founders);
     this.stateMachine = new ViewStateMachine(groupId);
     this.statusMonitor = new GroupStatusMonitor(eventLoop, self);
@@ -77,7 +81,7 @@
     this.operations = new RaftOperations(eventLoop, raftNode, stateMachine, self, queryPolicy);
     this.readIndexService = new ReadIndexService(operations, self, stateMachine, transport);
     raftNode.start();
-    eventLoop.schedule(this::tick, REPORT_PERIOD);
+    eventLoop.schedule(this::pollReport, REPORT_PERIOD);
   }
 
   private RaftNode buildNode(List<Member> founders) throws IOException {
@@ -103,12 +107,18 @@
     return builder.build();
   }
 
-  /** Takes over the status of an agreement that was restarted. */
+  /** Takes over the last status of the node that this one replaces. */
   void continueFrom(GroupStatus previous) {
     statusMonitor.continueFrom(previous);
   }
 
-  /** Handles a message from the authenticated sender at this address. */
+  /**
+   * Handles a message. Messages of other kinds than consensus messages, view requests and proposals
+   * are ignored.
+   *
+   * @param from address of the authenticated sender
+   * @param message the decoded message; null if it could not be decoded
+   */
   void onMessage(Address from, DecodedMessage message) {
     if (closed) {
       return;
@@ -127,7 +137,10 @@
     }
   }
 
-  /** Drops messages for another group or incarnation, and those not sent by their author. */
+  /**
+   * Handles a consensus message. Messages for another group or another incarnation, and messages
+   * whose Raft sender is not at the authenticated address, are dropped.
+   */
   private void onRaftEnvelope(Address from, DecodedMessage.RaftEnvelope envelope) {
     if (envelope.groupId() != groupId || !envelope.recipient().equals(self)) {
       return;
@@ -178,8 +191,9 @@
     operations.changeVoters(voter, add, onResult);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // Completes on the event loop.
-  private void tick() {
+  /** Reads the node's report and schedules the next reading, or closes a voter that has ended. */
+  @SuppressWarnings("FutureReturnValueIgnored") // The report completes on the event loop.
+  private void pollReport() {
     if (closed) {
       return;
     }
@@ -189,7 +203,7 @@
       onStatusChange.accept(status());
       return;
     }
-    eventLoop.schedule(this::tick, REPORT_PERIOD);
+    eventLoop.schedule(this::pollReport, REPORT_PERIOD);
     raftNode
         .getReport()
         .whenComplete(
@@ -207,7 +221,7 @@
     publishVoters();
   }
 
-  /** As leader, records the group's voters in the view whenever they have changed. */
+  /** If this voter is the leader, records the group's voters in the view when they have changed. */
   private void publishVoters() {
     List<Member> voters = status().voters();
     boolean outdated = !voters.equals(localView().voters());
@@ -219,7 +233,10 @@
     }
   }
 
-  /** Returns whether this voter was closed, removed from the group, or has failed. */
+  /**
+   * Returns whether this voter was closed, was removed from the group or has failed. It neither
+   * votes nor responds from then on.
+   */
   boolean hasEnded() {
     return closed
         || taskFailure.isPresent()
@@ -227,13 +244,15 @@
         || (raftNode != null && raftNode.getStatus() == RaftNodeStatus.TERMINATED);
   }
 
-  /** Returns whether the voter should be restarted because no leader is found. */
-  boolean isStuck() {
+  /**
+   * Returns whether MicroRaft should be restarted because no leader was found within the timeout.
+   */
+  boolean needsRestart() {
     return !hasEnded() && statusMonitor.isLeaderlessFor(LEADERLESS_RESTART_TIMEOUT);
   }
 
   /**
-   * Stops this voter but leaves its store open. Pending proposals end as unknown.
+   * Stops this voter but leaves its store open. Pending proposals get the status {@code UNKNOWN}.
    *
    * @return the last status
    */
@@ -242,12 +261,12 @@
     return status();
   }
 
-  /** A task that threw may have left the node inconsistent, so no further task is run. */
+  /** Records that a task threw. No further task is run, as the node may be inconsistent. */
   private void onTaskFailure(RuntimeException failure) {
     taskFailure = Optional.of(failure.toString());
   }
 
-  /** Returns why this voter stopped by itself; empty if it did not. */
+  /** Returns the failure that this voter stopped after; empty if it has not failed. */
   Optional<String> failure() {
     return store.hasFailed() ? Optional.of("store is not writable") : taskFailure;
   }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftMessageDecoder.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftMessageDecoder.java
@@ -12,12 +12,15 @@
 import tamarindroute.agreement.wire.InvalidMessageException;
 
 /**
- * Converts Protocol Buffers to MicroRaft's messages. Throws {@link InvalidMessageException} if a
- * message is malformed or exceeds a limit.
+ * Converts Protocol Buffers messages to MicroRaft's messages. Throws {@link
+ * InvalidMessageException} if a message is malformed or exceeds a limit.
  */
 final class RaftMessageDecoder {
 
-  /** Most log entries in one message, which keeps it below the largest message. */
+  /**
+   * Largest number of log entries in one message. With the largest commands the message stays below
+   * {@link tamarindroute.agreement.wire.AgreementMessageCodec#MAX_MESSAGE_BYTES}.
+   */
   static final int MAX_ENTRIES = 4;
 
   private final Object groupId;
@@ -33,10 +36,15 @@
   static RaftMessage fromProto(Object groupId, RaftMessageProto proto) {
     if (proto.getEntriesCount() > MAX_ENTRIES) {
       throw new InvalidMessageException(
-          proto.getEntriesCount() + " log entries, at most " + MAX_ENTRIES + " allowed");
+          "consensus message has "
+              + proto.getEntriesCount()
+              + " log entries, at most "
+              + MAX_ENTRIES
+              + " allowed");
     }
     if (proto.getTerm() < 0) {
-      throw new InvalidMessageException("negative term " + proto.getTerm());
+      throw new InvalidMessageException(
+          "consensus message has term " + proto.getTerm() + ", expected 0 or more");
     }
     return new RaftMessageDecoder(groupId, proto).decode();
   }
@@ -55,7 +63,12 @@
       case TRIGGER_ELECTION -> triggerElection();
       case NONE, UNRECOGNIZED ->
           throw new InvalidMessageException(
-              "unknown consensus message kind " + proto.getKindValue());
+              "consensus message kind is "
+                  + proto.getKindValue()
+                  + ", expected "
+                  + RaftMessageProto.Kind.PRE_VOTE_REQUEST_VALUE
+                  + " to "
+                  + RaftMessageProto.Kind.TRIGGER_ELECTION_VALUE);
     };
   }
 
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftMessageEncoder.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftMessageEncoder.java
@@ -14,7 +14,7 @@
 import tamarindroute.agreement.proto.RaftMessageProto;
 import tamarindroute.agreement.proto.RaftMessageProto.Kind;
 
-/** Converts MicroRaft's messages to Protocol Buffers. */
+/** Converts MicroRaft's messages to Protocol Buffers messages. */
 final class RaftMessageEncoder {
 
   private RaftMessageEncoder() {}
@@ -117,7 +117,9 @@
           .setLogIndex(request.getLastLogIndex());
     } else {
       throw new IllegalArgumentException(
-          "unknown consensus message type " + message.getClass().getName());
+          "consensus message has type "
+              + message.getClass().getName()
+              + ", expected a message type of MicroRaft 0.7");
     }
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftModelCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftModelCodec.java
@@ -32,13 +32,14 @@
 
   static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
 
-  /** Largest snapshot chunk in bytes. */
+  /** Largest content of a snapshot chunk in bytes. */
   static final int MAX_CHUNK_BYTES = 256 * 1024;
 
+  /** Largest number of chunks in a snapshot, which holds one view. */
   private static final int MAX_CHUNKS =
       AgreementMessageCodec.MAX_MESSAGE_BYTES / MAX_CHUNK_BYTES + 1;
 
-  /** All voters, and one member each that is being added and removed. */
+  /** Largest number of group members: all voters, one being added and one being removed. */
   private static final int MAX_GROUP_MEMBERS = ViewLimits.MAX_VOTERS + 2;
 
   private RaftModelCodec() {}
@@ -117,7 +118,10 @@
       case COMMAND -> ViewCodec.fromProto(proto.getCommand());
       case GROUP_CHANGE -> fromProto(proto.getGroupChange());
       case OPERATION_NOT_SET ->
-          throw new InvalidMessageException("log entry " + proto.getIndex() + " has no operation");
+          throw new InvalidMessageException(
+              "log entry "
+                  + proto.getIndex()
+                  + " has no operation, expected a command or a group change");
     };
   }
 
@@ -145,7 +149,13 @@
       case ADD_OR_PROMOTE_TO_FOLLOWER -> MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER;
       case REMOVE_MEMBER -> MembershipChangeMode.REMOVE_MEMBER;
       case UNRECOGNIZED ->
-          throw new InvalidMessageException("unknown group change mode " + proto.getModeValue());
+          throw new InvalidMessageException(
+              "group change mode is "
+                  + proto.getModeValue()
+                  + ", expected "
+                  + GroupChangeProto.Mode.ADD_LEARNER_VALUE
+                  + " to "
+                  + GroupChangeProto.Mode.REMOVE_MEMBER_VALUE);
     };
   }
 
@@ -168,11 +178,11 @@
     }
     if (proto.getChunkIndex() < 0 || proto.getChunkIndex() >= count) {
       throw new InvalidMessageException(
-          "snapshot chunk " + proto.getChunkIndex() + ", 0 to " + (count - 1) + " allowed");
+          "snapshot chunk index " + proto.getChunkIndex() + ", 0 to " + (count - 1) + " allowed");
     }
     if (proto.getContent().size() > MAX_CHUNK_BYTES) {
       throw new InvalidMessageException(
-          "snapshot chunk of "
+          "snapshot chunk content of "
               + proto.getContent().size()
               + " bytes, at most "
               + MAX_CHUNK_BYTES
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftOperations.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftOperations.java
@@ -19,7 +19,10 @@
 import tamarindroute.agreement.wire.ViewCodec;
 import tamarindroute.membership.Member;
 
-/** Proposals, reads and voter changes on a Raft node, with their outcomes as results. */
+/**
+ * Carries out proposals, reads and voter changes on a MicroRaft node, and converts the outcomes to
+ * the results of {@link tamarindroute.agreement.Agreement}.
+ */
 final class RaftOperations {
 
   private final EventLoop eventLoop;
@@ -41,7 +44,7 @@
     this.queryPolicy = queryPolicy;
   }
 
-  /** Returns the leader of the current term, if known. */
+  /** Returns the leader of the current term; empty if unknown. */
   Optional<Member> leader() {
     return Optional.ofNullable(raftNode.getTerm().getLeaderEndpoint()).map(VoterEndpoint::memberOf);
   }
@@ -54,7 +57,7 @@
     }
     CompletableFuture<Ordered<ViewTransitions.Transition>> replication =
         raftNode.replicate(command);
-    SingleCompletion.await(
+    SingleCompletion.deliver(
         eventLoop,
         replication,
         transition -> onResult.accept(toResult(transition)),
@@ -100,8 +103,8 @@
 
   void read(Consumer<Optional<MembershipView>> onView) {
     CompletableFuture<Ordered<MembershipView>> query =
-        raftNode.query(ViewStateMachine.READ, queryPolicy, Optional.empty(), Optional.empty());
-    SingleCompletion.await(
+        raftNode.query(ViewStateMachine.READ_VIEW, queryPolicy, Optional.empty(), Optional.empty());
+    SingleCompletion.deliver(
         eventLoop,
         query,
         view -> onView.accept(Optional.of(view)),
@@ -109,20 +112,27 @@
   }
 
   /**
-   * Adds or removes a voter. It is added as a learner first, so that it has caught up before it
-   * votes.
+   * Adds or removes a voter. A new voter is added as a learner first, so that its log has caught up
+   * before it votes.
    */
   void changeVoters(Member voter, boolean add, Consumer<ProposalResult> onResult) {
     VoterEndpoint endpoint = new VoterEndpoint(voter);
     RaftGroupMembers committed = raftNode.getCommittedMembers();
-    boolean votes = committed.getVotingMembers().contains(endpoint);
+    boolean isVoter = committed.getVotingMembers().contains(endpoint);
     boolean isMember = committed.getMembers().contains(endpoint);
-    if (add ? votes : !isMember) {
+    if (add ? isVoter : !isMember) {
       onResult.accept(result(ProposalStatus.COMMITTED, "", leader()));
     } else if (!add) {
       changeMembership(endpoint, MembershipChangeMode.REMOVE_MEMBER, onResult);
     } else if (committed.getVotingMembers().size() >= ViewLimits.MAX_VOTERS) {
-      String reason = "group already has " + ViewLimits.MAX_VOTERS + " voters";
+      String reason =
+          "cannot add "
+              + voter
+              + ": group has "
+              + committed.getVotingMembers().size()
+              + " voters, at most "
+              + ViewLimits.MAX_VOTERS
+              + " allowed";
       onResult.accept(result(ProposalStatus.REJECTED, reason, leader()));
     } else if (isMember) {
       promote(endpoint, onResult);
@@ -151,7 +161,7 @@
   private void changeMembership(
       VoterEndpoint endpoint, MembershipChangeMode mode, Consumer<ProposalResult> onResult) {
     long committedIndex = raftNode.getCommittedMembers().getLogIndex();
-    SingleCompletion.await(
+    SingleCompletion.deliver(
         eventLoop,
         raftNode.changeMembership(endpoint, mode, committedIndex),
         members -> onResult.accept(result(ProposalStatus.COMMITTED, "", leader())),
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftVoter.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftVoter.java
@@ -19,12 +19,15 @@
 
 /**
  * A configured voter, from its first start on. Bootstraps the group together with the other
- * configured voters, or learns that a group is running and waits to be admitted; from then on takes
- * part in the group's agreement. Runs on the event loop.
+ * configured voters, or receives the founders of a running group and waits to be admitted. Then
+ * takes part in the consensus of the group. Runs on the event loop.
  */
 public final class RaftVoter implements Agreement {
 
-  /** Period of bootstrap offers, and of the check for a voter without a leader. */
+  /**
+   * Period of the bootstrap offers, and of the check whether MicroRaft must be restarted. A
+   * bootstrap takes a few offers.
+   */
   private static final Duration OFFER_INTERVAL = Duration.ofSeconds(1);
 
   private final EventLoop eventLoop;
@@ -40,8 +43,8 @@
   private RaftAgreement raftAgreement;
 
   /**
-   * The view before MicroRaft was last restarted. The restarted node knows the committed entries
-   * again only once it hears from a leader.
+   * The view before MicroRaft was last restarted. The restarted node applies the committed log
+   * entries again only after a leader has sent it the commit index.
    */
   private MembershipView lastKnownView = MembershipView.initial(0);
 
@@ -49,19 +52,20 @@
   private Optional<String> storeFailure = Optional.empty();
 
   /**
-   * Opens the store and starts.
+   * Opens the store and starts the voter.
    *
-   * @param fresh this voter's identity if the store is empty: an incarnation that was never used at
-   *     its address
-   * @param configuredVoters addresses of all voters, the same at each of them
-   * @param onStatusChange called with the group's status when it has changed
+   * @param medium holds the voter's store
+   * @param newIdentity this voter's identity if the store is empty, with an incarnation that was
+   *     never used at its address
+   * @param configuredVoters addresses of all voters, the same list at each voter
+   * @param onStatusChange called with the group's status whenever it has changed
    * @throws IOException if the store is corrupted, belongs to another address or cannot be written
    */
   public static RaftVoter open(
       EventLoop eventLoop,
       VoterTransport transport,
       StorageMedium medium,
-      Member fresh,
+      Member newIdentity,
       Collection<Address> configuredVoters,
       Consumer<GroupStatus> onStatusChange)
       throws IOException {
@@ -69,18 +73,18 @@
         eventLoop,
         transport,
         medium,
-        fresh,
+        newIdentity,
         configuredVoters,
         onStatusChange,
         QueryPolicy.LINEARIZABLE);
   }
 
-  /** Opens a voter with another query policy, for tests of the consistency checker. */
+  /** Opens a voter with a given query policy. Tests of the consistency checkers use a weak one. */
   RaftVoter(
       EventLoop eventLoop,
       VoterTransport transport,
       StorageMedium medium,
-      Member fresh,
+      Member newIdentity,
       Collection<Address> configuredVoters,
       Consumer<GroupStatus> onStatusChange,
       QueryPolicy queryPolicy)
@@ -91,12 +95,12 @@
     this.onStatusChange = onStatusChange;
     this.queryPolicy = queryPolicy;
     this.startedAt = eventLoop.now();
-    this.bootstrap = BootstrapCoordinator.restore(transport, store, fresh, configuredVoters);
+    this.bootstrap = BootstrapCoordinator.restore(transport, store, newIdentity, configuredVoters);
     this.voterReplacement = new VoterReplacement(bootstrap.self(), bootstrap.configuredVoters());
     if (store.hasGroup()) {
       startRaft();
     }
-    tick();
+    runPeriodicTasks();
   }
 
   private void startRaft() throws IOException {
@@ -127,12 +131,13 @@
     close();
   }
 
-  private void tick() {
+  /** Restarts MicroRaft if necessary, and sends offers while this voter is not in a group. */
+  private void runPeriodicTasks() {
     if (closed) {
       return;
     }
-    eventLoop.schedule(this::tick, OFFER_INTERVAL);
-    if (raftAgreement != null && raftAgreement.isStuck()) {
+    eventLoop.schedule(this::runPeriodicTasks, OFFER_INTERVAL);
+    if (raftAgreement != null && raftAgreement.needsRestart()) {
       restartRaft();
     }
     if (needsAdmission()) {
@@ -140,7 +145,7 @@
     }
   }
 
-  /** Returns whether there is no group yet, or it runs without this voter. */
+  /** Returns whether this voter has no group yet, or is not a voter of the group. */
   private boolean needsAdmission() {
     if (raftAgreement == null) {
       return true;
@@ -148,7 +153,11 @@
     return !raftAgreement.hasEnded() && !raftAgreement.status().voters().contains(self());
   }
 
-  /** Handles a message from the authenticated sender at this address. */
+  /**
+   * Handles an encoded message. A message that is malformed or exceeds a limit is ignored.
+   *
+   * @param from address of the authenticated sender
+   */
   public void onMessage(Address from, byte[] message) {
     if (closed) {
       return;
@@ -196,7 +205,7 @@
     }
   }
 
-  /** Returns why this voter stopped by itself; empty if it did not. */
+  /** Returns the failure that this voter stopped after; empty if it has not failed. */
   public Optional<String> failure() {
     return raftAgreement == null ? storeFailure : raftAgreement.failure();
   }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/ReadIndexService.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/ReadIndexService.java
@@ -13,19 +13,22 @@
 import tamarindroute.membership.Member;
 
 /**
- * Answers members' requests for the view, with a lease. One linearizable read serves all requests
- * that arrived before it began. Requests that arrive during a read wait for the next one, as the
- * current read may have begun before they were sent.
+ * Responds to members' requests for the view with the view and a lease.
+ *
+ * <p>One linearizable read (the read index of the Raft thesis, Ongaro 2014, section 6.4) serves all
+ * requests that arrived before the read began. Requests that arrive during a read wait for the next
+ * read, as the running read may have begun before they were sent.
  */
 final class ReadIndexService {
 
-  /** How long a member may act on a response; covers two changes of the leader and a read. */
+  /** How long a member may act on a response. Covers two changes of the leader and a read. */
   static final Duration LEASE_DURATION = Duration.ofSeconds(10);
 
   /**
-   * Most waiting requests: every member of the largest fleet and some repeats. Others are dropped.
+   * Largest number of waiting requests: one of each member of the largest fleet, and some repeated
+   * requests. Further requests are dropped, and the members send them again.
    */
-  private static final int MAX_WAITING = 8_192;
+  private static final int MAX_WAITING_REQUESTS = 8_192;
 
   private record PendingRequest(Address sender, DecodedMessage.ViewRequest request) {}
 
@@ -33,7 +36,7 @@
   private final Member self;
   private final ViewStateMachine stateMachine;
   private final VoterTransport transport;
-  private List<PendingRequest> waiting = new ArrayList<>();
+  private List<PendingRequest> waitingRequests = new ArrayList<>();
   private boolean readInProgress;
 
   ReadIndexService(
@@ -48,25 +51,25 @@
   }
 
   void onViewRequest(Address sender, DecodedMessage.ViewRequest request) {
-    if (waiting.size() < MAX_WAITING) {
-      waiting.add(new PendingRequest(sender, request));
+    if (waitingRequests.size() < MAX_WAITING_REQUESTS) {
+      waitingRequests.add(new PendingRequest(sender, request));
       startNextRead();
     }
   }
 
   private void startNextRead() {
-    if (readInProgress || waiting.isEmpty()) {
+    if (readInProgress || waitingRequests.isEmpty()) {
       return;
     }
     readInProgress = true;
-    List<PendingRequest> served = waiting;
-    waiting = new ArrayList<>();
-    operations.read(view -> onRead(served, view));
+    List<PendingRequest> servedRequests = waitingRequests;
+    waitingRequests = new ArrayList<>();
+    operations.read(view -> onRead(servedRequests, view));
   }
 
-  private void onRead(List<PendingRequest> served, Optional<MembershipView> view) {
+  private void onRead(List<PendingRequest> servedRequests, Optional<MembershipView> view) {
     readInProgress = false;
-    for (PendingRequest pending : served) {
+    for (PendingRequest pending : servedRequests) {
       ViewResponse response = response(pending.request(), view);
       transport.send(pending.sender(), AgreementMessageCodec.encodeViewReply(response));
     }
@@ -90,7 +93,10 @@
         commands.orElse(List.of()));
   }
 
-  /** Returns the commands that lead from the requester's view to the view read, if known. */
+  /**
+   * Returns the commands that lead from the requester's view to the view that was read; empty if
+   * the full view must be sent.
+   */
   private Optional<List<Command>> commandsFor(
       DecodedMessage.ViewRequest request, MembershipView view) {
     boolean sameGroup = request.heldGroupId() == view.groupId();
--- a/agreement/src/main/java/tamarindroute/agreement/raft/SingleCompletion.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/SingleCompletion.java
@@ -7,12 +7,12 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers the outcome of a MicroRaft operation exactly once, as a failure if there is none within
- * the timeout.
+ * Delivers the outcome of a MicroRaft operation exactly once. An operation without an outcome
+ * within the timeout is delivered as a failure.
  */
 final class SingleCompletion<T> {
 
-  /** Longest wait for an outcome; covers two changes of the leader. */
+  /** Longest wait for an outcome. Covers two changes of the leader. */
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final Consumer<T> onSuccess;
@@ -24,9 +24,12 @@
     this.onFailure = onFailure;
   }
 
-  /** Calls one of the two callbacks once, on the event loop. */
+  /**
+   * Calls one of the two callbacks exactly once, on the event loop, when the operation completes or
+   * the timeout has passed. Returns without waiting.
+   */
   @SuppressWarnings("FutureReturnValueIgnored") // The stage is completed by the callbacks.
-  static <T> void await(
+  static <T> void deliver(
       EventLoop eventLoop,
       CompletableFuture<Ordered<T>> operation,
       Consumer<T> onSuccess,
@@ -61,7 +64,9 @@
 
   private void timeOut() {
     if (!completed) {
-      fail(new IOException("no response within " + TIMEOUT.toSeconds() + " s"));
+      fail(
+          new IOException(
+              "consensus operation did not complete within " + TIMEOUT.toSeconds() + " s"));
     }
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/StoredRaftState.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/StoredRaftState.java
@@ -23,19 +23,21 @@
 import tamarindroute.membership.Member;
 
 /**
- * In-memory image of what a voter's store contains: its pledge, identity, group, term, log and
- * snapshots. Rebuilt from the store's records when the store is opened, and written as records when
- * it is compacted.
+ * In-memory image of a voter's store: its pledge, identity, group, term, log entries and snapshot
+ * chunks. Rebuilt from the store's records when the store is opened, and written as records when
+ * the store is compacted.
  */
 final class StoredRaftState {
 
+  /** 0 if there is no group. */
   private long groupId;
+
   private BootstrapOfferProto pledge = BootstrapOfferProto.getDefaultInstance();
 
-  /** Identity and voting right as one record; null before the group was begun. */
+  /** Record with the voter's identity and voting right; null until it is recorded for the group. */
   private StoreRecordProto self;
 
-  /** Null before the group was begun. */
+  /** Null until they are recorded for the group. */
   private GroupProto initialMembers;
 
   private TermProto term = TermProto.getDefaultInstance();
@@ -44,7 +46,11 @@
   /** By log index of the snapshot, then by chunk index. */
   private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshotChunks = new TreeMap<>();
 
-  /** Applies a record that was read from the store. */
+  /**
+   * Applies a record that was read from the store.
+   *
+   * @throws IOException if the record has no content
+   */
   void apply(StoreRecordProto storeRecord) throws IOException {
     switch (storeRecord.getRecordCase()) {
       case PLEDGE -> pledge = storeRecord.getPledge();
@@ -57,11 +63,15 @@
       case TRUNCATED_FROM_INDEX -> truncateLogFrom(storeRecord.getTruncatedFromIndex());
       case TRUNCATED_UNTIL_INDEX -> truncateLogUntil(storeRecord.getTruncatedUntilIndex());
       case DELETED_SNAPSHOT_INDEX -> deleteSnapshot(storeRecord.getDeletedSnapshotIndex());
-      case RECORD_NOT_SET -> throw new IOException("store record without content");
+      case RECORD_NOT_SET ->
+          throw new IOException(
+              "store record of "
+                  + storeRecord.getSerializedSize()
+                  + " bytes has no content, expected one field of StoreRecordProto.record");
     }
   }
 
-  /** Forgets everything but the pledge, and starts with a new group. */
+  /** Discards everything but the pledge, and sets the identifier of a new group. */
   void beginGroup(long newGroupId) {
     self = null;
     initialMembers = null;
@@ -114,12 +124,16 @@
     return groupId;
   }
 
-  /** Returns whether a group was begun completely. A beginning that was cut off never voted. */
+  /**
+   * Returns whether the group's identifier, the voter's own endpoint and the initial members are
+   * all recorded. A voter that was stopped before the last of the three was recorded has never
+   * voted.
+   */
   boolean hasGroup() {
     return groupId != 0 && self != null && initialMembers != null;
   }
 
-  /** Returns the identity that this voter has in its group; empty before the group was begun. */
+  /** Returns the identity that this voter has in its group; empty if there is no group. */
   Optional<Member> self() {
     return hasGroup() ? Optional.of(ViewCodec.fromProto(self.getSelf())) : Optional.empty();
   }
@@ -134,7 +148,11 @@
     return ViewCodec.fromProto(pledge.getPledgedFoundersList(), ViewLimits.MAX_VOTERS);
   }
 
-  /** Returns the state to restart MicroRaft from. Requires a group. */
+  /**
+   * Returns the state to restart MicroRaft from. Requires {@link #hasGroup}.
+   *
+   * @throws IllegalStateException if a log entry after the last complete snapshot is missing
+   */
   RestoredRaftState restoredState() {
     RaftEndpointPersistentState endpointState =
         MODEL_FACTORY
@@ -167,7 +185,8 @@
     long expectedIndex = firstIndex;
     for (LogEntry entry : logEntries.tailMap(firstIndex, true).values()) {
       if (entry.getIndex() != expectedIndex) {
-        throw new IllegalStateException("stored log has no entry " + expectedIndex);
+        throw new IllegalStateException(
+            "stored log continues at index " + entry.getIndex() + ", expected " + expectedIndex);
       }
       entries.add(entry);
       expectedIndex++;
@@ -175,7 +194,7 @@
     return entries;
   }
 
-  /** Returns the last snapshot that has all its chunks, or null if there is none. */
+  /** Returns the snapshot of the highest log index that has all its chunks; null if none has. */
   private SnapshotEntry latestCompleteSnapshot() {
     for (TreeMap<Integer, SnapshotChunk> chunks : snapshotChunks.descendingMap().values()) {
       SnapshotChunk first = chunks.firstEntry().getValue();
@@ -192,7 +211,7 @@
     return null;
   }
 
-  /** Returns the records that a compacted store consists of. */
+  /** Returns the records of the compacted store, in the order in which they are written. */
   List<byte[]> compactedRecords() {
     List<byte[]> records = new ArrayList<>();
     records.add(bytes(StoreRecordProto.newBuilder().setGroupId(groupId)));
--- a/agreement/src/main/java/tamarindroute/agreement/raft/ViewStateMachine.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/ViewStateMachine.java
@@ -17,22 +17,28 @@
 import tamarindroute.agreement.wire.ViewCodec;
 
 /**
- * The replicated state machine: applies committed commands to the view, and remembers the latest of
- * them for members whose view is only slightly older.
+ * The replicated state machine: applies committed commands to the view. Keeps the latest commands,
+ * which are sent instead of the full view to members whose view is only slightly older.
  */
 final class ViewStateMachine implements StateMachine {
 
   /** Query operation that returns the view. */
-  static final Object READ = new Object();
+  static final Object READ_VIEW = new Object();
 
-  /** Bound of the remembered commands' encoded size, in bytes. */
-  private static final int MAX_RECENT_BYTES = ViewCodec.MAX_COMMAND_BYTES;
+  /** Largest total encoded size of the kept commands, in bytes. */
+  private static final int MAX_RECENT_COMMAND_BYTES = ViewCodec.MAX_COMMAND_BYTES;
 
+  /**
+   * A command that was applied to the view.
+   *
+   * @param viewNumber number of the view after the command
+   * @param sizeBytes encoded size of the command
+   */
   private record AppliedCommand(long viewNumber, Command command, int sizeBytes) {}
 
   private MembershipView view;
   private final Deque<AppliedCommand> recentCommands = new ArrayDeque<>();
-  private int recentBytes;
+  private int recentCommandBytes;
 
   ViewStateMachine(long groupId) {
     this.view = MembershipView.initial(groupId);
@@ -44,7 +50,7 @@
 
   @Override
   public Object runOperation(long index, Object operation) {
-    if (operation == READ) {
+    if (operation == READ_VIEW) {
       return view;
     }
     Command command = (Command) operation;
@@ -52,31 +58,36 @@
     MembershipView next = transition.view();
     if (next.number() != view.number()) {
       int sizeBytes = ViewCodec.toProto(command).getSerializedSize();
-      remember(new AppliedCommand(next.number(), command, sizeBytes));
+      keepRecent(new AppliedCommand(next.number(), command, sizeBytes));
     }
     view = next;
     return transition;
   }
 
-  private void remember(AppliedCommand applied) {
+  private void keepRecent(AppliedCommand applied) {
     recentCommands.add(applied);
-    recentBytes += applied.sizeBytes();
+    recentCommandBytes += applied.sizeBytes();
     while (recentCommands.size() > AgreementMessageCodec.MAX_REPLAYED_COMMANDS
-        || recentBytes > MAX_RECENT_BYTES) {
-      recentBytes -= recentCommands.remove().sizeBytes();
+        || recentCommandBytes > MAX_RECENT_COMMAND_BYTES) {
+      recentCommandBytes -= recentCommands.remove().sizeBytes();
     }
   }
 
-  /** Returns the commands that lead from the view of this number to the current one, if known. */
+  /**
+   * Returns the commands that lead from an older view to the current view; empty if they are no
+   * longer kept.
+   *
+   * @param number number of the older view
+   */
   Optional<List<Command>> commandsSince(long number) {
     if (number == view.number()) {
       return Optional.of(List.of());
     }
-    boolean known =
+    boolean isKept =
         number < view.number()
             && !recentCommands.isEmpty()
             && recentCommands.peek().viewNumber() <= number + 1;
-    if (!known) {
+    if (!isKept) {
       return Optional.empty();
     }
     List<Command> commands = new ArrayList<>();
@@ -109,10 +120,15 @@
       view = ViewCodec.fromProto(ViewProto.parseFrom(serializedView));
     } catch (InvalidProtocolBufferException malformed) {
       throw new IllegalStateException(
-          "snapshot at log index " + index + " is malformed", malformed);
+          "snapshot of "
+              + serializedView.size()
+              + " bytes at log index "
+              + index
+              + " is not a valid ViewProto",
+          malformed);
     }
     recentCommands.clear();
-    recentBytes = 0;
+    recentCommandBytes = 0;
   }
 
   @Override
--- a/agreement/src/main/java/tamarindroute/agreement/raft/VoterEndpoint.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/VoterEndpoint.java
@@ -4,8 +4,8 @@
 import tamarindroute.membership.Member;
 
 /**
- * A voter as MicroRaft's endpoint. Identified by address and incarnation, so that a new incarnation
- * without the previous one's store is a different voter.
+ * A voter as an endpoint of MicroRaft. The endpoint is identified by address and incarnation, so
+ * that a new incarnation without the store of the previous incarnation is a different voter.
  */
 record VoterEndpoint(Member member) implements RaftEndpoint {
 
--- a/agreement/src/main/java/tamarindroute/agreement/raft/VoterReplacement.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/VoterReplacement.java
@@ -7,8 +7,9 @@
 import tamarindroute.membership.Member;
 
 /**
- * As leader, replaces a voter by a later incarnation that makes offers from its address. The
- * previous incarnation's store is lost then; otherwise the voter would have kept its identity.
+ * Replaces a voter by a later incarnation that sends bootstrap offers from the voter's address, if
+ * this voter is the leader. The store of the previous incarnation is lost in that case, as the
+ * voter would otherwise have kept its identity.
  */
 final class VoterReplacement {
 
@@ -22,8 +23,11 @@
   }
 
   /**
-   * Handles a bootstrap offer of an incarnation at this address. One change is made at a time:
-   * first the previous incarnation is removed, on a later offer its successor is added.
+   * Handles a bootstrap offer. One change is made at a time: a first offer removes the previous
+   * incarnation, and a later offer adds its successor.
+   *
+   * @param from authenticated address of the sender
+   * @param successor the incarnation that sent the offer
    */
   void onOffer(Agreement agreement, Address from, Member successor) {
     if (inProgress || !mayJoin(agreement, from, successor)) {
@@ -44,7 +48,7 @@
 
   private boolean mayJoin(Agreement agreement, Address from, Member successor) {
     boolean isConfigured = configuredVoters.contains(from) && successor.address().equals(from);
-    boolean votes = agreement.status().voters().contains(successor);
-    return isConfigured && !votes && agreement.status().isLeader() && !successor.equals(self);
+    boolean isVoter = agreement.status().voters().contains(successor);
+    return isConfigured && !isVoter && agreement.status().isLeader() && !successor.equals(self);
   }
 }
--- a/agreement/src/main/java/tamarindroute/agreement/raft/VoterTransport.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/VoterTransport.java
@@ -10,8 +10,9 @@
 public interface VoterTransport {
 
   /**
-   * Sends a message without waiting for its delivery.
+   * Sends a message without waiting for its delivery. Failures are not reported.
    *
+   * @param to address of the recipient
    * @param message at most {@link
    *     tamarindroute.agreement.wire.AgreementMessageCodec#MAX_MESSAGE_BYTES} bytes
    */
--- a/agreement/src/main/java/tamarindroute/agreement/raft/package-info.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/package-info.java
@@ -1,9 +1,13 @@
 /**
- * The agreement over the consensus library MicroRaft: its clock, executor, random source, messages
- * and store, all on one event loop, so that a test in virtual time is reproducible. Futures of the
- * library complete on that event loop, too. Starts no threads.
+ * Implementation of {@link tamarindroute.agreement.Agreement} with the consensus library MicroRaft,
+ * which implements the Raft algorithm (Ongaro and Ousterhout, "In Search of an Understandable
+ * Consensus Algorithm", 2014).
+ *
+ * <p>This package supplies the library's clock, executor, random numbers, message encoding and
+ * store. All of them run on one event loop, and the library's futures complete there as well, so
+ * that a test in virtual time is reproducible. This package starts no threads.
  *
  * <p>{@link tamarindroute.agreement.raft.RaftVoter} is the entry point. No other package depends on
- * the library.
+ * MicroRaft.
  */
 package tamarindroute.agreement.raft;
--- a/agreement/src/main/java/tamarindroute/agreement/store/FileStorageMedium.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/FileStorageMedium.java
@@ -10,10 +10,13 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A file, locked against other processes through a lock file beside it. */
+/**
+ * A file as storage medium. A lock file in the same directory keeps other processes from opening
+ * it.
+ */
 public final class FileStorageMedium implements StorageMedium {
 
-  /** Largest file that is read, in bytes; far above what is written between two compactions. */
+  /** Largest file that is read, in bytes. Far above what is written between two compactions. */
   private static final long MAX_FILE_BYTES = 256L * 1024 * 1024;
 
   private static final String LOCK_SUFFIX = ".lock";
@@ -24,9 +27,10 @@
   private FileChannel file;
 
   /**
-   * Opens the file, creating it if it is absent.
+   * Opens the file, and creates it if it is absent. Deletes a replacement file that was left by a
+   * crash during {@link #replace}.
    *
-   * @throws IOException if the file cannot be opened, or is in use
+   * @throws IOException if the file cannot be opened, or is open in this or another process
    */
   public FileStorageMedium(Path path) throws IOException {
     this.path = path;
@@ -35,7 +39,8 @@
     FileLock lock = tryLock();
     if (lock == null) {
       lockChannel.close();
-      throw new IOException(path + " is in use by another process");
+      throw new IOException(
+          path + " is in use: its lock file is locked by another process or medium");
     }
     Files.deleteIfExists(sibling(REPLACEMENT_SUFFIX));
     this.file = open();
@@ -114,7 +119,7 @@
     }
   }
 
-  /** A file's name is durable only once its directory has been forced. */
+  /** Makes the file's name durable, which needs a force of the directory. */
   private void forceDirectory() throws IOException {
     Path parent = path.toAbsolutePath().getParent();
     try (FileChannel directory = FileChannel.open(parent, StandardOpenOption.READ)) {
--- a/agreement/src/main/java/tamarindroute/agreement/store/RecordFrame.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/RecordFrame.java
@@ -5,8 +5,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Frame of one record: length of the body, checksum of the length, checksum of the body, each as a
- * big-endian 32-bit integer, then the body and an end mark.
+ * Encodes and decodes the frame of one record: length of the body in bytes, checksum of the length,
+ * checksum of the body, each as a big-endian 32-bit integer, then the body and an end mark of one
+ * byte. The checksums are CRC-32 with some bits inverted.
  */
 final class RecordFrame {
 
@@ -14,17 +15,21 @@
   private static final int HEADER_BYTES = 3 * Integer.BYTES;
 
   /**
-   * Ends each record with a byte that is not zero, nor becomes zero by one flipped bit, so that a
-   * zero there was never written.
+   * Last byte of each record. The byte is not zero and does not become zero by one flipped bit, so
+   * a zero in its place shows that the end mark was never written.
    */
   private static final byte END_MARK = 0x5a;
 
-  /** Keeps a run of zeros from being its own checksum. */
+  /** Inverted bits of each checksum. Without them a run of zeros would match its own checksum. */
   private static final int CHECKSUM_MASK = 0x7a3d19c5;
 
   private RecordFrame() {}
 
-  /** Frames a body of 1 to {@link RecordLog#MAX_BODY_BYTES} bytes. */
+  /**
+   * Returns the frame of a body.
+   *
+   * @throws IOException if the body does not have 1 to {@link RecordLog#MAX_BODY_BYTES} bytes
+   */
   static byte[] of(byte[] body) throws IOException {
     if (!isValidLength(body.length)) {
       throw new IOException(
@@ -48,7 +53,7 @@
   }
 
   /**
-   * Returns the body of the record at the offset, or null if it is the torn last record.
+   * Returns the body of the record at the offset; null if the record is the last one and is torn.
    *
    * @throws CorruptedLogException if the record is neither complete nor torn
    */
@@ -81,9 +86,10 @@
   }
 
   /**
-   * Returns null if zeros reach from within the record at the offset to the end of the content.
+   * Returns null if the record at the offset is torn, that is, if zeros reach from a byte of the
+   * record to the end of the content.
    *
-   * @throws CorruptedLogException otherwise
+   * @throws CorruptedLogException if the record is not torn
    */
   private static byte[] requireTorn(byte[] content, int offset) throws CorruptedLogException {
     int end = content.length;
@@ -100,9 +106,9 @@
   private static boolean isWithinRecord(byte[] content, int offset, int end) {
     ByteBuffer header = ByteBuffer.wrap(content, offset, HEADER_BYTES);
     int length = header.getInt();
-    boolean lengthKnown =
+    boolean isLengthIntact =
         header.getInt() == checksum(content, offset, LENGTH_BYTES) && isValidLength(length);
-    return lengthKnown && end <= offset + HEADER_BYTES + length;
+    return isLengthIntact && end <= offset + HEADER_BYTES + length;
   }
 
   private static int checksum(byte[] bytes, int offset, int length) {
--- a/agreement/src/main/java/tamarindroute/agreement/store/RecordLog.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/RecordLog.java
@@ -7,30 +7,30 @@
 import java.util.List;
 
 /**
- * An append-only log of records on a storage medium.
+ * An append-only log of checksummed records on a storage medium.
  *
- * <p>A crash may leave the last record torn: cut short, or filled with zeros up to the end of the
- * file. Nothing of a torn record was forced, so nobody relies on it, and {@link #open} discards it.
- * Any other damage is reported as {@link CorruptedLogException}: a voter that continued from there
- * might have forgotten a vote.
+ * <p>A crash may leave the last record torn: cut short, or with zeros from one of its bytes to the
+ * end of the file. A torn record was never forced, so no message was sent that relies on it, and
+ * {@link #open} discards it. Any other damage is reported as a {@link CorruptedLogException}, as a
+ * voter that continued with the remaining records might have forgotten a vote.
  */
 public final class RecordLog implements Closeable {
 
-  /** Largest record body in bytes; holds the largest command with its envelope. */
+  /** Largest record body in bytes. Holds the largest command and the fields around it. */
   public static final int MAX_BODY_BYTES = 1024 * 1024;
 
   private final StorageMedium medium;
   private long sizeBytes;
   private boolean hasFailed;
 
-  /** Creates a log on a medium; {@link #open} must be called first. */
+  /** Creates a log on a medium. {@link #open} must be called before any other method. */
   public RecordLog(StorageMedium medium) {
     this.medium = medium;
   }
 
   /**
-   * Reads all complete records in order and discards a torn last one. To be called once, before any
-   * other method.
+   * Returns the bodies of all complete records in order, and discards a torn last record. To be
+   * called once, before any other method.
    *
    * @throws CorruptedLogException if a record is damaged in a way that no crash explains
    */
@@ -51,19 +51,24 @@
     return records;
   }
 
-  /** Appends a record. It is durable once {@link #force} has returned. */
+  /**
+   * Appends a record, which is durable once {@link #force} has returned.
+   *
+   * @param body 1 to {@link #MAX_BODY_BYTES} bytes
+   * @throws IOException if the body's size is out of range, or this or an earlier write fails
+   */
   public void append(byte[] body) throws IOException {
     byte[] frame = RecordFrame.of(body);
     write(() -> medium.append(frame));
     sizeBytes += frame.length;
   }
 
-  /** Makes all appended records durable. */
+  /** Makes all appended records durable. Fails if this or an earlier write fails. */
   public void force() throws IOException {
     write(medium::force);
   }
 
-  /** Atomically replaces all records. */
+  /** Durably and atomically replaces all records. Fails if this or an earlier write fails. */
   public void replace(List<byte[]> bodies) throws IOException {
     ByteArrayOutputStream content = new ByteArrayOutputStream();
     for (byte[] body : bodies) {
@@ -74,8 +79,8 @@
   }
 
   /**
-   * Returns whether a write has failed. From then on the medium's content is unknown, and every
-   * further write is refused.
+   * Returns whether a write has failed. After a failed write the medium's content is unknown, and
+   * every further write throws an {@link IOException}.
    */
   public boolean hasFailed() {
     return hasFailed;
@@ -93,7 +98,7 @@
 
   private void write(WriteOperation operation) throws IOException {
     if (hasFailed) {
-      throw new IOException("record log is unusable after a failed write");
+      throw new IOException("record log does not accept writes after a failed write");
     }
     hasFailed = true;
     operation.run();
--- a/agreement/src/main/java/tamarindroute/agreement/store/StorageMedium.java
+++ b/agreement/src/main/java/tamarindroute/agreement/store/StorageMedium.java
@@ -9,17 +9,18 @@
   /** Returns the whole content; empty for a new medium. */
   byte[] read() throws IOException;
 
-  /** Appends bytes. They may be lost in a crash until {@link #force} returns. */
+  /** Appends bytes, which may be lost in a crash until {@link #force} has returned. */
   void append(byte[] bytes) throws IOException;
 
-  /** Makes everything appended so far durable, also against a loss of power. */
+  /** Makes all bytes appended so far durable, also against a loss of power. */
   void force() throws IOException;
 
-  /** Durably discards everything beyond this length in bytes. */
+  /** Durably discards all content beyond a length in bytes. */
   void truncate(long length) throws IOException;
 
   /**
-   * Durably replaces the whole content. After a crash either the old or the new content is there.
+   * Durably replaces the whole content. After a crash during this method the medium has either the
+   * old or the new content.
    */
   void replace(byte[] bytes) throws IOException;
 }
--- a/agreement/src/main/java/tamarindroute/agreement/wire/AgreementMessageCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/AgreementMessageCodec.java
@@ -20,24 +20,28 @@
 import tamarindroute.agreement.proto.ViewResponseProto;
 import tamarindroute.membership.Member;
 
-/** Encodes and decodes whole messages between members and voters. */
+/** Encodes and decodes the messages between members and voters as Protocol Buffers envelopes. */
 public final class AgreementMessageCodec {
 
   /**
-   * Largest message in bytes. A view at its limits takes less than 3 MiB, four of the largest
-   * commands 2 MiB.
+   * Largest message in bytes. A view at all its limits takes less than 3 MiB, and a consensus
+   * message with four of the largest commands takes 2 MiB.
    */
   public static final int MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-  /** Most commands sent in place of the full view. */
+  /** Largest number of commands that are sent instead of the full view. */
   public static final int MAX_REPLAYED_COMMANDS = 64;
 
-  /** Longest reason of a proposal's result, in characters; longer ones are cut off. */
+  /** Longest reason of a proposal's result, in characters. Longer reasons are truncated. */
   private static final int MAX_REASON_LENGTH = 400;
 
   private AgreementMessageCodec() {}
 
-  /** Encodes the request that {@link ViewLease#requestSent} has counted. */
+  /**
+   * Encodes a view request.
+   *
+   * @param lease state of the lease after {@link ViewLease#requestSent}, with the request's number
+   */
   public static byte[] encodeViewRequest(ViewLease lease) {
     ViewRequestProto.Builder request =
         ViewRequestProto.newBuilder().setRequestNumber(lease.requestNumber());
@@ -61,7 +65,11 @@
     return EnvelopeProto.newBuilder().setViewResponse(proto).build().toByteArray();
   }
 
-  /** Encodes a proposal. */
+  /**
+   * Encodes a proposal.
+   *
+   * @param proposalNumber number chosen by the sender, which the result repeats
+   */
   public static byte[] encodeProposal(long proposalNumber, Command command) {
     ProposalProto.Builder proposal =
         ProposalProto.newBuilder()
@@ -70,7 +78,11 @@
     return EnvelopeProto.newBuilder().setProposal(proposal).build().toByteArray();
   }
 
-  /** Encodes the result of a proposal. */
+  /**
+   * Encodes the result of a proposal.
+   *
+   * @param proposalNumber number of the proposal
+   */
   public static byte[] encodeProposalReply(long proposalNumber, ProposalResult result) {
     String reason = result.reason();
     ProposalResultProto.Builder proto =
@@ -83,7 +95,13 @@
     return EnvelopeProto.newBuilder().setProposalResult(proto).build().toByteArray();
   }
 
-  /** Encodes a bootstrap offer. */
+  /**
+   * Encodes a bootstrap offer.
+   *
+   * @param self identity of the sender
+   * @param pledgedFounders the sender's pledge, or the founders if the group is established
+   * @param founded whether the group is established
+   */
   public static byte[] encodeOffer(Member self, List<Member> pledgedFounders, boolean founded) {
     BootstrapOfferProto.Builder offer =
         BootstrapOfferProto.newBuilder().setSelf(ViewCodec.toProto(self)).setFounded(founded);
@@ -91,7 +109,7 @@
     return EnvelopeProto.newBuilder().setBootstrapOffer(offer).build().toByteArray();
   }
 
-  /** Encodes a consensus message for one incarnation of a voter. */
+  /** Encodes a consensus message to one incarnation of a voter of a group. */
   public static byte[] encodeRaftMessage(long groupId, Member recipient, RaftMessageProto message) {
     return EnvelopeProto.newBuilder()
         .setGroupId(groupId)
@@ -127,7 +145,9 @@
               envelope.getProposalResult().getProposalNumber(),
               decode(envelope.getProposalResult()));
       case BOOTSTRAP_OFFER -> decode(envelope.getBootstrapOffer());
-      case MESSAGE_NOT_SET -> throw new InvalidMessageException("envelope without a message");
+      case MESSAGE_NOT_SET ->
+          throw new InvalidMessageException(
+              "envelope has no message, expected one field of EnvelopeProto.message");
     };
   }
 
@@ -137,7 +157,8 @@
   }
 
   private static ViewResponse decode(ViewResponseProto proto) {
-    ViewCodec.requireAtMost(proto.getCommandsCount(), MAX_REPLAYED_COMMANDS, "commands");
+    ViewCodec.requireAtMost(
+        proto.getCommandsCount(), MAX_REPLAYED_COMMANDS, "commands in a view response");
     List<Command> commands = proto.getCommandsList().stream().map(ViewCodec::fromProto).toList();
     Optional<MembershipView> fullView =
         proto.hasFullView()
@@ -170,7 +191,8 @@
   }
 
   private static ProposalResult decode(ProposalResultProto proto) {
-    ViewCodec.requireAtMost(proto.getReason().length(), MAX_REASON_LENGTH, "reason characters");
+    ViewCodec.requireAtMost(
+        proto.getReason().length(), MAX_REASON_LENGTH, "characters of a reason");
     Optional<Member> leader =
         proto.hasLeader() ? Optional.of(ViewCodec.fromProto(proto.getLeader())) : Optional.empty();
     return new ProposalResult(status(proto), proto.getViewNumber(), proto.getReason(), leader);
@@ -194,7 +216,13 @@
       case UNKNOWN -> ProposalStatus.UNKNOWN;
       case BUSY -> ProposalStatus.BUSY;
       case UNRECOGNIZED ->
-          throw new InvalidMessageException("unknown proposal status " + proto.getStatusValue());
+          throw new InvalidMessageException(
+              "proposal status is "
+                  + proto.getStatusValue()
+                  + ", expected "
+                  + ProposalResultProto.Status.COMMITTED_VALUE
+                  + " to "
+                  + ProposalResultProto.Status.BUSY_VALUE);
     };
   }
 
--- a/agreement/src/main/java/tamarindroute/agreement/wire/InvalidMessageException.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/InvalidMessageException.java
@@ -1,8 +1,8 @@
 package tamarindroute.agreement.wire;
 
 /**
- * Encoded data is malformed or exceeds a limit. Has no stack trace, as any peer can cause it at any
- * rate.
+ * Thrown if encoded data is malformed or exceeds a limit. Has no stack trace, as any peer can cause
+ * the exception at any rate.
  */
 public final class InvalidMessageException extends RuntimeException {
   private static final long serialVersionUID = 1L;
--- a/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
+++ b/agreement/src/main/java/tamarindroute/agreement/wire/ViewCodec.java
@@ -18,17 +18,20 @@
 import tamarindroute.membership.Member;
 
 /**
- * Converts members, commands and views to Protocol Buffers and back. Reading throws {@link
- * InvalidMessageException} if a value exceeds a limit of {@link ViewLimits}.
+ * Converts members, commands and views to Protocol Buffers messages and back. The {@code fromProto}
+ * methods throw {@link InvalidMessageException} if a value exceeds a limit of {@link ViewLimits}.
  */
 public final class ViewCodec {
 
-  /** Largest encoded command in bytes: a change of all 5,000 members with ordinary host names. */
+  /**
+   * Largest encoded command in bytes. Holds a membership change of all 5,000 members with host
+   * names of ordinary length.
+   */
   public static final int MAX_COMMAND_BYTES = 512 * 1024;
 
   private ViewCodec() {}
 
-  /** Converts a member. */
+  /** Converts a member to a Protocol Buffers message. */
   public static MemberProto toProto(Member member) {
     return MemberProto.newBuilder()
         .setHost(member.address().host())
@@ -37,14 +40,18 @@
         .build();
   }
 
-  /** Reads a member. */
+  /** Converts a Protocol Buffers message to a member. */
   public static Member fromProto(MemberProto proto) {
     Address address = new Address(proto.getHost(), proto.getPort());
     requireNone(ViewLimits.findViolation(address));
     return new Member(address, proto.getIncarnation());
   }
 
-  /** Reads a list of at most so many members. */
+  /**
+   * Converts a list of Protocol Buffers messages to members.
+   *
+   * @param maxMembers largest allowed length of the list
+   */
   public static List<Member> fromProto(List<MemberProto> protos, int maxMembers) {
     requireAtMost(protos.size(), maxMembers, "members");
     List<Member> members = new ArrayList<>(protos.size());
@@ -54,7 +61,7 @@
     return members;
   }
 
-  /** Converts a command. */
+  /** Converts a command to a Protocol Buffers message. */
   public static CommandProto toProto(Command command) {
     CommandProto.Builder proto = CommandProto.newBuilder().setBaseNumber(command.baseNumber());
     if (command instanceof Command.MembershipChange change) {
@@ -76,7 +83,7 @@
     return proto.build();
   }
 
-  /** Reads a command. */
+  /** Converts a Protocol Buffers message to a command. */
   public static Command fromProto(CommandProto proto) {
     requireAtMost(proto.getSerializedSize(), MAX_COMMAND_BYTES, "bytes of a command");
     long baseNumber = proto.getBaseNumber();
@@ -96,13 +103,19 @@
               new Command.SetVoters(
                   baseNumber, fromProto(proto.getAddedList(), ViewLimits.MAX_VOTERS));
           case UNRECOGNIZED ->
-              throw new InvalidMessageException("unknown command kind " + proto.getKindValue());
+              throw new InvalidMessageException(
+                  "command kind is "
+                      + proto.getKindValue()
+                      + ", expected "
+                      + CommandProto.Kind.NO_OP_VALUE
+                      + " to "
+                      + CommandProto.Kind.SET_VOTERS_VALUE);
         };
     requireNone(ViewLimits.findViolation(command));
     return command;
   }
 
-  /** Converts a view. */
+  /** Converts a view to a Protocol Buffers message. */
   public static ViewProto toProto(MembershipView view) {
     ViewProto.Builder proto =
         ViewProto.newBuilder()
@@ -124,10 +137,11 @@
         .build();
   }
 
-  /** Reads a view. */
+  /** Converts a Protocol Buffers message to a view. */
   public static MembershipView fromProto(ViewProto proto) {
     if (proto.getNumber() < 0) {
-      throw new InvalidMessageException("negative view number " + proto.getNumber());
+      throw new InvalidMessageException(
+          "view has number " + proto.getNumber() + ", expected 0 or more");
     }
     return new MembershipView(
         proto.getGroupId(),
@@ -162,9 +176,15 @@
     }
   }
 
-  static void requireAtMost(int count, int max, String what) {
+  /**
+   * Checks a limit.
+   *
+   * @param countedItems plural noun for what was counted, for the exception's text
+   */
+  static void requireAtMost(int count, int max, String countedItems) {
     if (count > max) {
-      throw new InvalidMessageException(count + " " + what + ", at most " + max + " allowed");
+      throw new InvalidMessageException(
+          count + " " + countedItems + ", at most " + max + " allowed");
     }
   }
 }
