--- a/agreement/src/test/java/tamarindroute/agreement/ViewLeaseTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/ViewLeaseTest.java
@@ -12,6 +12,11 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
+/**
+ * View lease of a non-voting member. Guards against a member that acts on a view after its lease:
+ * because the lease is counted from the wrong time, because a response is taken for that to another
+ * request, or because commands are applied to a view that they do not apply to.
+ */
 class ViewLeaseTest {
 
   private static final Duration LEASE = Duration.ofSeconds(10);
@@ -34,8 +39,8 @@
   }
 
   /**
-   * However late the response, the lease ends a hundredth before its duration has passed since the
-   * request.
+   * However late the response arrives, the lease ends one hundredth of its duration before the full
+   * duration has passed since the request was sent.
    */
   @Property(seed = "31", tries = 500)
   void leaseRunsFromRequestAndExpiresOnePercentEarly(
--- a/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/ViewTransitionsTest.java
@@ -15,10 +15,16 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
+/**
+ * Application of commands to the view. Guards against a duplicated or concurrent proposal that is
+ * applied although the view or entry that it was derived from has changed, and against views beyond
+ * the limits.
+ */
 class ViewTransitionsTest {
 
-  static Member member(int i) {
-    return new Member(new Address("h" + i % 5, 1), i / 5);
+  /** Returns one of two incarnations at one of five addresses. */
+  static Member member(int index) {
+    return new Member(new Address("h" + index % 5, 1), index / 5);
   }
 
   @Provide
@@ -38,7 +44,7 @@
         .ofMaxSize(40);
   }
 
-  /** The number rises by one with each applied change, and only then. */
+  /** The view's number rises by one with each applied change, and otherwise stays the same. */
   @Property(seed = "28", tries = 300)
   void numberRisesByOneAndRejectionsChangeNothing(@ForAll("commands") List<Command> commands) {
     MembershipView view = MembershipView.initial(1);
@@ -52,7 +58,7 @@
     }
   }
 
-  /** A command that was applied once is rejected at any later view. */
+  /** A command that was applied once is rejected by every later view. */
   @Property(seed = "29", tries = 300)
   void duplicateCommandIsRejected(@ForAll("commands") List<Command> commands) {
     MembershipView view = MembershipView.initial(1);
--- a/agreement/src/test/java/tamarindroute/agreement/raft/AgreementBenchmark.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/AgreementBenchmark.java
@@ -3,8 +3,8 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * Measures a voter group: failover in virtual time, throughput, memory and loaded classes on the
- * real clock. Run by hand, not a test.
+ * Measures a voter group: failover in virtual time, and throughput, memory and number of loaded
+ * classes on the real clock. Run by hand; not a test.
  */
 final class AgreementBenchmark {
 
--- a/agreement/src/test/java/tamarindroute/agreement/raft/ClusterOperations.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/ClusterOperations.java
@@ -13,12 +13,12 @@
 import tamarindroute.agreement.MembershipView;
 import tamarindroute.membership.Member;
 
-/** Operations on a simulated cluster that several tests need; all of them use one key. */
+/** Operations on a simulated cluster for several tests. All puts use one key. */
 final class ClusterOperations {
 
   static final String KEY = "window/7";
 
-  /** Long enough for an election and everything after it. */
+  /** Virtual time within which a group elects a leader and the started operations end. */
   static final Duration SETTLE_TIME = Duration.ofSeconds(20);
 
   private static final int MAX_ATTEMPTS = 20;
@@ -33,6 +33,7 @@
     return view.entries().get(KEY).value()[0];
   }
 
+  /** Returns the index of a node in its cluster. */
   static int index(SimulatedCluster cluster, SimulatedNode node) {
     return IntStream.range(0, 9)
         .filter(i -> cluster.nodes.get(SimulatedCluster.address(i)) == node)
@@ -71,6 +72,6 @@
       }
       cluster.run(Duration.ofSeconds(1));
     }
-    throw new AssertionError("not completed after " + MAX_ATTEMPTS + " attempts");
+    throw new AssertionError("operation not committed after " + MAX_ATTEMPTS + " attempts");
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/FailoverBenchmark.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/FailoverBenchmark.java
@@ -7,17 +7,21 @@
 import tamarindroute.agreement.Command;
 
 /**
- * Measures, in virtual time, how long after the loss of its leader a group commits a command, and
- * how often the lease of a holder expires meanwhile.
+ * Measures, in virtual time, how long a group takes from the loss of its leader until it commits a
+ * command, and how often the view lease of a member expires meanwhile.
  */
 final class FailoverBenchmark {
 
+  /** Number of runs, one per seed. */
   private static final int RUNS = 40;
+
   private static final long GIVE_UP_MICROS = 120_000_000L;
 
   private final int voters;
   private final int lossPercent;
   private final long[] failoverMillis = new long[RUNS];
+
+  /** Number of runs in which the member's lease expired. */
   private int expiredLeases;
 
   FailoverBenchmark(int voters, int lossPercent) {
@@ -25,7 +29,7 @@
     this.lossPercent = lossPercent;
   }
 
-  /** Returns the measurement in words. */
+  /** Measures, and returns the results as text. */
   String run() {
     for (int seed = 0; seed < RUNS; seed++) {
       failoverMillis[seed] = run(seed);
@@ -42,6 +46,7 @@
         RUNS);
   }
 
+  /** Returns the time of one failover in milliseconds. */
   private long run(int seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed, voters);
     cluster.awaitLeader();
@@ -55,6 +60,7 @@
     return elapsedMicros / 1_000;
   }
 
+  /** Returns the time of one failover in microseconds, at most {@link #GIVE_UP_MICROS}. */
   private static long failover(SimulatedCluster cluster) {
     SimulatedNode oldLeader = cluster.awaitLeader();
     long number = oldLeader.voter.localView().number();
--- a/agreement/src/test/java/tamarindroute/agreement/raft/LinearizabilityChecker.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/LinearizabilityChecker.java
@@ -5,20 +5,25 @@
 import java.util.Set;
 
 /**
- * Checks whether a history of operations on one register is linearizable: whether there is an order
- * of the completed operations, each between its call and its end, that a single register could have
- * executed. An operation with unknown result may have taken effect at any time after its call, or
- * never.
+ * Checks whether a history of operations on one register is linearizable (Herlihy and Wing 1990),
+ * that is, whether a single register could have executed the completed operations in some order,
+ * each between its call and its end. An operation with unknown result may have taken effect at any
+ * time after its call, or never. Searches the orders recursively and visits each pair of executed
+ * operations and register value once.
  */
 final class LinearizabilityChecker {
 
-  /** Operations of a history are the bits of a long. */
+  /** Largest number of operations in a history, as a set of operations is stored in a long. */
   private static final int MAX_OPERATIONS = 63;
 
   enum Result {
+    /** The write took effect. */
     WRITTEN,
+    /** The write did not take effect, as the register did not have the expected value. */
     REJECTED,
+    /** The read returned the expected value. */
     READ,
+    /** The write may have taken effect or not, or may still do so. */
     UNKNOWN
   }
 
@@ -26,11 +31,13 @@
    * A read, or a conditional write.
    *
    * @param expected the value that was read, or that the write requires
-   * @param written the value that is written
+   * @param written the value that the write sets
+   * @param call when the operation was called, in microseconds
+   * @param end when the operation ended, in microseconds
    */
   record Operation(Result result, int expected, int written, long call, long end) {
 
-    boolean isLegal(int value) {
+    boolean isPossible(int value) {
       return result == Result.REJECTED ? expected != value : expected == value;
     }
 
@@ -41,7 +48,7 @@
 
   private final List<Operation> operations;
 
-  /** Pairs of executed operations and the register's value that were explored. */
+  /** Visited pairs of the set of executed operations, as bits, and the register's value. */
   private final Set<List<Long>> visited = new HashSet<>();
 
   private LinearizabilityChecker(List<Operation> operations) {
@@ -56,6 +63,7 @@
     return new LinearizabilityChecker(operations).canContinue(0, 0);
   }
 
+  /** Returns whether the operations that are not executed yet can be executed in some order. */
   private boolean canContinue(long executed, int value) {
     if (!visited.add(List.of(executed, (long) value))) {
       return false;
@@ -68,7 +76,7 @@
       Operation operation = operations.get(i);
       if (!isExecuted(executed, i)
           && operation.call() <= firstEnd
-          && operation.isLegal(value)
+          && operation.isPossible(value)
           && canContinue(executed | 1L << i, operation.valueAfter(value))) {
         return true;
       }
@@ -76,7 +84,10 @@
     return false;
   }
 
-  /** Returns the first end of a completed operation that is not executed; the maximum if none. */
+  /**
+   * Returns the earliest end of a completed operation that is not executed yet; {@link
+   * Long#MAX_VALUE} if all are executed.
+   */
   private long firstEndOfRemaining(long executed) {
     long firstEnd = Long.MAX_VALUE;
     for (int i = 0; i < operations.size(); i++) {
--- a/agreement/src/test/java/tamarindroute/agreement/raft/LinearizabilityTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/LinearizabilityTest.java
@@ -13,9 +13,14 @@
 import tamarindroute.agreement.raft.LinearizabilityChecker.Operation;
 import tamarindroute.agreement.raft.LinearizabilityChecker.Result;
 
+/**
+ * Linearizability of puts and reads under faults. Guards against reads of an outdated view, as from
+ * a leader that was replaced during a partition, and against two writes from the same base number
+ * that are both committed. The checker is tested with a cluster that reads without a quorum.
+ */
 class LinearizabilityTest {
 
-  /** Runs three clients against a cluster with faults, all drawn from the seed. */
+  /** Returns the operations of three clients on a cluster with faults, all drawn from the seed. */
   private static List<Operation> recordHistory(long seed, int voters, QueryPolicy queryPolicy) {
     SimulatedCluster cluster = new SimulatedCluster(seed, voters, queryPolicy);
     cluster.awaitLeader();
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftClusterTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftClusterTest.java
@@ -19,10 +19,14 @@
 import tamarindroute.agreement.Command;
 import tamarindroute.membership.Member;
 
-/** Commits, elections and voter changes of a running group under failures. */
+/**
+ * Commits, elections and voter changes of a running group under failures. Guards against commands
+ * that are lost after they were reported as committed, commits on both sides of a partition, and
+ * groups that remain without a leader.
+ */
 class RaftClusterTest {
 
-  /** Adds a voter at an address that was not configured, and removes the leader. */
+  /** Adds a voter at an address that was not configured, then removes the leader. */
   @Test
   void votersAreChangedOneAtATime() {
     SimulatedCluster cluster = new SimulatedCluster(10, 3);
@@ -63,7 +67,10 @@
     assertThat(cluster.awaitLeader().voter.status().reachableVoters()).isEqualTo(voters);
   }
 
-  /** Both sides of a partition put with the same base number, the isolated leader first or last. */
+  /**
+   * The old leader, which is isolated by a partition, and the new leader propose puts with the same
+   * base number. At most one put is committed, and both leaders win for some seeds.
+   */
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
   void onlyOneSideOfPartitionCommits(int voters) {
@@ -80,6 +87,7 @@
     assertThat(wonByNewLeader).as("commits of the new leader").isPositive();
   }
 
+  /** Returns whether the old leader's put was committed. */
   private static boolean oldLeaderWinsPartition(int seed, int voters) {
     SimulatedCluster cluster = new SimulatedCluster(seed, voters);
     SimulatedNode oldLeader = cluster.awaitLeader();
@@ -115,7 +123,7 @@
     return oldCommitted;
   }
 
-  /** Kills the leader after each number of events from its proposal on. */
+  /** Kills the leader after 0, 1, 2 and more events from its proposal on. */
   @Test
   void leaderKilledAtAnyStepLeavesCommandCommittedOnAllOrNone() {
     int committed = 0;
@@ -199,7 +207,11 @@
     }
   }
 
-  /** Without the restart of a voter that finds no leader, seed 7 leaves two voters leaderless. */
+  /**
+   * A node of MicroRaft 0.7 whose pre-vote was interrupted by the return of the leader never
+   * becomes a candidate again. Without the restart of a voter that finds no leader, seed 7 leaves
+   * two voters without a leader for good.
+   */
   @Test
   void remainingVotersElectLeaderAfterMessageLoss() {
     for (int seed = 0; seed < 20; seed++) {
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftMessageFormatTest.java
@@ -28,7 +28,10 @@
 import tamarindroute.agreement.wire.AgreementMessageCodec;
 import tamarindroute.agreement.wire.DecodedMessage;
 
-/** Pins the bytes of each consensus message between voters, written and read back. */
+/**
+ * Pins the bytes of each consensus message between voters, written and read back. Guards against a
+ * changed format, with which voters of two versions could not exchange messages.
+ */
 class RaftMessageFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftModelFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftModelFormatTest.java
@@ -13,7 +13,10 @@
 import tamarindroute.agreement.proto.LogEntryProto;
 import tamarindroute.agreement.wire.DecodedMessage;
 
-/** Pins the bytes of membership changes, and values that voters of all versions must agree on. */
+/**
+ * Pins the bytes of membership changes, and computed values that must be the same in all versions.
+ * Guards against voters of two versions that cannot read each other's log entries or messages.
+ */
 class RaftModelFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
@@ -49,7 +52,9 @@
     assertThat(HEX.formatHex(RaftModelCodec.toProto(read).toByteArray())).isEqualTo(hex);
   }
 
-  /** The group's number follows from its founders: voters of two versions must compute the same. */
+  /**
+   * The group's identifier is computed from its founders, so all versions must compute the same.
+   */
   @Test
   void groupNumberOfFounders() {
     SimulatedCluster cluster = new SimulatedCluster(1, 3);
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftSamples.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftSamples.java
@@ -14,7 +14,7 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Sample values of the consensus library for tests of formats. */
+/** Sample values of MicroRaft's types for the tests of formats. */
 final class RaftSamples {
 
   static final Object GROUP = 77L;
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RaftStoreFormatTest.java
@@ -26,7 +26,11 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Pins the bytes of each record of a voter's store and of a snapshot, written and read back. */
+/**
+ * Pins the bytes of each record of a voter's store and of a snapshot, written and read back. Guards
+ * against a changed format, with which a voter could not restart from the store of an earlier
+ * version.
+ */
 class RaftStoreFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
@@ -106,14 +110,15 @@
         .build();
   }
 
-  private interface Step {
+  private interface WriteOperation {
     void run() throws IOException;
   }
 
-  /** The bytes that a step adds to the file. */
-  private static String added(InMemoryStorageMedium medium, Step step) throws IOException {
+  /** Returns the bytes that a write appends to the medium, as hexadecimal digits. */
+  private static String appended(InMemoryStorageMedium medium, WriteOperation write)
+      throws IOException {
     int before = medium.read().length;
-    step.run();
+    write.run();
     byte[] after = medium.read();
     return HEX.formatHex(after, before, after.length);
   }
@@ -122,23 +127,26 @@
   void eachRecordAsWritten() throws IOException {
     InMemoryStorageMedium medium = new InMemoryStorageMedium();
     PersistentRaftStore store = PersistentRaftStore.open(medium);
-    assertThat(added(medium, () -> store.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
+    assertThat(appended(medium, () -> store.pledge(SELF, List.of(SELF, OTHER)))).isEqualTo(PLEDGE);
     store.beginGroup(77);
     assertThat(HEX.formatHex(medium.read())).isEqualTo(BEGIN);
-    assertThat(added(medium, () -> store.persistAndFlushLocalEndpoint(endpoint())))
+    assertThat(appended(medium, () -> store.persistAndFlushLocalEndpoint(endpoint())))
         .isEqualTo(ENDPOINT);
-    assertThat(added(medium, () -> store.persistAndFlushInitialGroupMembers(group())))
+    assertThat(appended(medium, () -> store.persistAndFlushInitialGroupMembers(group())))
         .isEqualTo(INITIAL_MEMBERS);
-    assertThat(added(medium, () -> store.persistAndFlushTerm(term(1, new VoterEndpoint(OTHER)))))
+    assertThat(appended(medium, () -> store.persistAndFlushTerm(term(1, new VoterEndpoint(OTHER)))))
         .isEqualTo(TERM_WITH_VOTE);
-    assertThat(added(medium, () -> store.persistAndFlushTerm(term(2, null))))
+    assertThat(appended(medium, () -> store.persistAndFlushTerm(term(2, null))))
         .isEqualTo(TERM_WITHOUT_VOTE);
-    assertThat(added(medium, () -> store.persistLogEntries(List.of(entry(501))))).isEqualTo(ENTRY);
-    assertThat(added(medium, () -> store.persistSnapshotChunk(chunk()))).isEqualTo(CHUNK);
-    assertThat(added(medium, () -> store.truncateLogEntriesFrom(502))).isEqualTo(TRUNCATED_FROM);
-    assertThat(added(medium, () -> store.truncateLogEntriesUntil(500))).isEqualTo(TRUNCATED_UNTIL);
-    assertThat(added(medium, () -> store.deleteSnapshotChunks(400, 1))).isEqualTo(CHUNKS_DELETED);
-    assertThat(added(medium, store::flush)).isEmpty();
+    assertThat(appended(medium, () -> store.persistLogEntries(List.of(entry(501)))))
+        .isEqualTo(ENTRY);
+    assertThat(appended(medium, () -> store.persistSnapshotChunk(chunk()))).isEqualTo(CHUNK);
+    assertThat(appended(medium, () -> store.truncateLogEntriesFrom(502))).isEqualTo(TRUNCATED_FROM);
+    assertThat(appended(medium, () -> store.truncateLogEntriesUntil(500)))
+        .isEqualTo(TRUNCATED_UNTIL);
+    assertThat(appended(medium, () -> store.deleteSnapshotChunks(400, 1)))
+        .isEqualTo(CHUNKS_DELETED);
+    assertThat(appended(medium, store::flush)).isEmpty();
   }
 
   @Test
@@ -186,7 +194,10 @@
     assertThat(store.pledgedFounders()).containsExactly(SELF, OTHER);
   }
 
-  /** Past its growth the file holds only what still counts, in a fixed order. */
+  /**
+   * A file that has grown by more than the limit is compacted to the records of the current state,
+   * in a fixed order.
+   */
   @Test
   void compactedFile() throws IOException {
     InMemoryStorageMedium medium = new InMemoryStorageMedium();
@@ -234,9 +245,9 @@
             ByteString.copyFrom(HEX.parseHex(hex.substring(0, 20))),
             ByteString.copyFrom(HEX.parseHex(hex.substring(20)))));
     assertThat(stateMachine.view()).isEqualTo(view);
-    StringBuilder parts = new StringBuilder();
+    StringBuilder chunks = new StringBuilder();
     stateMachine.takeSnapshot(
-        10, part -> parts.append(HEX.formatHex(((ByteString) part).toByteArray())));
-    assertThat(parts).hasToString(hex);
+        10, chunk -> chunks.append(HEX.formatHex(((ByteString) chunk).toByteArray())));
+    assertThat(chunks).hasToString(hex);
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/RegisterClient.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/RegisterClient.java
@@ -10,20 +10,26 @@
 import tamarindroute.agreement.raft.LinearizabilityChecker.Result;
 
 /**
- * A client that uses one entry of the view as a register, and records its operations: it reads at
- * any voter, and then writes on condition of what it read. One operation at a time.
+ * A client that uses one entry of the view as a register and records its operations. The client
+ * reads at any voter, and then writes on the condition that the register still has the value read.
+ * One operation runs at a time.
  */
 final class RegisterClient {
 
   private static final String KEY = "level/1";
 
-  /** Expected value of a write that was never attempted; no value matches it. */
+  /** Expected value of a write that was not proposed. No register value equals it. */
   private static final int NO_VALUE = -1;
 
   private final SimulatedCluster cluster;
   private final List<Operation> history;
+
+  /** The view that the next write is derived from; null if the next operation is a read. */
   private MembershipView lastRead;
+
   private boolean busy;
+
+  /** Number of the last operation. Outcomes of earlier operations are ignored. */
   private int operationNumber;
 
   RegisterClient(SimulatedCluster cluster, List<Operation> history) {
@@ -31,13 +37,18 @@
     this.history = history;
   }
 
+  /** Returns the register's value; 0 if there is no entry. */
   private static int value(MembershipView view) {
     return view.entries().containsKey(KEY)
         ? ByteBuffer.wrap(view.entries().get(KEY).value()).getInt()
         : 0;
   }
 
-  /** Starts the next operation at a voter, unless one is running or the voter is down. */
+  /**
+   * Starts the next operation at a voter, unless an operation is running or the voter is down.
+   *
+   * @param uniqueValue the value to write, if the operation is a write
+   */
   void startNext(SimulatedNode node, int uniqueValue) {
     boolean isUp = node.voter != null && !node.paused;
     if (busy || !isUp) {
@@ -101,7 +112,7 @@
         cluster.nowMicros);
   }
 
-  /** Abandons the running operation, as its voter was killed. */
+  /** Abandons the running operation, whose result stays unknown, as its voter was killed. */
   void giveUp() {
     operationNumber++;
     busy = false;
--- a/agreement/src/test/java/tamarindroute/agreement/raft/SimulatedCluster.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/SimulatedCluster.java
@@ -22,9 +22,10 @@
 import tamarindroute.membership.Member;
 
 /**
- * Voters and members in virtual time, with links that lose messages or are broken, and clocks of
- * different rates. The order of events is determined by the seed. Records violations of what must
- * hold at any time.
+ * Simulates voters and members in virtual time, with links that lose messages or are broken, and
+ * clocks of different rates. The seed determines the order of events. Records violations of these
+ * invariants: a voter votes for one candidate per term, no member acts on a view that was replaced
+ * longer than a lease ago, and no voter fails unless its disk is full.
  */
 final class SimulatedCluster {
 
@@ -32,30 +33,38 @@
 
   final List<Member> founders = new ArrayList<>();
   final Map<Address, SimulatedNode> nodes = new HashMap<>();
+
+  /** Descriptions of the violated invariants. */
   final List<String> violations = new ArrayList<>();
 
-  /** By view number, when it was first seen committed at any voter. */
+  /** Virtual time at which a view number was first committed at any voter, by view number. */
   final TreeMap<Long, Long> firstCommittedMicros = new TreeMap<>();
 
-  /** Last consensus message to each address. */
+  /** Last consensus message to each address, encoded. */
   final Map<Address, byte[]> lastMessageTo = new HashMap<>();
 
-  /** Last consensus message from each address. */
+  /** Last consensus message from each address, encoded. */
   final Map<Address, byte[]> lastMessageFrom = new HashMap<>();
 
-  /** Share of the messages that are lost, and of those that are duplicated. */
+  /** Percentage of the messages that are lost, and percentage of the others that are duplicated. */
   int lossPercent;
 
+  /** Number of times that a member acted on its view. */
   int actCount;
+
+  /** Number of times that a member had to act and held no valid lease. */
   int refusedActCount;
+
+  /** Virtual time since the start of the simulation. */
   long nowMicros;
+
   final QueryPolicy queryPolicy;
   private final long seed;
 
-  /** Broken links, as sender and recipient. */
+  /** Broken links, each as a list of sender and recipient. */
   private final Set<List<Address>> brokenLinks = new HashSet<>();
 
-  /** By voter and term, the candidate that was voted for. */
+  /** The candidate that was voted for, by a list of voter and term. */
   private final Map<List<Object>, Member> votes = new HashMap<>();
 
   private final PriorityQueue<Event> events =
@@ -65,8 +74,9 @@
   private long randomDraws;
 
   /**
-   * A task of a node.
+   * A task of a node, to be run at a virtual time.
    *
+   * @param order sequence number, by which events of the same time are ordered
    * @param incarnation the node's incarnation that the task is for; -1 for any
    */
   record Event(long atMicros, long order, SimulatedNode node, int incarnation, Runnable task) {}
@@ -88,18 +98,19 @@
     return founders.stream().map(Member::address).toList();
   }
 
-  static Address address(int i) {
-    return new Address("10.0.0." + i, 7000);
+  static Address address(int index) {
+    return new Address("10.0.0." + index, 7000);
   }
 
-  SimulatedNode node(int i) {
-    return node(address(i));
+  SimulatedNode node(int index) {
+    return node(address(index));
   }
 
   private SimulatedNode node(Address address) {
     return nodes.computeIfAbsent(address, absent -> new SimulatedNode(this, absent));
   }
 
+  /** Returns a number from 0 to below the bound, drawn from the seed. */
   int randomBelow(int bound) {
     CRC32 crc = new CRC32();
     crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(randomDraws++).flip());
@@ -135,6 +146,7 @@
     events.add(new Event(nowMicros, event.order, event.node, event.incarnation, event.task));
   }
 
+  /** Sends a message, which may be lost, delayed or duplicated. */
   void send(Address from, Address to, byte[] message) {
     checkVotes(from, to, message);
     SimulatedNode target = nodes.get(to);
@@ -160,7 +172,7 @@
             () -> target.onMessage(from, message)));
   }
 
-  /** Checks that a voter votes for one candidate per term, whatever it has lost. */
+  /** Records a violation if a voter votes for two candidates in one term, even after a crash. */
   private void checkVotes(Address from, Address to, byte[] message) {
     if (!(DecodedMessage.decode(message).orElse(null)
         instanceof DecodedMessage.RaftEnvelope envelope)) {
@@ -174,12 +186,20 @@
       Member candidate = envelope.recipient();
       Member previous = votes.putIfAbsent(List.of(voter, proto.getTerm()), candidate);
       if (previous != null && !previous.equals(candidate)) {
-        violations.add(voter + " voted twice in term " + proto.getTerm());
+        violations.add(
+            voter
+                + " voted for "
+                + previous
+                + " and "
+                + candidate
+                + " in term "
+                + proto.getTerm()
+                + ", one candidate allowed");
       }
     }
   }
 
-  /** Checks that the view acted on was not replaced longer than a lease ago, in virtual time. */
+  /** Records a violation if a member acts on a view that was replaced longer than a lease ago. */
   void onAct(Address address, long number) {
     actCount++;
     Long replacedMicros = firstCommittedMicros.get(number + 1);
@@ -190,12 +210,14 @@
               + number
               + " at "
               + nowMicros
-              + ", replaced at "
-              + replacedMicros);
+              + " us, replaced at "
+              + replacedMicros
+              + " us, allowed for "
+              + LEASE);
     }
   }
 
-  /** Runs the next event. Returns false if there is none. */
+  /** Runs the next event. Returns whether there was one. */
   boolean step() {
     Event event = events.poll();
     if (event == null) {
@@ -233,11 +255,12 @@
     }
   }
 
+  /** Runs for a span of virtual time. */
   void run(Duration span) {
     until(span, () -> false);
   }
 
-  /** Runs until a condition holds, or for a time span. Returns whether it holds. */
+  /** Runs until a condition holds or a span has passed. Returns whether the condition holds. */
   boolean until(Duration span, BooleanSupplier condition) {
     long end = nowMicros + span.toNanos() / 1_000;
     while (!condition.getAsBoolean()) {
@@ -250,7 +273,7 @@
     return true;
   }
 
-  /** Returns a running leader that reaches a quorum. */
+  /** Returns a running leader that reaches a quorum; empty if there is none. */
   Optional<SimulatedNode> leader() {
     return nodes.values().stream()
         .filter(node -> node.voter != null && !node.paused)
@@ -259,9 +282,10 @@
         .findFirst();
   }
 
+  /** Runs until there is a leader that reaches a quorum, for a minute at most, and returns it. */
   SimulatedNode awaitLeader() {
     if (!until(Duration.ofSeconds(60), () -> leader().isPresent())) {
-      throw new AssertionError("no leader within a minute, seed " + seed);
+      throw new AssertionError("no leader within 60 s, seed " + seed);
     }
     return leader().get();
   }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/SimulatedNode.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/SimulatedNode.java
@@ -14,37 +14,49 @@
 import tamarindroute.membership.Member;
 
 /**
- * One process of a {@link SimulatedCluster} with its clock and disk: a voter, a member that holds
- * the view, or both.
+ * One process of a {@link SimulatedCluster} with its clock and disk. The process is a voter, a
+ * member that holds the view under a lease, or both.
  */
 final class SimulatedNode implements EventLoop {
 
   final Address address;
   InMemoryStorageMedium disk = new InMemoryStorageMedium();
+
+  /** Null while the process is down or is not a voter. */
   RaftVoter voter;
+
   ViewLease lease;
   boolean paused;
 
-  /** Number of starts and kills; events of an earlier incarnation are dropped. */
+  /** Number of starts and kills. Events of an earlier incarnation are dropped. */
   int incarnation;
 
   final List<Agreement.GroupStatus> statusChanges = new ArrayList<>();
   private final SimulatedCluster cluster;
   private final List<SimulatedCluster.Event> deferred = new ArrayList<>();
 
-  /** Rate of this clock, which is off by up to four in a thousand either way. */
-  private final long clockRatePerMille;
+  /**
+   * Nanoseconds of this clock per microsecond of virtual time. The clock's rate is wrong by up to
+   * four in a thousand either way.
+   */
+  private final long clockNanosPerMicro;
 
+  /** Virtual time by which this clock is ahead of the cluster's. */
   private final long clockOffsetMicros;
 
   SimulatedNode(SimulatedCluster cluster, Address address) {
     this.cluster = cluster;
     this.address = address;
-    this.clockRatePerMille = 996L + cluster.randomBelow(9);
+    this.clockNanosPerMicro = 996L + cluster.randomBelow(9);
     this.clockOffsetMicros = cluster.randomBelow(1_000_000);
     this.lease = ViewLease.initial(new Member(address, 1));
   }
 
+  /**
+   * Starts a voter from the disk.
+   *
+   * @param voterIncarnation the voter's incarnation if the disk is empty
+   */
   void start(long voterIncarnation) {
     incarnation++;
     try {
@@ -62,7 +74,7 @@
     }
   }
 
-  /** Stops at once. Of what was not forced to the disk a random number of bytes remains. */
+  /** Stops the process. A random number of the bytes that were not forced remains on the disk. */
   void kill() {
     incarnation++;
     voter = null;
@@ -88,14 +100,17 @@
     return statusChanges.get(statusChanges.size() - 1);
   }
 
-  /** Restarts a holder, while responses to its earlier requests may still be on their way. */
+  /**
+   * Restarts a member that holds the view, while responses to its earlier requests may still be on
+   * their way.
+   */
   void restartHolder(List<Address> voters) {
     incarnation++;
     lease = ViewLease.initial(new Member(address, incarnation + 1));
     holdView(voters);
   }
 
-  /** Holds the view under a lease from now on, and acts on it from time to time. */
+  /** Holds the view under a lease from now on, and acts on the view from time to time. */
   void holdView(List<Address> voters) {
     schedule(() -> holdView(voters), Duration.ofMillis(200 + cluster.randomBelow(200)));
     act();
@@ -132,11 +147,11 @@
 
   @Override
   public void schedule(Runnable task, Duration delay) {
-    cluster.schedule(delay.toNanos() / clockRatePerMille, this, task);
+    cluster.schedule(delay.toNanos() / clockNanosPerMicro, this, task);
   }
 
   @Override
   public Duration now() {
-    return Duration.ofNanos((clockOffsetMicros + cluster.nowMicros) * clockRatePerMille);
+    return Duration.ofNanos((clockOffsetMicros + cluster.nowMicros) * clockNanosPerMicro);
   }
 }
--- a/agreement/src/test/java/tamarindroute/agreement/raft/ThroughputBenchmark.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/ThroughputBenchmark.java
@@ -22,12 +22,17 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Measures commands of three voters on one thread of one process, on the real clock. */
+/** Measures latency and rate of commands with three voters on one thread, on the real clock. */
 final class ThroughputBenchmark {
 
   private static final int COMMANDS = 2_000;
+
+  /** Number of keys that the sequential commands use in turn. */
   private static final int KEYS = 500;
-  private static final int PENDING = 64;
+
+  /** Number of commands that are proposed concurrently when the rate is measured. */
+  private static final int CONCURRENT_COMMANDS = 64;
+
   private static final int VALUE_BYTES = 200;
 
   private final boolean onFiles;
@@ -59,7 +64,7 @@
           micros[COMMANDS / 2],
           micros[COMMANDS * 99 / 100],
           perSecond,
-          PENDING,
+          CONCURRENT_COMMANDS,
           AgreementBenchmark.heapKib());
       voters.values().forEach(RaftVoter::close);
     } finally {
@@ -115,7 +120,7 @@
     }
   }
 
-  /** Returns the times of commands that were proposed one after the other, in order. */
+  /** Returns the sorted latencies of commands that are proposed one after the other. */
   private long[] sequentialMicros(RaftVoter leader) throws InterruptedException {
     long[] micros = new long[COMMANDS];
     for (int i = 0; i < COMMANDS; i++) {
@@ -143,7 +148,7 @@
     long start = System.nanoTime();
     thread.execute(
         () -> {
-          for (int i = 0; i < PENDING; i++) {
+          for (int i = 0; i < CONCURRENT_COMMANDS; i++) {
             proposeRepeatedly(leader, "m" + i, remaining);
           }
         });
@@ -169,7 +174,7 @@
 
   private static void await(CountDownLatch latch, int seconds) throws InterruptedException {
     if (!latch.await(seconds, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("not committed within " + seconds + " s");
+      throw new IllegalStateException("commands not committed within " + seconds + " s");
     }
   }
 
--- a/agreement/src/test/java/tamarindroute/agreement/raft/ViewLeaseFaultsTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/ViewLeaseFaultsTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import tamarindroute.agreement.MembershipView;
 
-/** Leases of the view under random faults. */
+/**
+ * View leases under random faults. Guards against members that act on a view which was replaced
+ * longer than a lease ago, as after delayed responses, pauses, restarts or a change of the leader.
+ */
 class ViewLeaseFaultsTest {
 
   /**
@@ -77,7 +80,7 @@
     assertThat(views).isGreaterThan(400);
   }
 
-  /** Voters answer from their local view without a quorum. */
+  /** Voters that respond from their local view without a quorum grant leases of outdated views. */
   @Test
   void checkerDetectsLeasesGrantedWithoutQuorum() {
     boolean detected =
--- a/agreement/src/test/java/tamarindroute/agreement/raft/VoterIdentityTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/raft/VoterIdentityTest.java
@@ -18,7 +18,11 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Bootstrap of a group, and voters whose store was lost or restored. */
+/**
+ * Bootstrap of a group, and voters whose store was lost or restored from a copy. Guards against a
+ * voter that forgot its vote and votes again in the same term, and against a second group beside a
+ * running one.
+ */
 class VoterIdentityTest {
 
   @Test
@@ -53,7 +57,7 @@
     node.start(incarnation);
   }
 
-  /** The successor runs outside the group, and does not answer messages for its predecessor. */
+  /** The successor is not admitted yet, and does not respond to messages for its predecessor. */
   @Test
   void messagesForPreviousIncarnationAreIgnored() {
     SimulatedCluster cluster = new SimulatedCluster(12, 3);
@@ -78,7 +82,10 @@
     assertThat(lostNode.voter.status().leader()).isEmpty();
   }
 
-  /** A group that has an incarnation as its voter never admits another process with that number. */
+  /**
+   * A voter that lost its store is started with its previous incarnation by mistake. The group,
+   * which has that incarnation as a voter, does not admit it, and it does not act as a voter.
+   */
   @Test
   void voterWithLostStoreAndReusedIncarnationStaysOut() {
     SimulatedCluster cluster = new SimulatedCluster(8, 3);
@@ -90,7 +97,10 @@
     assertThat(lost.voter.localView().number()).isZero();
   }
 
-  /** A voter cannot notice that its store was restored from an old copy; the monitor must. */
+  /**
+   * A voter cannot detect that its store was restored from an old copy, and votes twice in a term.
+   * The cluster's check of the votes must detect this, or it would not detect other double votes.
+   */
   @Test
   void voteMonitorDetectsDoubleVoting() {
     boolean detected = false;
@@ -126,7 +136,10 @@
     assertThat(cluster.node(0).voter.localView().voters()).isEqualTo(cluster.founders);
   }
 
-  /** Two voters pledged to an incarnation that ended; it may have pledged, too. */
+  /**
+   * Two voters pledged to found the group with an incarnation that then lost its store. They must
+   * not found the group with its successor, as the lost incarnation may have pledged, too.
+   */
   @Test
   void pledgeToEndedIncarnationPreventsBootstrap() {
     SimulatedCluster cluster = new SimulatedCluster(9, 3);
--- a/agreement/src/test/java/tamarindroute/agreement/store/InMemoryStorageMedium.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/InMemoryStorageMedium.java
@@ -4,14 +4,18 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Storage in memory that loses, in a simulated crash, what was not forced. */
+/** Storage medium in memory, which loses bytes that were not forced in a simulated crash. */
 public final class InMemoryStorageMedium implements StorageMedium {
 
   private final ByteArrayOutputStream content = new ByteArrayOutputStream();
   private int forcedBytes;
   private boolean full;
 
-  /** Returns the medium after a crash: what was forced, and at most so many bytes more. */
+  /**
+   * Returns the medium after a crash: the forced bytes, and some of the bytes appended since.
+   *
+   * @param unforcedBytes largest number of bytes that remain in addition to the forced bytes
+   */
   public InMemoryStorageMedium crashed(int unforcedBytes) {
     int size = Math.min(content.size(), forcedBytes + unforcedBytes);
     InMemoryStorageMedium survivor = new InMemoryStorageMedium();
@@ -19,12 +23,12 @@
     return survivor;
   }
 
-  /** Sets whether {@link #force} fails. */
+  /** Sets whether the disk is full, in which case {@link #force} fails. */
   public void setFull(boolean isFull) {
     full = isFull;
   }
 
-  /** Returns whether {@link #force} fails. */
+  /** Returns whether the disk is full. */
   public boolean isFull() {
     return full;
   }
--- a/agreement/src/test/java/tamarindroute/agreement/store/RecordLogFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/RecordLogFormatTest.java
@@ -7,7 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pins the bytes of the record log: length, its checksum, the body's checksum, body, end mark. */
+/**
+ * Pins the bytes of the record log: length, its checksum, the body's checksum, body, end mark.
+ * Guards against a changed format, with which a voter could not read the store of an earlier
+ * version.
+ */
 class RecordLogFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
--- a/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/store/RecordLogTest.java
@@ -12,11 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Record log after crashes, damage and failed writes. Guards against a torn record that is read as
+ * complete, and against damage that is taken for a torn record: a voter would forget a vote.
+ */
 class RecordLogTest {
 
-  private static final int[] LENGTHS = {1, 7, 40, 3};
+  /** Lengths of the bodies in {@link #writtenLog}, in bytes. */
+  private static final int[] BODY_LENGTHS = {1, 7, 40, 3};
 
-  /** Header and end mark of a record, in bytes. */
+  /** Size of a record's header and end mark, in bytes. */
   private static final int FRAME_BYTES = 13;
 
   /** Returns a body that contains zeros and ends in them, as encoded numbers do. */
@@ -26,10 +31,11 @@
     return body;
   }
 
+  /** Returns the content of a log of four records. */
   private static byte[] writtenLog() throws IOException {
     InMemoryStorageMedium medium = new InMemoryStorageMedium();
     RecordLog log = new RecordLog(medium);
-    for (int length : LENGTHS) {
+    for (int length : BODY_LENGTHS) {
       log.append(body(length));
     }
     log.force();
@@ -50,8 +56,9 @@
       List<byte[]> records = open(Arrays.copyOf(content, length), medium);
       int complete = 0;
       int end = 0;
-      while (complete < LENGTHS.length && end + FRAME_BYTES + LENGTHS[complete] <= length) {
-        end += FRAME_BYTES + LENGTHS[complete];
+      while (complete < BODY_LENGTHS.length
+          && end + FRAME_BYTES + BODY_LENGTHS[complete] <= length) {
+        end += FRAME_BYTES + BODY_LENGTHS[complete];
         complete++;
       }
       assertThat(records).as("truncated to " + length).hasSize(complete);
@@ -67,7 +74,7 @@
   @Test
   void zeroFilledTailIsTreatedAsTornRecord() throws IOException {
     byte[] content = writtenLog();
-    int lastRecord = content.length - FRAME_BYTES - LENGTHS[3];
+    int lastRecord = content.length - FRAME_BYTES - BODY_LENGTHS[3];
     for (int from = lastRecord; from < content.length; from++) {
       byte[] torn = Arrays.copyOf(Arrays.copyOf(content, from), content.length + 30);
       assertThat(open(torn, new InMemoryStorageMedium())).as("zeros from " + from).hasSize(3);
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageCodecTest.java
@@ -28,6 +28,11 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
+/**
+ * Encoding and limits of the messages between members and voters. Guards against messages of faulty
+ * peers that throw an exception or are decoded beyond the limits, and against views that are too
+ * large to send.
+ */
 class AgreementMessageCodecTest {
 
   private static final Member MEMBER = new Member(new Address("cache.example", 7000), 9);
@@ -55,8 +60,9 @@
             Optional.empty(),
             List.of(
                 new Command.Remove("a", 3),
-                    new Command.MembershipChange(4, List.of(MEMBER), List.of()),
-                new Command.SetVoters(5, List.of(MEMBER)), new Command.NoOp()));
+                new Command.MembershipChange(4, List.of(MEMBER), List.of()),
+                new Command.SetVoters(5, List.of(MEMBER)),
+                new Command.NoOp()));
     assertThat(DecodedMessage.decode(AgreementMessageCodec.encodeViewReply(withCommands)))
         .contains(new DecodedMessage.ViewReply(withCommands));
     ProposalResult result =
@@ -76,8 +82,8 @@
   }
 
   /**
-   * A truncated or changed message is decoded within its limits or not at all, never with an
-   * exception.
+   * A truncated or changed message is either decoded within the limits or not at all. Decoding does
+   * not throw an exception.
    */
   @Property(seed = "33", tries = 2_000)
   void damagedMessagesAreNotDecodedOutOfLimits(
--- a/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
+++ b/agreement/src/test/java/tamarindroute/agreement/wire/AgreementMessageFormatTest.java
@@ -21,7 +21,10 @@
 import tamarindroute.membership.Address;
 import tamarindroute.membership.Member;
 
-/** Pins the bytes of each message between members and voters, written and read back. */
+/**
+ * Pins the bytes of each message between members and voters, written and read back. Guards against
+ * a changed format, with which processes of two versions could not exchange messages.
+ */
 class AgreementMessageFormatTest {
 
   private static final HexFormat HEX = HexFormat.of();
@@ -147,8 +150,9 @@
             Optional.empty(),
             List.of(
                 new Command.Remove("a", 3),
-                    new Command.MembershipChange(4, List.of(FIRST), List.of()),
-                new Command.SetVoters(5, List.of(FIRST)), new Command.NoOp())),
+                new Command.MembershipChange(4, List.of(FIRST), List.of()),
+                new Command.SetVoters(5, List.of(FIRST)),
+                new Command.NoOp())),
         "2a62080210011a140a0831302e302e302e3110d8361881d095ffbc31208f4e28073a0708"
             + "0310032a01613a1a080110041a140a0831302e302e302e3110d8361881d095ffbc313a1a"
             + "0804100522140a0831302e302e302e3110d8361881d095ffbc313a00");
