--- a/router/src/main/java/tamarindroute/vrrp/Advertisement.java
+++ b/router/src/main/java/tamarindroute/vrrp/Advertisement.java
@@ -231,7 +231,7 @@
    * that contains its own valid checksum.
    */
   private static int checksum(byte[] message, InetAddress from, InetAddress to) {
-    long sum = IP_PROTOCOL + message.length;
+    long sum = (long) IP_PROTOCOL + message.length;
     for (byte[] part : new byte[][] {from.getAddress(), to.getAddress(), message}) {
       for (int i = 0; i < part.length; i++) {
         sum += (i & 1) == 0 ? (part[i] & 0xFF) << 8 : part[i] & 0xFF;
--- a/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
+++ b/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
@@ -16,16 +16,34 @@
 public record GrantMessage(
     MessageType type, int virtualId, Duration grantDuration, long requestToken) {
 
-  /** The kinds of messages. The ordinal is the code on the wire. */
+  /** The kinds of messages. */
   public enum MessageType {
     /** From a candidate: asks for a grant. */
-    REQUEST,
+    REQUEST(0),
     /** From a voter: the candidate has the grant. */
-    GRANTED,
+    GRANTED(1),
     /** From a voter: another candidate has the grant. */
-    DENIED,
+    DENIED(2),
     /** From a candidate: gives its grant back early. */
-    RELEASE
+    RELEASE(3);
+
+    private static final int MAX_WIRE_CODE = 3;
+
+    private final int wireCode;
+
+    MessageType(int wireCode) {
+      this.wireCode = wireCode;
+    }
+
+    /** Returns the type with a code; null if there is none. */
+    private static MessageType withWireCode(int wireCode) {
+      for (MessageType type : values()) {
+        if (type.wireCode == wireCode) {
+          return type;
+        }
+      }
+      return null;
+    }
   }
 
   /** Differs from the first byte of every advertisement. */
@@ -49,7 +67,7 @@
   public byte[] encode() {
     return ByteBuffer.allocate(MESSAGE_LENGTH)
         .put(FIRST_BYTE)
-        .put((byte) type.ordinal())
+        .put((byte) type.wireCode)
         .put((byte) virtualId)
         .putInt((int) grantDuration.toMillis())
         .putLong(requestToken)
@@ -75,15 +93,16 @@
               + ", expected "
               + FIRST_BYTE);
     }
-    int type = Byte.toUnsignedInt(buffer.get());
+    int wireCode = Byte.toUnsignedInt(buffer.get());
+    MessageType type = MessageType.withWireCode(wireCode);
     int virtualId = Byte.toUnsignedInt(buffer.get());
     int grantMillis = buffer.getInt();
-    if (type >= MessageType.values().length) {
+    if (type == null) {
       throw new MalformedMessageException(
           "VRRP grant message type is "
-              + type
+              + wireCode
               + ", allowed: 0 to "
-              + (MessageType.values().length - 1));
+              + MessageType.MAX_WIRE_CODE);
     }
     if (virtualId == 0) {
       throw new MalformedMessageException(
@@ -96,7 +115,6 @@
               + " ms, allowed: 1 to "
               + MAX_GRANT_MILLIS);
     }
-    return new GrantMessage(
-        MessageType.values()[type], virtualId, Duration.ofMillis(grantMillis), buffer.getLong());
+    return new GrantMessage(type, virtualId, Duration.ofMillis(grantMillis), buffer.getLong());
   }
 }
--- a/router/src/test/java/tamarindroute/vrrp/AdvertisementTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/AdvertisementTest.java
@@ -38,7 +38,7 @@
   void encodedAdvertisementIsDecodedUnchanged(String from, String to, String shared)
       throws MalformedMessageException {
     Advertisement advertisement =
-        new Advertisement(7, 120, Duration.ofMillis(1000), List.of(address(shared), address(from)));
+        new Advertisement(7, 120, Duration.ofSeconds(1), List.of(address(shared), address(from)));
     byte[] bytes = advertisement.encode(address(from), address(to));
     assertThat(Advertisement.decode(bytes, address(from), address(to))).isEqualTo(advertisement);
     assertThat(bytes[0]).isEqualTo((byte) 0x31);
--- a/router/src/test/java/tamarindroute/vrrp/ModelCheck.java
+++ b/router/src/test/java/tamarindroute/vrrp/ModelCheck.java
@@ -173,13 +173,12 @@
   private List<World> processFaults(World world) {
     List<World> variants = new ArrayList<>(List.of(world));
     Budget remaining = world.remaining();
+    boolean anySuspended = world.processes().stream().anyMatch(RouterProcess::suspended);
     for (int i = 0; i < world.processes().size(); i++) {
       RouterProcess process = world.processes().get(i);
-      boolean otherSuspended =
-          world.processes().stream().anyMatch(other -> other != process && other.suspended());
       if (process.suspended()) {
         variants.add(world.with(i, new RouterProcess(process.state(), false, false), remaining));
-      } else if (remaining.suspensions() > 0 && !otherSuspended && !process.dead()) {
+      } else if (remaining.suspensions() > 0 && !anySuspended && !process.dead()) {
         variants.add(
             world.with(
                 i,
--- a/router/src/test/java/tamarindroute/vrrp/VrrpWireFormatTest.java
+++ b/router/src/test/java/tamarindroute/vrrp/VrrpWireFormatTest.java
@@ -29,7 +29,7 @@
   })
   void advertisement(String from, String to, String shared, String hex) throws Exception {
     Advertisement advertisement =
-        new Advertisement(7, 120, Duration.ofMillis(1000), List.of(InetAddress.getByName(shared)));
+        new Advertisement(7, 120, Duration.ofSeconds(1), List.of(InetAddress.getByName(shared)));
     byte[] bytes = advertisement.encode(InetAddress.getByName(from), InetAddress.getByName(to));
     assertThat(HEX.formatHex(bytes)).isEqualTo(hex);
   }
