--- a/membership/src/main/java/tamarindroute/membership/FailureDetector.java
+++ b/membership/src/main/java/tamarindroute/membership/FailureDetector.java
@@ -24,7 +24,7 @@
    * Last stage of a probe on behalf of another member. Such a probe is sent twice, one stage apart,
    * and is given up one stage after this one.
    */
-  private static final int LAST_STAGE_ON_BEHALF = 2;
+  private static final int LAST_INDIRECT_STAGE = 2;
 
   /** Value of {@link #earliestDueNanos} that has to be computed again. */
   private static final long UNKNOWN = -1;
@@ -97,7 +97,7 @@
   void probe(MemberEntry entry) {
     boolean alreadyProbing =
         openProbes.values().stream()
-            .anyMatch(probe -> probe.isOwn() && probe.target.equals(entry.member));
+            .anyMatch(probe -> probe.isLocal() && probe.target.equals(entry.member));
     if (!alreadyProbing) {
       start(entry, null, 0);
     }
@@ -143,10 +143,10 @@
     for (Probe probe : List.copyOf(openProbes.values())) {
       if (probe.nextStageNanos <= context.nowNanos) {
         probe.stage++;
-        if (probe.isOwn()) {
+        if (probe.isLocal()) {
           advanceLocal(probe);
         } else {
-          advanceOnBehalf(probe);
+          advanceIndirect(probe);
         }
         scheduleNextStage(probe);
       }
@@ -182,11 +182,11 @@
    * sends a NACK, which shows the requester that at least the local member is alive. Then only
    * waits for an answer.
    */
-  private void advanceOnBehalf(Probe probe) {
+  private void advanceIndirect(Probe probe) {
     if (probe.stage == 1) {
       sendProbe(probe);
       outbound.send(Message.Kind.NACK, probe.requester, probe.requesterProbeId, probe.target);
-    } else if (probe.stage > LAST_STAGE_ON_BEHALF) {
+    } else if (probe.stage > LAST_INDIRECT_STAGE) {
       openProbes.remove(probe.id);
     }
   }
@@ -227,7 +227,7 @@
     }
     openProbes.remove(message.requestId());
     earliestDueNanos = UNKNOWN;
-    if (!probe.isOwn()) {
+    if (!probe.isLocal()) {
       outbound.send(Message.Kind.ACK, probe.requester, probe.requesterProbeId, probe.target);
       return;
     }
@@ -242,7 +242,7 @@
   /** Records that the helper of an indirect probe is alive although its probe was not answered. */
   void onNack(Message message) {
     Probe probe = openProbes.get(message.requestId());
-    if (probe != null && probe.isOwn() && probe.target.equals(message.subject())) {
+    if (probe != null && probe.isLocal() && probe.target.equals(message.subject())) {
       probe.nackReceived = true;
       localHealth.recordAnswer();
     }
--- a/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
+++ b/membership/src/main/java/tamarindroute/membership/LocalHealthMonitor.java
@@ -195,7 +195,7 @@
     return refutedRecently || accusers.countWithin(accusationTimeoutNanos(), nowNanos) > 0;
   }
 
-  /** Whether another member has answered within the given time. */
+  /** Whether another member has answered the local one within the given time. */
   boolean answeredWithin(long maxAgeNanos) {
     return context.nowNanos - lastAnswerNanos <= maxAgeNanos;
   }
--- a/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
+++ b/membership/src/main/java/tamarindroute/membership/MembershipSettings.java
@@ -40,8 +40,8 @@
    * Extensions of SWIM against false failure reports. Each can be switched off to measure its
    * effect.
    *
-   * @param localHealth whether the local member waits longer and reports no one while it is in poor
-   *     health itself
+   * @param localHealth whether the local member waits longer while it is in poor health, and
+   *     reports no member while no other member answers it
    * @param confirmation whether several observers are needed to declare a member faulty
    * @param pauseDetection whether pauses of the local process are detected and those of other
    *     members are tolerated
--- a/membership/src/main/java/tamarindroute/membership/Probe.java
+++ b/membership/src/main/java/tamarindroute/membership/Probe.java
@@ -59,7 +59,7 @@
   }
 
   /** Whether the local member started the probe for itself. */
-  boolean isOwn() {
+  boolean isLocal() {
     return requester == null;
   }
 
--- a/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipSimulator.java
@@ -26,8 +26,14 @@
     SystemUnderTest system;
     boolean killed = true;
     boolean paused;
+
+    /** Virtual time at which the node's own clock was zero. */
     long startedNanos;
+
+    /** Virtual time of the earliest scheduled tick; other ticks of the node are ignored. */
     long nextTickNanos = Long.MAX_VALUE;
+
+    /** Messages received while the process is paused. */
     final ArrayDeque<Message> pendingMessages = new ArrayDeque<>();
 
     Node(Address address) {
@@ -35,34 +41,24 @@
     }
   }
 
-  /**
-   * A message's arrival if it has a message, a task if it has one, otherwise a tick of the node.
-   */
-  private record Event(long atNanos, long sequence, int node, Message message, Runnable task)
-      implements Comparable<Event> {
-    @Override
-    public int compareTo(Event other) {
-      return atNanos != other.atNanos
-          ? Long.compare(atNanos, other.atNanos)
-          : Long.compare(sequence, other.sequence);
-    }
-  }
-
-  /** Value of {@link Event#node} for a task. */
-  private static final int NO_NODE = -1;
+  /** Value of {@link SimulationEvent#node} for a task. */
+  static final int NO_NODE = -1;
 
   /** Messages kept for a paused process, bounded like those in a socket's receive buffer. */
   private static final int MAX_PENDING_MESSAGES = 1_000;
 
   private static final int SEED_COUNT = 3;
+
+  /** Incarnation of the first member; the next members have the next numbers. */
   private static final long FIRST_INCARNATION = 1_000;
+
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   final List<Node> nodes = new ArrayList<>();
   final List<SimulationObserver> observers = new ArrayList<>();
   final MembershipSettings settings;
   private final Map<Address, Integer> indexByAddress = new HashMap<>();
-  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final PriorityQueue<SimulationEvent> events = new PriorityQueue<>();
   private final SplittableRandom random;
   private long nowNanos;
   private long lastSequence;
@@ -71,12 +67,16 @@
   long minDelayNanos = NANOS_PER_MILLI / 2;
   long maxDelayNanos = 5 * NANOS_PER_MILLI;
   LinkFilter linkFilter = (from, to) -> false;
+
+  /** Settings of a member by index. */
   IntFunction<MembershipSettings> settingsOf;
 
   /** Whether a message to a node is dropped, in addition to cut links and random loss. */
   BiPredicate<Integer, Message> isDropped = (to, message) -> false;
 
+  /** Wraps each started member, to seed a defect. */
   UnaryOperator<SystemUnderTest> defect = system -> system;
+
   long sentMessages;
   long sentBytes;
 
@@ -180,7 +180,8 @@
 
   /** Runs a task after the given time. */
   void schedule(Duration delay, Runnable task) {
-    events.add(new Event(nowNanos + delay.toNanos(), lastSequence++, NO_NODE, null, task));
+    events.add(
+        new SimulationEvent(nowNanos + delay.toNanos(), lastSequence++, NO_NODE, null, task));
   }
 
   Duration now() {
@@ -195,13 +196,13 @@
   /** Advances the virtual time by the given duration and runs all events up to then. */
   void run(Duration duration) {
     long endNanos = nowNanos + duration.toNanos();
-    while (!events.isEmpty() && events.peek().atNanos <= endNanos) {
-      Event event = events.poll();
-      nowNanos = event.atNanos;
-      if (event.task != null) {
-        event.task.run();
-      } else if (event.message != null) {
-        arrive(event.node, event.message);
+    while (!events.isEmpty() && events.peek().atNanos() <= endNanos) {
+      SimulationEvent event = events.poll();
+      nowNanos = event.atNanos();
+      if (event.task() != null) {
+        event.task().run();
+      } else if (event.message() != null) {
+        arrive(event.node(), event.message());
       } else {
         tick(event);
       }
@@ -209,16 +210,16 @@
     nowNanos = endNanos;
   }
 
-  private void tick(Event event) {
-    Node node = nodes.get(event.node);
-    if (node.nextTickNanos != event.atNanos || node.killed || node.paused) {
+  private void tick(SimulationEvent event) {
+    Node node = nodes.get(event.node());
+    if (node.nextTickNanos != event.atNanos() || node.killed || node.paused) {
       return;
     }
     node.nextTickNanos = Long.MAX_VALUE;
     if (node.membership.untilNextTick(localTime(node)).isZero()) {
-      perform(event.node, node.system.tick(localTime(node)));
+      perform(event.node(), node.system.tick(localTime(node)));
     }
-    scheduleTick(event.node);
+    scheduleTick(event.node());
   }
 
   private void arrive(int index, Message message) {
@@ -247,7 +248,7 @@
     long atNanos = nowNanos + node.membership.untilNextTick(localTime(node)).toNanos();
     if (atNanos < node.nextTickNanos) {
       node.nextTickNanos = atNanos;
-      events.add(new Event(atNanos, lastSequence++, index, null, null));
+      events.add(new SimulationEvent(atNanos, lastSequence++, index, null, null));
     }
   }
 
@@ -277,7 +278,7 @@
             nowNanos
                 + minDelayNanos
                 + (long) (random.nextDouble() * (maxDelayNanos - minDelayNanos));
-        events.add(new Event(atNanos, lastSequence++, to, message, null));
+        events.add(new SimulationEvent(atNanos, lastSequence++, to, message, null));
       }
     }
   }
--- a/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
+++ b/membership/src/test/java/tamarindroute/membership/ModelTransitions.java
@@ -22,6 +22,8 @@
   private static final long DOWNTIME_NANOS = 2 * PERIOD_NANOS;
   private static final long MESSAGE_DELAY_NANOS = 10 * NANOS_PER_MILLI;
   private static final long DUPLICATE_DELAY_NANOS = 3 * PERIOD_NANOS;
+
+  /** Small, so that request ids repeat soon and the number of states stays bounded. */
   private static final int REQUEST_ID_LIMIT = 6;
 
   private final MembershipSettings settings;
