--- a/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/InvariantChecker.java
@@ -10,8 +10,8 @@
 
 /**
  * Checks the invariants of a simulation. Compares the messages delivered to nodes and the actions
- * of nodes with the injected faults. The only state of a member that it reads is its local status,
- * as callers of the member do.
+ * of nodes with the injected faults. Of a member's state it reads only the local status and the
+ * incarnation, as callers of the member do.
  */
 final class InvariantChecker implements SimulationObserver {
 
--- a/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
+++ b/membership/src/test/java/tamarindroute/membership/MembershipModelChecker.java
@@ -14,8 +14,8 @@
  * links may be cut for a while.
  *
  * <p>States are compared by keys whose times are relative to now, so that states with equal future
- * behaviour are explored once. Random choices always take the first alternative. With three members
- * this loses little, as both other members are selected anyway.
+ * behaviour are explored once. Random choices always take the first alternative, because with three
+ * members both other members are selected anyway.
  */
 final class MembershipModelChecker {
 
