--- a/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
+++ b/agreement/src/main/java/tamarindroute/agreement/ViewTransitions.java
@@ -103,7 +103,18 @@
             ? put.baseNumber() == current.lastChangedNumber()
             : put.baseNumber() >= view.lastRemovalNumber() && put.baseNumber() <= view.number();
     if (!upToDate) {
-      return outdated(view, "put of " + put.key(), put.baseNumber(), view.baseNumber(put.key()));
+      return current != null
+          ? outdated(view, "put of " + put.key(), put.baseNumber(), current.lastChangedNumber())
+          : Transition.rejected(
+              view,
+              "put of absent key "
+                  + put.key()
+                  + " has base number "
+                  + put.baseNumber()
+                  + ", expected "
+                  + view.lastRemovalNumber()
+                  + " to "
+                  + view.number());
     }
     SortedMap<String, ReplicatedEntry> entries = new TreeMap<>(view.entries());
     entries.put(put.key(), new ReplicatedEntry(put.type(), put.value(), view.number() + 1));
@@ -126,9 +137,13 @@
 
   private static Transition remove(MembershipView view, Command.Remove remove) {
     ReplicatedEntry current = view.entries().get(remove.key());
-    if (current == null || remove.baseNumber() != current.lastChangedNumber()) {
+    if (current == null) {
+      return Transition.rejected(
+          view, "removal of " + remove.key() + ", but view " + view.number() + " has no such key");
+    }
+    if (remove.baseNumber() != current.lastChangedNumber()) {
       return outdated(
-          view, "removal of " + remove.key(), remove.baseNumber(), view.baseNumber(remove.key()));
+          view, "removal of " + remove.key(), remove.baseNumber(), current.lastChangedNumber());
     }
     SortedMap<String, ReplicatedEntry> entries = new TreeMap<>(view.entries());
     entries.remove(remove.key());
@@ -145,14 +160,10 @@
   }
 
   private static Transition outdated(
-      MembershipView view, String commandDescription, long baseNumber, long currentNumber) {
+      MembershipView view, String commandDescription, long baseNumber, long expectedNumber) {
     return Transition.rejected(
         view,
-        commandDescription
-            + " has base number "
-            + baseNumber
-            + ", expected the current number "
-            + currentNumber);
+        commandDescription + " has base number " + baseNumber + ", expected " + expectedNumber);
   }
 
   private static Transition nextView(
