--- a/maintenance/src/main/java/tamarindroute/maintenance/CoverageAssessor.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/CoverageAssessor.java
@@ -22,7 +22,7 @@
     record Found(Duration start) implements Slot {}
 
     /**
-     * The window may not start at any time within its bounds.
+     * There is no possible start time within the bounds of the window.
      *
      * @param shortage the shortage that prevents it
      */
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Searches a start time for a window.
+   * Returns a start time for a window, or the shortage that prevents its start.
    *
    * @param requested the window without a start
    * @param others the windows that are scheduled or in progress
--- a/maintenance/src/main/java/tamarindroute/maintenance/LoadCurve.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/LoadCurve.java
@@ -15,8 +15,8 @@
  */
 public record LoadCurve(int bins, SortedMap<String, LoadSample> samples) {
   /**
-   * Number of quarter hours of a day. Load changes by a few percent within a quarter of an hour, so
-   * smaller bins would add no information.
+   * Maximum number of bins: the quarter hours of a day. Load changes by only a few percent within a
+   * quarter of an hour.
    */
   public static final int MAX_BINS = 96;
 
--- a/maintenance/src/main/java/tamarindroute/maintenance/Notice.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/Notice.java
@@ -8,7 +8,10 @@
   START_DELAYED,
   /** The caches of a started window must return early because of a shortage. */
   RECALLED,
-  /** A key range is uncovered now, without any further failure. */
+  /**
+   * A key range is uncovered now, without any further failure. Members that are not the leader or
+   * are out of contact send this notice as well.
+   */
   UNCOVERED,
   /** A cache is not up and warm although the warm-up after its window has passed. */
   RETURN_LATE,
--- a/maintenance/src/main/java/tamarindroute/maintenance/PlanningInput.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/PlanningInput.java
@@ -88,7 +88,8 @@
   private static void requireKnownReferences(
       KeyRange range, List<Cache> caches, Map<String, double[]> load) {
     if (range.edges().isEmpty()) {
-      throw new IllegalArgumentException("edges of " + range + " are empty, must be at least one");
+      throw new IllegalArgumentException(
+          "edges of " + range + " are empty, must have at least one");
     }
     if (!load.containsKey(range.location())) {
       throw new IllegalArgumentException(
--- a/maintenance/src/test/java/tamarindroute/maintenance/GatewayModel.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/GatewayModel.java
@@ -100,6 +100,10 @@
     return variant.next(state, event, CoordinatorModel.seconds(0), true, assessor).state();
   }
 
+  /**
+   * Returns the gateway after its decision and adds its proposals. A gateway out of contact receives
+   * no events and its proposals are lost.
+   */
   Gateway decide(ModelWorld world, Gateway gateway, List<WindowAction.Propose> proposals) {
     Duration now = CoordinatorModel.seconds(world.time());
     CoordinatorState state = gateway.inContact() ? updated(world, gateway, now) : gateway.state();
--- a/versioning/src/main/java/tamarindroute/versioning/FleetVersion.java
+++ b/versioning/src/main/java/tamarindroute/versioning/FleetVersion.java
@@ -56,12 +56,12 @@
       return Optional.empty();
     }
     return Optional.of(
-        "the fleet has settled on version "
-            + settled
-            + ", this peer supports "
+        "peer supports fleet versions "
             + lowest
             + " to "
-            + highest);
+            + highest
+            + ", must support the settled version "
+            + settled);
   }
 
   /** Returns the fleet version that a rollout from this one introduces. */
--- a/versioning/src/main/java/tamarindroute/versioning/VersionTable.java
+++ b/versioning/src/main/java/tamarindroute/versioning/VersionTable.java
@@ -18,13 +18,22 @@
    */
   public VersionTable {
     allowed = List.copyOf(allowed);
-    if (allowed.isEmpty() || allowed.get(0).isEmpty()) {
-      throw new IllegalArgumentException("fleet version 0 allows no schema version");
+    if (allowed.isEmpty()) {
+      throw new IllegalArgumentException(
+          "version table has 0 fleet versions, must have at least 1");
+    }
+    if (allowed.get(0).isEmpty()) {
+      throw new IllegalArgumentException(
+          "fleet version 0 allows no schema version, must allow at least one");
     }
     for (int version = 1; version < allowed.size(); version++) {
       if (allowed.get(version).and(allowed.get(version - 1)).isEmpty()) {
         throw new IllegalArgumentException(
-            "fleet versions " + (version - 1) + " and " + version + " share no schema version");
+            "fleet versions "
+                + (version - 1)
+                + " and "
+                + version
+                + " share no schema version, must share at least one");
       }
     }
   }
--- a/versioning/src/test/java/tamarindroute/versioning/VersionsTest.java
+++ b/versioning/src/test/java/tamarindroute/versioning/VersionsTest.java
@@ -166,9 +166,9 @@
   @Test
   void neighbouringFleetVersionsMustShareASchemaVersion() {
     assertThatThrownBy(() -> new VersionTable(List.of(VersionSet.of(0), VersionSet.of(1))))
-        .hasMessage("fleet versions 0 and 1 share no schema version");
+        .hasMessage("fleet versions 0 and 1 share no schema version, must share at least one");
     assertThat(new FleetVersion(1, FleetVersion.Phase.STABLE).joinRefusal(0, 0))
-        .contains("the fleet has settled on version 1, this peer supports 0 to 0");
+        .contains("peer supports fleet versions 0 to 0, must support the settled version 1");
     assertThat(new FleetVersion(1, FleetVersion.Phase.TRIAL).joinRefusal(0, 1)).isEmpty();
   }
 }
