--- a/maintenance/src/test/java/tamarindroute/maintenance/GatewayModel.java
+++ b/maintenance/src/test/java/tamarindroute/maintenance/GatewayModel.java
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the gateway after its decision and adds its proposals. A gateway out of contact receives
-   * no events and its proposals are lost.
+   * Returns the gateway after its decision and adds its proposals. A gateway out of contact
+   * receives no events and its proposals are lost.
    */
   Gateway decide(ModelWorld world, Gateway gateway, List<WindowAction.Propose> proposals) {
     Duration now = CoordinatorModel.seconds(world.time());
