--- a/router/src/main/java/tamarindroute/vrrp/Election.java
+++ b/router/src/main/java/tamarindroute/vrrp/Election.java
@@ -7,20 +7,23 @@
  * The state machine of one virtual router (RFC 9568, 6.4), extended by a lease, as a pure function:
  * {@link #next} maps a state, an event and the time to the next state and the actions to carry out.
  *
- * <p>The lease limits for how long an active router may act after its last advertisement: three
- * advertisement intervals from when it was sent. A peer that received the advertisement takes over
- * only after three intervals and its skew time, counted from then or later, so the lease has ended
- * by that time. The lease is checked with {@link #mayAct} by whoever acts for the address, on the
- * same thread and right before the act, and not by a timer. A process that was suspended thereby
- * notices the end of its lease before it does anything.
+ * <p>The lease limits for how long an active router may act for the shared address: until three
+ * advertisement intervals after it sent its last advertisement. A peer that received this
+ * advertisement takes over only three intervals and its skew time after it received it, so the
+ * lease has ended by then. Code that acts for the address checks the lease with {@link #mayAct}, on
+ * the same thread and right before it acts. No timer is involved, so a process that was suspended
+ * notices the end of its lease before it acts.
+ *
+ * <p>Where voters are required, an active router also needs their grants, see {@link VoterGrant}.
+ * This class does not handle grants.
  *
  * <p>All times are of a monotonic clock.
  */
 public final class Election {
 
   /**
-   * An active router counts as down after this many intervals without an advertisement and the skew
-   * time (RFC 9568, 6.1).
+   * A backup regards the active router as down if it receives no advertisement for this many
+   * advertisement intervals plus the skew time (RFC 9568, 6.1).
    */
   static final int ACTIVE_DOWN_INTERVALS = 3;
 
@@ -37,12 +40,12 @@
   /**
    * The configuration of a virtual router.
    *
-   * @param tieBreaker number of this gateway; of two active routers of equal priority the one with
-   *     the higher number stays active
-   * @param interval time between two of its advertisements
-   * @param preempt whether it takes over from an active router of lower priority
-   * @param preemptDelay for how long it observes an active router of lower priority before it takes
-   *     over
+   * @param tieBreaker number that identifies this gateway, computed from its IP address and port;
+   *     of two active routers of equal priority the one with the higher number stays active
+   * @param interval time between two advertisements of this router
+   * @param preempt whether this router takes over from an active router of lower priority
+   * @param preemptDelay how long this router must receive advertisements of lower priority before
+   *     it preempts their sender
    */
   public record Settings(
       long tieBreaker, Duration interval, boolean preempt, Duration preemptDelay) {}
@@ -50,17 +53,19 @@
   /**
    * The state of a virtual router.
    *
-   * @param role its role
-   * @param priority its priority, 1 to 255
-   * @param activeInterval advertisement interval of the active router, from its advertisements; its
-   *     own interval if it is active itself or has received none
-   * @param activeDownAt when the active router counts as down; null unless {@code BACKUP}
+   * @param role current role
+   * @param priority current priority, 1 to 255
+   * @param activeInterval advertisement interval of the active router, taken from its
+   *     advertisements; the configured interval of this router if it is active itself or has
+   *     received no advertisement
+   * @param activeDownAt when the active router is regarded as down; null unless {@code BACKUP}
    * @param advertiseAt when the next advertisement is due; null unless {@code ACTIVE}
    * @param leaseUntil end of the lease; null unless {@code ACTIVE}
-   * @param preemptableSince since when advertisements of lower priority have been received while
-   *     preemption is enabled; null unless {@code BACKUP}, or if there are none
-   * @param lastEventAt when an event last changed the state, null after {@link #initial}; in a
-   *     backup a long gap shows that the process was suspended
+   * @param preemptableSince when the first of an unbroken series of advertisements of lower
+   *     priority was received; null if there is no such series, preemption is disabled or the role
+   *     is not {@code BACKUP}
+   * @param lastEventAt when an event last changed the state, null after {@link #initial}; a backup
+   *     for which this is more than one interval ago was suspended
    */
   public record State(
       Role role,
@@ -75,20 +80,29 @@
   /** An input of the state machine. */
   public sealed interface Event {}
 
-  /** The router starts. With the owner's priority it becomes active at once, else a backup. */
+  /**
+   * The router starts. It becomes active at once if its priority is {@link
+   * Advertisement#OWNER_PRIORITY}, and a backup otherwise.
+   */
   public record Startup() implements Event {}
 
-  /** The router stops in an orderly way, or gives up the address and will start again. */
+  /**
+   * The router stops, or resigns as the active router. After a resignation it is started again with
+   * {@link Startup}.
+   */
   public record Shutdown() implements Event {}
 
-  /** Time has passed, at least up to {@link #nextDeadline}. Earlier ticks are harmless. */
+  /**
+   * The time of {@link #nextDeadline} has come. An earlier tick changes no role and causes no
+   * action.
+   */
   public record Tick() implements Event {}
 
   /**
    * A valid advertisement for this virtual router was received.
    *
-   * @param priority sender's priority; {@link Advertisement#RESIGN_PRIORITY} if it stops
-   * @param sender sender's number, comparable with {@link Settings#tieBreaker}
+   * @param priority sender's priority; {@link Advertisement#RESIGN_PRIORITY} if the sender stops
+   * @param sender sender's {@link Settings#tieBreaker}
    * @param interval sender's advertisement interval
    */
   public record AdvertisementReceived(int priority, long sender, Duration interval)
@@ -97,7 +111,7 @@
   /**
    * The priority of this gateway has changed.
    *
-   * @param priority the new one, 1 to 255
+   * @param priority new priority, 1 to 255
    */
   public record PriorityChanged(int priority) implements Event {}
 
@@ -105,25 +119,29 @@
   public sealed interface Action {}
 
   /**
-   * Send an advertisement to all peers at once.
+   * Immediately send an advertisement to all peers.
    *
    * @param priority priority to advertise
    */
   public record SendAdvertisement(int priority) implements Action {}
 
-  /** Bind the shared address, announce it and serve. */
+  /** Bind the shared address, announce it and serve, once all required grants are held. */
   public record TakeAddress() implements Action {}
 
-  /** Unbind the shared address. Open requests may still be answered as far as that is allowed. */
+  /**
+   * Unbind the shared address. Whether open requests are still answered is not decided here.
+   *
+   * @param reason why the address is released
+   */
   public record ReleaseAddress(ReleaseReason reason) implements Action {}
 
   /** The reasons for which a router gives up the shared address. */
   public enum ReleaseReason {
     /** The router was shut down or resigned. */
     STOPPED,
-    /** Another active router has a higher priority, or the same one and a higher number. */
+    /** Another active router has a higher priority, or equal priority and a higher tie breaker. */
     HIGHER_PRIORITY,
-    /** The lease, or the grants of a quorum, ended before they were renewed. */
+    /** The lease, or the grants of more than half of the voters, ended before their renewal. */
     LEASE_EXPIRED
   }
 
@@ -143,19 +161,20 @@
   }
 
   /**
-   * Whether a router in this state may act for the shared address. To be checked right before each
-   * act.
+   * Whether the lease lets a router in this state act for the shared address. To be checked right
+   * before each action on its behalf, such as accepting a request.
    */
   public static boolean mayAct(State state, Duration now) {
     return state.role == Role.ACTIVE && now.compareTo(state.leaseUntil) < 0;
   }
 
-  /** Returns when a {@link Tick} is due if no other event occurs before; null for never. */
+  /** Returns when a {@link Tick} is due unless another event occurs earlier; null for never. */
   public static Duration nextDeadline(State state) {
     return switch (state.role) {
       case INITIALIZE -> null;
       case BACKUP -> {
-        // Wakes twice per interval, so that a longer gap between events shows a suspended process.
+        // A backup ticks twice per interval. A gap of more than one interval between its events
+        // therefore means that the process was suspended.
         Duration wakeAt = state.lastEventAt.plus(state.activeInterval.dividedBy(2));
         yield state.activeDownAt.compareTo(wakeAt) < 0 ? state.activeDownAt : wakeAt;
       }
--- a/router/src/main/java/tamarindroute/vrrptransport/GrantService.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/GrantService.java
@@ -9,7 +9,10 @@
 import tamarindroute.vrrp.GrantMessage;
 import tamarindroute.vrrp.VoterGrant;
 
-/** Answers candidates as one voter, in a gateway or a witness. */
+/**
+ * The voter in a gateway or a witness: answers the grant requests of candidates and keeps one grant
+ * per virtual router.
+ */
 final class GrantService {
 
   private final Set<Integer> virtualIds;
@@ -20,7 +23,7 @@
    * Starts a voter.
    *
    * @param virtualIds virtual routers to vote for
-   * @param grantDuration configured alike for all voters and candidates
+   * @param grantDuration how long a grant lasts; must be the same at all voters and candidates
    */
   GrantService(Set<Integer> virtualIds, Duration grantDuration) {
     this.virtualIds = Set.copyOf(virtualIds);
@@ -32,8 +35,8 @@
   /**
    * Handles a candidate's message.
    *
-   * @return the answer; null if there is none, which also holds for messages with an unknown
-   *     virtual router or another grant duration
+   * @return the answer to a request; null for other messages, and for messages whose virtual router
+   *     is unknown or whose grant duration differs from the configured one
    */
   GrantMessage onMessage(GrantMessage message, InetSocketAddress from) {
     if (!virtualIds.contains(message.virtualId())
--- a/router/src/main/java/tamarindroute/vrrptransport/SealedDatagrams.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/SealedDatagrams.java
@@ -8,8 +8,9 @@
 import tamarindroute.protocol.MessageAuthenticator;
 
 /**
- * Seals the messages sent from one local address and opens those received there. Without an
- * authenticator, messages are sent and received in plain form.
+ * Seals the messages sent from one local address, and opens those received there. Sealing adds an
+ * authentication code and a sequence number. Opening verifies both and removes them. Without an
+ * authenticator, messages are sent and received without them.
  */
 final class SealedDatagrams {
 
@@ -24,8 +25,9 @@
   /**
    * Creates a channel.
    *
-   * @param authenticator null for plain messages
-   * @param incarnation larger at each start of this process
+   * @param authenticator null for unauthenticated messages
+   * @param incarnation number that must be larger at each start of this process, so that receivers
+   *     can reject replayed messages
    */
   SealedDatagrams(
       DatagramTransport datagrams,
--- a/router/src/main/java/tamarindroute/vrrptransport/VirtualRouter.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/VirtualRouter.java
@@ -100,7 +100,7 @@
             GrantMessage.MessageType.REQUEST, virtualId, endpoint.grantDuration(), now.toNanos());
     GrantMessage ownAnswer = endpoint.voteLocally(request);
     if (ownAnswer != null && ownAnswer.type() == GrantMessage.MessageType.GRANTED) {
-      onGranted(VrrpEndpoint.OWN_VOTER, now);
+      onGranted(VrrpEndpoint.OWN_VOTER_NUMBER, now);
     }
     endpoint.sendToVoters(request);
   }
@@ -112,8 +112,8 @@
    * @param requestedAt when this router sent the request
    */
   void onGranted(int voter, Duration requestedAt) {
-    // A time in the future is none at which this router sent a request, and the grant would seem
-    // valid for too long.
+    // No request can have been sent in the future. Such a time is rejected because the grant would
+    // be regarded as valid for too long.
     if (state.role() == Election.Role.ACTIVE
         && quorum != null
         && requestedAt.compareTo(MonotonicClock.now()) <= 0) {
--- a/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
@@ -18,12 +18,15 @@
 import tamarindroute.vrrp.GrantMessage;
 
 /**
- * One gateway's UDP address for advertisements and grant messages, with the virtual routers on it.
+ * Sends and receives the VRRP advertisements and grant messages of one gateway over UDP, and holds
+ * the gateway's virtual routers.
  *
- * <p>Peers and voters are configured by address and port. Datagrams from other senders, with an
- * invalid seal or with malformed contents are dropped and logged. The pseudo header of an
- * advertisement's checksum has the IP addresses of the UDP datagram. All methods are called on the
- * event loop.
+ * <p>Peers are the other gateways. Voters are this gateway and the configured gateways and {@link
+ * Witness witnesses} whose grants an active router needs. Both are configured by address and port.
+ * A datagram is dropped and logged if it comes from any other sender, if its authentication code
+ * (seal) is invalid or was seen before, or if its contents are malformed. The checksum of an
+ * advertisement covers a pseudo header with the IP addresses of the UDP datagram. All methods are
+ * called on the event loop.
  */
 public final class VrrpEndpoint {
 
@@ -34,16 +37,16 @@
     void onTaken();
 
     /**
-     * This gateway may not act for the address any more: unbind it. Open requests may still be
-     * answered as far as that is allowed.
+     * This gateway may not act for the address any more: unbind it. Whether open requests are still
+     * answered is up to the implementation.
      */
     void onReleased(Election.ReleaseReason reason);
   }
 
-  /** This gateway's number as a voter. The other voters follow from 1 on. */
-  static final int OWN_VOTER = 0;
+  /** Number of this gateway in its own list of voters. The other voters have the numbers from 1. */
+  static final int OWN_VOTER_NUMBER = 0;
 
-  /** Bytes of an address, its last ones, that are part of a gateway's number. */
+  /** Number of bytes from the end of an IP address that are used in a tie breaker. */
   private static final int TIE_BREAKER_ADDRESS_BYTES = 6;
 
   private final Scheduler scheduler;
@@ -65,9 +68,10 @@
    *
    * @param ownAddress local address to send from and to listen on
    * @param peers addresses of the other gateways
-   * @param authenticator seals and opens the messages; null to send and accept advertisements in
-   *     the plain form of the standard
-   * @param incarnation larger at each start of this gateway
+   * @param authenticator authenticates (seals and opens) the messages; null to send and accept
+   *     unauthenticated advertisements as in RFC 9568
+   * @param incarnation number that must be larger at each start of this gateway, so that peers can
+   *     reject replayed messages
    */
   public VrrpEndpoint(
       Scheduler scheduler,
@@ -84,12 +88,12 @@
   }
 
   /**
-   * Makes the active router act only with the grants of more than half of the voters, which are the
-   * given ones and this gateway. To be called before the start.
+   * Requires an active router to hold the grants of more than half of the voters before it acts.
+   * The voters are the given ones and this gateway. To be called before {@link #start}.
    *
    * @param otherVoters addresses of other gateways and of witnesses
-   * @param grantDuration configured alike for all voters and candidates; three advertisement
-   *     intervals match the lease
+   * @param grantDuration how long a grant lasts; must be the same at all voters and candidates, and
+   *     three advertisement intervals make it as long as the lease
    * @throws IllegalArgumentException if the endpoint has no authenticator
    */
   public void requireVoters(List<InetSocketAddress> otherVoters, Duration grantDuration) {
@@ -108,7 +112,8 @@
    *
    * @param virtualId virtual router ID, 1 to 255
    * @param priority initial priority, 1 to 255
-   * @param addresses shared addresses; peers must have the same ones in the same order
+   * @param addresses shared IP addresses; peers must list the same addresses in the same order
+   * @param holder takes and releases the shared addresses
    * @throws IllegalArgumentException if the ID was added before
    */
   public VirtualRouter add(
@@ -137,18 +142,21 @@
     routers.values().forEach(router -> router.handle(new Election.Startup()));
   }
 
-  /** Stops all virtual routers. Active ones notify their peers, which then take over sooner. */
+  /**
+   * Stops all virtual routers. Active ones send a resignation, so that a peer takes over after its
+   * skew time only.
+   */
   public void stop() {
     routers.values().forEach(router -> router.handle(new Election.Shutdown()));
   }
 
   /**
-   * Returns the number of a gateway for {@link Election.Settings#tieBreaker}, from its IP address
-   * and its port, the address being the more significant part.
+   * Returns the {@link Election.Settings#tieBreaker} of the gateway with the given address. The IP
+   * address is its more significant part, the port its last 16 bits.
    */
   public static long tieBreaker(InetSocketAddress address) {
     byte[] bytes = address.getAddress().getAddress();
-    // The last six bytes distinguish the peers of one network, in IPv6 too.
+    // The last six bytes distinguish the peers of one network even for 16-byte IPv6 addresses.
     long number = 0;
     for (int i = Math.max(0, bytes.length - TIE_BREAKER_ADDRESS_BYTES); i < bytes.length; i++) {
       number = (number << 8) | (bytes[i] & 0xFF);
@@ -160,12 +168,12 @@
     return scheduler;
   }
 
-  /** Whether acting requires grants; false before the start. */
+  /** Whether an active router needs grants. Always false before {@link #start}. */
   boolean hasVoters() {
     return grantService != null;
   }
 
-  /** The number of voters with this gateway. */
+  /** Returns the number of voters, including this gateway. */
   int voterCount() {
     return otherVoters.size() + 1;
   }
@@ -174,7 +182,11 @@
     return grantDuration;
   }
 
-  /** Handles a message of this gateway as its own voter; returns the answer or null. */
+  /**
+   * Handles a grant message that this gateway, as a candidate, sends to itself as a voter.
+   *
+   * @return the answer; null if there is none, as for a release
+   */
   GrantMessage voteLocally(GrantMessage message) {
     return grantService.onMessage(message, ownAddress);
   }
@@ -258,7 +270,8 @@
       routers
           .get(message.virtualId())
           .onGranted(
-              OWN_VOTER + 1 + otherVoters.indexOf(from), Duration.ofNanos(message.requestToken()));
+              OWN_VOTER_NUMBER + 1 + otherVoters.indexOf(from),
+              Duration.ofNanos(message.requestToken()));
     }
   }
 }
--- a/router/src/main/java/tamarindroute/vrrptransport/Witness.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/Witness.java
@@ -29,9 +29,10 @@
    * @param ownAddress local address to listen on
    * @param candidates addresses of the gateways
    * @param virtualIds virtual router IDs to vote for
-   * @param grantDuration configured alike for all voters and candidates
-   * @param authenticator seals and opens the messages
-   * @param incarnation larger at each start of this witness
+   * @param grantDuration how long a grant lasts; must be the same at all voters and candidates
+   * @param authenticator authenticates (seals and opens) the messages
+   * @param incarnation number that must be larger at each start of this witness, so that gateways
+   *     can reject replayed messages
    */
   public Witness(
       DatagramTransport datagrams,
