--- a/membership/src/main/java/tamarindroute/membership/FailureDetector.java
+++ b/membership/src/main/java/tamarindroute/membership/FailureDetector.java
@@ -6,27 +6,32 @@
 import java.util.Map;
 
 /**
- * SWIM failure detector: probes other members directly and indirectly and reports those that do not
- * answer as suspect.
+ * SWIM failure detector: probes other members (targets) directly and through helpers, and reports
+ * targets that do not answer as suspect.
  *
- * <p>Reports no member while no other member answers the local one. Time in which the local process
- * did not run does not count as missing answers, because it could not read them.
+ * <p>A probe runs through stages, whose length is given by {@link HealthScore}. A helper probes the
+ * target on behalf of the member that requested it. The helper passes on the target's answer (ACK),
+ * and before that sends a NACK if the target has not answered within the first stage.
+ *
+ * <p>If no other member answers either, no target is reported, because the local member itself is
+ * probably isolated. Deadlines are moved by the time in which the local process did not run,
+ * because it could not read answers then.
  */
 final class FailureDetector {
 
   /**
-   * Bound on the open probes, including those on behalf of other members. A member of 5,000 probes
-   * only a few suspects per second in addition to its regular targets.
+   * Maximum number of open probes, including those on behalf of other members. Among 5,000 members,
+   * each one probes only a few suspects per second in addition to its regular targets.
    */
   private static final int MAX_OPEN_PROBES = 64;
 
   /**
-   * Last stage of a probe on behalf of another member. Such a probe is sent twice, one stage apart,
-   * and is given up one stage after this one.
+   * Last stage of a probe on behalf of another member, counted from 0. The probe is sent in stages
+   * 0 and 1, and is dropped at the end of this stage.
    */
   private static final int LAST_INDIRECT_STAGE = 2;
 
-  /** Value of {@link #earliestDueNanos} that has to be computed again. */
+  /** Marks {@link #earliestDueNanos} as not computed since the last change. */
   private static final long UNKNOWN = -1;
 
   private final StepContext context;
@@ -49,6 +54,7 @@
     this.suspicions = suspicions;
   }
 
+  /** Returns a copy of the open probes that works on the given copies of the other components. */
   FailureDetector copy(
       StepContext otherContext,
       OutboundMessages otherOutbound,
@@ -60,6 +66,7 @@
     return copy;
   }
 
+  /** Returns the state that determines future behaviour, for a model checker. */
   List<Object> stateKey(long nowNanos) {
     List<Object> key = new ArrayList<>();
     for (Probe probe : openProbes.values()) {
@@ -68,13 +75,13 @@
     return key;
   }
 
-  /** Drops all open probes without reporting their targets. */
+  /** Drops all open probes and reports none of their targets. */
   void clear() {
     openProbes.clear();
     earliestDueNanos = UNKNOWN;
   }
 
-  /** Moves the deadlines of all probes by a time in which the local process did not run. */
+  /** Postpones all probes by the time in which the local process did not run. */
   void postpone(long delayNanos) {
     if (delayNanos > 0) {
       openProbes.values().forEach(probe -> probe.nextStageNanos += delayNanos);
@@ -192,20 +199,22 @@
   }
 
   private void onFailure(Probe probe) {
+    // Without a NACK, the local member may have missed messages of its helpers (Lifeguard).
     if (!probe.nackReceived) {
       context.healthScore.degrade();
     }
     MemberEntry entry = context.memberTable.find(probe.target);
-    boolean isSameLiveState =
+    boolean isLiveWithoutRefutation =
         entry != null && entry.isLive() && entry.refutation == probe.refutation;
-    if (isSameLiveState && mayReport(probe)) {
+    if (isLiveWithoutRefutation && mayReport(probe)) {
       suspicions.report(entry, context.self.address());
     }
   }
 
   /**
-   * Whether the target of a failed probe may be reported. If no other member has answered since the
-   * probe was sent, the local member is more likely isolated than the target faulty.
+   * Whether the target of a failed probe may be reported. If no other member has answered since one
+   * probe period before the probe was sent, the local member is more likely isolated than the
+   * target faulty. Always true if the guard by local health is switched off.
    */
   private boolean mayReport(Probe probe) {
     if (!context.settings.guards().localHealth()) {
@@ -217,8 +226,8 @@
   }
 
   /**
-   * Ends the probe that a message answers. Passes the answer on if the probe was on behalf of
-   * another member.
+   * Ends the probe that is answered by a message from its target or from a helper. Passes the
+   * answer on to the requester if the probe was on behalf of another member.
    */
   void onAck(Message message) {
     Probe probe = openProbes.get(message.requestId());
@@ -231,7 +240,8 @@
       outbound.send(Message.Kind.ACK, probe.requester, probe.requesterProbeId, probe.target);
       return;
     }
-    // After a second sending it is unknown which one was answered (Karn's algorithm, RFC 6298).
+    // After a retransmission it is unknown which transmission was answered (Karn's algorithm, RFC
+    // 6298).
     if (probe.stage == 0) {
       context.healthScore.recordRoundTrip(context.nowNanos - probe.sentNanos);
     }
@@ -239,7 +249,7 @@
     localHealth.recordAnswer();
   }
 
-  /** Records that the helper of an indirect probe is alive although its probe was not answered. */
+  /** Records that a helper is alive although the target has not answered the helper's probe. */
   void onNack(Message message) {
     Probe probe = openProbes.get(message.requestId());
     if (probe != null && probe.isLocal() && probe.target.equals(message.subject())) {
--- a/membership/src/main/java/tamarindroute/membership/MemberEntry.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberEntry.java
@@ -25,13 +25,13 @@
    */
   long stateSinceNanos;
 
-  /** Observers that reported this suspect, the first one first; null unless suspect. */
+  /** Observers that reported this suspect, in the order of their reports; null unless suspect. */
   List<Address> reporters;
 
   /** Members that have themselves declared this suspect faulty; null if none has. */
   List<Address> faultyReporters;
 
-  /** Index in the table's list of live members. */
+  /** Index in the table's list of live members, or {@link #NOT_LIVE}. */
   int probeIndex = NOT_LIVE;
 
   MemberEntry(Member member, MemberState state, long refutation, long stateSinceNanos) {
--- a/membership/src/main/java/tamarindroute/membership/MemberTable.java
+++ b/membership/src/main/java/tamarindroute/membership/MemberTable.java
@@ -10,18 +10,19 @@
 import java.util.Optional;
 
 /**
- * Table of the other members, with the latest known incarnation for each address. Bounded: a full
- * table drops the member that has been gone (faulty or left) for longest.
+ * Table of the other members, with the latest known incarnation for each address. The size is
+ * bounded. A full table drops the member that has been gone (faulty or left) for longest when
+ * another member is added.
  *
  * <p>Live members (alive or suspect) are also in a list that is probed round robin. The list is
  * shuffled anew in each round, one position at a time (Fisher-Yates).
  */
 final class MemberTable {
 
-  /** Random selection makes at most this many draws per requested member, plus a constant. */
+  /** Maximum number of random draws per requested member, plus {@link #EXTRA_DRAWS} in total. */
   private static final int DRAWS_PER_PICK = 4;
 
-  /** Draws in addition to those per requested member. */
+  /** Random draws per selection, in addition to {@link #DRAWS_PER_PICK} per requested member. */
   private static final int EXTRA_DRAWS = 8;
 
   private final int maxMembers;
@@ -32,6 +33,7 @@
   /** Members that are faulty or have left, in the order of these state changes. */
   private final LinkedHashSet<Address> gone = new LinkedHashSet<>();
 
+  /** Members that have requested admission and have not sent a message as a member yet. */
   private final LinkedHashSet<Address> joining = new LinkedHashSet<>();
 
   /** Index in the live list of the next member to probe; those before it were probed this round. */
@@ -52,6 +54,7 @@
     return copy;
   }
 
+  /** Returns the state that determines future behaviour, for a model checker. */
   List<Object> stateKey(long nowNanos) {
     List<Object> key = new ArrayList<>(List.of(probePosition));
     entries.values().stream()
@@ -60,7 +63,7 @@
     return key;
   }
 
-  /** Returns the entry of the incarnation that is known at an address, or null if there is none. */
+  /** Returns the entry of the member at an address, of whatever incarnation, or null if none. */
   MemberEntry find(Address address) {
     return entries.get(address);
   }
@@ -114,7 +117,7 @@
     return true;
   }
 
-  /** Changes the state of an entry and removes the reports that belong to its previous state. */
+  /** Changes the state of an entry and drops the observers' reports of its previous state. */
   void setState(MemberEntry entry, MemberState state, long nowNanos, DeterministicRandom random) {
     removeFromIndexes(entry);
     entry.state = state;
@@ -153,6 +156,7 @@
     }
     liveEntries.add(entry);
     entry.probeIndex = liveEntries.size() - 1;
+    // A random position among the members that were not probed in this round yet.
     swap(entry.probeIndex, randomUnprobedIndex(random));
   }
 
@@ -160,6 +164,7 @@
     if (entry.probeIndex == MemberEntry.NOT_LIVE) {
       return;
     }
+    // Keeps the members that were probed in this round before the probe position.
     if (entry.probeIndex < probePosition) {
       probePosition--;
       swap(entry.probeIndex, probePosition);
@@ -200,9 +205,9 @@
   }
 
   /**
-   * Returns the live member that follows a hash on the ring, or empty if there is none. Skips
-   * members that the given observer has already reported as suspect, so that the observer goes on
-   * to the next member on the ring.
+   * Returns the live member whose hash follows the given one on the hash ring, or empty if there is
+   * none. Skips members that the observer has reported as suspect already, so that the observer
+   * probes the member after them.
    */
   Optional<MemberEntry> successor(int hash, Address observer) {
     MemberEntry next = null;
@@ -220,8 +225,8 @@
   /**
    * Returns randomly selected members that are alive and not suspect.
    *
-   * @param count maximum number of members; fewer are returned if there are fewer or draws miss
-   *     them
+   * @param count maximum number of members; fewer are returned if not enough members are eligible
+   *     or the draws hit too few of them
    * @param excluded member that is never selected; null for none
    */
   List<MemberEntry> randomAlive(int count, MemberEntry excluded, DeterministicRandom random) {
@@ -243,14 +248,15 @@
 
   /** Returns a randomly selected faulty member, never one that has left; empty if there is none. */
   Optional<MemberEntry> randomFaulty(DeterministicRandom random) {
-    int skip = random.nextInt(gone.size());
+    // Selects the last faulty member up to a random position, or else the first one after it.
+    int remaining = random.nextInt(gone.size());
     MemberEntry found = null;
     for (Address address : gone) {
       MemberEntry entry = entries.get(address);
-      if (entry.state == MemberState.FAULTY && (found == null || skip >= 0)) {
+      if (entry.state == MemberState.FAULTY && (found == null || remaining >= 0)) {
         found = entry;
       }
-      skip--;
+      remaining--;
     }
     return Optional.ofNullable(found);
   }
@@ -279,6 +285,7 @@
     return liveEntries.size() - suspects.size();
   }
 
+  /** Returns the number of other members in any state. */
   int size() {
     return entries.size();
   }
--- a/membership/src/main/java/tamarindroute/membership/Probe.java
+++ b/membership/src/main/java/tamarindroute/membership/Probe.java
@@ -21,10 +21,10 @@
   /** Member that requested this indirect probe, or null if the probe is the local member's own. */
   final Member requester;
 
-  /** Request id of the indirect probe at the requester; 0 if there is no requester. */
+  /** Id of the requester's own probe of the target; 0 if there is no requester. */
   final long requesterProbeId;
 
-  /** Number of stages that have ended. */
+  /** Current stage, from 0, which is the number of stages that have ended. */
   int stage;
 
   /** End of the current stage. */
--- a/membership/src/main/java/tamarindroute/membership/StateExchange.java
+++ b/membership/src/main/java/tamarindroute/membership/StateExchange.java
@@ -7,24 +7,29 @@
 import java.util.Map;
 
 /**
- * Anti-entropy state exchange. Members exchange their tables part by part, which delivers updates
- * that gossip missed and fills the table of a new member.
+ * Anti-entropy state exchange: delivers updates that gossip missed and fills the table of a new
+ * member.
+ *
+ * <p>The member table is divided into parts by the hash of the members, see {@link ExchangePart}. A
+ * request for a part contains the requester's own states of that part. The reply contains those
+ * states of the replying member that differ from them.
  */
 final class StateExchange {
 
   /**
-   * Ratio of the updates that fit into a message to the average size of a part. Sizes vary, because
-   * members are assigned to parts by hash. With this ratio few parts exceed a message.
+   * Ratio of the number of updates that fit into a message to the average number of members in a
+   * part. Part sizes vary because members are assigned to parts by hash. With this ratio few parts
+   * have more members than fit into a message.
    */
   private static final double PART_HEADROOM = 1.5;
 
   /**
-   * Number of parts that a new member requests in each gossip round. It receives 5,000 members in
-   * about 15 seconds.
+   * Number of parts that a new member requests in each gossip round. A new member receives the
+   * states of 5,000 members in about 15 seconds.
    */
   private static final int PARTS_PER_ROUND = 4;
 
-  /** Updates of a message that are reserved for the states of the receiver and of the sender. */
+  /** Updates in each message that are reserved for the states of its receiver and its sender. */
   private static final int RESERVED_UPDATES = 2;
 
   private final StepContext context;
@@ -33,7 +38,7 @@
   /** Parts that a new member has not received yet. */
   private final BitSet missingParts = new BitSet();
 
-  /** Number of parts into which the requested table is divided. */
+  /** Number of parts in which the whole table is requested; 0 before {@link #requestAll}. */
   private int requestedPartCount;
 
   StateExchange(StepContext context, OutboundMessages outbound) {
@@ -41,6 +46,7 @@
     this.outbound = outbound;
   }
 
+  /** Returns a copy that works on the given copies of the other components. */
   StateExchange copy(StepContext otherContext, OutboundMessages otherOutbound) {
     StateExchange copy = new StateExchange(otherContext, otherOutbound);
     copy.missingParts.or(missingParts);
@@ -48,6 +54,7 @@
     return copy;
   }
 
+  /** Returns the state that determines future behaviour, for a model checker. */
   List<Object> stateKey() {
     return List.of(missingParts.toString(), requestedPartCount);
   }
@@ -60,9 +67,10 @@
   }
 
   /**
-   * Starts to request the whole table from other members.
+   * Marks all parts as missing, so that {@link #requestMissing} requests them from other members.
    *
-   * @param announcedPartCount number of parts announced by a seed; bounded here
+   * @param announcedPartCount number of parts announced by the member that admitted this one; any
+   *     value, limited here to 1 to {@link ExchangePart#MAX_COUNT}
    */
   void requestAll(long announcedPartCount) {
     long bounded = Math.min(ExchangePart.MAX_COUNT, announcedPartCount);
@@ -71,12 +79,15 @@
     missingParts.set(0, requestedPartCount);
   }
 
-  /** Stops requesting missing parts. */
+  /** Marks no part as missing, so that none is requested any more. */
   void cancelRequests() {
     missingParts.clear();
   }
 
-  /** Requests the next missing parts from random members, starting at a random part. */
+  /**
+   * Requests {@link #PARTS_PER_ROUND} missing parts, each from a random member, starting at a
+   * random part. Requests a part several times if fewer are missing.
+   */
   void requestMissing() {
     if (missingParts.isEmpty()) {
       return;
@@ -89,6 +100,7 @@
     }
   }
 
+  /** Returns the first missing part from an index on, continuing at 0 after the last part. */
   private int nextMissingFrom(int index) {
     int next = missingParts.nextSetBit(index);
     return next >= 0 ? next : missingParts.nextSetBit(0);
@@ -100,6 +112,7 @@
     request(new ExchangePart(context.random.nextInt(count), count));
   }
 
+  /** Sends the local states of a part to a random member, which replies with its differing ones. */
   private void request(ExchangePart part) {
     for (MemberEntry other : context.memberTable.randomAlive(1, null, context.random)) {
       outbound.sendOnly(
@@ -122,7 +135,10 @@
         differencesOf(part, statesOfSender));
   }
 
-  /** Marks the part as received. Its updates have already been applied to the table. */
+  /**
+   * Marks the part of a reply as received if the reply is complete. The updates in the message have
+   * already been applied to the table.
+   */
   void onReply(Message message) {
     ExchangePart part = ExchangePart.fromRequestId(message.requestId());
     // A full reply may lack some states, so its part is requested again to get the rest.
@@ -132,6 +148,7 @@
     }
   }
 
+  /** Returns the local states of a part that differ from the given ones of another member. */
   private List<MembershipUpdate> differencesOf(
       ExchangePart part, Map<Address, MembershipUpdate> statesOfOther) {
     List<MembershipUpdate> updates = new ArrayList<>();
