--- a/policy/src/test/java/tamarindroute/policy/AdaptiveConcurrencyLimitTest.java
+++ b/policy/src/test/java/tamarindroute/policy/AdaptiveConcurrencyLimitTest.java
@@ -5,24 +5,29 @@
 import org.junit.jupiter.api.Test;
 import tamarindroute.decision.PolicySettings.WeightMeaning;
 
-/** How far the limit follows hits, with configured weights and without. */
+/**
+ * Tests {@link AdaptiveConcurrencyLimit} with and without configured weights. The tests guard
+ * against a limit that drifts with the counted concurrency, and against one that rises although
+ * queueing has begun.
+ */
 class AdaptiveConcurrencyLimitTest {
 
-  private static final int HITS = 300;
+  private static final int HITS_PER_CONCURRENCY = 300;
 
   private static AdaptiveConcurrencyLimit configured() {
     return AdaptiveConcurrencyLimit.of(WeightMeaning.NOMINAL);
   }
 
   /**
-   * Records hits at a low and a high concurrency by turns.
+   * Records hits at a low and a high concurrency in turn and returns the resulting limit.
    *
-   * @param slowdown how many times longer than on an idle cache the hits at high concurrency take
-   * @return the limit afterwards
+   * @param low transfers per unit of size for hits that take as long as on an idle cache
+   * @param high transfers per unit of size for hits that take longer
+   * @param slowdown factor by which hits at the high concurrency take longer than on an idle cache
    */
   private static double limitAfterHits(
       AdaptiveConcurrencyLimit limit, double low, double high, double slowdown) {
-    for (int i = 0; i < HITS; i++) {
+    for (int i = 0; i < HITS_PER_CONCURRENCY; i++) {
       limit.sample(low, 1, true);
       limit.sample(high, slowdown, true);
     }
@@ -30,8 +35,8 @@
   }
 
   /**
-   * The estimate must not drift with the counted concurrency: a configured limit is right within a
-   * factor.
+   * The estimate must not drift with the counted concurrency. A configured limit holds until hits
+   * contradict it by a factor of more than 2.
    */
   @Test
   void configuredLimitHoldsAgainstSlightContradiction() {
@@ -46,8 +51,8 @@
   }
 
   /**
-   * Hits that take a little longer at growing concurrency are the beginning of queueing, not spare
-   * capacity.
+   * Hits that take slightly longer as concurrency grows show the beginning of queueing, not spare
+   * capacity. Counted as capacity, they would raise the limit further with each hit.
    */
   @Test
   void slightlySlowerHitsProveNoSpareCapacity() {
--- a/policy/src/test/java/tamarindroute/policy/CapacityDiscoveryTest.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityDiscoveryTest.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * How the policy copes with caches whose capacity is advertised wrongly or not at all, in {@link
- * CapacitySimulation}: it serves about as much as with full information, settles after each change,
- * and keeps to the limits of cold caches and to the deduplication scope.
+ * Tests the policy in {@link CapacitySimulation} with cache capacities that are advertised wrongly
+ * or not at all. The tests guard against a policy that trusts advertised weights: it would serve
+ * far less than with full information, fail to settle after a change of a cache, or overload a cold
+ * cache. They also check that the deduplication scope is observed.
  */
 class CapacityDiscoveryTest {
 
@@ -27,15 +28,15 @@
   private static final double[] EDGES = {8, 10, 12, 16};
 
   /**
-   * Returns the simulation of the same requests with true and full information in which nothing
-   * happens.
+   * Returns the simulation of the same requests with full and true information and without events.
    */
   private static CapacitySimulation informed(
       int gateways, double load, boolean unevenClients, double... edges) {
     String key = gateways + " " + load + " " + unevenClients + " " + Arrays.toString(edges);
     return INFORMED.computeIfAbsent(
         key,
-        k -> new SimulationPlan(gateways, load, edges).withUnevenClients(unevenClients).simulate());
+        newKey ->
+            new SimulationPlan(gateways, load, edges).withUnevenClients(unevenClients).simulate());
   }
 
   @ParameterizedTest
@@ -63,9 +64,10 @@
   }
 
   /**
-   * At most a tenth less. Without weights, caches of capacity 8 and 16 are homes to as many
-   * objects: at nine tenths of the load the smallest is a third over its capacity, and what is
-   * served elsewhere is filled once more.
+   * The policy serves at most a tenth less than with full information. Without weights, caches of
+   * capacity 8 and 16 are hashed edges of equally many objects. At nine tenths of the load the
+   * smallest cache is then a third over its capacity, and objects that are served elsewhere are
+   * filled once more. The limit is lower for that case.
    */
   @ParameterizedTest
   @MethodSource("missingInformation")
@@ -124,13 +126,15 @@
       case "double" -> simulation -> simulation.restartEdge(0, 20);
       case "cold" -> simulation -> simulation.restartEdge(0, 10);
       case "restart" -> simulation -> simulation.restartGateway(0);
-      default -> throw new IllegalArgumentException("unknown change: " + name);
+      default ->
+          throw new IllegalArgumentException(
+              "change is \"" + name + "\", expected slow, half, double, cold or restart");
     };
   }
 
   /**
-   * From 15 s after the change, as if it had been from the start; the other caches as if there had
-   * been none.
+   * From 15 s after a change, the policy serves about as much as if the change had been there from
+   * the start. At the other caches it serves about as much as without the change.
    */
   @ParameterizedTest
   @CsvSource({
@@ -177,8 +181,8 @@
   }
 
   /**
-   * The other caches could take the whole load: few requests are rejected, and most of the rest is
-   * served in time.
+   * The remaining caches could serve the whole load. Few requests are rejected, and most of the
+   * others are served in time.
    */
   @ParameterizedTest
   @CsvSource({
@@ -248,7 +252,10 @@
     assertThat(disturbed.served(20, 40)).isGreaterThan(undisturbed.served(20, 40) - 0.03);
   }
 
-  /** With errors and a hung cache, second attempts are made, and each in the cell of the first. */
+  /**
+   * With errors and a hung cache, second attempts are made. Each of them is in the cell of the
+   * first attempt.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"", "bypass", "hedging"})
   void keyedRequestsStayInTheirCell(String allowed) {
--- a/policy/src/test/java/tamarindroute/policy/CapacityReport.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacityReport.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * Prints the results of {@link CapacitySimulation}s, one line for each option, number of gateways
- * and load.
+ * Prints the results of {@link CapacitySimulation} as a table with one line for each option, number
+ * of gateways and load.
  */
 public final class CapacityReport {
 
@@ -30,7 +30,7 @@
   /**
    * Prints the report.
    *
-   * @param arguments the options to simulate; all if there are none
+   * @param arguments the options to simulate; all options if there are none
    */
   public static void main(String[] arguments) {
     List<String> options = arguments.length > 0 ? List.of(arguments) : OPTIONS;
--- a/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
+++ b/policy/src/test/java/tamarindroute/policy/CapacitySimulation.java
@@ -20,27 +20,27 @@
 import tamarindroute.numeric.Seconds;
 
 /**
- * A location in which the test knows the true capacity of each cache and the gateways what the plan
- * lets them know. Transfers share the links of caches, and the one into the location: each runs at
- * full pace or, where there are more than the link carries, at its even part. Deterministic: time
- * advances in steps, and all randomness comes from the plan's seed.
+ * A deterministic simulation of one location. The test knows the true capacity of each cache, and
+ * the gateways know what the plan allows. Each transfer runs at full speed or, above the capacity
+ * of a link, at an equal share of it. Time advances in fixed steps, and all randomness comes from
+ * the seed of the plan.
  */
 final class CapacitySimulation {
 
   private static final double STEP_SECONDS = 0.004;
 
-  /** Seconds between endpoint lists with live weights. */
-  private static final double LIVE_WEIGHT_INTERVAL = 1;
+  /** Interval between endpoint lists with live weights. */
+  private static final double LIVE_WEIGHT_INTERVAL_SECONDS = 1;
 
-  /** Seconds after the last deadline. */
-  private static final double MARGIN = 1;
+  /** Time that the simulation continues after the last deadline. */
+  private static final double MARGIN_SECONDS = 1;
 
-  /** When a gateway decides again, and the attempt that is late then, if any. */
+  /** When a gateway decides again, and the attempt that is late then; null if none. */
   private record Timer(double at, SimulatedRequest request, Attempt attempt) {}
 
   private final SimulationPlan plan;
 
-  /** Randomness of the clients alone, so that simulations of one seed have the same requests. */
+  /** Randomness of the clients, the same for all simulations with one seed. */
   private final Random clientRandom;
 
   private final Random random;
@@ -84,17 +84,17 @@
     location.setOriginFailing(value);
   }
 
-  /** Returns the greatest share of objects whose home moved from one endpoint list to the next. */
+  /** Returns the largest share of hashed edges that changed between endpoint lists. */
   double peakHomesMoved() {
     return gateways.peakHomesMoved();
   }
 
-  /** Returns the greatest share of an overload that reached a cold edge in a window. */
+  /** Returns the peak load of a cold edge in a window, relative to an overload. */
   double peakColdLoad() {
     return peakOfEdges(SimulatedCache::peakColdLoad);
   }
 
-  /** The same, with room for the scatter of an ideal load. */
+  /** Returns the peak load of a cold edge in a window, relative to an overload plus scatter. */
   double peakColdLoadBeyondScatter() {
     return peakOfEdges(SimulatedCache::peakColdLoadBeyondScatter);
   }
@@ -103,13 +103,13 @@
     return location.edges().stream().mapToDouble(value).max().orElseThrow();
   }
 
-  /** Restarts an edge, empty and cold, on a machine of this capacity. */
+  /** Restarts an edge, empty and cold. Attempts there and fills from it are lost. */
   void restartEdge(int index, double capacity) {
     SimulatedCache edge = edge(index);
     edge.restart(capacity, now);
     gateways.publishEndpoints(now);
-    endAll(transfer -> transfer.at() == edge, Result.CONNECTION_LOST, Detail.UNKNOWN);
-    endAll(transfer -> transfer.from() == edge, Result.FAILED, Detail.SOURCE_FAILED);
+    endAll(transfer -> transfer.target() == edge, Result.CONNECTION_LOST, Detail.UNKNOWN);
+    endAll(transfer -> transfer.sender() == edge, Result.FAILED, Detail.SOURCE_FAILED);
   }
 
   private void endAll(Predicate<SimulatedTransfer> condition, Result cause, Detail detail) {
@@ -118,22 +118,22 @@
         .forEach(transfer -> end(transfer, cause, detail));
   }
 
-  /** Replaces a gateway by one that knows nothing; requests in flight stay with the former one. */
+  /** Replaces a gateway by one without state. The former one keeps its requests. */
   void restartGateway(int index) {
     gateways.restart(index, now);
   }
 
-  /** Runs until every request is past its deadline. */
+  /** Runs the simulation until every request is past its deadline. */
   void run() {
     NavigableMap<Double, Consumer<CapacitySimulation>> events = plan.events();
     double nextArrival = 0;
     double publishedAt = 0;
-    double end = plan.seconds() + SimulatedWorkload.MAX_TIMEOUT + MARGIN;
+    double end = plan.seconds() + SimulatedWorkload.MAX_TIMEOUT_SECONDS + MARGIN_SECONDS;
     for (; now < end; now = ++step * STEP_SECONDS) {
       while (!events.isEmpty() && events.firstKey() <= now) {
         events.pollFirstEntry().getValue().accept(this);
       }
-      if (hasLiveWeights() && now >= publishedAt + LIVE_WEIGHT_INTERVAL) {
+      if (hasLiveWeights() && now >= publishedAt + LIVE_WEIGHT_INTERVAL_SECONDS) {
         publishedAt = now;
         gateways.republishEndpoints(now);
       }
@@ -164,18 +164,18 @@
     SimulatedRequest simulated =
         new SimulatedRequest(request, gateway, workload.size(object), workload.value(object), home);
     result.add(simulated);
-    follow(simulated, gateway.route(request, at(now)));
+    execute(simulated, gateway.route(request, at(now)));
   }
 
   private void onTimer(Timer timer) {
     SimulatedRequest request = timer.request();
     boolean attemptOver = timer.attempt() != null && timer.attempt().outcome != null;
     if (!result.hasEnded(request) && !attemptOver) {
-      follow(request, request.gateway().route(request.request(), at(now)));
+      execute(request, request.gateway().route(request.request(), at(now)));
     }
   }
 
-  private void follow(SimulatedRequest request, Decision decision) {
+  private void execute(SimulatedRequest request, Decision decision) {
     if (decision instanceof Attempt attempt) {
       send(request, attempt);
     } else if (decision instanceof Decision.Cancel cancel) {
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Where nothing is outstanding, the gateway has to decide again by itself, or the client waits in
-   * vain.
+   * Schedules the next decision on a request without an outstanding attempt. If the gateway would
+   * never decide again, the client waits in vain and the request is abandoned.
    */
   private void await(SimulatedRequest request) {
     if (result.hasEnded(request) || request.request().outstandingAttempt() != null) {
@@ -218,49 +218,43 @@
     }
     SimulatedTransfer transfer =
         new SimulatedTransfer(
-            request, attempt, location.get(attempt.cache), location.fate(request, attempt, random));
-    transfer.at().begin(request.work(), now, this::coldLoadScatter);
+            request,
+            attempt,
+            location.get(attempt.cache),
+            location.outcomeOf(request, attempt, random));
+    transfer.target().begin(request.work(), now, workload::coldLoadScatter);
     if (transfer.isFill()) {
-      transfer.from().begin(request.work(), now, this::coldLoadScatter);
+      transfer.sender().begin(request.work(), now, workload::coldLoadScatter);
     }
     transfers.add(transfer);
   }
 
-  private double coldLoadScatter(double limit) {
-    double meanWork = workload.meanWork();
-    return 2 * Math.sqrt(limit * workload.meanSquaredWork() / meanWork) + 2 * meanWork;
-  }
-
   private void advanceTransfers() {
     location.all().forEach(cache -> cache.beginStep(step));
     int inbound = 0;
     for (SimulatedTransfer transfer : transfers) {
       if (transfer.isSending()) {
-        transfer.at().countSending();
+        transfer.target().countSending();
         if (transfer.isFill()) {
-          transfer.from().countSending();
+          transfer.sender().countSending();
         }
         inbound += transfer.usesInboundLink() ? 1 : 0;
       }
     }
-    double linkPace = Math.min(1, location.inboundLinkCapacity() / Math.max(1, inbound));
-    List<SimulatedTransfer> over = new ArrayList<>();
+    double linkSpeed = Math.min(1, location.inboundLinkCapacity() / Math.max(1, inbound));
+    List<SimulatedTransfer> ended = new ArrayList<>();
     for (SimulatedTransfer transfer : transfers) {
-      transfer.advance(STEP_SECONDS, transfer.usesInboundLink() ? linkPace : 1, now);
-      if (transfer.isDone() || isPastDeadline(transfer)) {
-        over.add(transfer);
+      transfer.advance(STEP_SECONDS, transfer.usesInboundLink() ? linkSpeed : 1, now);
+      if (transfer.isDone() || transfer.isPastDeadline(now)) {
+        ended.add(transfer);
       }
     }
-    over.forEach(this::endAsItCame);
-  }
-
-  private boolean isPastDeadline(SimulatedTransfer transfer) {
-    return now >= Seconds.seconds(transfer.request().request().deadline);
+    ended.forEach(this::endDoneOrTimedOut);
   }
 
-  private void endAsItCame(SimulatedTransfer transfer) {
+  private void endDoneOrTimedOut(SimulatedTransfer transfer) {
     if (transfer.isDone()) {
-      end(transfer, transfer.fate().result(), transfer.fate().detail());
+      end(transfer, transfer.plannedOutcome().result(), transfer.plannedOutcome().detail());
     } else {
       end(transfer, Result.TIMED_OUT, Detail.UNKNOWN);
     }
@@ -270,9 +264,9 @@
     if (!transfers.remove(transfer)) {
       return;
     }
-    transfer.at().end();
+    transfer.target().end();
     if (transfer.isFill()) {
-      transfer.from().end();
+      transfer.sender().end();
     }
     if (how == Result.SERVED) {
       recordServed(transfer);
@@ -281,7 +275,7 @@
     boolean completed = result.hasEnded(request);
     transfer.attempt().outcome = reports.outcome(transfer, how, detail, completed, now);
     reports.reportLoad(transfer, how, step, now);
-    follow(request, request.gateway().onOutcome(request.request(), transfer.attempt(), at(now)));
+    execute(request, request.gateway().onOutcome(request.request(), transfer.attempt(), at(now)));
   }
 
   private void recordServed(SimulatedTransfer transfer) {
@@ -289,7 +283,7 @@
     double objective = SimulatedWorkload.objective(request.request(), request.work());
     boolean inTime = now <= request.arrivalTime() + objective;
     result.end(request, inTime ? SimulationResult.Ending.SERVED : SimulationResult.Ending.LATE);
-    transfer.at().keep(request.request().objectId, request.work());
-    transfer.from().keep(request.request().objectId, request.work());
+    transfer.target().store(request.request().objectId, request.work());
+    transfer.sender().store(request.request().objectId, request.work());
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdStartFleet.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartFleet.java
@@ -18,30 +18,35 @@
 import tamarindroute.decision.RequestClass;
 
 /**
- * Gateways with uneven traffic, each with a policy and a seed of its own, that send to cold caches.
- * Times are in seconds.
+ * A fleet of gateways with uneven traffic that send to cold caches. Each gateway has its own policy
+ * and seed. Times are in seconds.
  */
 final class ColdStartFleet {
 
-  /** What overloads a cold cache is counted over this window. */
-  static final double WINDOW = 2;
+  /** Window in which the load that overloads a cold cache is measured. */
+  static final double WINDOW_SECONDS = 2;
 
   static final PolicySettings.ColdStart EDGE_START =
-      new PolicySettings.ColdStart(0.2, toDuration(17), 3, toDuration(WINDOW));
+      new PolicySettings.ColdStart(0.2, toDuration(17), 3, toDuration(WINDOW_SECONDS));
   static final PolicySettings.ColdStart PARENT_START =
-      new PolicySettings.ColdStart(0.064, toDuration(22), 2, toDuration(WINDOW));
+      new PolicySettings.ColdStart(0.064, toDuration(22), 2, toDuration(WINDOW_SECONDS));
 
-  private static final double DEADLINE = 9;
-  private static final double HIT_WAIT = 0.01;
+  private static final double DEADLINE_SECONDS = 9;
+  private static final double HIT_WAIT_SECONDS = 0.01;
   private static final Duration SOURCE_WAIT = toDuration(0.03);
+
+  /** Standard deviation of the logarithm of the traffic per gateway. */
   private static final double CLIENT_DEVIATION = 1.2;
+
   private static final double REPORTED_UTILIZATION = 0.3;
 
-  /** Objects below this number are hot, and stored by edges. */
+  /** Lowest number of objects that are not hot. Objects below it are hot, and edges store them. */
   private static final int FIRST_COLD_OBJECT = 1000;
 
   private static final int HOT_OBJECTS = 3;
   private static final double HOT_FILL_SHARE = 0.1;
+
+  /** Number of requests from which each policy measures transfer times on warm caches. */
   private static final int LEARNING_REQUESTS = 150;
 
   private final double meanTransferTime;
@@ -51,13 +56,12 @@
   private final double[] cumulativeTraffic;
   private final ColdStartMeter meter;
 
-  /**
-   * The endpoint list of two thirds of the gateways, and that of the rest, which learn of starts
-   * late.
-   */
+  /** Endpoint list of two thirds of the gateways. */
   private final List<Cache> caches = new ArrayList<>();
 
+  /** Endpoint list of the other gateways, which learn of restarts late. */
   private final List<Cache> lateCaches = new ArrayList<>();
+
   private double sizeDeviation;
   private double failingShare;
   private double unsentShare;
@@ -65,16 +69,16 @@
   private long objects;
 
   /**
-   * Creates a fleet. Where a cache may be sent few requests, they are long ones: a link is some
-   * transfers wide.
+   * Creates a fleet. If few requests overload a cache, their transfers are long, because a link
+   * always carries several transfers.
    *
    * @param size number of gateways
-   * @param requestsPerWindow mean requests that overload a warm cache within the window
+   * @param requestsPerWindow number of mean requests that overload a warm cache within the window
    */
   ColdStartFleet(int size, double requestsPerWindow, int seed) {
     meanTransferTime = Math.min(0.9, Math.max(0.1, 30 / requestsPerWindow));
     meter = new ColdStartMeter(meanTransferTime);
-    // A policy takes the latency objective for the mean transfer time until it has measured any.
+    // A policy uses the latency objective as the mean transfer time until it has measured one.
     requestClass = TestValues.cacheableClass(toDuration(meanTransferTime), 20);
     random = new Random(seed);
     for (int i = 0; i < size; i++) {
@@ -96,13 +100,13 @@
         .build();
   }
 
-  /** Sets the deviation of the logarithm of sizes. */
+  /** Sets the standard deviation of the logarithm of sizes. */
   ColdStartFleet withSizeDeviation(double value) {
     sizeDeviation = value;
     return this;
   }
 
-  /** Sends most requests for a few objects. */
+  /** Directs three quarters of the requests to a few hot objects. */
   ColdStartFleet withHotObjects() {
     hotObjects = true;
     return this;
@@ -116,13 +120,13 @@
   }
 
   /**
-   * Returns the weight with which a cache is overloaded by so many mean requests within the window.
+   * Returns the weight of a cache that this number of mean requests overloads within the window.
    */
   double weight(PolicySettings.ColdStart start, double requestsPerWindow) {
-    return requestsPerWindow * meanTransferTime / (start.overloadMultiple() * WINDOW);
+    return requestsPerWindow * meanTransferTime / (start.overloadMultiple() * WINDOW_SECONDS);
   }
 
-  /** Sets the share of attempts that fail, and of those that are never sent. */
+  /** Sets the shares of attempts that fail and of attempts that are never sent, 0 to 1. */
   void setFailures(double failing, double unsent) {
     failingShare = failing;
     unsentShare = unsent;
@@ -136,7 +140,7 @@
     return meter;
   }
 
-  /** Lets each policy measure transfer times on warm caches. */
+  /** Sends requests through each policy on warm caches, so that it measures transfer times. */
   void learn() {
     publishEndpoints(0);
     for (RatioTestPolicy gateway : gateways) {
@@ -147,20 +151,20 @@
     meter.clearWindows();
   }
 
-  /** Restarts caches, as two thirds of the gateways learn now. */
+  /** Restarts caches. Two thirds of the gateways learn of the restart now. */
   void restart(double now, long... stableIds) {
     restart(caches, now, stableIds);
     publishEndpoints(now);
   }
 
-  /** Lets all gateways learn of a restart of caches. */
+  /** Restarts caches. All gateways learn of the restart now. */
   void restartForAll(double now, long... stableIds) {
     restart(caches, now, stableIds);
     restart(lateCaches, now, stableIds);
     publishEndpoints(now);
   }
 
-  /** Lets the late third of the gateways learn now of an earlier restart of caches. */
+  /** Announces an earlier restart of caches to the other third of the gateways. */
   void announceToLateGateways(double startedAt, double now, long... stableIds) {
     restart(lateCaches, startedAt, stableIds);
     publishEndpoints(now);
@@ -180,7 +184,7 @@
     }
   }
 
-  /** Sends requests at random times to gateways drawn by their traffic. */
+  /** Sends requests at random times to gateways that are drawn by their traffic. */
   void sendRequests(double from, double to, double perSecond) {
     for (double now = from - Math.log(random.nextDouble()) / perSecond;
         now < to;
@@ -217,9 +221,9 @@
         Math.exp(sizeDeviation * random.nextGaussian() - sizeDeviation * sizeDeviation / 2);
     double transferTime = meanTransferTime * factor;
     long object = drawObject();
-    double kilobytes = PolicySettingsBuilder.TRANSFER_RATE * transferTime;
+    double kilobytes = PolicySettingsBuilder.TRANSFER_RATE_KB_PER_SECOND * transferTime;
     return new Request(
-        requestClass, object, 0, 1, kilobytes, toDuration(now), toDuration(now + DEADLINE));
+        requestClass, object, 0, 1, kilobytes, toDuration(now), toDuration(now + DEADLINE_SECONDS));
   }
 
   private long drawObject() {
@@ -235,7 +239,7 @@
                 gateway.onLoadReport(cache, new LoadReport(REPORTED_UTILIZATION, Double.NaN), now));
   }
 
-  /** Ends an attempt at once, and counts it where it arrived. */
+  /** Ends an attempt at once and counts it at the caches that it reached. */
   private void end(Request request, Attempt attempt, double now) {
     boolean hot = request.objectId < FIRST_COLD_OBJECT;
     boolean lookup = attempt.source == attempt.cache;
@@ -249,7 +253,7 @@
         new Outcome(
             result,
             served ? servedDetail : Detail.UNKNOWN,
-            toDuration(meanTransferTime + HIT_WAIT),
+            toDuration(meanTransferTime + HIT_WAIT_SECONDS),
             hit ? null : SOURCE_WAIT,
             served);
     if (sent) {
--- a/policy/src/test/java/tamarindroute/policy/ColdStartFleetTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartFleetTest.java
@@ -7,11 +7,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tamarindroute.decision.Cache;
 
-/** What a whole fleet sends to cold caches together, without any gateway knowing of another. */
+/**
+ * Tests the total load that a whole fleet sends to cold caches. They guard against gateways that
+ * keep within their own shares but overload a cache together, since no gateway knows of the others.
+ */
 class ColdStartFleetTest {
 
-  private static final double START = 20;
-  private static final double WINDOW = ColdStartFleet.WINDOW;
+  private static final double START_SECONDS = 20;
+  private static final double WINDOW_SECONDS = ColdStartFleet.WINDOW_SECONDS;
   private static final double ORIGIN_WEIGHT = 50;
 
   private static void checkNoOverload(ColdStartFleet fleet) {
@@ -22,7 +25,7 @@
         .forEach((id, share) -> assertThat(share).as("at cache " + id).isLessThan(1));
   }
 
-  /** Returns a fleet with one edge, which all gateways know to have just restarted. */
+  /** Returns a fleet with one edge, of which all gateways know that it has just restarted. */
   private static ColdStartFleet fleetWithColdEdge(
       int size, double requestsPerWindow, double sizeDeviation, int seed) {
     ColdStartFleet fleet =
@@ -30,7 +33,7 @@
     double weight = fleet.weight(ColdStartFleet.EDGE_START, requestsPerWindow);
     fleet.withCache(1, Cache.Tier.EDGE, weight).withCache(7, Cache.Tier.ORIGIN, ORIGIN_WEIGHT);
     fleet.learn();
-    fleet.restartForAll(START, 1);
+    fleet.restartForAll(START_SECONDS, 1);
     return fleet;
   }
 
@@ -49,9 +52,10 @@
     "120, 20, 0, 3",
     "30, 400, 0, 1"
   })
-  void steadyLoad(int size, double requestsPerWindow, double sizeDeviation, int seed) {
+  void steadyLoadDoesNotOverloadColdEdge(
+      int size, double requestsPerWindow, double sizeDeviation, int seed) {
     ColdStartFleet fleet = fleetWithColdEdge(size, requestsPerWindow, sizeDeviation, seed);
-    fleet.sendRequests(START, START + 17, 1.5 * requestsPerWindow / WINDOW);
+    fleet.sendRequests(START_SECONDS, START_SECONDS + 17, 1.5 * requestsPerWindow / WINDOW_SECONDS);
     checkNoOverload(fleet);
   }
 
@@ -70,17 +74,19 @@
     "120, 20, 0, 3",
     "30, 400, 0, 1"
   })
-  void bursts(int size, double requestsPerWindow, double sizeDeviation, int seed) {
+  void burstsDoNotOverloadColdEdge(
+      int size, double requestsPerWindow, double sizeDeviation, int seed) {
     ColdStartFleet fleet = fleetWithColdEdge(size, requestsPerWindow, sizeDeviation, seed);
     for (double age = 2; age < 17; age += 4) {
-      fleet.sendRequests(START + age, START + age + 2.2, 5 * requestsPerWindow / WINDOW);
+      fleet.sendRequests(
+          START_SECONDS + age, START_SECONDS + age + 2.2, 5 * requestsPerWindow / WINDOW_SECONDS);
     }
     checkNoOverload(fleet);
   }
 
   @ParameterizedTest
   @CsvSource({"4, 20, 1", "30, 20, 1", "120, 20, 1", "4, 900, 1", "30, 900, 1", "120, 900, 1"})
-  void coldParent(int size, double requestsPerWindow, int seed) {
+  void loadDoesNotOverloadColdParent(int size, double requestsPerWindow, int seed) {
     ColdStartFleet fleet = new ColdStartFleet(size, requestsPerWindow, seed);
     double parentWeight = fleet.weight(ColdStartFleet.PARENT_START, requestsPerWindow);
     fleet
@@ -89,15 +95,16 @@
         .withCache(3, Cache.Tier.PARENT, parentWeight)
         .withCache(7, Cache.Tier.ORIGIN, ORIGIN_WEIGHT);
     fleet.learn();
-    fleet.restartForAll(START, 3);
-    fleet.sendRequests(START, START + 10, 1.5 * requestsPerWindow / WINDOW);
-    fleet.sendRequests(START + 13, START + 22, 4 * requestsPerWindow / WINDOW);
+    fleet.restartForAll(START_SECONDS, 3);
+    fleet.sendRequests(START_SECONDS, START_SECONDS + 10, 1.5 * requestsPerWindow / WINDOW_SECONDS);
+    fleet.sendRequests(
+        START_SECONDS + 13, START_SECONDS + 22, 4 * requestsPerWindow / WINDOW_SECONDS);
     checkNoOverload(fleet);
   }
 
   /**
-   * Hot objects, failures, unsent attempts, late gateways, several cold caches, and a restart in
-   * between.
+   * Hot objects, failures, attempts that are never sent, gateways that learn late, several cold
+   * caches, and a restart in between.
    */
   @ParameterizedTest
   @CsvSource({
@@ -110,7 +117,7 @@
     "30, 12, 2",
     "30, 60, 3"
   })
-  void manyFaultsAtOnce(int size, double requestsPerWindow, int seed) {
+  void simultaneousFaultsDoNotOverloadColdCaches(int size, double requestsPerWindow, int seed) {
     ColdStartFleet fleet =
         new ColdStartFleet(size, requestsPerWindow, seed).withSizeDeviation(0.8).withHotObjects();
     double edgeWeight = fleet.weight(ColdStartFleet.EDGE_START, requestsPerWindow);
@@ -121,36 +128,36 @@
         .withCache(4, Cache.Tier.EDGE, edgeWeight)
         .withCache(3, Cache.Tier.PARENT, parentWeight)
         .withCache(7, Cache.Tier.ORIGIN, ORIGIN_WEIGHT);
-    double perSecond = 3 * requestsPerWindow / WINDOW;
+    double perSecond = 3 * requestsPerWindow / WINDOW_SECONDS;
     fleet.learn();
     fleet.setFailures(0.05, 0.1);
-    fleet.restart(START, 1, 2, 3);
-    fleet.sendRequests(START, START + 2, perSecond);
-    fleet.announceToLateGateways(START, START + 2, 1, 2, 3);
-    fleet.sendRequests(START + 2, START + 6, perSecond);
+    fleet.restart(START_SECONDS, 1, 2, 3);
+    fleet.sendRequests(START_SECONDS, START_SECONDS + 2, perSecond);
+    fleet.announceToLateGateways(START_SECONDS, START_SECONDS + 2, 1, 2, 3);
+    fleet.sendRequests(START_SECONDS + 2, START_SECONDS + 6, perSecond);
     fleet.setFailures(0.4, 0.1);
-    fleet.sendRequests(START + 6, START + 9, perSecond);
+    fleet.sendRequests(START_SECONDS + 6, START_SECONDS + 9, perSecond);
     fleet.setFailures(0.05, 0.1);
-    fleet.restartForAll(START + 9, 1);
-    fleet.sendRequests(START + 9, START + 20, perSecond);
+    fleet.restartForAll(START_SECONDS + 9, 1);
+    fleet.sendRequests(START_SECONDS + 9, START_SECONDS + 20, perSecond);
     checkNoOverload(fleet);
   }
 
   /**
-   * A fifth of the gateways is granted the shares of the others, by turns, under load beyond the
-   * limit.
+   * One fifth of the gateways at a time is granted the shares of the others, while the load exceeds
+   * the limit.
    */
   @ParameterizedTest
   @CsvSource({"10, 20, 1", "30, 20, 1", "30, 1200, 1"})
-  void quotaGrants(int size, double requestsPerWindow, int seed) {
+  void changingQuotaGrantsDoNotOverloadColdEdge(int size, double requestsPerWindow, int seed) {
     ColdStartFleet fleet = fleetWithColdEdge(size, requestsPerWindow, 0, seed);
     for (int age = 0; age < 16; age += 2) {
-      double now = START + age;
+      double now = START_SECONDS + age;
       for (int i = 0; i < size; i++) {
         double share = i % 5 == age / 2 % 5 ? 4.0 / size : 0.25 / size;
         fleet.gateway(i).onQuotaGrant(Cache.Tier.EDGE, share, toDuration(now + 2), toDuration(now));
       }
-      fleet.sendRequests(now, now + 2, 3 * requestsPerWindow / WINDOW);
+      fleet.sendRequests(now, now + 2, 3 * requestsPerWindow / WINDOW_SECONDS);
     }
     checkNoOverload(fleet);
   }
--- a/policy/src/test/java/tamarindroute/policy/ColdStartMeter.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartMeter.java
@@ -10,33 +10,34 @@
 import tamarindroute.decision.PolicySettings;
 
 /**
- * Measures what reaches cold caches. A cache that N requests of mean size overload within the
- * window has to get less than N + 2 sqrt(N) + 2 of them in every window.
+ * Measures the requests that reach cold caches. A cache that N requests of mean size overload
+ * within the window has to get less than N + 2 sqrt(N) + 2 requests in every window. The excess
+ * over N allows for random scatter.
  */
 final class ColdStartMeter {
 
   private final double meanTransferTime;
-  private final Map<Long, Deque<Double>> arrivalsInWindow = new HashMap<>();
+  private final Map<Long, Deque<Double>> arrivalTimesInWindow = new HashMap<>();
   private final Map<Long, Double> peakShares = new HashMap<>();
 
   ColdStartMeter(double meanTransferTime) {
     this.meanTransferTime = meanTransferTime;
   }
 
-  /** Forgets the arrivals in current windows. */
+  /** Clears the arrivals of the current windows. */
   void clearWindows() {
-    arrivalsInWindow.clear();
+    arrivalTimesInWindow.clear();
   }
 
   /**
-   * Returns, by cache, the greatest share of the limit that arrived in a window; empty if nothing
-   * arrived at a cold cache.
+   * Returns the highest number of arrivals in a window by {@link Cache#stableId}, as a share of the
+   * limit; empty if nothing arrived at a cold cache.
    */
   Map<Long, Double> peakShares() {
     return peakShares;
   }
 
-  /** Counts an attempt or a fill at a cache, if that is cold. */
+  /** Counts an attempt or a fill at a cache if the cache is cold. */
   void onArrival(Cache cache, double now) {
     if (cache.startedAt == null || cache.tier == Cache.Tier.ORIGIN) {
       return;
@@ -49,12 +50,13 @@
       return;
     }
     Deque<Double> arrivals =
-        arrivalsInWindow.computeIfAbsent(cache.stableId, id -> new ArrayDeque<>());
+        arrivalTimesInWindow.computeIfAbsent(cache.stableId, id -> new ArrayDeque<>());
     arrivals.add(now);
-    while (arrivals.peek() <= Math.max(startedAt, now - ColdStartFleet.WINDOW)) {
+    while (arrivals.peek() <= Math.max(startedAt, now - ColdStartFleet.WINDOW_SECONDS)) {
       arrivals.remove();
     }
-    double age = (Math.max(0, now - ColdStartFleet.WINDOW - startedAt) + now - startedAt) / 2;
+    double age =
+        (Math.max(0, now - ColdStartFleet.WINDOW_SECONDS - startedAt) + now - startedAt) / 2;
     double initial = start.initialCapacity();
     double warmth = initial + (1 - initial) * age / warmAfter;
     double overload = overloadRequests(start, cache.weight, warmth);
@@ -62,8 +64,12 @@
     peakShares.merge(cache.stableId, arrivals.size() / limit, Math::max);
   }
 
-  /** Returns the mean requests within the window that overload a cache. */
+  /** Returns the number of requests of mean size that overload a cache within the window. */
   private double overloadRequests(PolicySettings.ColdStart start, double weight, double warmth) {
-    return start.overloadMultiple() * ColdStartFleet.WINDOW * weight / meanTransferTime * warmth;
+    return start.overloadMultiple()
+        * ColdStartFleet.WINDOW_SECONDS
+        * weight
+        / meanTransferTime
+        * warmth;
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/ColdStartRefundTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartRefundTest.java
@@ -18,7 +18,11 @@
 import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.Request;
 
-/** Attempts that never reached a cold cache are returned to its budget, and no others. */
+/**
+ * Tests that the slow start budget of a cold cache is refunded for attempts that did not reach the
+ * cache, and for no others. Without refunds, lost connections would use up the budget. Refunds of
+ * attempts that did reach the cache would let it be overloaded.
+ */
 class ColdStartRefundTest {
 
   private static final PolicySettings.ColdStart COLD_START =
@@ -49,7 +53,10 @@
     policy.onEndpoints(List.of(caches), STARTED);
   }
 
-  /** Sends requests until the cache, as target or source, gets no more; returns how many it got. */
+  /**
+   * Sends more requests than the budget of the cache admits and returns the number of attempts with
+   * the cache as target or source.
+   */
   private int exhaust(Cache cache, Duration maxAge) {
     sent.clear();
     policy.onLoadReport(edge, new LoadReport(0.1, Double.NaN), NOW);
@@ -90,8 +97,8 @@
   }
 
   /**
-   * A cache without a connection is ejected as well; being the only one, it is used all the same,
-   * within its budget.
+   * A cache without connections is also ejected. As the only edge it is used nevertheless, within
+   * its budget.
    */
   @ParameterizedTest
   @EnumSource(
@@ -104,7 +111,7 @@
     int first = exhaust(edge);
     assertThat(first).isEqualTo(144);
     assertThat(exhaust(edge)).isZero();
-    // The same again, so that the first requests are the ones in flight.
+    // Repeats this with a new policy, so that the admitted requests are the ones in flight.
     createPolicy(false, edge, parent, origin);
     assertThat(exhaust(edge)).isEqualTo(first);
     endAll(result, Detail.UNKNOWN);
@@ -122,8 +129,8 @@
   }
 
   /**
-   * What the previous process did not get is not there for the next, for which nothing has accrued
-   * yet.
+   * A new process of the cache gets no refund for attempts at the previous one. No budget has
+   * accrued for it yet.
    */
   @Test
   void nothingIsRefundedToANewProcess() {
@@ -136,7 +143,10 @@
     assertThat(exhaust(edge)).isZero();
   }
 
-  /** A hit at the edge did not use the parent, unless the copy is revalidated in the background. */
+  /**
+   * A hit at the edge does not use the parent that was named as its source, unless the copy is
+   * revalidated in the background.
+   */
   @Test
   void unusedFillIsRefundedUnlessItsCopyIsRevalidated() {
     parent.startedAt = STARTED;
@@ -157,7 +167,9 @@
     assertThat(exhaust(parent)).as("not revalidated").isPositive();
   }
 
-  /** A request that bypassed the edges did use the parent, whatever it found. */
+  /**
+   * A request that bypassed the edges reached the parent, whether or not the parent held a copy.
+   */
   @Test
   void hitAtTheParentItselfIsNotRefunded() {
     parent.startedAt = STARTED;
--- a/policy/src/test/java/tamarindroute/policy/ColdStartShareTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ColdStartShareTest.java
@@ -17,40 +17,46 @@
 import tamarindroute.decision.RequestClass;
 
 /**
- * What all gateways together send to a cold cache, where the share of each is far less than one
- * request. Each has a policy of its own and knows of no other. Load is in seconds of transfer, ages
- * of the cache in seconds.
+ * Tests the total load that all gateways send to a cold cache. They guard against gateways that
+ * each keep within their share of the cache but send at the same time, which overloads it. This
+ * happens if the share of a gateway is far less than one request, and none knows of the others.
+ * Load is in seconds of transfer, and ages of the cache are in seconds.
  */
 class ColdStartShareTest {
 
   private static final double INITIAL_CAPACITY = 0.2;
-  private static final double WARM_AFTER = 20;
+  private static final double WARM_AFTER_SECONDS = 20;
   private static final double OVERLOAD_MULTIPLE = 3;
-  private static final double WINDOW = 2;
+  private static final double WINDOW_SECONDS = 2;
   private static final double WEIGHT = 6;
   private static final PolicySettings.ColdStart COLD_START =
       new PolicySettings.ColdStart(
-          INITIAL_CAPACITY, toDuration(WARM_AFTER), OVERLOAD_MULTIPLE, toDuration(WINDOW));
+          INITIAL_CAPACITY,
+          toDuration(WARM_AFTER_SECONDS),
+          OVERLOAD_MULTIPLE,
+          toDuration(WINDOW_SECONDS));
 
   /**
-   * Load of one request; also the latency objective, which counts as the mean until it is measured.
+   * Load of one request. It is also the latency objective, which the policy uses as the mean
+   * transfer time until one is measured.
    */
-  private static final double WORK = 0.3;
+  private static final double REQUEST_SECONDS = 0.3;
 
-  private static final double STARTED = 10;
-  private static final double STEP = 0.05;
+  private static final double STARTED_SECONDS = 10;
+  private static final double STEP_SECONDS = 0.05;
 
-  /** More requests than any gateway's share admits. */
-  private static final int MANY = 60;
+  /** Number of requests that exceeds any gateway's share. */
+  private static final int REQUESTS_ABOVE_SHARE = 60;
 
-  private final RequestClass requestClass = TestValues.cacheableClass(toDuration(WORK), 2);
+  private final RequestClass requestClass =
+      TestValues.cacheableClass(toDuration(REQUEST_SECONDS), 2);
   private final Cache cold = TestValues.cache(1, Cache.Tier.EDGE, WEIGHT);
   private final Cache parent = TestValues.cache(3, Cache.Tier.PARENT, WEIGHT);
   private final List<RatioTestPolicy> fleet = new ArrayList<>();
   private int objects;
 
   private void createFleet(int size) {
-    cold.startedAt = toDuration(STARTED);
+    cold.startedAt = toDuration(STARTED_SECONDS);
     for (int i = 0; i < size; i++) {
       PolicySettings settings =
           new PolicySettingsBuilder()
@@ -60,21 +66,21 @@
               .coldStart(COLD_START)
               .build();
       RatioTestPolicy policy = new RatioTestPolicy(settings);
-      policy.onEndpoints(List.of(cold, parent), toDuration(STARTED));
+      policy.onEndpoints(List.of(cold, parent), toDuration(STARTED_SECONDS));
       fleet.add(policy);
     }
   }
 
-  /** Sends a request at an age of the cache; returns the load that the cache gets. */
+  /** Sends a request at an age of the cache and returns the load that reaches the cache. */
   private double send(RatioTestPolicy policy, double age) {
-    double now = STARTED + age;
+    double now = STARTED_SECONDS + age;
     Request request =
         new Request(
             requestClass,
             ++objects,
             0,
             1,
-            PolicySettingsBuilder.TRANSFER_RATE * WORK,
+            PolicySettingsBuilder.TRANSFER_RATE_KB_PER_SECOND * REQUEST_SECONDS,
             toDuration(now),
             toDuration(now + 3));
     if (!(policy.route(request, toDuration(now)) instanceof Attempt attempt)
@@ -84,28 +90,30 @@
     request.attempts.add(attempt);
     attempt.sentAt = toDuration(now);
     attempt.outcome =
-        new Outcome(Outcome.Result.SERVED, Outcome.Detail.FILLED, toDuration(WORK), null, true);
+        new Outcome(
+            Outcome.Result.SERVED, Outcome.Detail.FILLED, toDuration(REQUEST_SECONDS), null, true);
     policy.onOutcome(request, attempt, toDuration(now + 0.001));
-    return WORK;
+    return REQUEST_SECONDS;
   }
 
-  /** Sends many requests to one gateway; returns the load that the cache gets. */
+  /** Sends many requests to one gateway and returns the load that reaches the cache. */
   private double sendMany(RatioTestPolicy policy, double age) {
     double load = 0;
-    for (int i = 0; i < MANY; i++) {
+    for (int i = 0; i < REQUESTS_ABOVE_SHARE; i++) {
       load += send(policy, age);
     }
     return load;
   }
 
   /**
-   * Sends twice the load that overloads the warm cache, to gateways in turn; returns what the cache
-   * gets in each step.
+   * Sends twice the load that overloads the warm cache, to gateways in turn. Returns the load that
+   * reaches the cache in each step.
    */
   private List<Double> sendSteadily(List<RatioTestPolicy> gateways, double from, double to) {
-    int requestsPerStep = (int) Math.ceil(2 * OVERLOAD_MULTIPLE * WEIGHT * STEP / WORK);
+    int requestsPerStep =
+        (int) Math.ceil(2 * OVERLOAD_MULTIPLE * WEIGHT * STEP_SECONDS / REQUEST_SECONDS);
     List<Double> loads = new ArrayList<>();
-    for (double age = from; age < to; age += STEP) {
+    for (double age = from; age < to; age += STEP_SECONDS) {
       double load = 0;
       for (int i = 0; i < requestsPerStep; i++) {
         load += send(gateways.get((objects * 7) % gateways.size()), age);
@@ -119,24 +127,25 @@
     return loads.stream().mapToDouble(load -> load).sum();
   }
 
-  /** Returns the load within a window that overloads the cache at an age. */
+  /** Returns the load that overloads the cache within a window, at an age of the cache. */
   private static double overload(double age) {
-    double warmth = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_AFTER;
-    return OVERLOAD_MULTIPLE * Math.min(1, warmth) * WEIGHT * WINDOW;
+    double warmth = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_AFTER_SECONDS;
+    return OVERLOAD_MULTIPLE * Math.min(1, warmth) * WEIGHT * WINDOW_SECONDS;
   }
 
-  /** Returns the load that overloads the cache from one age to another. */
+  /** Returns the load that overloads the cache between two ages. */
   private static double overload(double from, double to) {
-    double meanWarmth = INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * (from + to) / 2 / WARM_AFTER;
+    double meanWarmth =
+        INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * (from + to) / 2 / WARM_AFTER_SECONDS;
     return OVERLOAD_MULTIPLE * WEIGHT * (to - from) * meanWarmth;
   }
 
   private static void assertNoWindowOverloads(List<Double> loads) {
-    int width = (int) (WINDOW / STEP);
+    int width = (int) (WINDOW_SECONDS / STEP_SECONDS);
     for (int end = width; end <= loads.size(); end++) {
       assertThat(sum(loads.subList(end - width, end)))
-          .as("to the age of %s", end * STEP)
-          .isLessThan(1.1 * overload(end * STEP));
+          .as("to the age of %s", end * STEP_SECONDS)
+          .isLessThan(1.1 * overload(end * STEP_SECONDS));
     }
   }
 
@@ -147,12 +156,12 @@
             policy.onQuotaGrant(
                 Cache.Tier.EDGE,
                 share,
-                toDuration(STARTED + expiryAge),
-                toDuration(STARTED + age)));
+                toDuration(STARTED_SECONDS + expiryAge),
+                toDuration(STARTED_SECONDS + age)));
   }
 
   /**
-   * All gateways, idle until now, want the cold cache at one moment: so it is after the loss of a
+   * All gateways have been idle and need the cold cache at the same moment, as after the loss of a
    * zone.
    */
   @ParameterizedTest
@@ -163,7 +172,10 @@
     assertThat(load).isLessThan(overload(age));
   }
 
-  /** Under steady demand no window overloads the cache, nor does it starve. */
+  /**
+   * Under steady demand no window overloads the cache, and the cache gets a useful share of the
+   * load.
+   */
   @ParameterizedTest
   @CsvSource({"4", "20", "100", "400"})
   void steadyDemandNeitherOverloadsNorStarves(int size) {
@@ -174,8 +186,8 @@
   }
 
   /**
-   * Seven of ten gateways are dead: the others are granted their shares for 6 s, and have even
-   * shares again after that.
+   * Seven of ten gateways are dead. The others are granted the shares of the dead ones for 6 s and
+   * have their even shares again after that.
    */
   @Test
   void grantedSharesOfDeadGatewaysAreUsed() {
@@ -193,7 +205,10 @@
     assertNoWindowOverloads(loads);
   }
 
-  /** Otherwise each gateway would spend the savings anew within one window. */
+  /**
+   * What a gateway has saved up must not grow with a grant. Otherwise each gateway in turn would
+   * spend the larger savings within one window.
+   */
   @Test
   void savingsDoNotMoveWithAGrant() {
     createFleet(10);
@@ -208,16 +223,17 @@
   }
 
   /**
-   * Idle through a grant and past its end, a gateway has the savings of its even share; its health
-   * figures never had more.
+   * A gateway that is idle during a grant and past its end has only the savings of its even share.
+   * Its health figures never exceed the even share.
    */
   @Test
   void savingsAreCutAfterAGrant() {
     createFleet(10);
     RatioTestPolicy idle = fleet.get(0);
     grant(fleet, 0.9, 4, 10);
-    double advertised = idle.cacheHealth(cold, toDuration(STARTED + 10)).maxConcurrentTransfers();
-    assertThat(advertised).isCloseTo(0.07 * overload(10) / WINDOW, Offset.offset(1e-9));
+    double advertised =
+        idle.cacheHealth(cold, toDuration(STARTED_SECONDS + 10)).maxConcurrentTransfers();
+    assertThat(advertised).isCloseTo(0.07 * overload(10) / WINDOW_SECONDS, Offset.offset(1e-9));
     assertThat(sendMany(idle, 10)).isLessThan(0.05 * overload(10));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/LargeObjectShareTest.java
+++ b/policy/src/test/java/tamarindroute/policy/LargeObjectShareTest.java
@@ -10,15 +10,17 @@
 import tamarindroute.decision.Request;
 
 /**
- * The share of requests that are answered, in time or late, by size: of the tenth with the largest
- * objects and of the next fifth, compared with all of their class. At least two thirds of the
- * class's share on quiet days, half on others.
+ * Tests the share of requests that are answered, in time or late, by size. The test guards against
+ * starvation of large objects: their transfers rarely fit into the latency objective under load, so
+ * that they would be rejected first. The tenth with the largest objects and the next fifth have to
+ * get at least two thirds of the share of their class on quiet days, and half of it on others.
  */
 class LargeObjectShareTest {
 
-  /** Arrivals that count: the rest is warm-up and the end of the simulation. */
+  /** First second whose arrivals count. Earlier ones belong to the warm-up. */
   private static final int FIRST_SECOND = 8;
 
+  /** Last second whose arrivals count. Later ones may be open when the simulation ends. */
   private static final int LAST_SECOND = 35;
 
   private static double answeredShare(List<Request> requests, Set<Request> answered) {
--- a/policy/src/test/java/tamarindroute/policy/LargeObjectSimulation.java
+++ b/policy/src/test/java/tamarindroute/policy/LargeObjectSimulation.java
@@ -22,31 +22,32 @@
 import tamarindroute.decision.RequestClass;
 
 /**
- * One gateway with three edges, whose links are shared by their transfers, a parent and an origin.
- * Objects differ widely in size. Times and sizes are in seconds, of transfer for sizes.
+ * A simulation of one gateway with three edges, a parent and an origin. Transfers share the links
+ * of the edges. Objects differ widely in size. Times are in seconds, and sizes are in seconds of
+ * transfer.
  */
 final class LargeObjectSimulation {
 
-  private static final double STEP = 0.004;
-  private static final double END = 40;
+  private static final double STEP_SECONDS = 0.004;
+  private static final double END_SECONDS = 40;
 
-  /** When the day's disturbance begins. */
-  private static final double DISTURBANCE = 8;
+  /** Time at which the disturbance of the day begins. */
+  private static final double DISTURBANCE_SECONDS = 8;
 
-  private static final double MEAN_SIZE = 0.1;
-  private static final double TIMEOUT = 3;
-  private static final double HIT_WAIT = 0.005;
-  private static final double SIBLING_WAIT = 0.01;
-  private static final double PARENT_WAIT = 0.05;
-  private static final double SLOW_PARENT_WAIT = 0.5;
+  private static final double MEAN_SIZE_SECONDS = 0.1;
+  private static final double TIMEOUT_SECONDS = 3;
+  private static final double HIT_WAIT_SECONDS = 0.005;
+  private static final double SIBLING_WAIT_SECONDS = 0.01;
+  private static final double PARENT_WAIT_SECONDS = 0.05;
+  private static final double SLOW_PARENT_WAIT_SECONDS = 0.5;
   private static final double SLOW_EDGE_SPEED = 0.2;
   private static final int POPULAR_OBJECTS = 400;
   private static final int FIRST_UNIQUE_OBJECT = 1000;
-  private static final int EDGES = 3;
+  private static final int EDGE_COUNT = 3;
   private static final double EDGE_WEIGHT = 10;
-  private static final double INBOUND_LINK = 30_000;
+  private static final double INBOUND_LINK_KB_PER_SECOND = 30_000;
 
-  /** An attempt in flight: first a wait, then its transfer. */
+  /** An attempt in flight. It waits first, and then transfers its work. */
   private static final class Transfer {
     private final Request request;
     private final Attempt attempt;
@@ -68,11 +69,11 @@
       return remainingWait <= 0 && remainingWork <= 0;
     }
 
-    void advance(double pace) {
+    void advance(double speed) {
       if (isSending()) {
-        remainingWork -= STEP * pace;
+        remainingWork -= STEP_SECONDS * speed;
       } else {
-        remainingWait -= STEP;
+        remainingWait -= STEP_SECONDS;
       }
     }
   }
@@ -95,18 +96,18 @@
   private final List<Request> requests = new ArrayList<>();
   private final Set<Request> open = new HashSet<>();
   private final Set<Request> answered = new HashSet<>();
-  private double parentWait = PARENT_WAIT;
+  private double parentWait = PARENT_WAIT_SECONDS;
   private long uniqueObjects = FIRST_UNIQUE_OBJECT;
 
   /**
-   * Creates the simulation.
+   * Creates a simulation.
    *
-   * @param load requested work as a share of the edges' capacity
-   * @param sizeDeviation deviation of the logarithm of sizes
+   * @param load requested work as a share of the capacity of the edges
+   * @param sizeDeviation standard deviation of the logarithm of sizes
    */
   LargeObjectSimulation(double load, double sizeDeviation) {
     this.sizeDeviation = sizeDeviation;
-    requestsPerSecond = load * (EDGES * EDGE_WEIGHT) / MEAN_SIZE;
+    requestsPerSecond = load * (EDGE_COUNT * EDGE_WEIGHT) / MEAN_SIZE_SECONDS;
     for (Cache cache : caches) {
       objectsByCache.put(cache, new HashSet<>());
       speedByCache.put(cache, 1.0);
@@ -118,7 +119,7 @@
   private static PolicySettings settings() {
     return new PolicySettingsBuilder()
         .seed(11)
-        .inboundLink(INBOUND_LINK)
+        .inboundLink(INBOUND_LINK_KB_PER_SECOND)
         .maxRetryAfter(toDuration(0.5))
         .coldStart(new PolicySettings.ColdStart(0.2, toDuration(17), 3, toDuration(2)))
         .build();
@@ -132,11 +133,11 @@
     return answered;
   }
 
-  /** Simulates a day, named for its disturbance. */
+  /** Simulates a day with the named disturbance. */
   void run(String day) {
     double nextArrival = 0;
-    for (double now = 0; now < END; now += STEP) {
-      if (now > DISTURBANCE && now < DISTURBANCE + STEP) {
+    for (double now = 0; now < END_SECONDS; now += STEP_SECONDS) {
+      if (now > DISTURBANCE_SECONDS && now < DISTURBANCE_SECONDS + STEP_SECONDS) {
         disturb(day, now);
       }
       while (nextArrival < now) {
@@ -151,17 +152,21 @@
   private void disturb(String day, double now) {
     switch (day) {
       case "quiet", "overload" -> {
-        // The load alone makes the day.
+        // Nothing but the load differs.
       }
       case "slow-edge" -> speedByCache.put(caches.get(0), SLOW_EDGE_SPEED);
-      case "slow-parent" -> parentWait = SLOW_PARENT_WAIT;
+      case "slow-parent" -> parentWait = SLOW_PARENT_WAIT_SECONDS;
       case "cold-edges" -> restartEdges(now);
-      default -> throw new IllegalArgumentException("unknown day: " + day);
+      default ->
+          throw new IllegalArgumentException(
+              "day is \""
+                  + day
+                  + "\", expected quiet, overload, slow-edge, slow-parent or cold-edges");
     }
   }
 
   private void restartEdges(double now) {
-    for (Cache edge : caches.subList(0, EDGES)) {
+    for (Cache edge : caches.subList(0, EDGE_COUNT)) {
       edge.startedAt = toDuration(now);
       objectsByCache.get(edge).clear();
     }
@@ -171,21 +176,28 @@
   private void sendRequest(double now) {
     boolean popular = random.nextInt(4) > 0;
     long object = popular ? random.nextInt(POPULAR_OBJECTS) : ++uniqueObjects;
-    double kilobytes = PolicySettingsBuilder.TRANSFER_RATE * size(object);
+    double kilobytes = PolicySettingsBuilder.TRANSFER_RATE_KB_PER_SECOND * size(object);
     Request request =
         new Request(
-            requestClass, object, 0, 1, kilobytes, toDuration(now), toDuration(now + TIMEOUT));
+            requestClass,
+            object,
+            0,
+            1,
+            kilobytes,
+            toDuration(now),
+            toDuration(now + TIMEOUT_SECONDS));
     requests.add(request);
     open.add(request);
-    follow(request, policy.route(request, toDuration(now)), now);
+    execute(request, policy.route(request, toDuration(now)), now);
   }
 
   private double size(long object) {
     double gaussian = new Random(object * 31 + 7).nextGaussian();
-    return MEAN_SIZE * Math.exp(sizeDeviation * gaussian - sizeDeviation * sizeDeviation / 2);
+    return MEAN_SIZE_SECONDS
+        * Math.exp(sizeDeviation * gaussian - sizeDeviation * sizeDeviation / 2);
   }
 
-  private void follow(Request request, Decision decision, double now) {
+  private void execute(Request request, Decision decision, double now) {
     if (decision instanceof Attempt attempt) {
       attempt.sentAt = toDuration(now);
       request.attempts.add(attempt);
@@ -199,14 +211,14 @@
   }
 
   private Transfer newTransfer(Request request, Attempt attempt) {
-    double work = request.kilobytes / PolicySettingsBuilder.TRANSFER_RATE;
+    double work = request.kilobytes / PolicySettingsBuilder.TRANSFER_RATE_KB_PER_SECOND;
     if (holds(attempt.cache, request)) {
-      return new Transfer(request, attempt, HIT_WAIT, work);
+      return new Transfer(request, attempt, HIT_WAIT_SECONDS, work);
     }
     if (attempt.source == attempt.cache) {
-      return new Transfer(request, attempt, HIT_WAIT, 0);
+      return new Transfer(request, attempt, HIT_WAIT_SECONDS, 0);
     }
-    double wait = attempt.source.tier == Cache.Tier.EDGE ? SIBLING_WAIT : parentWait;
+    double wait = attempt.source.tier == Cache.Tier.EDGE ? SIBLING_WAIT_SECONDS : parentWait;
     return new Transfer(request, attempt, wait, work);
   }
 
@@ -253,11 +265,11 @@
     Duration sourceWait = detail == Detail.FILLED ? toDuration(parentWait) : null;
     attempt.outcome =
         new Outcome(result, detail, toDuration(now).minus(attempt.sentAt), sourceWait, served);
-    follow(request, policy.onOutcome(request, attempt, toDuration(now)), now);
+    execute(request, policy.onOutcome(request, attempt, toDuration(now)), now);
   }
 
   /**
-   * Asks for a decision about each open request with an attempt that has become late in this step.
+   * Requests a further decision on each open request with an attempt that became late in this step.
    */
   private void decideOnLateAttempts(double now) {
     for (Request request : List.copyOf(open)) {
@@ -266,9 +278,9 @@
               .anyMatch(
                   attempt ->
                       attempt.isLate(toDuration(now))
-                          && attempt.expectedBy.compareTo(toDuration(now - STEP)) > 0);
+                          && attempt.expectedBy.compareTo(toDuration(now - STEP_SECONDS)) > 0);
       if (becameLate) {
-        follow(request, policy.route(request, toDuration(now)), now);
+        execute(request, policy.route(request, toDuration(now)), now);
       }
     }
   }
--- a/policy/src/test/java/tamarindroute/policy/PolicySettingsBuilder.java
+++ b/policy/src/test/java/tamarindroute/policy/PolicySettingsBuilder.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import tamarindroute.decision.PolicySettings;
 
-/** Builds settings for tests, from those of a single gateway with caches of roughly known size. */
+/**
+ * Builds settings for tests. The defaults are those of a single gateway with approximate cache
+ * weights.
+ */
 final class PolicySettingsBuilder {
 
-  /** Rate of an undisturbed transfer in all tests, in kB/s. */
-  static final double TRANSFER_RATE = 1000;
+  /** Rate of a transfer on an idle cache in all tests, in kB/s. */
+  static final double TRANSFER_RATE_KB_PER_SECOND = 1000;
 
   private long seed = 1;
   private int gateways = 1;
@@ -87,7 +90,7 @@
         gateways,
         gateways,
         List.of(0),
-        TRANSFER_RATE,
+        TRANSFER_RATE_KB_PER_SECOND,
         inboundLink,
         edgeBypass,
         siblingFill,
--- a/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ReportedConcurrencyTest.java
@@ -10,10 +10,13 @@
 import tamarindroute.decision.LoadReport;
 import tamarindroute.decision.PolicySettings;
 
-/** How a cache's report of its outstanding requests changes the estimate of its concurrency. */
+/**
+ * Tests how a cache's report of its outstanding requests changes the concurrency estimate of a
+ * gateway.
+ */
 class ReportedConcurrencyTest {
 
-  private static final double NOW = 10;
+  private static final double NOW_SECONDS = 10;
   private static final int GATEWAYS = 4;
   private static final int OWN_IN_FLIGHT = 5;
   private static final double WEIGHT = 10;
@@ -27,7 +30,7 @@
     shared.tiers().onEndpoints(List.of(edge), 0);
     state = shared.tiers().get(edge);
     state.concurrency().changeInFlight(OWN_IN_FLIGHT, 0);
-    assertThat(concurrency(NOW)).as("if all gateways send alike").isBetween(2.0, 2.2);
+    assertThat(concurrency(NOW_SECONDS)).as("if all gateways send alike").isBetween(2.0, 2.2);
   }
 
   private static PolicySettings settings() {
@@ -44,22 +47,25 @@
   }
 
   private void report(double outstandingRequests) {
-    state.onLoadReport(new LoadReport(Double.NaN, outstandingRequests), NOW);
+    state.onLoadReport(new LoadReport(Double.NaN, outstandingRequests), NOW_SECONDS);
   }
 
-  /** Otherwise all gateways would send at once after one quiet moment was reported. */
+  /**
+   * A report of few requests must not lower the estimate. Otherwise all gateways would send at once
+   * after one quiet moment was reported.
+   */
   @Test
   void reportOfLessDoesNotLowerTheEstimate() {
-    double before = concurrency(NOW);
+    double before = concurrency(NOW_SECONDS);
     report(OWN_IN_FLIGHT);
-    assertThat(concurrency(NOW)).isEqualTo(before);
+    assertThat(concurrency(NOW_SECONDS)).isEqualTo(before);
   }
 
   @Test
   void reportOfMoreCountsForTwoSeconds() {
-    double before = concurrency(NOW);
+    double before = concurrency(NOW_SECONDS);
     report(55);
-    assertThat(concurrency(NOW)).isEqualTo((OWN_IN_FLIGHT + 50 + 1) / WEIGHT);
-    assertThat(concurrency(NOW + 2.5)).isCloseTo(before, offset(0.1));
+    assertThat(concurrency(NOW_SECONDS)).isEqualTo((OWN_IN_FLIGHT + 50 + 1) / WEIGHT);
+    assertThat(concurrency(NOW_SECONDS + 2.5)).isCloseTo(before, offset(0.1));
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/Scenario.java
+++ b/policy/src/test/java/tamarindroute/policy/Scenario.java
@@ -19,7 +19,7 @@
 import tamarindroute.decision.RequestClass;
 import tamarindroute.decision.RoutingPolicy;
 
-/** Plays one scenario file against a new policy; the README describes the notation. */
+/** Plays one scenario file against a new policy. The README describes the notation. */
 final class Scenario {
 
   private static final long FIRST_STABLE_ID = 1000;
@@ -37,7 +37,7 @@
   private int checks;
 
   /**
-   * Plays lines; {@code #} starts a comment, {@code ;} separates steps, and {@code N times} repeats
+   * Plays lines. {@code #} starts a comment, {@code ;} separates steps, and {@code N times} repeats
    * a line.
    */
   void play(List<String> lines) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Fails if the scenario has checked nothing. */
+  /** Fails if the scenario has made no check. */
   void assertChecked() {
     assertThat(checks).as("checks in the scenario").isPositive();
   }
@@ -77,14 +77,16 @@
       case "later" -> now = now.plusMillis(Long.parseLong(step.name()));
       case "purge" -> purge(step);
       case "request" -> sendRequest(step);
-      case "decide" -> follow(step.name(), policy.route(requests.get(step.name()), now));
+      case "decide" -> execute(step.name(), policy.route(requests.get(step.name()), now));
       case "outcome" -> endAttempt(step);
       case "expect" -> expect(step);
       case "delay" -> checkDelay(step);
       case "may-send" -> checkMaySend(step);
       case "sent" -> checkSent(step);
       case "reset-sent" -> sent.clear();
-      default -> throw new IllegalArgumentException("unknown step: " + step.text());
+      default ->
+          throw new IllegalArgumentException(
+              "step \"" + step.text() + "\" has the unknown verb \"" + step.verb() + "\"");
     }
     step.expectation()
         .ifPresent(
@@ -148,10 +150,10 @@
             now,
             now.plus(step.millis("timeout", 3000)));
     requests.put(step.name(), request);
-    follow(step.name(), policy.route(request, now));
+    execute(step.name(), policy.route(request, now));
   }
 
-  private void follow(String name, Decision decision) {
+  private void execute(String name, Decision decision) {
     decisions.put(name, decision);
     if (decision instanceof Attempt attempt) {
       attempt.sentAt = now;
@@ -161,8 +163,8 @@
   }
 
   /**
-   * Ends the request's latest outstanding attempt, or {@code attempt=N}; a served one completes the
-   * request.
+   * Ends the latest outstanding attempt of the request, or attempt number N with {@code attempt=N}.
+   * A served attempt completes the request.
    */
   private void endAttempt(ScenarioStep step) {
     step.allowOnly("detail", "duration", "source-wait", "attempt");
@@ -179,7 +181,7 @@
             step.millis("duration", 100),
             step.millisOrNull("source-wait"),
             result == Outcome.Result.SERVED);
-    follow(step.name(), policy.onOutcome(request, attempt, now));
+    execute(step.name(), policy.onOutcome(request, attempt, now));
   }
 
   private static Attempt latestOutstanding(Request request) {
@@ -219,8 +221,8 @@
   }
 
   /**
-   * Compares a fact with {@code =} or {@code !=}; a cache's name with {@code ?} before it is bound
-   * on the spot.
+   * Checks a fact for equality with {@code =} or inequality with {@code !=}. A value {@code ?name}
+   * binds the cache that was found to the name.
    */
   private void expectFact(ScenarioStep step, Decision decision, String fact) {
     boolean negated = fact.contains("!=");
@@ -248,13 +250,16 @@
         case "only-if-cached" -> attempt.onlyIfCached ? "yes" : "no";
         case "revalidate" -> attempt.revalidate ? "yes" : "no";
         case "max-copy-age" -> attempt.maxCopyAge == null ? "any" : attempt.maxCopyAge.toMillis();
-        default -> throw new IllegalArgumentException("unknown fact of an attempt: " + step.text());
+        default ->
+            throw new IllegalArgumentException(
+                "fact \"" + key + "\" of an attempt is unknown in step \"" + step.text() + "\"");
       };
     }
     if (decision instanceof Decision.Reject reject && key.equals("retry-after")) {
       return reject.retryAfter() == null ? "none" : "some";
     }
-    throw new IllegalArgumentException("unknown fact of the decision: " + step.text());
+    throw new IllegalArgumentException(
+        "fact \"" + key + "\" does not exist for " + decision + " in step \"" + step.text() + "\"");
   }
 
   private Cache cache(String name) {
--- a/policy/src/test/java/tamarindroute/policy/ScenarioStep.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioStep.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * One step of a scenario: its words, its {@code key=value} facts, and what it expects of the
- * decision that follows.
+ * One step of a scenario: its words, its facts in the form {@code key=value}, and the decision that
+ * it expects.
  */
 final class ScenarioStep {
 
@@ -46,16 +46,17 @@
     return text.isEmpty();
   }
 
-  /** Returns what is expected of the decision about the request that the step names. */
+  /** Returns the expected decision on the request that the step names; empty if none is stated. */
   Optional<String> expectation() {
     return expectation;
   }
 
+  /** Returns the first word. */
   String verb() {
     return words.get(0);
   }
 
-  /** Returns the name after the verb. */
+  /** Returns the word after the verb. */
   String name() {
     return words.get(1);
   }
@@ -65,16 +66,17 @@
     return words.get(2);
   }
 
-  /** Returns the words after a number of others. */
+  /** Returns the words from an index on, the verb being word 0. */
   List<String> wordsFrom(int index) {
     return words.subList(index, words.size());
   }
 
-  /** Fails on a fact that the step does not know. */
+  /** Throws an exception if the step has a fact other than these. */
   void allowOnly(String... keys) {
     for (String key : facts.keySet()) {
       if (!Set.of(keys).contains(key)) {
-        throw new IllegalArgumentException("unknown fact \"" + key + "\" in the step: " + text);
+        throw new IllegalArgumentException(
+            "fact \"" + key + "\" in step \"" + text + "\", expected only " + List.of(keys));
       }
     }
   }
@@ -95,22 +97,22 @@
     return has(key) ? facts.get(key).equals("yes") : absent;
   }
 
-  /** Returns a time given in milliseconds. */
+  /** Returns a duration that is written in milliseconds. */
   Duration millis(String key, long absent) {
     return Duration.ofMillis(number(key, absent));
   }
 
-  /** Returns a time given in milliseconds; null if it is absent. */
+  /** Returns a duration that is written in milliseconds; null if the fact is absent. */
   Duration millisOrNull(String key) {
     return has(key) ? millis(key, 0) : null;
   }
 
-  /** Returns an enum constant spelled in lower case with hyphens. */
+  /** Returns the enum constant of a fact, written in lower case with hyphens. */
   <E extends Enum<E>> E constant(Class<E> type, String key, String absent) {
     return constant(type, text(key, absent));
   }
 
-  /** Decodes an enum constant spelled in lower case with hyphens. */
+  /** Returns the enum constant that is written in lower case with hyphens. */
   static <E extends Enum<E>> E constant(Class<E> type, String word) {
     return Enum.valueOf(type, word.toUpperCase(Locale.ROOT).replace('-', '_'));
   }
--- a/policy/src/test/java/tamarindroute/policy/ScenarioTest.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays every scenario file, each after the settings of its first line and the common world. */
+/**
+ * Plays every scenario file, each of which guards one rule of the routing policy. The settings of
+ * its first line are applied first, followed by the common classes and caches.
+ */
 class ScenarioTest {
 
   private static final Path RESOURCES = Path.of("policy/src/test/resources");
--- a/policy/src/test/java/tamarindroute/policy/ScenarioValues.java
+++ b/policy/src/test/java/tamarindroute/policy/ScenarioValues.java
@@ -5,7 +5,7 @@
 import tamarindroute.decision.PolicySettings;
 import tamarindroute.decision.RequestClass;
 
-/** Decodes the settings and request classes of scenarios, with the defaults of what is absent. */
+/** Decodes the settings and request classes of scenarios. Absent facts have default values. */
 final class ScenarioValues {
 
   private ScenarioValues() {}
@@ -48,7 +48,7 @@
         step.constant(PolicySettings.WeightMeaning.class, "weights", "rough"));
   }
 
-  /** INITIAL-CAPACITY/WARM-AFTER/MULTIPLE/WINDOW, the times in milliseconds. */
+  /** Decodes {@code INITIAL-CAPACITY/WARM-AFTER/MULTIPLE/WINDOW} with the times in milliseconds. */
   private static PolicySettings.ColdStart coldStart(String text) {
     String[] parts = text.split("/", -1);
     return new PolicySettings.ColdStart(
--- a/policy/src/test/java/tamarindroute/policy/SimulatedCache.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedCache.java
@@ -11,23 +11,31 @@
 import tamarindroute.numeric.Seconds;
 
 /**
- * A cache of a simulation as it truly is. After a start its capacity rises linearly to the full
- * one.
+ * A simulated cache with its true capacity, content and speed. After a restart its capacity rises
+ * linearly from a small share to the full capacity.
  */
 final class SimulatedCache {
 
-  private static final double INITIAL_CAPACITY = 0.05;
-  private static final double WARM_AFTER = 10;
+  /** Share of the full capacity right after a start. */
+  private static final double INITIAL_CAPACITY_SHARE = 0.05;
+
+  /** Time from a start to the full capacity. */
+  private static final double WARM_AFTER_SECONDS = 10;
+
+  /** Multiple of the current capacity that overloads a cold cache. */
   private static final double OVERLOAD_MULTIPLE = 2;
-  private static final double OVERLOAD_WINDOW = 2;
 
-  /** Steps by which reports of the requests in flight are late. */
+  /** Window in which the load of a cold cache is measured. */
+  private static final double OVERLOAD_WINDOW_SECONDS = 2;
+
+  /** Number of simulation steps by which reports of the requests in flight are delayed. */
   private static final int REPORT_DELAY_STEPS = 125;
 
+  /** Arrival of work, both in seconds: the time of the simulation and the transfer time. */
   private record Arrival(double time, double work) {}
 
   private final Cache cache;
-  private final double maxBytes;
+  private final double maxContentSeconds;
   private final Map<Long, Double> objects = new LinkedHashMap<>(512, 0.75f, true);
   private final int[] inFlightHistory = new int[REPORT_DELAY_STEPS];
   private final Deque<Arrival> arrivalsWhileCold = new ArrayDeque<>();
@@ -37,28 +45,29 @@
   private double capacity;
   private double speed = 1;
   private boolean hung;
-  private double bytes;
+  private double contentSeconds;
   private int sending;
   private int inFlight;
 
   /**
    * Creates a warm, empty cache.
    *
-   * @param capacity undisturbed transfers at once
-   * @param maxBytes what it can hold, in seconds of transfer
+   * @param capacity number of transfers that do not slow each other down
+   * @param maxContentSeconds content that the cache can hold, in seconds of transfer
    */
-  SimulatedCache(Cache cache, double capacity, double maxBytes) {
+  SimulatedCache(Cache cache, double capacity, double maxContentSeconds) {
     this.cache = cache;
     this.capacity = capacity;
-    this.maxBytes = maxBytes;
+    this.maxContentSeconds = maxContentSeconds;
   }
 
+  /** Returns the cold start that gateways are configured with, which is the true one. */
   static PolicySettings.ColdStart coldStart() {
     return new PolicySettings.ColdStart(
-        INITIAL_CAPACITY,
-        Seconds.toDuration(WARM_AFTER),
+        INITIAL_CAPACITY_SHARE,
+        Seconds.toDuration(WARM_AFTER_SECONDS),
         OVERLOAD_MULTIPLE,
-        Seconds.toDuration(OVERLOAD_WINDOW));
+        Seconds.toDuration(OVERLOAD_WINDOW_SECONDS));
   }
 
   Cache cache() {
@@ -69,12 +78,12 @@
     return cache.tier == Cache.Tier.EDGE;
   }
 
-  /** Sets how fast it sends, relative to an undisturbed transfer. */
+  /** Sets the speed of transfers relative to a transfer on an idle cache. */
   void setSpeed(double value) {
     speed = value;
   }
 
-  /** Sets whether it neither answers nor sends. */
+  /** Sets whether the cache hangs: it neither answers nor sends. */
   void setHung(boolean value) {
     hung = value;
   }
@@ -91,30 +100,36 @@
     return inFlight;
   }
 
-  /** Starts a new process, empty and cold, on a machine of this capacity. */
+  /**
+   * Starts a new process, empty and cold.
+   *
+   * @param newCapacity number of transfers that do not slow each other down once warm
+   */
   void restart(double newCapacity, double now) {
     capacity = newCapacity;
     cache.startedAt = Seconds.toDuration(now);
     objects.clear();
-    bytes = 0;
+    contentSeconds = 0;
     arrivalsWhileCold.clear();
     workWhileCold = 0;
   }
 
   private boolean isCold(double now) {
-    return cache.startedAt != null && now < Seconds.seconds(cache.startedAt) + WARM_AFTER;
+    return cache.startedAt != null && now < Seconds.seconds(cache.startedAt) + WARM_AFTER_SECONDS;
   }
 
-  /** Returns the share of the full capacity at a time, if the cache is still cold now. */
+  /** Returns the share of the full capacity at a time; 1 if the cache is no longer cold now. */
   private double warmth(double time, double now) {
     return isCold(now)
-        ? INITIAL_CAPACITY
-            + (1 - INITIAL_CAPACITY) * (time - Seconds.seconds(cache.startedAt)) / WARM_AFTER
+        ? INITIAL_CAPACITY_SHARE
+            + (1 - INITIAL_CAPACITY_SHARE)
+                * (time - Seconds.seconds(cache.startedAt))
+                / WARM_AFTER_SECONDS
         : 1;
   }
 
-  /** Returns the speed of each of its transfers, relative to an undisturbed one. */
-  double pace(double now) {
+  /** Returns the speed of each transfer in progress, relative to a transfer on an idle cache. */
+  double relativeSpeed(double now) {
     return hung ? 0 : speed * Math.min(1, capacity * warmth(now, now) / Math.max(1, sending));
   }
 
@@ -122,17 +137,19 @@
     return objects.get(object) != null;
   }
 
-  /** Keeps an object and evicts the least recently used ones that do not fit any more. */
-  void keep(long object, double size) {
+  /** Stores an object and evicts the least recently used objects that exceed the capacity. */
+  void store(long object, double size) {
     if (objects.put(object, size) == null) {
-      bytes += size;
+      contentSeconds += size;
     }
-    for (Iterator<Double> oldest = objects.values().iterator(); bytes > maxBytes; oldest.remove()) {
-      bytes -= oldest.next();
+    for (Iterator<Double> oldest = objects.values().iterator();
+        contentSeconds > maxContentSeconds;
+        oldest.remove()) {
+      contentSeconds -= oldest.next();
     }
   }
 
-  /** Begins a step of the simulation. */
+  /** Begins a simulation step. */
   void beginStep(int step) {
     inFlightHistory[step % REPORT_DELAY_STEPS] = inFlight;
     sending = 0;
@@ -142,28 +159,32 @@
     sending++;
   }
 
-  /** Returns the requests in flight as they were some steps ago. */
+  /** Returns the number of requests in flight as it was when the delayed report was made. */
   int reportedInFlight(int step) {
     return inFlightHistory[(step + 1) % REPORT_DELAY_STEPS];
   }
 
   /**
-   * Takes a request, and counts its work against what overloads a cold edge within a window.
+   * Counts a request as in flight. At a cold edge its work is added to the load of the current
+   * overload window.
    *
-   * @param scatter the scatter of an ideal load, by the limit of the window
+   * @param work seconds of transfer
+   * @param scatter returns the allowance for random scatter, in seconds of transfer, for the load
+   *     that overloads the cache within the window
    */
   void begin(double work, double now, DoubleUnaryOperator scatter) {
     inFlight++;
     if (!isEdge() || !isCold(now)) {
       return;
     }
-    double since = Math.max(Seconds.seconds(cache.startedAt), now - OVERLOAD_WINDOW);
+    double since = Math.max(Seconds.seconds(cache.startedAt), now - OVERLOAD_WINDOW_SECONDS);
     arrivalsWhileCold.add(new Arrival(now, work));
     workWhileCold += work;
     while (arrivalsWhileCold.peek().time() < since) {
       workWhileCold -= arrivalsWhileCold.remove().work();
     }
-    double limit = OVERLOAD_MULTIPLE * capacity * warmth((since + now) / 2, now) * OVERLOAD_WINDOW;
+    double limit =
+        OVERLOAD_MULTIPLE * capacity * warmth((since + now) / 2, now) * OVERLOAD_WINDOW_SECONDS;
     peakColdLoad = Math.max(peakColdLoad, workWhileCold / limit);
     peakColdLoadBeyondScatter =
         Math.max(peakColdLoadBeyondScatter, workWhileCold / (limit + scatter.applyAsDouble(limit)));
@@ -173,12 +194,18 @@
     inFlight--;
   }
 
-  /** Returns the greatest share of an overload that arrived in a window while it was cold. */
+  /**
+   * Returns the highest load of a window while the cache was cold, as a multiple of the load that
+   * overloads it.
+   */
   double peakColdLoad() {
     return peakColdLoad;
   }
 
-  /** The same, with room for the scatter of an ideal load. */
+  /**
+   * Returns the highest load of a window while the cache was cold, as a multiple of the load that
+   * overloads it plus the allowance for scatter.
+   */
   double peakColdLoadBeyondScatter() {
     return peakColdLoadBeyondScatter;
   }
--- a/policy/src/test/java/tamarindroute/policy/SimulatedGateways.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedGateways.java
@@ -11,13 +11,19 @@
 import tamarindroute.decision.RoutingPolicy;
 import tamarindroute.numeric.Seconds;
 
-/** The gateways of a simulated location, each with its clients, and the endpoint lists they get. */
+/**
+ * The gateways of a simulated location, the distribution of clients over them, and the endpoint
+ * lists that they get.
+ */
 final class SimulatedGateways {
 
-  /** Objects whose homes are compared between endpoint lists. */
+  /** Number of objects whose hashed edges are compared between endpoint lists. */
   private static final int SAMPLED_HOMES = 500;
 
-  /** Deviation of the logarithm of the gateways' clients, where these are uneven. */
+  /**
+   * Standard deviation of the logarithm of the number of clients per gateway, if that number is
+   * uneven.
+   */
   private static final double CLIENT_DEVIATION = 1.2;
 
   private final SimulationPlan plan;
@@ -45,7 +51,8 @@
   }
 
   private PolicySettings settings() {
-    double link = location.inboundLinkCapacity() * PolicySettingsBuilder.TRANSFER_RATE;
+    double link =
+        location.inboundLinkCapacity() * PolicySettingsBuilder.TRANSFER_RATE_KB_PER_SECOND;
     return new PolicySettingsBuilder()
         .seed(random.nextLong())
         .gateways(plan.gateways())
@@ -68,23 +75,23 @@
     };
   }
 
-  /** Returns the first gateway; all rank caches alike. */
+  /** Returns the first gateway. All gateways rank caches in the same order. */
   RoutingPolicy any() {
     return gateways[0];
   }
 
-  /** Returns the gateway of a client. */
+  /** Returns the gateway of a random client. */
   RoutingPolicy draw(Random clientRandom) {
     return gateways[SimulatedWorkload.draw(cumulativeClients, clientRandom.nextDouble())];
   }
 
-  /** Replaces a gateway by one that knows nothing. */
+  /** Replaces a gateway by one without any state. */
   void restart(int index, double now) {
     gateways[index] = new RatioTestPolicy(settings());
     gateways[index].onEndpoints(location.caches(), Seconds.toDuration(now));
   }
 
-  /** Sends the endpoint list with the weights that are advertised now to all gateways. */
+  /** Sends the endpoint list with the currently advertised weights to all gateways. */
   void publishEndpoints(double now) {
     location.advertiseWeights();
     for (RoutingPolicy gateway : gateways) {
@@ -92,7 +99,10 @@
     }
   }
 
-  /** Does the same, and measures how many homes move with the new weights. */
+  /**
+   * Sends the endpoint list to all gateways and measures the share of objects whose hashed edge
+   * changes.
+   */
   void republishEndpoints(double now) {
     List<Cache> before = sampledHomes();
     publishEndpoints(now);
@@ -110,7 +120,10 @@
     return any().rankedCaches(object).get(0);
   }
 
-  /** Returns the greatest share of objects whose home moved from one endpoint list to the next. */
+  /**
+   * Returns the largest share of objects whose hashed edge changed from one endpoint list to the
+   * next.
+   */
   double peakHomesMoved() {
     return peakHomesMoved;
   }
--- a/policy/src/test/java/tamarindroute/policy/SimulatedLocation.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedLocation.java
@@ -12,23 +12,26 @@
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.decision.RoutingPolicy;
 
-/** The caches of a simulated location and what an attempt comes to there. Times are in seconds. */
+/**
+ * The caches of a simulated location, and the outcomes of attempts at them. Times are in seconds.
+ */
 final class SimulatedLocation {
 
-  private static final double HIT_WAIT = 0.005;
-  private static final double SIBLING_WAIT = 0.01;
-  private static final double PARENT_WAIT = 0.03;
-  private static final double ORIGIN_WAIT = 0.1;
+  private static final double HIT_WAIT_SECONDS = 0.005;
+  private static final double SIBLING_WAIT_SECONDS = 0.01;
+  private static final double PARENT_WAIT_SECONDS = 0.03;
+  private static final double ORIGIN_WAIT_SECONDS = 0.1;
 
-  /** What edges and parents hold, as a share of all objects' bytes. */
+  /** Content that an edge can hold, as a share of the size of all objects. */
   private static final double EDGE_BYTES_SHARE = 0.12;
 
+  /** Content that a parent can hold, as a share of the size of all objects. */
   private static final double PARENT_BYTES_SHARE = 0.6;
 
-  /** Capacity of the link into the location, as a share of that of the edges. */
+  /** Capacity of the link into the location, as a share of the capacity of the edges. */
   private static final double INBOUND_LINK_SHARE = 0.4;
 
-  /** Requests per core, roughly: what live weights are divided by. */
+  /** Number of cores by which the requests in flight are divided for live weights. */
   private static final double CORES = 4;
 
   private static final long FIRST_EDGE_ID = 100;
@@ -85,7 +88,10 @@
     return byCache.get(cache);
   }
 
-  /** Returns the undisturbed fills that the link into the location carries. */
+  /**
+   * Returns the number of fills that the link into the location carries without slowing each other
+   * down.
+   */
   double inboundLinkCapacity() {
     return inboundLinkCapacity;
   }
@@ -95,7 +101,7 @@
     originFailing = value;
   }
 
-  /** Sets the weights in the endpoint list as the plan wants them. */
+  /** Sets the weights of the endpoint list according to the plan. */
   void advertiseWeights() {
     for (SimulatedCache simulated : byCache.values()) {
       simulated.cache().weight = advertisedWeight(simulated);
@@ -113,53 +119,59 @@
   }
 
   /**
-   * Fills the caches as they would be after a long time: the most popular objects at their homes
-   * and parents.
+   * Stores objects as they would be stored after a long time: the most popular ones at their hashed
+   * edges and at the parents.
    */
   void fillCaches(SimulatedWorkload workload, RoutingPolicy gateway) {
     for (int object = SimulatedWorkload.OBJECTS - 1; object >= 0; object--) {
       double size = workload.size(object);
-      get(gateway.rankedCaches(object).get(0)).keep(object, size);
+      get(gateway.rankedCaches(object).get(0)).store(object, size);
       for (Cache cache : caches.subList(edges.size(), caches.size())) {
-        get(cache).keep(object, size);
+        get(cache).store(object, size);
       }
     }
   }
 
-  /** Returns what an attempt comes to, as far as its caches hold the object now. */
-  SimulatedTransfer.Fate fate(SimulatedRequest request, Attempt attempt, Random random) {
-    SimulatedCache at = get(attempt.cache);
+  /** Returns the outcome of an attempt, according to the current content of its caches. */
+  SimulatedTransfer.PlannedOutcome outcomeOf(
+      SimulatedRequest request, Attempt attempt, Random random) {
+    SimulatedCache target = get(attempt.cache);
     long object = request.request().objectId;
-    if (at.isEdge() && plan.failingShare() > 0 && random.nextDouble() < plan.failingShare()) {
-      return new SimulatedTransfer.Fate(at, Result.FAILED, Detail.UNKNOWN, HIT_WAIT);
+    if (target.isEdge() && plan.failingShare() > 0 && random.nextDouble() < plan.failingShare()) {
+      return new SimulatedTransfer.PlannedOutcome(
+          target, Result.FAILED, Detail.UNKNOWN, HIT_WAIT_SECONDS);
     }
-    if (at.holds(object)) {
-      return new SimulatedTransfer.Fate(at, Result.SERVED, Detail.HIT, HIT_WAIT);
+    if (target.holds(object)) {
+      return new SimulatedTransfer.PlannedOutcome(
+          target, Result.SERVED, Detail.HIT, HIT_WAIT_SECONDS);
     }
     if (attempt.source == attempt.cache && attempt.cache.tier != Cache.Tier.ORIGIN) {
-      return new SimulatedTransfer.Fate(at, Result.MISS, Detail.UNKNOWN, HIT_WAIT);
+      return new SimulatedTransfer.PlannedOutcome(
+          target, Result.MISS, Detail.UNKNOWN, HIT_WAIT_SECONDS);
     }
-    return fillFate(attempt, get(attempt.source), object);
+    return fillOutcome(attempt, get(attempt.source), object);
   }
 
-  private SimulatedTransfer.Fate fillFate(Attempt attempt, SimulatedCache source, long object) {
+  private SimulatedTransfer.PlannedOutcome fillOutcome(
+      Attempt attempt, SimulatedCache source, long object) {
     double wait = sourceWait(source);
     if (source.holds(object)) {
-      return new SimulatedTransfer.Fate(source, Result.SERVED, Detail.FILLED, wait);
+      return new SimulatedTransfer.PlannedOutcome(source, Result.SERVED, Detail.FILLED, wait);
     }
     if (attempt.onlyIfCached) {
-      return new SimulatedTransfer.Fate(source, Result.MISS, Detail.SOURCE_MISS, wait);
+      return new SimulatedTransfer.PlannedOutcome(source, Result.MISS, Detail.SOURCE_MISS, wait);
     }
     return originFailing
-        ? new SimulatedTransfer.Fate(
-            source, Result.FAILED, Detail.ORIGIN_FAILED, wait + ORIGIN_WAIT)
-        : new SimulatedTransfer.Fate(source, Result.SERVED, Detail.FROM_ORIGIN, wait + ORIGIN_WAIT);
+        ? new SimulatedTransfer.PlannedOutcome(
+            source, Result.FAILED, Detail.ORIGIN_FAILED, wait + ORIGIN_WAIT_SECONDS)
+        : new SimulatedTransfer.PlannedOutcome(
+            source, Result.SERVED, Detail.FROM_ORIGIN, wait + ORIGIN_WAIT_SECONDS);
   }
 
   private static double sourceWait(SimulatedCache source) {
     return switch (source.cache().tier) {
-      case EDGE -> SIBLING_WAIT;
-      case PARENT -> PARENT_WAIT;
+      case EDGE -> SIBLING_WAIT_SECONDS;
+      case PARENT -> PARENT_WAIT_SECONDS;
       case ORIGIN -> 0;
     };
   }
--- a/policy/src/test/java/tamarindroute/policy/SimulatedReports.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedReports.java
@@ -7,7 +7,7 @@
 import tamarindroute.decision.Outcome.Result;
 import tamarindroute.numeric.Seconds;
 
-/** What the caches of a simulation report to gateways, as far as the plan lets them. */
+/** The reports of simulated caches to gateways, as far as the plan allows them. */
 final class SimulatedReports {
 
   private final SimulationPlan plan;
@@ -24,7 +24,7 @@
     boolean hits = plan.reportedDetails() == SimulationPlan.ReportedDetails.HIT;
     boolean detailReported = all || (hits && served);
     boolean waitReported = all && served && transfer.isFill();
-    Duration wait = waitReported ? Seconds.toDuration(transfer.fate().delay()) : null;
+    Duration wait = waitReported ? Seconds.toDuration(transfer.plannedOutcome().delay()) : null;
     return new Outcome(
         result,
         detailReported ? detail : Detail.UNKNOWN,
@@ -33,15 +33,15 @@
         completed);
   }
 
-  /** Reports the load of the cache with an answer of any kind. */
+  /** Reports the load of the target cache to the gateway, together with an answer of any kind. */
   void reportLoad(SimulatedTransfer transfer, Result result, int step, double now) {
     boolean answered = result == Result.SERVED || result == Result.MISS || result == Result.FAILED;
     if (plan.isLoadReported() && answered) {
-      LoadReport report = new LoadReport(Double.NaN, transfer.at().reportedInFlight(step));
+      LoadReport report = new LoadReport(Double.NaN, transfer.target().reportedInFlight(step));
       transfer
           .request()
           .gateway()
-          .onLoadReport(transfer.at().cache(), report, Seconds.toDuration(now));
+          .onLoadReport(transfer.target().cache(), report, Seconds.toDuration(now));
     }
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/SimulatedRequest.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedRequest.java
@@ -10,13 +10,14 @@
  *
  * @param request the request as its gateway knows it
  * @param gateway the policy of its gateway
- * @param work size of its object, in seconds of an undisturbed transfer
- * @param value what serving it is worth
- * @param home the first cache of its object's ranking at its arrival
+ * @param work size of its object, in seconds of transfer on an idle cache
+ * @param value value of serving the request within its latency objective, in arbitrary units
+ * @param home the hashed edge of its object at the time of its arrival
  */
 record SimulatedRequest(
     Request request, RoutingPolicy gateway, double work, double value, Cache home) {
 
+  /** Returns the time of arrival in seconds. */
   double arrivalTime() {
     return Seconds.seconds(request.arrivalTime);
   }
--- a/policy/src/test/java/tamarindroute/policy/SimulatedTransfer.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulatedTransfer.java
@@ -2,32 +2,40 @@
 
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Outcome;
+import tamarindroute.numeric.Seconds;
 
-/** An attempt in flight: first a wait, then the transfer of its work. */
+/** An attempt in flight in a simulation. It waits first, and then transfers its work. */
 final class SimulatedTransfer {
 
   /**
-   * What an attempt comes to.
+   * The outcome of an attempt unless it is cut off first, by a deadline or a failure.
    *
-   * @param from the cache that sends the object
+   * @param sender the cache that sends the object
+   * @param result how the attempt ends
+   * @param detail where the answer comes from
    * @param delay wait before the transfer, in seconds
    */
-  record Fate(SimulatedCache from, Outcome.Result result, Outcome.Detail detail, double delay) {}
+  record PlannedOutcome(
+      SimulatedCache sender, Outcome.Result result, Outcome.Detail detail, double delay) {}
 
   private final SimulatedRequest request;
   private final Attempt attempt;
-  private final SimulatedCache at;
-  private final Fate fate;
+  private final SimulatedCache target;
+  private final PlannedOutcome plannedOutcome;
   private double remainingWait;
   private double remainingWork;
 
-  SimulatedTransfer(SimulatedRequest request, Attempt attempt, SimulatedCache at, Fate fate) {
+  SimulatedTransfer(
+      SimulatedRequest request,
+      Attempt attempt,
+      SimulatedCache target,
+      PlannedOutcome plannedOutcome) {
     this.request = request;
     this.attempt = attempt;
-    this.at = at;
-    this.fate = fate;
-    remainingWait = fate.delay();
-    remainingWork = fate.result() == Outcome.Result.SERVED ? request.work() : 0;
+    this.target = target;
+    this.plannedOutcome = plannedOutcome;
+    remainingWait = plannedOutcome.delay();
+    remainingWork = plannedOutcome.result() == Outcome.Result.SERVED ? request.work() : 0;
   }
 
   SimulatedRequest request() {
@@ -39,17 +47,17 @@
   }
 
   /** Returns the cache that the attempt was sent to. */
-  SimulatedCache at() {
-    return at;
+  SimulatedCache target() {
+    return target;
   }
 
   /** Returns the cache that sends the object. */
-  SimulatedCache from() {
-    return fate.from();
+  SimulatedCache sender() {
+    return plannedOutcome.sender();
   }
 
-  Fate fate() {
-    return fate;
+  PlannedOutcome plannedOutcome() {
+    return plannedOutcome;
   }
 
   boolean isSending() {
@@ -60,28 +68,36 @@
     return remainingWait <= 0 && remainingWork <= 0;
   }
 
+  boolean isPastDeadline(double now) {
+    return now >= Seconds.seconds(request.request().deadline);
+  }
+
   boolean isFill() {
-    return fate.from() != at;
+    return plannedOutcome.sender() != target;
   }
 
-  /** Whether it takes a part of the link into the location. */
+  /** Whether the transfer passes the link into the location. */
   boolean usesInboundLink() {
-    return !at.isEdge() || !fate.from().isEdge();
+    return !target.isEdge() || !plannedOutcome.sender().isEdge();
   }
 
   /**
-   * Advances by one step.
+   * Advances the transfer by one simulation step.
    *
-   * @param step seconds
-   * @param linkPace speed that the link into the location allows, relative to an undisturbed
-   *     transfer
+   * @param step duration of the step, in seconds
+   * @param linkSpeed speed that the link into the location allows, relative to a transfer on an
+   *     idle cache
+   * @param now seconds since the start of the simulation
    */
-  void advance(double step, double linkPace, double now) {
+  void advance(double step, double linkSpeed, double now) {
     if (remainingWait > 0) {
-      remainingWait -= at.isHung() || fate.from().isHung() ? 0 : step;
+      remainingWait -= target.isHung() || plannedOutcome.sender().isHung() ? 0 : step;
     } else {
-      double pace = Math.min(linkPace, Math.min(at.pace(now), fate.from().pace(now)));
-      remainingWork -= step * pace;
+      double speed =
+          Math.min(
+              linkSpeed,
+              Math.min(target.relativeSpeed(now), plannedOutcome.sender().relativeSpeed(now)));
+      remainingWork -= step * speed;
     }
   }
 }
--- a/policy/src/test/java/tamarindroute/policy/SimulationPlan.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulationPlan.java
@@ -5,24 +5,32 @@
 import java.util.function.Consumer;
 
 /**
- * What a {@link CapacitySimulation} consists of: its sizes, what is reported to its gateways, and
- * what happens when.
+ * The configuration of a {@link CapacitySimulation}: its size and load, the information that its
+ * gateways get, and its events.
  */
 final class SimulationPlan {
 
   /** How the advertised weights of caches relate to their true capacities. */
   enum AdvertisedWeights {
+    /** The true capacity. */
     TRUE,
+    /** 1 for every cache. */
     OFF,
+    /** Ten times the true capacity. */
     TENFOLD,
+    /** A tenth of the true capacity. */
     TENTH,
+    /** The true capacity, reduced by the current load. */
     LIVE
   }
 
-  /** Which outcomes report where an answer came from: all, those that were served, or none. */
+  /** Which outcomes report where the answer came from. */
   enum ReportedDetails {
+    /** All outcomes. */
     ALL,
+    /** Only outcomes of served attempts. */
     HIT,
+    /** No outcome. */
     OFF
   }
 
@@ -44,10 +52,12 @@
   private double failingShare;
 
   /**
-   * Plans a simulation in which all is known and nothing happens.
+   * Creates a plan in which gateways have full and true information and no event occurs.
    *
-   * @param load requested work as a share of the edges' capacity
-   * @param edgeCapacities true capacities of the edges, in undisturbed transfers
+   * @param gateways number of gateways in the location
+   * @param load requested work as a share of the capacity of the edges
+   * @param edgeCapacities true capacities of the edges, in transfers that do not slow each other
+   *     down
    */
   SimulationPlan(int gateways, double load, double... edgeCapacities) {
     this.gateways = gateways;
@@ -55,13 +65,19 @@
     this.edgeCapacities = edgeCapacities;
   }
 
-  /** Adds an event; events at one time happen in the order in which they were added. */
+  /**
+   * Adds an event at a time in seconds. Events at the same time occur in the order in which they
+   * were added.
+   */
   SimulationPlan at(double seconds, Consumer<CapacitySimulation> event) {
     events.merge(seconds, event, Consumer::andThen);
     return this;
   }
 
-  /** Applies a named option: a value of {@link AdvertisedWeights}, or what else is not known. */
+  /**
+   * Applies a named option, which is a value of {@link AdvertisedWeights} or the name of missing
+   * information.
+   */
   SimulationPlan withOption(String option) {
     switch (option) {
       case "no-sizes" -> sizesKnown = false;
@@ -86,7 +102,7 @@
     return this;
   }
 
-  /** Sets for how long requests arrive. */
+  /** Sets the time during which requests arrive, in seconds. */
   SimulationPlan lasting(double value) {
     seconds = value;
     return this;
@@ -108,13 +124,13 @@
     return this;
   }
 
-  /** Makes all requests keyed, their keys known within a cell. */
+  /** Makes all requests keyed, with idempotency keys that are recognized within a cell. */
   SimulationPlan keyedWithinCell() {
     keyedWithinCell = true;
     return this;
   }
 
-  /** Sets the share of attempts that fail at their edge. */
+  /** Sets the share of attempts that fail at their edge, 0 to 1. */
   SimulationPlan withFailingShare(double value) {
     failingShare = value;
     return this;
@@ -184,7 +200,7 @@
     return failingShare;
   }
 
-  /** Runs the simulation. */
+  /** Runs a new simulation of this plan and returns it. */
   CapacitySimulation simulate() {
     CapacitySimulation simulation = new CapacitySimulation(this);
     simulation.run();
--- a/policy/src/test/java/tamarindroute/policy/SimulationResult.java
+++ b/policy/src/test/java/tamarindroute/policy/SimulationResult.java
@@ -7,18 +7,18 @@
 import tamarindroute.decision.Attempt;
 import tamarindroute.decision.Request;
 
-/** The requests of a simulation and how they ended. */
+/** The requests of a simulation and how each of them ended. */
 final class SimulationResult {
 
-  /** How a request ended; the first end counts. */
+  /** How a request ended. Only the first end counts. */
   enum Ending {
-    /** Answered within its objective. */
+    /** Answered within its latency objective. */
     SERVED,
-    /** Answered after its objective. */
+    /** Answered after its latency objective. */
     LATE,
-    /** Given up after an attempt. */
+    /** Rejected or failed after at least one attempt. */
     GIVEN_UP,
-    /** Given up without an attempt. */
+    /** Rejected or failed without an attempt. */
     REJECTED
   }
 
@@ -33,7 +33,7 @@
     requests.add(request);
   }
 
-  /** Records an end, unless the request has ended before. */
+  /** Records the end of a request unless it has ended before. */
   void end(SimulatedRequest request, Ending ending) {
     endings.putIfAbsent(request, ending);
   }
@@ -42,7 +42,7 @@
     return endings.containsKey(request);
   }
 
-  /** Ends a request that its gateway neither sent nor ended nor would decide about again. */
+  /** Ends a request that its gateway neither sent nor ended and would not decide on again. */
   void abandon(SimulatedRequest request) {
     abandoned++;
     end(request, Ending.GIVEN_UP);
@@ -52,7 +52,9 @@
     return abandoned;
   }
 
-  /** Compares the cell of an attempt with those of earlier ones that may have been executed. */
+  /**
+   * Compares the cell of an attempt with the cells of earlier attempts that may have been executed.
+   */
   void countCell(Request request, Attempt attempt) {
     for (Attempt earlier : request.attempts) {
       if (earlier.outcome == null || !earlier.outcome.result().provesNotExecuted) {
@@ -63,12 +65,17 @@
     }
   }
 
-  /** Returns the further attempts in another cell after one that may have been executed. */
+  /**
+   * Returns the number of further attempts in a cell other than that of an attempt that may have
+   * been executed.
+   */
   int attemptsInOtherCell() {
     return attemptsInOtherCell;
   }
 
-  /** Returns the further attempts in the cell of one that may have been executed. */
+  /**
+   * Returns the number of further attempts in the cell of an attempt that may have been executed.
+   */
   int attemptsInSameCell() {
     return attemptsInSameCell;
   }
@@ -87,14 +94,17 @@
   }
 
   /**
-   * Returns the share of the value of all requests that arrived from one time to another that was
-   * served.
+   * Returns the value served in time as a share of the value of all requests that arrived in an
+   * interval.
    */
   double served(double from, double to) {
     return served(from, to, request -> true);
   }
 
-  /** The same of the requests that match. */
+  /**
+   * Returns the value served in time as a share of the value of all matching requests that arrived
+   * in an interval.
+   */
   double served(double from, double to, Predicate<SimulatedRequest> condition) {
     List<SimulatedRequest> arrived = arrived(from, to, condition);
     double served =
@@ -105,7 +115,7 @@
     return served / arrived.stream().mapToDouble(SimulatedRequest::value).sum();
   }
 
-  /** Returns the share of the requests that arrived from one time to another that ended so. */
+  /** Returns the share of requests with this ending among those that arrived in an interval. */
   double share(Ending ending, double from, double to) {
     int ended = arrived(from, to, request -> endings.get(request) == ending).size();
     return (double) ended / arrived(from, to, request -> true).size();
--- a/policy/src/test/java/tamarindroute/policy/TestValues.java
+++ b/policy/src/test/java/tamarindroute/policy/TestValues.java
@@ -4,7 +4,7 @@
 import tamarindroute.decision.Cache;
 import tamarindroute.decision.RequestClass;
 
-/** Caches and request classes as most tests need them. */
+/** Caches and request classes that several tests use. */
 final class TestValues {
 
   private TestValues() {}
