--- a/router/src/main/java/tamarindroute/vrrp/Election.java
+++ b/router/src/main/java/tamarindroute/vrrp/Election.java
@@ -114,7 +114,7 @@
   /** Bind the shared address, announce it and serve. */
   public record TakeAddress() implements Action {}
 
-  /** Unbind the shared address. Open requests may still be answered as far as that is allowed. */
+  /** Unbind the shared address. Requests in flight get the answers that are still allowed. */
   public record ReleaseAddress(ReleaseReason reason) implements Action {}
 
   /** The reasons for which a router gives up the shared address. */
--- a/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
+++ b/router/src/main/java/tamarindroute/vrrp/GrantMessage.java
@@ -18,7 +18,7 @@
 
   /** The kinds of messages. */
   public enum MessageType {
-    /** From a candidate: asks for a grant. */
+    /** From a candidate: requests the grant. */
     REQUEST(0),
     /** From a voter: the candidate has the grant. */
     GRANTED(1),
--- a/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
@@ -34,8 +34,8 @@
     void onTaken();
 
     /**
-     * This gateway may not act for the address any more: unbind it. Open requests may still be
-     * answered as far as that is allowed.
+     * This gateway may not act for the address any more: unbind it. Requests in flight get the
+     * answers that are still allowed.
      */
     void onReleased(Election.ReleaseReason reason);
   }
