--- a/router/src/main/java/tamarindroute/vrrp/Election.java
+++ b/router/src/main/java/tamarindroute/vrrp/Election.java
@@ -129,7 +129,8 @@
   public record TakeAddress() implements Action {}
 
   /**
-   * Unbind the shared address. Whether open requests are still answered is not decided here.
+   * Unbind the shared address. Requests in flight get the answers that are still allowed, which is
+   * not decided here.
    *
    * @param reason why the address is released
    */
--- a/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
+++ b/router/src/main/java/tamarindroute/vrrptransport/VrrpEndpoint.java
@@ -37,8 +37,8 @@
     void onTaken();
 
     /**
-     * This gateway may not act for the address any more: unbind it. Whether open requests are still
-     * answered is up to the implementation.
+     * This gateway may not act for the address any more: unbind it. Requests in flight get the
+     * answers that are still allowed, which is up to the implementation.
      */
     void onReleased(Election.ReleaseReason reason);
   }
