--- a/policy/src/main/java/tamarindroute/policy/CacheWeight.java
+++ b/policy/src/main/java/tamarindroute/policy/CacheWeight.java
@@ -22,7 +22,7 @@
   /**
    * Updates both values from the weight in the endpoint list.
    *
-   * @param advertised relative capacity, 1 for an average cache
+   * @param advertised relative capacity from the endpoint list
    * @param restarted whether the cache's process has been replaced since the last update
    */
   void update(double advertised, boolean restarted) {
@@ -32,8 +32,9 @@
         // All caches have the same weight and size.
       }
       case LIVE -> {
-        // A live weight falls with the load of the cache. The load must not move objects, and it is
-        // already limited by the concurrency, so that the largest weight seen is the size.
+        // A live weight falls with the load of the cache. The load must neither move objects nor
+        // limit the cache a second time, in addition to the concurrency limit. The largest weight
+        // since the start of the process is therefore used as the size.
         size = restarted ? weight : Math.max(size, weight);
       }
       case NOMINAL, ROUGH -> {
--- a/policy/src/main/java/tamarindroute/policy/ClassStatistics.java
+++ b/policy/src/main/java/tamarindroute/policy/ClassStatistics.java
@@ -7,8 +7,9 @@
 final class ClassStatistics {
 
   /**
-   * Requests of a size are underserved below this part of the share served of the whole class.
-   * Larger requests get two thirds of the class's share on quiet days. 0.7 leaves room above that.
+   * Requests of a size are underserved if their share served is below this part of the share of the
+   * whole class. On quiet days larger requests have to get at least two thirds of the class's
+   * share. 0.7 leaves a margin.
    */
   private static final double FAIR_SHARE = 0.7;
 
--- a/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
+++ b/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
@@ -26,11 +26,12 @@
    */
   private static final double ACCRUAL_SHARE = 0.65;
 
-  /** Largest share of an overload window that may be saved up. */
+  /** Part of this gateway's share of an overload window that may be saved up. */
   private static final double BURST_SHARE = 0.3;
 
   /**
-   * Largest share of an overload window that may be saved up if a single request costs that much.
+   * Part of this gateway's share of an overload window that may be saved up if a single request
+   * costs that much.
    */
   private static final double SINGLE_REQUEST_SHARE = 0.35;
 
@@ -165,8 +166,8 @@
   }
 
   /**
-   * Returns the admission of the request, which is drawn on its first call. A refused request
-   * forfeits the tokens that have accrued, and its probability is added to the credit.
+   * Returns whether the request is admitted, which is decided on the first call for it. If it is
+   * refused, the tokens that have accrued are forfeited and its probability is added to the credit.
    */
   private boolean sample(PlanningContext context) {
     if (sampledRequest != context.request()) {
