--- a/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
+++ b/agreement/src/main/java/tamarindroute/agreement/Bootstrap.java
@@ -9,15 +9,16 @@
 import tamarindroute.membership.Member;
 
 /**
- * State of one voter during the bootstrap of a voter group, which turns the configured addresses
- * into one group of incarnations.
+ * State of one voter during the bootstrap of a voter group. The bootstrap determines which
+ * incarnation at each configured address is a founder, that is, a first voter of the group.
  *
- * <p>Once a voter has received an offer from every other configured address, it pledges to found
- * the group with the incarnations that sent the offers. A pledge is never changed. The group is
- * established once all these incarnations have pledged to the same list. An incarnation therefore
+ * <p>Once a voter has received an offer from every other configured address, it pledges to a list
+ * of founders: itself and the incarnations that sent the offers. A pledge is never changed. The
+ * group is established once all founders have pledged to the same list. An incarnation therefore
  * founds at most one group. A voter that lost its store is a new incarnation and cannot found a
  * second group beside a running one: the new incarnation receives the founders of the running group
- * and waits to be admitted. A pledge must be persisted before it is sent in an offer. Immutable.
+ * and waits to be admitted. The caller must persist a pledge before sending it in an offer.
+ * Immutable.
  *
  * @param self identity of this voter
  * @param configuredVoters addresses of all voters, including this voter, in ascending order
@@ -96,7 +97,7 @@
       return this;
     }
     if (offer.founded()) {
-      return canJoin(offer) ? withFounders(offer.pledgedFounders()) : this;
+      return acceptsGroup(offer) ? withFounders(offer.pledgedFounders()) : this;
     }
     Map<Address, Offer> offers = new TreeMap<>(receivedOffers);
     offers.put(from, offer);
@@ -112,11 +113,13 @@
   }
 
   /**
-   * Returns whether this voter may accept the offered group as the established one. A voter that
-   * has pledged to another list may not: the group of that other list may still be established by
-   * voters that this voter cannot reach.
+   * Returns whether this voter accepts the offered group as the established one. A voter accepts
+   * the group of the list to which it has pledged. A voter without a pledge accepts a group of
+   * which it is not a founder, and waits to be admitted. A voter that has pledged to another list
+   * rejects the group: the group of that other list may still be established by voters that this
+   * voter cannot reach.
    */
-  private boolean canJoin(Offer offer) {
+  private boolean acceptsGroup(Offer offer) {
     boolean pledgedToSame = offer.pledgedFounders().equals(pledgedFounders);
     boolean unpledgedOutsider =
         pledgedFounders.isEmpty() && !offer.pledgedFounders().contains(self);
@@ -128,8 +131,8 @@
   }
 
   /**
-   * Pledges to the incarnations that sent the offers, once there is an offer from each other
-   * address and none of the senders has pledged to another list.
+   * Pledges to this voter and the incarnations that sent the offers, once there is an offer from
+   * every other configured address and no sender has pledged to a different list.
    */
   private Bootstrap pledgeIfComplete() {
     if (!pledgedFounders.isEmpty() || !hasOffersOfAll()) {
--- a/agreement/src/main/java/tamarindroute/agreement/raft/RaftVoter.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/RaftVoter.java
@@ -18,15 +18,16 @@
 import tamarindroute.membership.Member;
 
 /**
- * A configured voter, from its first start on. Bootstraps the group together with the other
- * configured voters, or receives the founders of a running group and waits to be admitted. Then
- * takes part in the consensus of the group. Runs on the event loop.
+ * A configured voter. Until it has a group, it bootstraps one together with the other configured
+ * voters, or receives the founders of a running group and waits to be admitted. After that it takes
+ * part in the Raft consensus of the group, which is implemented by the MicroRaft library. Runs on
+ * the event loop.
  */
 public final class RaftVoter implements Agreement {
 
   /**
-   * Period of the bootstrap offers, and of the check whether MicroRaft must be restarted. A
-   * bootstrap takes a few offers.
+   * Interval between bootstrap offers, and between checks whether MicroRaft must be restarted. A
+   * bootstrap takes a few rounds of offers.
    */
   private static final Duration OFFER_INTERVAL = Duration.ofSeconds(1);
 
@@ -131,7 +132,10 @@
     close();
   }
 
-  /** Restarts MicroRaft if necessary, and sends offers while this voter is not in a group. */
+  /**
+   * Restarts MicroRaft if it has had no leader for too long, and sends offers while this voter
+   * needs to be admitted to a group. Runs every {@link #OFFER_INTERVAL}.
+   */
   private void runPeriodicTasks() {
     if (closed) {
       return;
@@ -145,7 +149,10 @@
     }
   }
 
-  /** Returns whether this voter has no group yet, or is not a voter of the group. */
+  /**
+   * Returns whether this voter has no group yet, or has one in which it is not a voter. False after
+   * the voter has stopped.
+   */
   private boolean needsAdmission() {
     if (raftAgreement == null) {
       return true;
@@ -172,6 +179,7 @@
     }
   }
 
+  /** Rejects a view request or a proposal because the group is not established yet. */
   private void rejectWithoutGroup(Address from, DecodedMessage message) {
     if (message instanceof DecodedMessage.ViewRequest request) {
       ViewResponse response = ViewResponse.notLeader(request.requestNumber(), Optional.empty());
@@ -182,6 +190,10 @@
     }
   }
 
+  /**
+   * Handles an offer. A voter with a group lets {@link VoterReplacement} admit the sender if
+   * needed, and answers a sender without a group with an offer that contains the founders.
+   */
   private void onOffer(Address from, DecodedMessage.BootstrapOffer offer) {
     if (raftAgreement == null) {
       advanceBootstrap(from, offer);
--- a/agreement/src/main/java/tamarindroute/agreement/raft/ViewStateMachine.java
+++ b/agreement/src/main/java/tamarindroute/agreement/raft/ViewStateMachine.java
@@ -17,8 +17,9 @@
 import tamarindroute.agreement.wire.ViewCodec;
 
 /**
- * The replicated state machine: applies committed commands to the view. Keeps the latest commands,
- * which are sent instead of the full view to members whose view is only slightly older.
+ * The replicated state machine of the voter group, which applies committed commands to the
+ * membership view. It keeps the latest commands. Members whose view is only slightly older receive
+ * these commands instead of the full view.
  */
 final class ViewStateMachine implements StateMachine {
 
@@ -74,8 +75,9 @@
   }
 
   /**
-   * Returns the commands that lead from an older view to the current view; empty if they are no
-   * longer kept.
+   * Returns the commands that lead from an older view to the current view, in the order in which
+   * they were applied. Returns empty if they are no longer kept or the given number is above the
+   * number of the current view.
    *
    * @param number number of the older view
    */
--- a/maintenance/src/main/java/tamarindroute/maintenance/PlacementSearch.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/PlacementSearch.java
@@ -7,19 +7,23 @@
 import java.util.zip.CRC32;
 
 /**
- * Local search that places the caches of a request in several orders and keeps the best result. The
- * first order starts with the caches that are the most difficult to place. Every second order
- * starts with the caches that the previous attempt placed last or not at all. All other orders
- * follow a hash instead of random numbers, so that the search is deterministic.
+ * Local search for the start times at which the caches of a maintenance request are taken out of
+ * service. To place a cache is to choose its start time. The caches are placed one after another in
+ * several orders, and the best result is kept.
+ *
+ * <p>The first order starts with the caches that are the most difficult to place. Each order with
+ * an odd number starts with the caches that the previous order placed last or not at all. All other
+ * orders are shuffled with a hash instead of random numbers, so that the search is deterministic.
  */
 final class PlacementSearch {
   /**
-   * Maximum number of caches that are placed together because each alone would leave another of
-   * them without capacity. Groups of eight improved none of 300 plans of small inputs.
+   * Maximum number of caches that are placed together at the same start. This is done if taking
+   * only one of them out of service would leave another one without capacity, see {@link
+   * PlacementAttempt}. Groups of eight improved none of 300 plans of small inputs.
    */
   static final int MAX_GROUP_SIZE = 3;
 
-  /** Number of orders at the start that place each cache separately, which is faster. */
+  /** Number of orders, counted from the first, that place no groups. This is faster. */
   private static final int ORDERS_WITHOUT_GROUPS = 2;
 
   /** Bits of an index into the caches of a request: 2^12 = {@link PlanningInput#MAX_CACHES}. */
@@ -30,6 +34,8 @@
 
   private final CoverageTimeline timeline;
   private final int orderCount;
+
+  /** The least severe shortage that ruled out a start so far; null for none. */
   private Shortage leastSevere;
 
   PlacementSearch(CoverageTimeline timeline, int orderCount) {
@@ -58,6 +64,7 @@
     return best;
   }
 
+  /** Whether all required caches are placed at the first possible start. */
   private static boolean isOptimal(Candidate candidate, BinnedRequest request) {
     return candidate.placements().size() >= request.required()
         && candidate.lastStart() <= request.firstStart();
@@ -73,6 +80,10 @@
     return new ArrayList<>(sorted.values());
   }
 
+  /**
+   * Returns the rank of a cache in an order. Caches of lower rank are placed first. In an order
+   * with an odd number, the previous start of the cache, latest first, comes before the hash.
+   */
   private long rank(int cache, int orderNumber, Candidate previous) {
     long rank =
         orderNumber == 0
--- a/maintenance/src/main/java/tamarindroute/maintenance/WindowTransitions.java
+++ b/maintenance/src/main/java/tamarindroute/maintenance/WindowTransitions.java
@@ -14,8 +14,8 @@
 import tamarindroute.maintenance.MaintenanceWindow.Phase;
 
 /**
- * Decides the next step of each window from one state. At most one step is proposed at a time, and
- * only by a leader whose view lease has not expired.
+ * Decides the next phase of each maintenance window from one state of the coordinator. At most one
+ * change is proposed at a time, and only by a leader whose view lease has not expired.
  */
 final class WindowTransitions {
   /**
@@ -31,6 +31,8 @@
   private final CoverageAssessor assessor;
   private final List<WindowAction> actions;
   private final Set<NoticeKey> notified = new HashSet<>();
+
+  /** True while a proposal is pending, without a valid view lease, or if not the leader. */
   private boolean proposalBlocked;
 
   WindowTransitions(
@@ -108,7 +110,7 @@
     }
   }
 
-  /** Keeps the notices of a window that is not assessed in this step. */
+  /** Keeps the notices of a window that is not assessed now, so that they are not sent again. */
   private void keepNotices(Notice notice, MaintenanceWindow window) {
     state.notified().stream()
         .filter(key -> key.notice() == notice && key.window().equals(window.id()))
@@ -238,8 +240,8 @@
   }
 
   /**
-   * Returns the caches that don't count towards coverage and capacity: caches of windows in
-   * progress, and caches that are down or cold.
+   * Returns the caches that don't count towards coverage and capacity: caches of windows that are
+   * draining, open or returning, and caches that were observed to be down or cold.
    *
    * @param withUnobserved whether to include caches without a recent observation. They are included
    *     before a window starts or opens, but don't cause the recall of a window: a leader that has
@@ -269,12 +271,13 @@
                 !isBefore(observation.observedAt().plus(settings.maxObservationAge()), now));
   }
 
-  /** Returns the latest observation if it was made after this member first saw the phase. */
+  /** Returns the latest observation if it was made since this member first saw the phase. */
   private Optional<CacheObservation> observationInPhase(MaintenanceWindow window, String cache) {
     Duration since = state.phaseEntries().get(window.id()).since();
     return observation(cache).filter(observation -> !isBefore(observation.observedAt(), since));
   }
 
+  /** Proposes a new value for a window; null to remove the window. Skipped if it is unchanged. */
   private void propose(MaintenanceWindow window, MaintenanceWindow value) {
     boolean unchanged = Objects.equals(state.windows().get(window.id()), value);
     if (!proposalBlocked && !unchanged) {
@@ -283,7 +286,7 @@
     }
   }
 
-  /** Notifies operators once while the cause exists. Followers only notify of uncovered ranges. */
+  /** Notifies operators once while the cause exists. Followers send {@code UNCOVERED} only. */
   private void notify(Notice notice, MaintenanceWindow window, Shortage shortage) {
     if (!state.leader() && notice != Notice.UNCOVERED) {
       return;
--- a/policy/src/main/java/tamarindroute/policy/EdgeSelector.java
+++ b/policy/src/main/java/tamarindroute/policy/EdgeSelector.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import tamarindroute.decision.Request;
 
-/** Selects the edge for a cacheable request. */
+/**
+ * Selects the edge to which a cacheable request is sent. A request without earlier attempts may
+ * also be sent to an ejected edge as a probe.
+ */
 final class EdgeSelector {
 
   private final boolean bypassAllowed;
@@ -15,8 +18,8 @@
   /**
    * Creates a selector.
    *
-   * @param bypassAllowed whether requests may bypass the edges. Without it an ejected edge is used
-   *     if no other is left, since it is better than none
+   * @param bypassAllowed whether requests may be sent past the edges. If not, an ejected edge is
+   *     used when no other edge can be used, since the request could not be served otherwise
    */
   EdgeSelector(boolean bypassAllowed, AttemptHistory history) {
     this.bypassAllowed = bypassAllowed;
@@ -27,7 +30,8 @@
    * Returns the edge to use; empty if no edge can be used.
    *
    * @param ranked the edges in the order of the object's placement hash
-   * @param spread whether the least busy usable edge is selected in place of the first one
+   * @param spread whether the least busy usable edge is selected instead of the first one. An
+   *     ejected edge that is due for a probe is selected in either case if it is the first one
    */
   Optional<CacheState> select(PlanningContext context, List<CacheState> ranked, boolean spread) {
     Optional<CacheState> edge =
@@ -54,8 +58,8 @@
   }
 
   /**
-   * Whether the edge may be used although it may be ejected. This applies only if no other edge is
-   * left.
+   * Whether the edge may be used regardless of ejection. This is checked only if no edge is usable
+   * and requests may not bypass the edges.
    */
   private boolean isLastResort(PlanningContext context, CacheState edge) {
     return isEligible(context.request(), edge)
--- a/policy/src/main/java/tamarindroute/policy/FillAdmission.java
+++ b/policy/src/main/java/tamarindroute/policy/FillAdmission.java
@@ -1,8 +1,8 @@
 package tamarindroute.policy;
 
 /**
- * Limits the fills in flight, so that they do not overload the link of the location. Fills from
- * slow sources must not take the capacity of the edges from hits either.
+ * Limits the fills in flight, so that they do not overload the inbound link of the location. Fills
+ * from slow sources are limited further, so that enough capacity of the edges is left for hits.
  */
 final class FillAdmission {
 
--- a/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
+++ b/policy/src/main/java/tamarindroute/policy/FillSourceSelector.java
@@ -42,7 +42,7 @@
    * Returns the source for a fill; empty if there is none.
    *
    * @param upstreamSlow whether the parents of all hubs are ranked by the placement hash alone. All
-   *     gateways then ask the same parent, which asks the origin only once
+   *     gateways then select the same parent, which fetches the object from the origin only once
    */
   Optional<CacheState> select(PlanningContext context, boolean upstreamSlow) {
     return first(
--- a/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/LateAttemptPolicy.java
@@ -8,10 +8,12 @@
 import tamarindroute.decision.Request;
 
 /**
- * Decides what to do about a late attempt. It counts against its cache and source. Where hedging is
- * allowed, a second attempt is sent if it can meet the latency objective. Elsewhere the late
- * attempt is cancelled if other requests have already produced evidence against its cache or
- * source.
+ * Decides what to do about a late attempt, which is an attempt without an outcome at {@link
+ * Attempt#expectedBy}. Each late attempt is recorded in the outlier detection of its cache and
+ * source. Nothing else is done unless a retry is allowed and can meet the latency objective. In
+ * that case a second attempt is sent if the settings allow hedging. If they do not, the late
+ * attempt is cancelled if the settings allow it and the outlier detection has much evidence against
+ * the cache or the source.
  */
 final class LateAttemptPolicy {
 
@@ -19,12 +21,12 @@
   private static final double LATE_WEIGHT = 0.5;
 
   /**
-   * A further attempt is made only if this multiple of its transfer time is left before the latency
-   * objective.
+   * A second attempt is sent, or the late one cancelled, only if this multiple of the transfer time
+   * is left before the latency objective.
    */
   private static final double MIN_TRANSFER_TIMES_BEFORE_OBJECTIVE = 1.2;
 
-  /** Evidence of {@link OutlierDetector} above which a late attempt is cancelled. */
+  /** Value of {@link OutlierDetector#evidence} above which a late attempt is cancelled. */
   private static final double CANCEL_EVIDENCE = 3;
 
   private final PolicySettings settings;
@@ -53,7 +55,8 @@
   }
 
   /**
-   * Records the lateness and returns a second attempt, a cancellation or a wait.
+   * Records the late attempt and returns a second attempt, the cancellation of the late one or
+   * {@link Decision#WAIT}.
    *
    * @param attempt an outstanding attempt of the request that is late
    */
@@ -70,6 +73,7 @@
     return cancel ? new Decision.Cancel(attempt) : Decision.WAIT;
   }
 
+  /** Records the time that the attempt has waited for a fill so far, if it waits for one. */
   private void recordWait(Request request, Attempt attempt, double now) {
     if (attempt.source != attempt.cache && !attempt.onlyIfCached) {
       double wait = now - seconds(attempt.sentAt) - transferTimes.transferTime(request);
@@ -88,9 +92,9 @@
   }
 
   /**
-   * Whether other requests have produced enough evidence against the cache or the source of the
-   * attempt. Each uncacheable request has the origin as its source, wherever it is sent, so that
-   * only its cache counts.
+   * Whether the evidence against the cache or the source of the attempt exceeds {@link
+   * #CANCEL_EVIDENCE}. The source of an uncacheable request is not considered: it is the origin for
+   * every such request, whichever cache the request is sent to.
    */
   private boolean isSuspected(Request request, Attempt attempt, double now) {
     double cacheEvidence = tiers.get(attempt.cache).outliers().evidence(now);
--- a/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTestPolicy.java
@@ -28,8 +28,8 @@
   private static final double TIMEOUT_WEIGHT = 0.5;
 
   /**
-   * Share of this gateway's rate for a cold cache that is reported to fronts that carry no requests
-   * themselves.
+   * Share of this gateway's rate for a cold cache that is reported in {@link CacheHealth}. Its
+   * users direct clients to caches and do not carry the requests themselves.
    */
   private static final double REPORTED_COLD_SHARE = 0.7;
 
--- a/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
+++ b/policy/src/main/java/tamarindroute/policy/SlowStartBudget.java
@@ -10,27 +10,34 @@
 import tamarindroute.decision.Request;
 
 /**
- * A token bucket that limits what this gateway sends to a cold cache. The bucket is filled by this
- * gateway's share of the load that overloads the cache. Tokens are seconds of transfer.
+ * A token bucket that limits the load that this gateway sends to a cold cache, which is a cache
+ * that has started recently and has not yet reached its full capacity. One token is one second of
+ * transfer. Tokens accrue in proportion to this gateway's share of the smallest load that would
+ * overload the cache. The load is measured over the overload window of {@link ColdStart}.
  *
- * <p>Where a request costs more than the bucket can hold, requests are admitted at random, with a
- * probability in proportion to the tokens that have accrued. Otherwise gateways that have each
- * saved up the cost of one request would send their requests at the same time.
+ * <p>If a request costs more than the bucket can hold, it is admitted with a probability of the
+ * accrued tokens divided by its cost. If such requests were admitted as soon as the tokens cover
+ * their cost, gateways that have saved up for the same time would send their requests at the same
+ * time.
  */
 final class SlowStartBudget {
 
   /**
-   * Share of this gateway's rate at which tokens accrue. Within one overload window 0.65 of the
-   * gateway's share accrues and at most 0.35 has been saved up, so that no window exceeds the whole
-   * share.
+   * Rate at which tokens accrue, as a share of the rate that this gateway may send. Over one
+   * overload window, 0.65 of the load that the gateway may send accrues, and at most 0.35 of it was
+   * saved up before. The two together never exceed the load that the gateway may send in a window.
    */
   private static final double ACCRUAL_SHARE = 0.65;
 
-  /** Largest share of an overload window that may be saved up. */
+  /**
+   * Largest number of tokens that may be saved up, as a share of the load that this gateway may
+   * send in one overload window.
+   */
   private static final double BURST_SHARE = 0.3;
 
   /**
-   * Largest share of an overload window that may be saved up if a single request costs that much.
+   * Largest number of tokens that may be saved up for a single request that costs more than {@link
+   * #BURST_SHARE} allows, as a share of the same load.
    */
   private static final double SINGLE_REQUEST_SHARE = 0.35;
 
@@ -50,9 +57,13 @@
    */
   private double tokens;
 
+  /** When tokens were last added, in seconds since the start of the instance. */
   private double accruedAt;
 
-  /** When the current process of the cache was first seen, in seconds since the start. */
+  /**
+   * When the current process of the cache was first seen, in seconds since the start of the
+   * instance.
+   */
   private double processSeenAt;
 
   /**
@@ -61,7 +72,10 @@
    */
   private double samplingCredit = NOT_SEEDED;
 
+  /** The last request that was sampled; null before the first one. */
   private Request sampledRequest;
+
+  /** Whether the sampled request was admitted and has not been sent yet. */
   private boolean sampleAdmitted;
 
   SlowStartBudget(
@@ -81,8 +95,8 @@
   }
 
   /**
-   * Empties the bucket because the cache has a new process, which owes nothing for the previous
-   * one.
+   * Sets the tokens to 0 because the cache has a new process. Load that was sent to the previous
+   * process does not reduce the budget of the new one.
    *
    * @param now seconds since the start of the instance
    */
@@ -103,8 +117,8 @@
   }
 
   /**
-   * Returns this gateway's even share of the load that overloads the cold cache, in seconds of
-   * transfer per second.
+   * Returns the rate that overloads the cold cache at its present capacity, divided evenly among
+   * the gateways that send to it. The unit is seconds of transfer per second.
    */
   double evenShareRate(double now) {
     double age = Math.max(0, now - seconds(cache.startedAt));
@@ -114,10 +128,10 @@
         * warmth
         * weight.size()
         * limit.provenLimit()
-        / sharingGateways();
+        / sharingGatewayCount();
   }
 
-  private int sharingGateways() {
+  private int sharingGatewayCount() {
     return settings.gatewaysSharing(cache.tier);
   }
 
@@ -133,7 +147,10 @@
     return capacity >= context.cost() ? tokens >= context.cost() : sample(context);
   }
 
-  /** Whether the tokens cover this cost now; always true for a cache that is not cold. */
+  /**
+   * Whether there are enough tokens for this cost now, without sampling. Always true for a cache
+   * that is not cold.
+   */
   boolean covers(double cost, double now) {
     if (!isCold(now)) {
       return true;
@@ -142,7 +159,7 @@
     return tokens >= cost;
   }
 
-  /** Adds the tokens that have accrued until now, by the quota grant in force. */
+  /** Adds the tokens that have accrued until now at the rate of the current quota grant. */
   void accrue(double now) {
     if (isCold(now)) {
       accrue(0, now);
@@ -155,7 +172,7 @@
    */
   private double accrue(double cost, double now) {
     QuotaGrant grant = quotaGrants.get(cache.tier);
-    double rate = evenShareRate(now) * grant.toEvenShares(sharingGateways(), now, accruedAt);
+    double rate = evenShareRate(now) * grant.toEvenShares(sharingGatewayCount(), now, accruedAt);
     double windowShare = rate * seconds(coldStart.overloadWindow());
     double capacity =
         Math.max(Math.min(SINGLE_REQUEST_SHARE * windowShare, cost), BURST_SHARE * windowShare);
@@ -165,8 +182,9 @@
   }
 
   /**
-   * Returns the admission of the request, which is drawn on its first call. A refused request
-   * forfeits the tokens that have accrued, and its probability is added to the credit.
+   * Whether the request is admitted. The first call for a request decides, and later calls return
+   * the same result. If the request is not admitted, the accrued tokens are discarded and its
+   * admission probability is added to {@link #samplingCredit}.
    */
   private boolean sample(PlanningContext context) {
     if (sampledRequest != context.request()) {
@@ -183,7 +201,8 @@
   }
 
   /**
-   * Pays the cost of an attempt that is sent. A sampled attempt takes all tokens that have accrued.
+   * Subtracts the cost of an attempt that is sent. An attempt that was admitted by sampling uses up
+   * all accrued tokens instead.
    */
   void spend(PlanningContext context) {
     if (sampleAdmitted && sampledRequest == context.request()) {
--- a/versioning/src/main/java/tamarindroute/versioning/VersionRollout.java
+++ b/versioning/src/main/java/tamarindroute/versioning/VersionRollout.java
@@ -10,32 +10,42 @@
 import java.util.function.Predicate;
 
 /**
- * State machine on each member that raises the fleet version. Only the leader of the agreed view
- * acts, and it proposes one step at a time.
+ * State machine on each member that rolls out the next fleet version, see {@link FleetVersion}. The
+ * agreed view contains one entry with the fleet version and the phase of the rollout. Only the
+ * leader acts, and it proposes one change of that entry at a time.
  *
  * <p>Each proposal replaces only the entry from which it was derived, and a new leader continues
- * from the agreed entry alone. A leader that stops between two steps, or two members that both act
- * as leader, therefore leave no step half done. Each leader measures the duration of peers' reports
- * with its own clock.
+ * from the agreed entry alone. A leader that stops between two changes, or two members that both
+ * act as leader, therefore leave no change half done. Each leader measures with its own clock for
+ * how long the peers have reported that they support the next version.
  */
 public final class VersionRollout {
+  /** Entry number that stands for no entry. */
   private static final long NO_ENTRY = -1;
 
   private final RolloutSettings settings;
   private final Map<String, PeerSupport> supportByPeer = new HashMap<>();
+
+  /** Number of the last agreed entry, kept while out of contact. */
   private long entryNumber = NO_ENTRY;
 
-  /** The agreed entry; null while out of contact. */
+  /** The agreed fleet version; null before the first one and while out of contact. */
   private FleetVersion version;
 
   private Set<String> peers = Set.of();
+
+  /** When the duration of the present phase started to count. */
   private Duration phaseSince = Duration.ZERO;
+
+  /** Number of the entry for which a replacement was proposed and not rejected. */
   private long proposedEntry = NO_ENTRY;
+
   private boolean leader;
 
-  /** The fleet version that operators request; null to stay at the settled one. */
+  /** The fleet version that operators request; null for no change. */
   private Integer target;
 
+  /** The last text sent to operators, so that it is not repeated; empty for none. */
   private String lastNotice = "";
 
   /** Creates the state machine of a member that has received no agreed entry yet. */
@@ -66,9 +76,9 @@
   }
 
   /**
-   * Records that a proposal was rejected, so that it may be made again.
+   * Records that a proposal was rejected, so that the same entry may get another proposal.
    *
-   * @param rejectedEntry the entry number of the proposal
+   * @param rejectedEntry the number of the entry that the proposal would have replaced
    */
   public void onProposalRejected(long rejectedEntry) {
     if (proposedEntry == rejectedEntry) {
@@ -77,8 +87,8 @@
   }
 
   /**
-   * Restarts all durations, since a new leader does not know for how long peers reported support to
-   * the previous one.
+   * Records whether this member is the leader and restarts all durations. A new leader cannot tell
+   * for how long peers reported support to the previous leader.
    */
   private void onLeadershipChanged(RolloutEvent.LeadershipChanged change, Duration now) {
     leader = change.leader();
@@ -102,6 +112,7 @@
     supportByPeer.keySet().retainAll(peers);
   }
 
+  /** Restarts the durations for which peers have reported support. */
   private void countReportsFrom(Duration now) {
     supportByPeer.replaceAll((peer, support) -> support.countedFrom(now));
   }
@@ -139,9 +150,10 @@
   }
 
   /**
-   * Returns the version that follows a proposed one. The proposal must have been agreed for {@code
-   * beforeTrial}, like the reports. Otherwise two leaders with different reports could alternately
-   * propose a version and revert it without end.
+   * Returns the fleet version that follows phase {@code PROPOSED}. The trial starts once the phase
+   * and the peers' reports of support have both lasted for {@code beforeTrial}. Without the
+   * condition on the phase, two leaders with different reports could alternately propose a version
+   * and revert it without end.
    */
   private FleetVersion afterProposal(boolean raise, List<RolloutAction> actions, Duration now) {
     if (!raise) {
@@ -152,9 +164,9 @@
   }
 
   /**
-   * Returns the version that follows a trial. A recent report without support for the next version
-   * reverts the trial, even if operators still request that version. A peer without a recent report
-   * only delays the next step, since its last report may be outdated.
+   * Returns the fleet version that follows phase {@code TRIAL}. A recent report without support for
+   * the next version reverts the trial, even if operators still request that version. A peer
+   * without a recent report only delays the next step, since its last report may be outdated.
    */
   private FleetVersion afterTrial(boolean raise, List<RolloutAction> actions, Duration now) {
     Optional<String> peerWithoutSupport = firstPeer(peer -> reportsLack(peer, now));
@@ -179,8 +191,8 @@
   }
 
   /**
-   * Proposes at most once for each entry number. The next agreed entry shows whether the proposal
-   * was accepted.
+   * Proposes to replace the agreed entry if the version changes. There is at most one proposal for
+   * each entry number unless it is rejected. The next agreed entry shows whether it was accepted.
    */
   private void propose(FleetVersion next, List<RolloutAction> actions) {
     if (!next.equals(version) && proposedEntry != entryNumber) {
@@ -213,8 +225,8 @@
   }
 
   /**
-   * Whether a peer has not yet reported support for the whole span; true if there are no peers.
-   * Notifies operators of the first such peer if it does not support the next fleet version.
+   * Whether some peer has not yet reported support for the whole span. Also true if there are no
+   * peers. Notifies operators of the first such peer if it does not support the next fleet version.
    */
   private boolean awaitsPeer(List<RolloutAction> actions, Duration span, Duration now) {
     Optional<String> awaitedPeer = firstPeer(peer -> !supportsNextFor(peer, span, now));
