--- a/policy/src/main/java/tamarindroute/policy/RatioTest.java
+++ b/policy/src/main/java/tamarindroute/policy/RatioTest.java
@@ -4,9 +4,10 @@
 
 /**
  * The ratio test of the collaborative caching algorithm. An object is hot, and stored by several
- * edges, if its density exceeds the marginal density by more than a factor. The factor is the cost
- * of one copy less, of an object of marginal density, divided by the saving of one further copy of
- * the object.
+ * edges, if its density exceeds the marginal density by more than a factor. The density of an
+ * object is its requests per second and kB. The marginal density is the density that a tenth of the
+ * recent hits stay below. The factor is the cost of one copy less, of an object of marginal
+ * density, divided by the saving of one further copy of the object.
  */
 final class RatioTest {
 
@@ -83,8 +84,8 @@
   }
 
   /**
-   * Records a hit of an object of this density. The marginal density moves a step toward its
-   * quantile, so that old hits lose their weight.
+   * Records a hit of an object of this density and moves the marginal density one step toward the
+   * density that a tenth of the hits stay below. The influence of old hits fades with each step.
    *
    * @param density requests per second and kB; a density of 0 is ignored
    */
