--- a/cli/src/test/java/tamarindroute/gateway/ControlFeedIT.java
+++ b/cli/src/test/java/tamarindroute/gateway/ControlFeedIT.java
@@ -133,10 +133,10 @@
         assertThat(status(call(client, String.valueOf(tag), "e" + tag))).isEqualTo("ACK");
       }
       assertThat(first.receivedCommands).isEmpty();
-      awaitLogged("not before the next start: limits");
+      awaitLogged("these sections change only after a restart: limits");
       Files.writeString(config, old.substring(0, old.length() / 2));
       sendHangUp();
-      awaitLogged("the old one holds");
+      awaitLogged("the previous one stays in use");
       assertThat(status(call(client, "21", "f"))).isEqualTo("ACK");
     }
     assertThat(gateway.isAlive()).isTrue();
--- a/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
+++ b/router/src/main/java/tamarindroute/gateway/AdmissionControl.java
@@ -24,7 +24,10 @@
  */
 final class AdmissionControl {
 
-  /** No client waits so many times the longest deadline of the settings. */
+  /**
+   * Largest budget that a call may state, as a multiple of the longest deadline in the settings. A
+   * larger one is taken for a client's error.
+   */
   private static final int MAX_BUDGET_MULTIPLE = 20;
 
   private static final double NANOS_PER_MILLI = 1e6;
@@ -67,14 +70,12 @@
     return draining;
   }
 
-  /**
-   * From now on calls are rejected, and a client's connection is closed when its last request ends.
-   */
+  /** Rejects all further calls, and closes each client connection when its last request ends. */
   void startDraining() {
     draining = true;
   }
 
-  /** Requests in flight; may be read on any thread. */
+  /** Returns the number of requests in flight. May be called on any thread. */
   int inFlight() {
     return inFlight;
   }
@@ -82,19 +83,25 @@
   /**
    * Admits a call and routes it, or rejects it.
    *
-   * @param withinConnectionLimit whether the connection may have one request more open
+   * @param withinConnectionLimit whether the protocol allows the connection one more open request
    * @return false if the call's fields are invalid
    */
   boolean admit(
       ClientConnection client,
       ClientConnection.ReceivedCall received,
       boolean withinConnectionLimit) {
+    // An attempt for this call would outlive the gateway, or serve a client that has gone.
     if (draining || client.isAbandoned()) {
       reject(client, received);
       return true;
     }
     if (received.overCapacity() || pendingById.size() >= maxInFlight) {
-      Log.info("over-capacity", pendingById.size() + " requests in flight");
+      Log.info(
+          "over-capacity",
+          (received.overCapacity()
+                  ? "call rejected, no buffer for its body; requests in flight: "
+                  : "call rejected, limit of requests in flight reached: ")
+              + pendingById.size());
       reject(client, received);
       return true;
     }
@@ -106,7 +113,7 @@
     try {
       pending = parseRequest(client, received);
     } catch (MalformedMessageException e) {
-      Log.info("invalid-request", e.getMessage());
+      Log.info("invalid-request", "call rejected: " + e.getMessage());
       reject(client, received);
       return false;
     }
@@ -131,8 +138,8 @@
   }
 
   /**
-   * Checks all that a cache would have to use: a cache closes its connection on fields that it
-   * can't.
+   * Checks every field that is passed on to a cache. A cache closes its connection on an invalid
+   * field, which would fail the other requests on that connection too.
    */
   private PendingRequest parseRequest(
       ClientConnection client, ClientConnection.ReceivedCall received)
@@ -143,11 +150,11 @@
     if (fields.idempotencyKey() == null
         && requestClass.idempotency() == RequestClass.Idempotency.KEYED) {
       throw new MalformedMessageException(
-          "a call of the keyed class " + call.requestClass() + " without an idempotency key");
+          "idempotency key is missing, required by the keyed request class " + call.requestClass());
     }
     if (pendingById.containsKey(fields.requestId())) {
       throw new MalformedMessageException(
-          "request id", fields.requestId(), "one that is not in flight");
+          "request id", fields.requestId(), "an id that no request in flight has");
     }
     Duration arrivalTime = client.lastReceivedAt();
     Duration budget = Duration.ofNanos((long) (fields.budgetMillis() * NANOS_PER_MILLI));
@@ -163,31 +170,38 @@
     return new PendingRequest(client, received, fields, request);
   }
 
-  /** A comma would end the field of a cache request that holds the name. */
+  /**
+   * Returns the request class of a name. A name with a comma is invalid, since the comma would end
+   * the field that holds the name in a cache request.
+   */
   private RequestClass requestClass(String name) throws MalformedMessageException {
     RequestClass requestClass = requestClasses.get(SettingsReader.normalizeName(name));
-    if (requestClass == null || name.indexOf(',') >= 0) {
-      throw new MalformedMessageException("request class", name, "a class of the settings");
+    if (name.indexOf(',') >= 0) {
+      throw new MalformedMessageException("request class", name, "a name without commas");
+    }
+    if (requestClass == null) {
+      throw new MalformedMessageException(
+          "request class", name, "the name of a request class in the settings");
     }
     return requestClass;
   }
 
-  /** The client no longer waits for the request. */
+  /** Ends a request whose client no longer waits, without a response. */
   void onClientCancelled(PendingRequest pending) {
     outcomeHandler.onClientCancelled(pending);
   }
 
-  /** The client has closed its side and may be gone. */
+  /** Drops the unsent attempts of a request whose client closed its side and may be gone. */
   void onClientDisconnected(PendingRequest pending) {
     outcomeHandler.onClientDisconnected(pending);
   }
 
-  /** Gives every request in flight its final response now. */
+  /** Sends the final response of every request in flight now. */
   void finishAll() {
     List.copyOf(pendingById.values()).forEach(outcomeHandler::onDeadline);
   }
 
-  /** A request got its final response, or needs none. */
+  /** Removes a request that got its final response, or needs none. */
   void onRequestFinished(PendingRequest pending) {
     pending.client.onRequestFinished(pending);
     pendingById.remove(pending.id());
--- a/router/src/main/java/tamarindroute/gateway/AttemptSender.java
+++ b/router/src/main/java/tamarindroute/gateway/AttemptSender.java
@@ -16,8 +16,8 @@
 import tamarindroute.protocol.CacheStatus;
 
 /**
- * Fourth stage of the pipeline: sends attempts to caches, cancels them, and passes on what their
- * connections bring.
+ * Fourth stage of the pipeline: sends attempts to caches, cancels them, and passes responses and
+ * connection failures to the next stages.
  */
 final class AttemptSender {
 
@@ -40,7 +40,7 @@
     this.relay = relay;
   }
 
-  /** Sends an attempt, at once or when a connection to its cache is up. */
+  /** Sends an attempt at once, or as soon as a connection to its cache is open. */
   void send(PendingRequest pending, Attempt attempt) {
     InFlightAttempt inFlight = new InFlightAttempt(pending, attempt);
     pending.add(inFlight);
@@ -51,7 +51,7 @@
             .send(pending.id(), inFlight::start, pending.body(), pending.bodyLength, inFlight);
   }
 
-  /** Stops waiting for an attempt if it is still in flight. */
+  /** Cancels an attempt if it is still in flight, and records its outcome. */
   void cancel(PendingRequest pending, Attempt attempt) {
     InFlightAttempt inFlight = pending.inFlight(attempt);
     if (inFlight != null) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** An attempt that was handed to its cache's connections and has no outcome yet. */
+  /** An attempt that was handed to its cache's connection pool and has no outcome yet. */
   final class InFlightAttempt implements ResponseHandler {
 
     final PendingRequest pending;
@@ -81,7 +81,10 @@
       return started;
     }
 
-    /** Notes that the attempt is written now; returns its fields, whose times count from here. */
+    /**
+     * Marks the attempt as written and returns its encoded fields. Relative times in the fields
+     * count from now, since the connection may have opened well after the decision.
+     */
     String start() {
       started = true;
       String fillSource = attempt.source == attempt.cache ? null : endpoints.id(attempt.source);
@@ -100,24 +103,28 @@
               pending.fields.clientCopyTag()));
     }
 
-    /** Stops waiting for the response; the outcome is for the caller to record. */
+    /** Stops waiting for the response. The caller records the outcome. */
     void cancel() {
       cancelOnConnection.run();
     }
 
     /**
-     * The result given, or that nothing was sent: an attempt that was not written can't have run.
+     * Returns the given result if the attempt was written, otherwise {@code NOT_SENT}: a cache
+     * can't have run an attempt that was never written to a connection.
      */
     Result resultIfStarted(Result result) {
       return started ? result : Result.NOT_SENT;
     }
 
-    /** Ends the attempt's part in its caches' counts. */
+    /** Removes the attempt from its caches' counts of attempts in flight. */
     void release() {
       endpoints.countAttempt(attempt, -1);
     }
 
-    /** Asks the policy again, since much may have changed while the connection came up. */
+    /**
+     * Whether the policy still allows the attempt. Endpoints and purges may have changed while the
+     * connection was being opened.
+     */
     @Override
     public boolean isStillWanted() {
       try {
--- a/router/src/main/java/tamarindroute/gateway/ClientConnection.java
+++ b/router/src/main/java/tamarindroute/gateway/ClientConnection.java
@@ -20,32 +20,35 @@
 import tamarindroute.protocol.RespReader;
 
 /**
- * First stage of the pipeline: reads one client's commands and keeps the requests open on its
- * connection by their tags. A frame that is not of the protocol ends the connection once the
- * requests open on it have their responses.
+ * First stage of the pipeline: reads one client's commands and maps tags to the requests that are
+ * open on its connection. After a malformed frame the connection is closed as soon as its open
+ * requests have their responses.
  */
 final class ClientConnection implements ConnectionHandler {
 
   /**
-   * From a connection's start to its first request's end, and from a request's first byte to its
-   * last.
+   * Longest time from the opening of a connection to the last byte of its first request, and from
+   * the first byte of a later request to its last.
    */
   static final Duration FRAME_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Half of the 0.1 s after which no attempt may begin for a client that has gone. */
+  /**
+   * Time from the end of a client's input until its unsent attempts are dropped. No attempt may
+   * begin 0.1 s after a client has gone; the other half allows for a backlog of this gateway.
+   */
   private static final Duration ABANDONED_AFTER = Duration.ofMillis(50);
 
-  /** A client sends its first request as soon as it is connected. */
+  /** A client sends its first request once connected. The grace allows for a busy machine. */
   private static final Duration FIRST_REQUEST_GRACE = Duration.ofMillis(100);
 
-  /** Calls with invalid fields after which the connection is closed. */
+  /** More calls with invalid fields close a connection: they cost time that requests need. */
   private static final int MAX_INVALID_REQUESTS = 64;
 
   /**
-   * A whole call.
+   * A completely received call.
    *
    * @param body the client's body, in the pool's buffers
-   * @param overCapacity whether the pool had no room for the body, which is incomplete then
+   * @param overCapacity whether the buffer pool had no room for the body, which is then incomplete
    */
   record ReceivedCall(
       ClientCommand.Call call, ArrayDeque<IoBuffer> body, int bodyLength, boolean overCapacity) {}
@@ -69,7 +72,7 @@
   private boolean hasSentRequest;
   private int invalidRequests;
 
-  /** Cancels the timer of the frame being read; null where none is. */
+  /** Cancels the timer of the frame being read. Null between frames. */
   private Runnable cancelFrameTimer;
 
   private Runnable cancelAbandonTimer = () -> {};
@@ -94,11 +97,15 @@
   }
 
   private void onFrameTimeout() {
-    Log.info("client-timeout", hasSentRequest ? "a request was not completed" : "no request");
+    Log.info(
+        "client-timeout",
+        hasSentRequest
+            ? "the last bytes of a request did not arrive in time; closing the connection"
+            : "no complete request arrived after connecting; closing the connection");
     stopReading();
   }
 
-  /** Requests that are open are still answered; further input is discarded. */
+  /** Discards further input and closes the connection once its open requests are answered. */
   private void stopReading() {
     inputFinished = true;
     connection.discard();
@@ -106,17 +113,20 @@
     closeIfNothingPending();
   }
 
-  /** Whether nobody is there to be served any more. */
+  /** Whether the connection has ended or its input was closed a while ago. */
   boolean isAbandoned() {
     return connection.isAbandoned();
   }
 
-  /** When the bytes that are being read arrived. */
+  /** Returns the time at which the bytes being read arrived. */
   Duration lastReceivedAt() {
     return connection.receivedAt();
   }
 
-  /** A request that is coming in makes the connection the last to be evicted. */
+  /**
+   * Returns now while a request is being received, so that the connection is evicted last: eviction
+   * would lose the part received so far.
+   */
   @Override
   public Duration idleSince() {
     if (!pendingByTag.isEmpty() || connection.unsentBytes() > 0) {
@@ -128,7 +138,7 @@
     if (hasSentRequest) {
       return lastUsedAt;
     }
-    // One that sent nothing when it could have is evicted before any that did.
+    // A connection without a request after the grace time is evicted before any that sent one.
     boolean inGrace = eventLoop.now().minus(lastUsedAt).compareTo(FIRST_REQUEST_GRACE) < 0;
     return inGrace ? eventLoop.now() : Duration.ZERO;
   }
@@ -148,8 +158,10 @@
         }
       }
     } catch (MalformedMessageException e) {
-      // The other requests that are open here are sound and still get their responses.
-      Log.info("client-protocol-error", e.getMessage());
+      // Closing at once would lose the responses of the other open requests, which are valid.
+      Log.info(
+          "client-protocol-error",
+          "closing the connection after its open requests: " + e.getMessage());
       stopReading();
     }
     bytes.position(bytes.limit());
@@ -179,7 +191,7 @@
       cancelFrameTimer = null;
     }
     onCommand(ClientProtocol.decodeCommand(reader.arguments(), reader.hasBody()));
-    // A body that came with another command must not stand ahead of the next call's.
+    // The body of a command that is not a call must not be prepended to the next call's body.
     releaseBody();
   }
 
@@ -202,7 +214,7 @@
   private void onCall(ClientCommand.Call call) throws MalformedMessageException {
     if (pendingByTag.containsKey(call.tag())) {
       throw new MalformedMessageException(
-          "tag", call.tag(), "one that is not open on the connection");
+          "call tag", call.tag(), "a tag that no open request of the connection has");
     }
     ReceivedCall received = new ReceivedCall(call, body, reader.bodyLength(), overCapacity);
     body = new ArrayDeque<>();
@@ -215,7 +227,8 @@
   private void countInvalidRequest() throws MalformedMessageException {
     invalidRequests++;
     if (invalidRequests > MAX_INVALID_REQUESTS) {
-      throw new MalformedMessageException(invalidRequests + " calls with invalid fields");
+      throw new MalformedMessageException(
+          invalidRequests + " calls with invalid fields, allowed: " + MAX_INVALID_REQUESTS);
     }
   }
 
@@ -232,9 +245,9 @@
   }
 
   /**
-   * The client has closed, or only sends no more. Attempts in flight may still be answered; no
-   * further one is begun, and after a moment those that still wait for a connection to a cache are
-   * dropped.
+   * Handles a client that closed the connection or only its sending side. Attempts in flight may
+   * still be answered, but no further attempt begins. Attempts that still wait for a connection to
+   * a cache are dropped after {@link #ABANDONED_AFTER}.
    */
   @Override
   public void onInputClosed() {
@@ -247,18 +260,18 @@
     closeIfNothingPending();
   }
 
-  /** Bytes that have come already are handled first. */
+  /** Closes the connection if it is idle, after the bytes received so far are handled. */
   @Override
   public void onListenerClosed() {
     eventLoop.execute(this::closeIfNothingPending);
   }
 
-  /** A request of this connection was admitted. */
+  /** Records an admitted request as open on this connection. */
   void onRequestStarted(PendingRequest pending) {
     pendingByTag.put(pending.tag, pending);
   }
 
-  /** A request of this connection is finished. */
+  /** Removes a finished request from this connection. */
   void onRequestFinished(PendingRequest pending) {
     pendingByTag.remove(pending.tag, pending);
     lastUsedAt = eventLoop.now();
--- a/router/src/main/java/tamarindroute/gateway/GatewayServer.java
+++ b/router/src/main/java/tamarindroute/gateway/GatewayServer.java
@@ -28,16 +28,22 @@
  */
 public final class GatewayServer {
 
-  /** New connections come for 0.4 s after SIGTERM, and requests on them for 0.2 s more. */
+  /**
+   * Time after SIGTERM in which calls are still accepted. Clients open connections for up to 0.4 s
+   * after SIGTERM, and send requests on them for another 0.2 s.
+   */
   private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(750);
 
-  /** SIGKILL may come 0.7 s after the longest deadline, of which no more than this counts. */
+  /**
+   * Longest deadline that the shutdown waits for. SIGKILL may come 0.7 s after the longest deadline
+   * of the settings, and a deadline above this limit counts as this limit.
+   */
   private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
 
-  /** Past the longest deadline, after which requests in flight get their final response. */
+  /** Time past the longest deadline after which requests in flight get their final response. */
   private static final Duration FINAL_RESPONSES_TIME = Duration.ofMillis(500);
 
-  /** For the last bytes to leave. */
+  /** Time allowed for writing the last bytes. */
   private static final Duration FLUSH_TIME = Duration.ofMillis(100);
 
   private final RouterInstance instance;
@@ -47,7 +53,7 @@
   private final WarmUp warmUp;
   private final Duration longestDeadline;
 
-  /** Follows the gateway's start and end; null for none. */
+  /** Component that is notified of the gateway's start and shutdown; null for none. */
   private final LifecycleComponent component;
 
   private GatewayServer(
@@ -86,7 +92,8 @@
   }
 
   /**
-   * A pipeline with a policy and endpoints of its own, whose caches are all this gateway itself.
+   * Returns a pipeline with a separate policy and separate endpoints. The connections to all its
+   * caches lead back to this gateway.
    */
   private RequestPipeline newWarmUpPipeline(Function<PolicySettings, RoutingPolicy> policyFactory)
       throws IOException {
@@ -101,7 +108,7 @@
   }
 
   /**
-   * Starts a gateway; it goes on in threads of its own.
+   * Starts a gateway and returns. The gateway runs on its own threads.
    *
    * @param path path of the configuration file
    */
@@ -111,7 +118,7 @@
   }
 
   /**
-   * Starts a gateway with an additional component; both go on in threads of their own.
+   * Starts a gateway with an additional component and returns. Both run on their own threads.
    *
    * @param path path of the configuration file
    * @param component notified of the gateway's start and end; null for none
@@ -121,7 +128,7 @@
       Function<PolicySettings, RoutingPolicy> policyFactory,
       LifecycleComponent component)
       throws IOException {
-    // SIGHUP ends the process until it has a handler, so this goes before all else.
+    // SIGHUP ends the process until it has a handler, so the handler is installed first.
     AtomicReference<GatewayServer> startedGateway = new AtomicReference<>();
     Signal.handle(new Signal("HUP"), signal -> reloadConfiguration(path, startedGateway));
     GatewayServer gateway =
@@ -132,9 +139,9 @@
   }
 
   /**
-   * Reads the configuration again, on a thread of the signal's; waits for the start and for a
-   * reload under way. Only a new feed takes effect, since sizes are derived from all else at the
-   * start.
+   * Reads the configuration again, on the signal's thread, after the start and any other reload
+   * have ended. Only a new feed address takes effect: the other sections determine sizes that are
+   * fixed at the start.
    */
   private static synchronized void reloadConfiguration(
       String path, AtomicReference<GatewayServer> startedGateway) {
@@ -145,11 +152,11 @@
       String ignored =
           needsRestart.isEmpty()
               ? ""
-              : "; not before the next start: " + String.join(", ", needsRestart);
+              : "; these sections change only after a restart: " + String.join(", ", needsRestart);
       Log.info("configuration-reloaded", "feed " + reloaded.feed() + ignored);
       gateway.eventLoop.execute(() -> gateway.instance.moveFeed(reloaded.feed()));
     } catch (IOException e) {
-      Log.info("configuration-invalid", "the old one holds: " + e.getMessage());
+      Log.info("configuration-invalid", "the previous one stays in use: " + e.getMessage());
     }
   }
 
@@ -177,8 +184,8 @@
   }
 
   /**
-   * A list that the policy can't take must not keep the gateway from listening: the feed brings it
-   * again.
+   * Applies the bootstrap events. A list that the policy fails on must not keep the gateway from
+   * listening, since the feed sends the list again.
    */
   private void applyBootstrapEvents() {
     try {
@@ -199,7 +206,7 @@
     Runtime.getRuntime().halt(1);
   }
 
-  /** Clients may come once the code is warm and the list of caches is in. */
+  /** Reports ready once the warm-up has ended and the first list of caches has been received. */
   private void onWarmedUp() {
     Log.info(
         "warmed-up",
@@ -212,8 +219,9 @@
   }
 
   /**
-   * Shuts down on SIGTERM, on the hook's thread: accepts requests for a while, then stops
-   * listening, answers all that is in flight, and returns when the last bytes have left.
+   * Shuts down on SIGTERM, on the shutdown hook's thread: accepts requests for {@link
+   * #ACCEPT_AFTER_SIGTERM}, then stops listening, waits until the requests in flight have their
+   * responses, and returns when the last bytes are written.
    */
   private void stop() {
     Duration startedAt = MonotonicClock.now();
@@ -251,7 +259,8 @@
   }
 
   /**
-   * Clients are closed as they have their responses; what is in flight at last gets its final one.
+   * Closes each client connection when its requests have their responses. Requests that are still
+   * in flight after the given time get their final response then.
    */
   private void drain(Duration timeLeft, CompletableFuture<Void> drained) {
     eventLoop.schedule(timeLeft, pipeline::finishAll);
@@ -260,14 +269,14 @@
   }
 
   /**
-   * Neither clients that never close nor a busy event loop hold the shutdown longer than the
-   * timeout.
+   * Waits for an event, but no longer than the timeout: neither clients that never close nor a busy
+   * event loop may hold up the shutdown.
    */
   private static void await(CompletableFuture<Void> event, Duration timeout) {
     try {
       event.get(Math.max(0, timeout.toMillis()), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      // The shutdown goes on; its log line says what was left.
+      // The shutdown continues. Its log line says how many requests were left in flight.
     } catch (InterruptedException | ExecutionException e) {
       Log.info("shutdown", e);
     }
--- a/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
+++ b/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
@@ -22,7 +22,7 @@
  */
 final class OutcomeHandler {
 
-  /** The protocol's allowance on time limits, for the clocks and roundings of two machines. */
+  /** Tolerance that the protocol grants on time limits, for clock differences and rounding. */
   private static final Duration CLOCK_TOLERANCE = Duration.ofMillis(50);
 
   private final EventLoop eventLoop;
@@ -48,7 +48,7 @@
       sourceWait = response.sourceWait().orElse(null);
       reportLoad(inFlight.attempt, response);
     } catch (MalformedMessageException e) {
-      Log.info("cache-protocol-error", e.getMessage());
+      Log.info("cache-protocol-error", "source wait or load report ignored: " + e.getMessage());
     }
     Result result = verifiedResult(inFlight, response);
     boolean served = result == Result.SERVED;
@@ -68,16 +68,19 @@
         .ifPresent(report -> policy.onLoadReport(attempt.cache, report, eventLoop.now()));
   }
 
-  /** Result of a response; one that claims what can't be is a failure of its cache. */
+  /** Returns the result of a response, {@code FAILED} if the response contradicts the attempt. */
   private Result verifiedResult(InFlightAttempt inFlight, CacheResponse response) {
     Result result = response.status().result();
     if (response.status() == CacheStatus.NOT_MODIFIED
         && !namesClientCopy(inFlight.pending, response)) {
-      Log.info("cache-protocol-error", "not modified, but the copy named is not the client's");
+      Log.info(
+          "cache-protocol-error", "attempt failed: NOT_MODIFIED doesn't name the client's copy");
       return Result.FAILED;
     }
     if (result == Result.SERVED && isTooOld(inFlight.attempt, response)) {
-      Log.info("cache-protocol-error", "a copy from before a purge that the cache was told of");
+      Log.info(
+          "cache-protocol-error",
+          "attempt failed: the served copy is older than the max copy age, or its time is invalid");
       return Result.FAILED;
     }
     return result;
@@ -88,7 +91,7 @@
     return copyTag != null && copyTag.equals(pending.fields.clientCopyTag());
   }
 
-  /** Whether a copy is older than the attempt allowed, which is bounded after a purge only. */
+  /** Whether a copy exceeds the attempt's max copy age, which is set only after a purge. */
   private boolean isTooOld(Attempt attempt, CacheResponse response) {
     if (attempt.maxCopyAge == null) {
       return false;
@@ -133,8 +136,8 @@
   }
 
   /**
-   * Handles the client's deadline, or the gateway's end: what is in flight is too late, and the
-   * response is due.
+   * Handles the client's deadline or the end of the gateway: attempts in flight time out, and the
+   * request gets its final response.
    */
   void onDeadline(PendingRequest pending) {
     pending.stopAttempts();
@@ -143,12 +146,14 @@
       onFailure(inFlight, inFlight.resultIfStarted(Result.TIMED_OUT));
     }
     if (!pending.isFinished()) {
-      Log.info("defect", "no final response at the deadline");
+      Log.info(
+          "defect",
+          "request failed: the policy left it undecided at its deadline or at the shutdown");
       fail(pending);
     }
   }
 
-  /** Handles a client that seems to have gone: only attempts that were written go on. */
+  /** Handles a client that seems to have gone: attempts not yet written are cancelled. */
   void onClientDisconnected(PendingRequest pending) {
     pending.stopAttempts();
     for (InFlightAttempt inFlight : pending.inFlight()) {
@@ -159,7 +164,7 @@
     }
   }
 
-  /** Handles a client that no longer waits: it gets no response. */
+  /** Handles a client that no longer waits: the request ends without a response. */
   void onClientCancelled(PendingRequest pending) {
     finish(pending);
     for (InFlightAttempt inFlight : pending.inFlight()) {
@@ -171,7 +176,7 @@
   /**
    * Tells the client that nothing ran.
    *
-   * @param retryAfter how long the client should stay away; null for no advice
+   * @param retryAfter time after which the client may retry; null to send none
    */
   void reject(PendingRequest pending, Duration retryAfter) {
     pending.client.responses.send(ClientProtocol.encodeRejection(pending.tag, retryAfter));
--- a/router/src/main/java/tamarindroute/gateway/Router.java
+++ b/router/src/main/java/tamarindroute/gateway/Router.java
@@ -16,8 +16,8 @@
 final class Router {
 
   /**
-   * Far more attempts than settings allow one request; past it the policy is taken to decide
-   * without end.
+   * Most attempts of one request that are decided on but not sent. This is far above the attempts
+   * that settings allow, so a policy that exceeds it is taken to be in an endless loop.
    */
   private static final int MAX_UNSENT_ATTEMPTS = 16;
 
@@ -37,19 +37,19 @@
     outcomeHandler = handler;
   }
 
-  /** Has a request routed that is new or whose decision timer has fired. */
+  /** Routes a request that is new or whose decision timer has fired. */
   void route(PendingRequest pending) {
     execute(pending, decide(() -> policy.route(pending.request, eventLoop.now())));
   }
 
-  /** Tells the policy of an attempt's outcome and does what it decides then. */
+  /** Reports an attempt's outcome to the policy and executes the decision that follows. */
   void onOutcome(PendingRequest pending, Attempt attempt) {
     execute(pending, decide(() -> policy.onOutcome(pending.request, attempt, eventLoop.now())));
   }
 
   /**
-   * Fails the request if the policy itself fails: that costs one request, which still gets its one
-   * response.
+   * Returns the policy's decision, or {@code Fail} if the policy throws an exception. A defect in
+   * the policy then costs one request, which still gets its one response.
    */
   private static Decision decide(Supplier<Decision> question) {
     try {
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Reports an attempt that must not begin as not sent. The policy decides again, until it gives
-   * the request up: only it knows whether a rejection is harmless.
+   * Reports an attempt that must not begin as not sent. The policy decides again until it rejects
+   * or fails the request, since only the policy can tell whether a rejection is safe.
    */
   private void reportUnsent(PendingRequest pending, Attempt attempt) {
     pending.stopAttempts();
