--- a/router/src/main/java/tamarindroute/gateway/ConnectionClassifier.java
+++ b/router/src/main/java/tamarindroute/gateway/ConnectionClassifier.java
@@ -12,8 +12,8 @@
 import tamarindroute.protocol.ClientProtocol;
 
 /**
- * Tells by its first bytes whether a connection is a client's, the warm-up client's or one to the
- * warm-up's cache, and hands it to the handler of its kind.
+ * Handles a new connection until its first bytes show its kind, then delegates to the handler for
+ * that kind: a client, the warm-up client, or a connection to the warm-up's cache.
  */
 final class ConnectionClassifier implements ConnectionHandler {
 
@@ -22,7 +22,7 @@
   private final Function<Connection, ConnectionHandler> clientHandler;
   private final Runnable cancelTimer;
 
-  /** Null until the first bytes have come. */
+  /** Null until the first bytes are received. */
   private ConnectionHandler handler;
 
   ConnectionClassifier(
@@ -51,7 +51,7 @@
     handler.onReceived(bytes);
   }
 
-  /** Chooses the handler; false if the connection was closed, as the warm-up is done. */
+  /** Chooses the handler. Returns false if the warm-up is done and its connection was closed. */
   private boolean classify(ByteBuffer bytes) {
     String frame = StandardCharsets.ISO_8859_1.decode(bytes.duplicate()).toString();
     boolean toCache = CacheProtocol.isRequestFrame(frame);
--- a/router/src/main/java/tamarindroute/gateway/GatewayServer.java
+++ b/router/src/main/java/tamarindroute/gateway/GatewayServer.java
@@ -43,7 +43,10 @@
   /** Time past the longest deadline after which requests in flight get their final response. */
   private static final Duration FINAL_RESPONSES_TIME = Duration.ofMillis(500);
 
-  /** Time allowed for writing the last bytes. */
+  /**
+   * Time for writing the last bytes and closing the clients. The rest of the 0.7 s before SIGKILL
+   * is left for the end of the process.
+   */
   private static final Duration FLUSH_TIME = Duration.ofMillis(100);
 
   private final RouterInstance instance;
@@ -221,7 +224,7 @@
   /**
    * Shuts down on SIGTERM, on the shutdown hook's thread: accepts requests for {@link
    * #ACCEPT_AFTER_SIGTERM}, then stops listening, waits until the requests in flight have their
-   * responses, and returns when the last bytes are written.
+   * responses, and returns when the last bytes are written. A second SIGTERM changes nothing.
    */
   private void stop() {
     Duration startedAt = MonotonicClock.now();
--- a/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
+++ b/router/src/main/java/tamarindroute/gateway/OutcomeHandler.java
@@ -140,6 +140,7 @@
    * request gets its final response.
    */
   void onDeadline(PendingRequest pending) {
+    // On the outcome of the first attempt the policy may decide on another, which would be useless.
     pending.stopAttempts();
     for (InFlightAttempt inFlight : pending.inFlight()) {
       inFlight.cancel();
--- a/router/src/main/java/tamarindroute/gateway/PendingRequest.java
+++ b/router/src/main/java/tamarindroute/gateway/PendingRequest.java
@@ -12,9 +12,9 @@
 /**
  * An admitted request, from its admission to its final response and the end of its last attempt.
  *
- * <p>It is open until {@link #finish}; the client gets no response after that, but attempts may
- * still be in flight. The client's body is kept for further attempts and freed once the request is
- * finished and nothing is in flight.
+ * <p>The request is open until {@link #finish}. The client gets no response after that, but
+ * attempts may still be in flight. The client's body is kept for further attempts, and is freed
+ * once the request is finished and no attempt is in flight.
  */
 final class PendingRequest {
 
@@ -47,17 +47,17 @@
     this.request = request;
   }
 
-  /** Id that the client gave the request, unique among those in flight. */
+  /** Returns the request id that the client chose, unique among the requests in flight. */
   String id() {
     return fields.requestId();
   }
 
-  /** The client's body; empty once it is freed. */
+  /** Returns the buffers of the client's body; empty once they are freed. */
   Iterable<IoBuffer> body() {
     return body;
   }
 
-  /** How long the client still waits; negative past the deadline. */
+  /** Returns the time left until the deadline; negative after the deadline. */
   Duration timeLeft(Duration now) {
     return request.deadline.minus(now);
   }
@@ -66,7 +66,7 @@
     cancelDeadlineTimer = cancel;
   }
 
-  /** Sets the timer of the next decision in place of the former one. */
+  /** Replaces the timer of the next decision and cancels the previous one. */
   void setDecisionTimer(Runnable cancel) {
     cancelDecisionTimer.run();
     cancelDecisionTimer = cancel;
@@ -76,13 +76,13 @@
     cancelDecisionTimer.run();
   }
 
-  /** Whether the client needs no response any more. */
+  /** Whether the request had its final response or needs none. */
   boolean isFinished() {
     return finished;
   }
 
   /**
-   * Marks that the client needs no response any more, and stops the timers.
+   * Marks the request as finished and stops its timers.
    *
    * @return false if the request was finished before
    */
@@ -98,8 +98,8 @@
   }
 
   /**
-   * From now on no attempt is begun: the deadline has passed, the client has gone or the gateway
-   * stops.
+   * Prevents further attempts, because the deadline has passed, the client has gone or the gateway
+   * shuts down.
    */
   void stopAttempts() {
     attemptsStopped = true;
@@ -109,18 +109,18 @@
     return attemptsStopped;
   }
 
-  /** Counts an attempt that was decided on and not begun; returns how many there were. */
+  /** Counts an attempt that was decided on but not sent, and returns the count so far. */
   int countUnsentAttempt() {
     unsentAttempts++;
     return unsentAttempts;
   }
 
-  /** Attempts in flight, as of now. */
+  /** Returns a snapshot of the attempts in flight. */
   List<AttemptSender.InFlightAttempt> inFlight() {
     return List.copyOf(inFlight);
   }
 
-  /** The attempt in flight that was decided on so; null if it has ended. */
+  /** Returns the in-flight state of an attempt; null if the attempt has ended. */
   AttemptSender.InFlightAttempt inFlight(Attempt attempt) {
     for (AttemptSender.InFlightAttempt candidate : inFlight) {
       if (candidate.attempt == attempt) {
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Notes that an attempt has ended.
+   * Records that an attempt has ended.
    *
    * @return false if it had ended before
    */
--- a/router/src/main/java/tamarindroute/gateway/RequestPipeline.java
+++ b/router/src/main/java/tamarindroute/gateway/RequestPipeline.java
@@ -8,7 +8,7 @@
 import tamarindroute.settings.MalformedSettingsException;
 import tamarindroute.settings.SettingsReader;
 
-/** Wires the stages that a request passes to one policy and its endpoints. */
+/** Connects the stages that a request passes with one policy and its endpoints. */
 final class RequestPipeline {
 
   private final BufferPool bufferPool;
@@ -40,12 +40,12 @@
     return endpoints;
   }
 
-  /** Handler of a new client's connection. */
+  /** Returns the handler for a new connection of a client. */
   ClientConnection acceptClient(Connection connection) {
     return new ClientConnection(admission, relay, bufferPool, eventLoop, connection);
   }
 
-  /** The buffer pool has room again. */
+  /** Resumes paused connections, after the buffer pool regained room. */
   void onCapacityAvailable() {
     relay.onCapacityAvailable();
   }
@@ -54,17 +54,17 @@
     admission.setReady(isReady);
   }
 
-  /** From now on calls are rejected. */
+  /** Rejects all further calls. */
   void startDraining() {
     admission.startDraining();
   }
 
-  /** Gives every request in flight its final response now. */
+  /** Sends the final response of every request in flight now. */
   void finishAll() {
     admission.finishAll();
   }
 
-  /** Requests in flight; may be read on any thread. */
+  /** Returns the number of requests in flight. May be called on any thread. */
   int inFlight() {
     return admission.inFlight();
   }
--- a/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
+++ b/router/src/main/java/tamarindroute/gateway/ResponseRelay.java
@@ -19,15 +19,16 @@
 import tamarindroute.protocol.RespWriter;
 
 /**
- * Fifth stage of the pipeline: carries responses from caches to clients.
+ * Fifth stage of the pipeline: relays responses from caches to clients.
  *
- * <p>A response waits in the pool's buffers until it is whole, so that one which breaks off leaves
- * no trace on the client's connection and the request can be tried elsewhere. Where buffers run
- * short, caches' connections are paused and the slowest client may be closed.
+ * <p>A response is collected in the buffer pool until it is complete. If its connection breaks
+ * before that, the client has received nothing and the request can be retried at another cache. If
+ * the pool runs out of buffers, connections to caches are paused and the slowest client may be
+ * closed.
  */
 final class ResponseRelay {
 
-  /** Unsent bytes from which a client counts as slow: two of the largest responses. */
+  /** A client with more unsent bytes counts as slow. This is twice the largest response. */
   private static final long SLOW_CLIENT_BYTES = 2 * 240_000;
 
   private final BufferPool bufferPool;
@@ -35,7 +36,7 @@
   private final Set<ClientWriter> clientWriters = new LinkedHashSet<>();
   private final List<Connection> pausedConnections = new ArrayList<>();
 
-  /** Bytes still to come of responses for which room is reserved. */
+  /** Bytes not yet received of the responses for which room in the pool is reserved. */
   private long reservedBytes;
 
   ResponseRelay(BufferPool bufferPool, EventLoop eventLoop) {
@@ -43,7 +44,7 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Writes frames to one client; registered from its creation to {@link #unregister}. */
+  /** Writes frames to one client. It is registered from its creation to {@link #unregister}. */
   final class ClientWriter {
 
     private final Connection connection;
@@ -53,20 +54,20 @@
       clientWriters.add(this);
     }
 
-    /** Writes a whole frame. */
+    /** Writes a complete encoded frame. */
     void send(byte[] frame) {
       ArrayDeque<IoBuffer> buffers = new ArrayDeque<>();
       bufferPool.copy(ByteBuffer.wrap(frame), buffers);
       connection.write(buffers);
     }
 
-    /** The connection is closed. */
+    /** Removes this writer from the registered ones, after its connection was closed. */
     void unregister() {
       clientWriters.remove(this);
     }
   }
 
-  /** The response to one attempt, collected until it is whole or discarded. */
+  /** The response to one attempt, collected until it is complete or discarded. */
   final class PendingResponse {
 
     private final PendingRequest pending;
@@ -80,7 +81,7 @@
       this.pending = pending;
     }
 
-    /** Starts a served response with a body of this length. */
+    /** Starts a served response with a body of the given length in bytes. */
     void begin(CacheResponse head, int bodyLength) {
       ByteBuffer header =
           ClientProtocol.encodeServedHeader(pending.tag, head.copyTag(), bodyLength);
@@ -89,9 +90,10 @@
     }
 
     /**
-     * Adds a part of the body. Only a response for whose rest there is room goes on, else its
-     * connection is paused: half responses that fill the pool between them would wait for each
-     * other. One may always go on, unless it is slow clients that fill the pool.
+     * Adds a part of the body. A response continues only if the pool has room for its rest,
+     * otherwise its connection is paused: several partial responses that fill the pool together
+     * would wait for each other. If no room is reserved, a response continues in any case, unless
+     * slow clients fill the pool.
      */
     void append(ByteBuffer part, Connection source) {
       int count = part.remaining();
@@ -108,7 +110,7 @@
       }
     }
 
-    /** Sends the whole response to the client. */
+    /** Sends the complete response to the client. */
     void finish(CacheResponse head) {
       if (head.status() == CacheStatus.NOT_MODIFIED) {
         discard();
@@ -121,7 +123,7 @@
       releaseReservation();
     }
 
-    /** Frees the buffers of a response that is not wanted or broke off. */
+    /** Frees the buffers of a response that is not needed or was cut off. */
     void discard() {
       buffers.forEach(IoBuffer::free);
       buffers.clear();
@@ -137,7 +139,7 @@
     }
   }
 
-  /** Creates the response to a new attempt. */
+  /** Returns an empty response for a new attempt. */
   PendingResponse openResponse(PendingRequest pending) {
     return new PendingResponse(pending);
   }
@@ -146,7 +148,7 @@
     return clientWriters.stream().mapToLong(writer -> writer.connection.unsentBytes()).sum();
   }
 
-  /** Closes the client with most unsent bytes, if it is slow, and pauses the cache's connection. */
+  /** Pauses the cache's connection, and closes the client with the most unsent bytes if slow. */
   private void applyBackpressure(Connection source) {
     clientWriters.stream()
         .map(writer -> writer.connection)
@@ -158,11 +160,11 @@
   }
 
   private static void closeSlowClient(Connection client) {
-    Log.info("client-slow", client.unsentBytes() + " bytes unsent");
+    Log.info("client-slow", "closing the client, bytes unsent: " + client.unsentBytes());
     client.close(CloseReason.CLOSED_LOCALLY, false);
   }
 
-  /** Resumes the paused connections: the pool has room again, or a reservation ended. */
+  /** Resumes the paused connections, after the pool regained room or a reservation ended. */
   void onCapacityAvailable() {
     List<Connection> resumable = List.copyOf(pausedConnections);
     pausedConnections.clear();
--- a/router/src/main/java/tamarindroute/gateway/WarmUp.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUp.java
@@ -13,25 +13,25 @@
 import tamarindroute.settings.MalformedSettingsException;
 
 /**
- * Plays requests through a pipeline of its own, over connections of this gateway to itself, so that
- * the code is compiled before the first client comes. The real policy, endpoints and caches take no
- * part.
+ * Sends requests through a separate pipeline, over connections of this gateway to itself, so that
+ * the JIT compiler has compiled the code before the first client connects. The policy, endpoints
+ * and caches that serve clients are not involved.
  */
 final class WarmUp {
 
-  /** Names the warm-up in its calls and in the copies that its cache serves. */
+  /** Marks the warm-up's calls, and is the tag of the copies that its cache serves. */
   static final String MARKER = "warm-up";
 
   /** Length of a response's body, in bytes. */
   static final int BODY_LENGTH = 12_000;
 
-  /** Three times the compiler's threshold that deploy/serve.sh sets. */
+  /** Three times the JIT compiler's threshold that deploy/serve.sh sets. */
   private static final int REQUEST_COUNT = 150;
 
-  /** A restart must be quick, on a slow machine too. */
+  /** Limits the warm-up on a slow machine, since a restart must be quick. */
   private static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
-  /** Connections of the warm-up may still arrive so long after its end. */
+  /** Time after the end of the warm-up in which its own connections may still arrive. */
   private static final Duration STRAGGLER_TIME = Duration.ofSeconds(1);
 
   private final EventLoop eventLoop;
@@ -40,7 +40,10 @@
   private final List<String> requestClassNames;
   private final Runnable whenDone;
 
-  /** Null once the warm-up is done: with a long list it weighs as much as the real one. */
+  /**
+   * Null once the warm-up is done. With a long list of caches it takes as much memory as the
+   * pipeline that serves clients.
+   */
   private RequestPipeline pipeline;
 
   private WarmUpClient client;
@@ -50,7 +53,7 @@
   /**
    * Creates a warm-up.
    *
-   * @param pipeline one of its own, whose endpoints are all this gateway itself
+   * @param pipeline a separate pipeline, whose endpoints all lead to this gateway
    * @param whenDone called once, at the end
    */
   WarmUp(
@@ -75,7 +78,7 @@
         pipeline.endpoints().onEvents(bootstrapEvents);
       }
     } catch (MalformedMessageException e) {
-      // Reported where the real endpoints are read.
+      // Reported when the gateway applies the same events to its endpoints.
     }
   }
 
@@ -89,17 +92,17 @@
     client.connect(transport, ownAddress);
   }
 
-  /** Whether every connection that comes is a client's. */
+  /** Whether every new connection is a client's. */
   boolean isComplete() {
     return complete;
   }
 
-  /** Whether no further request is played; connections of the warm-up may still come. */
+  /** Whether the warm-up sends no more requests. Its connections may still arrive. */
   boolean isDone() {
     return done;
   }
 
-  /** Requests that were answered. */
+  /** Returns the number of requests that were answered. */
   int completedRequests() {
     return client == null ? 0 : client.completedRequests();
   }
@@ -119,7 +122,7 @@
   }
 
   /**
-   * Handler of a new connection, which may be a client's or one of the warm-up's own.
+   * Returns the handler for a new connection, which may be a client's or the warm-up's.
    *
    * @param clientHandler creates the handler of a client's connection
    */
@@ -128,7 +131,7 @@
     return new ConnectionClassifier(this, eventLoop, connection, clientHandler);
   }
 
-  /** Handler of the gateway's side of the warm-up client's connection. */
+  /** Returns the handler for the gateway's side of the warm-up client's connection. */
   ConnectionHandler acceptClient(Connection connection) {
     return pipeline.acceptClient(connection);
   }
--- a/router/src/main/java/tamarindroute/gateway/WarmUpCache.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUpCache.java
@@ -11,10 +11,10 @@
 import tamarindroute.protocol.RespReader;
 import tamarindroute.protocol.RespWriter;
 
-/** The caches' side of the warm-up: serves most requests and misses some. */
+/** Stands in for the caches during the warm-up: serves most requests and misses some. */
 final class WarmUpCache implements ConnectionHandler {
 
-  /** One request in so many is a miss. */
+  /** Every third request is a miss. */
   private static final int MISS_INTERVAL = 3;
 
   private final Connection connection;
--- a/router/src/main/java/tamarindroute/gateway/WarmUpClient.java
+++ b/router/src/main/java/tamarindroute/gateway/WarmUpClient.java
@@ -12,15 +12,15 @@
 import tamarindroute.protocol.MalformedMessageException;
 import tamarindroute.protocol.RespReader;
 
-/** The client of the warm-up: keeps some calls open until enough of them are answered. */
+/** Client of the warm-up: keeps calls open until the given number of them is answered. */
 final class WarmUpClient implements ConnectionHandler {
 
-  /** Calls that are open at a time. */
+  /** Number of calls that are open at a time. */
   private static final int CONCURRENCY = 16;
 
   private static final int OBJECT_COUNT = 500;
 
-  /** Prime to the number of objects, so that calls go over all of them. */
+  /** Coprime to {@link #OBJECT_COUNT}, so that the calls reach all objects. */
   private static final int OBJECT_STEP = 7;
 
   private static final double BUDGET_MILLIS = 1000;
@@ -40,8 +40,8 @@
   /**
    * Creates a client that is not yet connected.
    *
-   * @param whenFinished called when so many requests are answered, or the connection fails; maybe
-   *     more than once
+   * @param whenFinished called when {@code requestCount} requests are answered or the connection
+   *     fails, possibly more than once
    */
   WarmUpClient(List<String> requestClassNames, int requestCount, Runnable whenFinished) {
     this.requestClassNames = requestClassNames;
@@ -57,7 +57,7 @@
     connection.close(CloseReason.CLOSED_LOCALLY, false);
   }
 
-  /** Requests that were answered. */
+  /** Returns the number of requests that were answered. */
   int completedRequests() {
     return completedRequests;
   }
@@ -89,7 +89,7 @@
             Integer.toString(sentCount), requestClass, WarmUp.MARKER, fields));
   }
 
-  /** An id of 16 hexadecimal digits. */
+  /** Returns the id of a number, in 16 hexadecimal digits. */
   private static String id(int number) {
     return Long.toHexString(0x1000_0000_0000_0000L + number);
   }
--- a/router/src/main/java/tamarindroute/gateway/package-info.java
+++ b/router/src/main/java/tamarindroute/gateway/package-info.java
@@ -9,6 +9,6 @@
  * and {@link tamarindroute.gateway.GatewayServer} runs them. All of it runs on the event loop's
  * thread. Routing decisions are made by a {@code decision.RoutingPolicy}; {@code host} supplies the
  * event loop, the endpoints and the configuration, {@code net} the connections, {@code protocol}
- * the wire formats. Other front ends do not know this package.
+ * the wire formats. Other front ends must not depend on this package.
  */
 package tamarindroute.gateway;
