--- a/router/src/test/java/tamarindroute/gateway/AttemptSenderTest.java
+++ b/router/src/test/java/tamarindroute/gateway/AttemptSenderTest.java
@@ -59,7 +59,7 @@
     router.connect(sender, outcomeHandler);
   }
 
-  /** An attempt in flight of an open request, whose client is absent. */
+  /** Returns an attempt in flight of an open request without a client connection. */
   private InFlightAttempt inFlightAttempt(String clientCopyTag, Duration maxCopyAge) {
     Request request =
         new Request(null, 5, 0, 17, 1, eventLoop.now(), eventLoop.now().plusSeconds(2));
@@ -79,7 +79,7 @@
     return inFlight;
   }
 
-  /** Result of a response; the request is finished before, so that no client is needed. */
+  /** Returns the result of a response. The request is finished first, so no client is needed. */
   private Result result(InFlightAttempt inFlight, String status, FieldList fields)
       throws MalformedMessageException {
     inFlight.pending.finish();
@@ -102,20 +102,20 @@
   }
 
   /**
-   * All attempts that waited for a connection are asked for in turn: the others must still be
-   * written.
+   * When a connection opens, the policy is asked about each waiting attempt in turn. An exception
+   * that it throws for one must not keep the others from being written.
    */
   @Test
   void policyFailureCostsOnlyTheAttempt() {
     InFlightAttempt inFlight = inFlightAttempt(null, null);
     policy.mayStillSend =
         () -> {
-          throw new IllegalStateException("a defect of the policy");
+          throw new IllegalStateException("thrown by the test policy");
         };
     assertThat(inFlight.isStillWanted()).isFalse();
   }
 
-  /** What was never written has not run, and may be tried elsewhere. */
+  /** An attempt that was never written can't have run, so it may be retried at another cache. */
   @Test
   void attemptCancelledBeforeItWasWrittenWasNotSent() {
     InFlightAttempt unwritten = inFlightAttempt(null, null);
@@ -129,7 +129,7 @@
     assertThat(written.attempt.outcome.result()).isEqualTo(Result.CANCELLED);
   }
 
-  /** The client's copy is current only if the cache has named that very copy. */
+  /** NOT_MODIFIED is valid only if the cache names the tag of the client's copy. */
   @Test
   void notModifiedWithoutTheClientsTagIsAnError() throws Exception {
     FieldList none = new FieldList();
@@ -141,7 +141,7 @@
     assertThat(result(inFlightAttempt(COPY_TAG, null), "NOMOD", same)).isEqualTo(Result.SERVED);
   }
 
-  /** A copy from before a purge that the cache was told of must not reach the client. */
+  /** A copy older than the attempt's max copy age, which a purge sets, must not be served. */
   @Test
   void copyOlderThanAPurgeAllowsIsAnError() throws Exception {
     long now = System.currentTimeMillis();
@@ -155,7 +155,7 @@
       assertThat(result(inFlightAttempt(COPY_TAG, sincePurge), status, old))
           .isEqualTo(Result.FAILED);
       assertThat(result(inFlightAttempt(COPY_TAG, null), status, old))
-          .as("no purge binds")
+          .as("without a max copy age")
           .isEqualTo(Result.SERVED);
       assertThat(result(inFlightAttempt(COPY_TAG, sincePurge), status, undated))
           .isEqualTo(Result.FAILED);
--- a/router/src/test/java/tamarindroute/gateway/RouterTest.java
+++ b/router/src/test/java/tamarindroute/gateway/RouterTest.java
@@ -14,7 +14,7 @@
 import tamarindroute.protocol.CallFields;
 import tamarindroute.protocol.ClientCommand;
 
-/** Attempts that the policy decides on for a request that is ending. */
+/** Attempts that the policy decides on for a request whose attempts are stopped. */
 class RouterTest {
 
   private static Attempt attempt() {
@@ -23,8 +23,8 @@
   }
 
   /**
-   * The policy has counted the attempt: it is told that each was not sent, until it decides on no
-   * more.
+   * The policy has counted each attempt that it decided on, so each must be reported to it as not
+   * sent, until the policy decides on no further attempt.
    */
   @Test
   void attemptForAnEndingRequestIsReportedAsNotSent() {
@@ -41,7 +41,7 @@
             new CallFields("1", "1", null, null, 9000, 0, 0, 0),
             new Request(null, 1, 0, 0, 0, Duration.ZERO, Duration.ofSeconds(9)));
     pending.stopAttempts();
-    // There is no sender: an attempt that were sent all the same would fail.
+    // The router has no sender here, so sending an attempt would throw an exception.
     new Router(policy, new EventLoop()).route(pending);
     assertThat(policy.endedAttempts)
         .hasSize(3)
